--- a/src/main/java/io/pearscale/coordination/RelayActor.java
+++ b/src/main/java/io/pearscale/coordination/RelayActor.java
@@ -1,10 +1,10 @@
 package io.pearscale.coordination;
 
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.PeerMessage;
-import io.pearscale.protocol.PeerMessage.ForwardedAnswer;
-import io.pearscale.protocol.PeerMessage.ForwardedReport;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Links;
 import io.pearscale.transport.Loop;
@@ -34,11 +34,11 @@
   public sealed interface Message {}
 
   /** A worker reports here. The text is the leader to go to instead, when there is one. */
-  public record Incoming(Report report, BiConsumer<ReportAnswer, Optional<String>> answer)
+  public record Incoming(Heartbeat report, BiConsumer<HeartbeatResponse, Optional<String>> answer)
       implements Message {}
 
   /** The leader's answer came back. */
-  public record Answered(ForwardedAnswer answer) implements Message {}
+  public record Answered(ForwardedHeartbeatResponse answer) implements Message {}
 
   /** Who leads has changed. */
   public record LeaderIs(long term, Optional<String> name) implements Message {}
@@ -48,13 +48,13 @@
   private record Parked(Instant until, Incoming report) {}
 
   /** A report that waits for the leader's answer until a time. */
-  private record Exchange(Instant until, BiConsumer<ReportAnswer, Optional<String>> answer) {}
+  private record Exchange(Instant until, BiConsumer<HeartbeatResponse, Optional<String>> answer) {}
 
   private final String self;
   private final Links links;
   private final Duration patience;
   private final int mostParked;
-  private final BiConsumer<Report, Consumer<ReportAnswer>> local;
+  private final BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> local;
 
   /** Open exchanges, the oldest first, which is also the first to be overdue. */
   private final Map<Long, Exchange> open = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
       Links links,
       Duration patience,
       int mostParked,
-      BiConsumer<Report, Consumer<ReportAnswer>> local) {
+      BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> local) {
     super(loop);
     this.self = self;
     this.links = links;
@@ -116,12 +116,12 @@
       local.accept(m.report, a -> m.answer.accept(a, Optional.empty()));
     } else {
       long exchange = ++exchanges;
-      byte[] frame = PeerMessage.encode(new ForwardedReport(exchange, m.report));
+      byte[] frame = PeerMessage.encode(new ForwardedHeartbeat(exchange, m.report));
       if (links.isConnected(leader.get()) && links.send(leader.get(), frame)) {
         open.put(exchange, new Exchange(loop.clock().instant().plus(patience), m.answer));
         planSweep();
       } else {
-        m.answer.accept(ReportAnswer.UNAVAILABLE, leader);
+        m.answer.accept(HeartbeatResponse.UNAVAILABLE, leader);
       }
     }
   }
@@ -134,7 +134,7 @@
   private void park(Incoming m) {
     if (parked.size() >= mostParked) {
       refused++;
-      m.answer.accept(ReportAnswer.UNAVAILABLE, Optional.empty());
+      m.answer.accept(HeartbeatResponse.UNAVAILABLE, Optional.empty());
       return;
     }
     parked.add(new Parked(loop.clock().instant().plus(ELECTION), m));
@@ -149,7 +149,7 @@
     }
   }
 
-  private void close(long exchange, ReportAnswer answer) {
+  private void close(long exchange, HeartbeatResponse answer) {
     Exchange closed = open.remove(exchange);
     if (closed != null) {
       closed.answer.accept(answer, Optional.empty());
@@ -178,9 +178,9 @@
       }
       overdue.add(entry.getKey());
     }
-    overdue.forEach(exchange -> close(exchange, ReportAnswer.UNAVAILABLE));
+    overdue.forEach(exchange -> close(exchange, HeartbeatResponse.UNAVAILABLE));
     while (!parked.isEmpty() && !now.isBefore(parked.peek().until)) {
-      parked.poll().report.answer.accept(ReportAnswer.UNAVAILABLE, Optional.empty());
+      parked.poll().report.answer.accept(HeartbeatResponse.UNAVAILABLE, Optional.empty());
     }
     if (!open.isEmpty() || !parked.isEmpty()) {
       planSweep();
--- a/src/main/java/io/pearscale/protocol/Report.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** What a worker says of its machine. */
-public record Report(
+public record Heartbeat(
     String machine,
     String address,
     String type,
@@ -17,7 +17,7 @@
     long sequence,
     long token,
     Optional<Duration> notice,
-    List<TaskReport> tasks) {
+    List<TaskStatus> tasks) {
 
   /** What a task on the machine is at. */
   public enum Stage {
@@ -41,23 +41,23 @@
   }
 
   /** One task of a report. The cause is empty unless it has ended. */
-  public record TaskReport(TaskId task, long attempt, Stage stage, String cause) {}
+  public record TaskStatus(TaskId task, long attempt, Stage stage, String cause) {}
 
   /** Reads a report. */
-  public static Report parse(JsonNode body) throws Malformed {
+  public static Heartbeat parse(JsonNode body) throws Malformed {
     JsonNode m = Fields.map(body);
-    List<TaskReport> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     for (JsonNode t : Fields.list(m, "pieces")) {
       Fields.map(t);
       Stage stage = Stage.parse(Fields.text(t, "stage"));
       tasks.add(
-          new TaskReport(
+          new TaskStatus(
               TaskId.parse(Fields.text(t, "piece")),
               Fields.integer(t, "try", 0, Long.MAX_VALUE),
               stage,
               Fields.optText(t, "cause").orElse("")));
     }
-    return new Report(
+    return new Heartbeat(
         Fields.text(m, "hive"),
         Fields.text(m, "address"),
         Fields.text(m, "breed"),
--- a/src/main/java/io/pearscale/protocol/ReportReader.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -1,7 +1,7 @@
 package io.pearscale.protocol;
 
-import io.pearscale.protocol.Report.Stage;
-import io.pearscale.protocol.Report.TaskReport;
+import io.pearscale.protocol.Heartbeat.Stage;
+import io.pearscale.protocol.Heartbeat.TaskStatus;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -16,10 +16,10 @@
 /**
  * Reads reports straight from their bytes. Reports are most of what a controller reads, and right
  * after a start each costs several times as much as later, so they pay for no tree of objects. What
- * is accepted and refused is the same as with {@link Report#parse}, from which it is told apart by
- * nothing but its cost.
+ * is accepted and refused is the same as with {@link Heartbeat#parse}, from which it is told apart
+ * by nothing but its cost.
  */
-public final class ReportReader {
+public final class HeartbeatDecoder {
   private static final String ABSENT = "";
   private static final long MISSING = -1;
 
@@ -38,27 +38,27 @@
   private long sequence = MISSING;
   private long token = MISSING;
   private Optional<Duration> notice = Optional.empty();
-  private List<TaskReport> tasks = List.of();
+  private List<TaskStatus> tasks = List.of();
 
-  private ReportReader(byte[] body) {
+  private HeartbeatDecoder(byte[] body) {
     in = UNPACKER.newUnpacker(body);
   }
 
   /** Reads the report that the bytes begin with. */
-  public static Report read(byte[] body) throws Malformed {
+  public static Heartbeat read(byte[] body) throws Malformed {
     try {
-      return new ReportReader(body).report();
+      return new HeartbeatDecoder(body).report();
     } catch (IOException | MessagePackException e) {
       throw new Malformed("report: " + e.getMessage());
     }
   }
 
-  private Report report() throws IOException, Malformed {
+  private Heartbeat report() throws IOException, Malformed {
     int fields = mapHeader();
     for (int i = 0; i < fields; i++) {
       field(fieldName());
     }
-    return new Report(
+    return new Heartbeat(
         present("hive", machine),
         present("address", address),
         present("breed", type),
@@ -91,16 +91,16 @@
     }
   }
 
-  private List<TaskReport> tasks() throws IOException, Malformed {
+  private List<TaskStatus> tasks() throws IOException, Malformed {
     int count = in.unpackArrayHeader();
-    List<TaskReport> list = new ArrayList<>();
+    List<TaskStatus> list = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       list.add(task());
     }
     return list;
   }
 
-  private TaskReport task() throws IOException, Malformed {
+  private TaskStatus task() throws IOException, Malformed {
     String task = ABSENT;
     String stage = ABSENT;
     String cause = ABSENT;
@@ -121,7 +121,7 @@
       }
     }
     Stage parsed = Stage.parse(present("stage", stage));
-    return new TaskReport(
+    return new TaskStatus(
         TaskId.parse(present("piece", task)), present("try", attempt), parsed, cause);
   }
 
--- a/src/main/java/io/pearscale/protocol/ReportAnswer.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -10,13 +10,13 @@
  *
  * @param status 200 renews the worker's lease; anything else doesn't
  */
-public record ReportAnswer(int status, long token, List<Order> orders) {
+public record HeartbeatResponse(int status, long token, List<Order> orders) {
   /** The library's own buffer is many times as large as an answer. */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(128);
 
   /** Nobody here may act for the controllers now. */
-  public static final ReportAnswer UNAVAILABLE = new ReportAnswer(503, 0, List.of());
+  public static final HeartbeatResponse UNAVAILABLE = new HeartbeatResponse(503, 0, List.of());
 
   /**
    * The body for the worker. Most answers carry no command; they are written straight to bytes, as
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -28,20 +28,21 @@
    * @param leader who holds it, or empty
    * @param storeOk whether the state service has answered the sender lately
    */
-  record Heartbeat(long term, String leader, boolean storeOk) implements PeerMessage {}
+  record ControllerHeartbeat(long term, String leader, boolean storeOk) implements PeerMessage {}
 
   /** A worker's report, on its way to the leader. */
-  record ForwardedReport(long exchange, Report report) implements PeerMessage {}
+  record ForwardedHeartbeat(long exchange, Heartbeat report) implements PeerMessage {}
 
   /** The leader's answer to a forwarded report. */
-  record ForwardedAnswer(long exchange, ReportAnswer answer) implements PeerMessage {}
+  record ForwardedHeartbeatResponse(long exchange, HeartbeatResponse answer)
+      implements PeerMessage {}
 
   /**
    * The leader asks for a word that nothing has happened that it doesn't know.
    *
    * @param epoch how new the leader's copy of the keys is
    */
-  record Question(long nonce, long epoch) implements PeerMessage {}
+  record ConfirmationRequest(long nonce, long epoch) implements PeerMessage {}
 
   /**
    * The word of a peer, as of after the question.
@@ -51,7 +52,7 @@
    * @param live what was live when it was last told, from a peer that began to know later than the
    *     leader's copy ends: what its former life told is in this alone
    */
-  record Vouch(long nonce, long term, List<String> cancelled, Optional<LiveJobs> live)
+  record Confirmation(long nonce, long term, List<String> cancelled, Optional<LiveJobs> live)
       implements PeerMessage {}
 
   /**
@@ -73,16 +74,16 @@
   static byte[] encode(PeerMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      if (message instanceof Heartbeat m) {
+      if (message instanceof ControllerHeartbeat m) {
         out.writeByte(1);
         out.writeLong(m.term);
         out.writeUTF(m.leader);
         out.writeBoolean(m.storeOk);
-      } else if (message instanceof ForwardedReport m) {
+      } else if (message instanceof ForwardedHeartbeat m) {
         out.writeByte(2);
         out.writeLong(m.exchange);
         write(out, m.report);
-      } else if (message instanceof ForwardedAnswer m) {
+      } else if (message instanceof ForwardedHeartbeatResponse m) {
         out.writeByte(3);
         out.writeLong(m.exchange);
         out.writeShort(m.answer.status());
@@ -102,11 +103,11 @@
           out.writeInt(c.done);
           out.writeInt(c.running);
         }
-      } else if (message instanceof Question m) {
+      } else if (message instanceof ConfirmationRequest m) {
         out.writeByte(5);
         out.writeLong(m.nonce);
         out.writeLong(m.epoch);
-      } else if (message instanceof Vouch m) {
+      } else if (message instanceof Confirmation m) {
         out.writeByte(6);
         out.writeLong(m.nonce);
         out.writeLong(m.term);
@@ -131,8 +132,8 @@
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
       PeerMessage message =
           switch (in.readByte()) {
-            case 1 -> new Heartbeat(in.readLong(), in.readUTF(), in.readBoolean());
-            case 2 -> new ForwardedReport(in.readLong(), readReport(in));
+            case 1 -> new ControllerHeartbeat(in.readLong(), in.readUTF(), in.readBoolean());
+            case 2 -> new ForwardedHeartbeat(in.readLong(), readReport(in));
             case 3 -> {
               long exchange = in.readLong();
               int status = in.readShort();
@@ -146,7 +147,8 @@
                         in.readLong(),
                         Duration.ofNanos(in.readLong())));
               }
-              yield new ForwardedAnswer(exchange, new ReportAnswer(status, token, orders));
+              yield new ForwardedHeartbeatResponse(
+                  exchange, new HeartbeatResponse(status, token, orders));
             }
             case 4 -> {
               List<JobCount> jobs = new ArrayList<>();
@@ -155,9 +157,9 @@
               }
               yield new Counts(jobs);
             }
-            case 5 -> new Question(in.readLong(), in.readLong());
+            case 5 -> new ConfirmationRequest(in.readLong(), in.readLong());
             case 6 ->
-                new Vouch(
+                new Confirmation(
                     in.readLong(),
                     in.readLong(),
                     readTexts(in),
@@ -216,7 +218,7 @@
     return new TaskId(in.readUTF(), in.readInt());
   }
 
-  private static void write(DataOutputStream out, Report r) throws IOException {
+  private static void write(DataOutputStream out, Heartbeat r) throws IOException {
     out.writeUTF(r.machine());
     out.writeUTF(r.address());
     out.writeUTF(r.type());
@@ -227,27 +229,27 @@
     out.writeLong(r.token());
     out.writeLong(r.notice().map(Duration::toNanos).orElse(-1L));
     out.writeInt(r.tasks().size());
-    for (Report.TaskReport t : r.tasks()) {
+    for (Heartbeat.TaskStatus t : r.tasks()) {
       write(out, t.task());
       out.writeLong(t.attempt());
-      boolean waiting = t.stage() == Report.Stage.WAITING;
-      out.writeByte(waiting ? Report.Stage.FETCHING.ordinal() : t.stage().ordinal());
+      boolean waiting = t.stage() == Heartbeat.Stage.WAITING;
+      out.writeByte(waiting ? Heartbeat.Stage.FETCHING.ordinal() : t.stage().ordinal());
       out.writeUTF(waiting ? WAITING : t.cause());
     }
   }
 
-  private static Report.TaskReport readTaskReport(DataInputStream in)
+  private static Heartbeat.TaskStatus readTaskReport(DataInputStream in)
       throws IOException, Malformed {
     TaskId task = readTask(in);
     long attempt = in.readLong();
-    Report.Stage stage = pick(Report.Stage.values(), in.readByte());
+    Heartbeat.Stage stage = pick(Heartbeat.Stage.values(), in.readByte());
     String cause = in.readUTF();
-    return stage == Report.Stage.FETCHING && cause.equals(WAITING)
-        ? new Report.TaskReport(task, attempt, Report.Stage.WAITING, "")
-        : new Report.TaskReport(task, attempt, stage, cause);
+    return stage == Heartbeat.Stage.FETCHING && cause.equals(WAITING)
+        ? new Heartbeat.TaskStatus(task, attempt, Heartbeat.Stage.WAITING, "")
+        : new Heartbeat.TaskStatus(task, attempt, stage, cause);
   }
 
-  private static Report readReport(DataInputStream in) throws IOException, Malformed {
+  private static Heartbeat readReport(DataInputStream in) throws IOException, Malformed {
     String machine = in.readUTF();
     String address = in.readUTF();
     String type = in.readUTF();
@@ -257,11 +259,11 @@
     long sequence = in.readLong();
     long token = in.readLong();
     long notice = in.readLong();
-    List<Report.TaskReport> tasks = new ArrayList<>();
+    List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (int n = count(in); n > 0; n--) {
       tasks.add(readTaskReport(in));
     }
-    return new Report(
+    return new Heartbeat(
         machine,
         address,
         type,
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
+import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.Order;
-import io.pearscale.protocol.Report;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import io.pearscale.scheduler.Machine.Ended;
@@ -69,7 +69,7 @@
   private final Calls calls;
   private final TermExecutor executor;
   private final LongConsumer higherTerm;
-  private final ReportProcessor reports;
+  private final HeartbeatProcessor reports;
   private final DecisionLog decisions;
 
   /** Machines of the roster that were not asked since the takeover. */
@@ -94,7 +94,7 @@
       Calls calls,
       TermExecutor executor,
       LongConsumer higherTerm,
-      ReportProcessor reports) {
+      HeartbeatProcessor reports) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
@@ -354,7 +354,7 @@
   private boolean takeIn(Call call, Reply reply, boolean refused) {
     Machine m = call.machine;
     try {
-      Report r = Report.parse(reply.body());
+      Heartbeat r = Heartbeat.parse(reply.body());
       if (!r.machine().equals(m.name)) {
         throw new Malformed("answer of another machine");
       }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -4,16 +4,16 @@
 import io.pearscale.coordination.GrantKeeper;
 import io.pearscale.coordination.RelayActor;
 import io.pearscale.coordination.SupportAnnouncer;
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatDecoder;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.PeerMessage;
+import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
 import io.pearscale.protocol.PeerMessage.Counts;
-import io.pearscale.protocol.PeerMessage.ForwardedAnswer;
-import io.pearscale.protocol.PeerMessage.ForwardedReport;
-import io.pearscale.protocol.PeerMessage.Heartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
-import io.pearscale.protocol.ReportReader;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.ReplicaActor;
@@ -176,9 +176,9 @@
     election.tell(m);
   }
 
-  private void local(Report report, String via, Consumer<ReportAnswer> answer) {
+  private void local(Heartbeat report, String via, Consumer<HeartbeatResponse> answer) {
     if (!scheduler.offer(new SchedulerActor.Reported(report, via, answer))) {
-      answer.accept(ReportAnswer.UNAVAILABLE);
+      answer.accept(HeartbeatResponse.UNAVAILABLE);
     }
   }
 
@@ -237,7 +237,7 @@
 
     @Override
     public void ask(long nonce) {
-      sendAll(new PeerMessage.Question(nonce, copyEpoch));
+      sendAll(new PeerMessage.ConfirmationRequest(nonce, copyEpoch));
       // What this controller told itself counts as well: the watch may not have shown it yet.
       long known = term;
       api.tell(
@@ -317,7 +317,7 @@
   }
 
   private void heartbeat() {
-    sendAll(new Heartbeat(term, leader.orElse(""), storeOk()));
+    sendAll(new ControllerHeartbeat(term, leader.orElse(""), storeOk()));
     loop.after(HEARTBEAT, this::heartbeat);
   }
 
@@ -339,24 +339,26 @@
       LOG.warn("event=peer_record_dropped peer={} reason={}", peer, e.getMessage());
       return;
     }
-    if (message instanceof Heartbeat m) {
+    if (message instanceof ControllerHeartbeat m) {
       peers.put(peer, new PeerState(loop.clock().instant(), m.storeOk()));
       election.tell(new ElectionActor.Heard(peer, m.term(), m.leader()));
-    } else if (message instanceof PeerMessage.Question m) {
+    } else if (message instanceof PeerMessage.ConfirmationRequest m) {
       if (loaded && level.objection().isEmpty()) {
         vouch(peer, m);
       }
-    } else if (message instanceof PeerMessage.Vouch m) {
+    } else if (message instanceof PeerMessage.Confirmation m) {
       election.tell(new ElectionActor.Vouched(peer, m.nonce(), m.term(), m.cancelled(), m.live()));
     } else if (message instanceof PeerMessage.Cancelled m) {
       api.tell(new ApiActor.Cancelled(m.job()));
       cancelled(m.job());
-    } else if (message instanceof ForwardedReport m) {
+    } else if (message instanceof ForwardedHeartbeat m) {
       local(
           m.report(),
           peer,
-          a -> links.send(peer, PeerMessage.encode(new ForwardedAnswer(m.exchange(), a))));
-    } else if (message instanceof ForwardedAnswer m) {
+          a ->
+              links.send(
+                  peer, PeerMessage.encode(new ForwardedHeartbeatResponse(m.exchange(), a))));
+    } else if (message instanceof ForwardedHeartbeatResponse m) {
       relay.tell(new RelayActor.Answered(m));
     } else if (message instanceof Counts m) {
       api.tell(new ApiActor.Counts(m.jobs()));
@@ -368,7 +370,7 @@
    * but it was durable before our copy was loaded. So a leader whose copy is older than that also
    * gets all that is live.
    */
-  private void vouch(String peer, PeerMessage.Question q) {
+  private void vouch(String peer, PeerMessage.ConfirmationRequest q) {
     long known = term;
     long epoch = copyEpoch;
     boolean older = q.epoch() < loadEpoch;
@@ -378,7 +380,7 @@
                 links.send(
                     peer,
                     PeerMessage.encode(
-                        new PeerMessage.Vouch(
+                        new PeerMessage.Confirmation(
                             q.nonce(),
                             known,
                             cancelled,
@@ -438,9 +440,9 @@
   }
 
   private void checkin(Body body, Consumer<Response> respond) {
-    Report report;
+    Heartbeat report;
     try {
-      report = ReportReader.read(body.bytes());
+      report = HeartbeatDecoder.read(body.bytes());
     } catch (Malformed e) {
       LOG.warn("event=report_malformed reason={}", e.getMessage());
       respond.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Order;
-import io.pearscale.protocol.Report;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.Arrays;
@@ -61,7 +61,7 @@
   }
 
   /** A machine shows a session that was not expected of it, or the one after a loss. */
-  void sessionBegan(Machine machine, Report message, long formerSession) {
+  void sessionBegan(Machine machine, Heartbeat message, long formerSession) {
     sessions++;
     LOG.info(
         "event=session_began term={} machine={} former_session={} token={} {}",
--- a/src/main/java/io/pearscale/scheduler/ReportHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -1,9 +1,9 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Order;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
 import io.pearscale.scheduler.Machine.Life;
 import java.time.InstantSource;
 import java.util.List;
@@ -13,13 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers the reports of workers, each answer renewing a lease. */
-final class ReportHandler {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
+final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final InstantSource clock;
-  private final ReportProcessor reports;
+  private final HeartbeatProcessor reports;
   private final CommandDispatcher dispatcher;
   private final LongConsumer higherTerm;
 
@@ -28,9 +28,9 @@
    *
    * @param higherTerm is told of a higher term than ours
    */
-  ReportHandler(
+  HeartbeatHandler(
       LeaderState state,
-      ReportProcessor reports,
+      HeartbeatProcessor reports,
       CommandDispatcher dispatcher,
       LongConsumer higherTerm) {
     this.leadership = state.leadership();
@@ -47,19 +47,19 @@
    *
    * @param via the controller that it came to
    */
-  ReportAnswer answer(Report r, String via) {
+  HeartbeatResponse answer(Heartbeat r, String via) {
     if (!leadership.ready() || !leadership.mayRenew()) {
-      return ReportAnswer.UNAVAILABLE;
+      return HeartbeatResponse.UNAVAILABLE;
     }
     if (leadership.isOfLaterTerm(r.token())) {
       LOG.warn("event=report_of_higher_term machine={} token={}", r.machine(), r.token());
       higherTerm.accept(Leadership.termOf(r.token()));
-      return ReportAnswer.UNAVAILABLE;
+      return HeartbeatResponse.UNAVAILABLE;
     }
     Machine m = machineOf(r);
     if (m == null || !m.lease.isNews(r)) {
       LOG.debug("event=report_dropped machine={}", r.machine());
-      return ReportAnswer.UNAVAILABLE;
+      return HeartbeatResponse.UNAVAILABLE;
     }
     reports.absorb(m, r, gotLastAnswer(m, r, via));
     m.answersSince = Optional.empty();
@@ -68,11 +68,11 @@
     List<Order> orders = ordersInAnswer(m, r);
     dispatcher.sendDue(m);
     m.answered = m.token;
-    return new ReportAnswer(200, m.token, orders);
+    return new HeartbeatResponse(200, m.token, orders);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
-  private List<Order> ordersInAnswer(Machine m, Report r) {
+  private List<Order> ordersInAnswer(Machine m, Heartbeat r) {
     if (r.token() > m.token) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
@@ -86,7 +86,7 @@
    * same: it shows an older token than it was answered with, or turns to another controller
    * although it was answered, as workers do when no answer comes. A higher token makes sure.
    */
-  private boolean gotLastAnswer(Machine m, Report r, String via) {
+  private boolean gotLastAnswer(Machine m, Heartbeat r, String via) {
     if (r.token() < m.answered) {
       m.unheard++;
       return false;
@@ -101,7 +101,7 @@
     return false;
   }
 
-  private Machine machineOf(Report r) {
+  private Machine machineOf(Heartbeat r) {
     Machine m = inventory.get(r.machine());
     if (m == null) {
       if (inventory.isRemoved(r.machine())) {
--- a/src/main/java/io/pearscale/scheduler/ReportProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -1,8 +1,8 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.Report.TaskReport;
 import io.pearscale.scheduler.Machine.Ended;
 import io.pearscale.scheduler.Machine.Life;
 import io.pearscale.scheduler.Placement.Stage;
@@ -22,8 +22,8 @@
  * Takes in what workers say, from whichever way it came, and with it the proofs of where tasks are
  * and are not.
  */
-final class ReportProcessor {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportProcessor.class);
+final class HeartbeatProcessor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /** Whoever refused a start is left alone for so long. */
   private static final Duration REFUSAL_PAUSE = Duration.ofSeconds(2);
@@ -40,7 +40,7 @@
   private final LeaderStatistics statistics;
   private final DecisionLog decisions;
 
-  ReportProcessor(
+  HeartbeatProcessor(
       LeaderState state, FailureJudge failures, TaskStops stops, LeaderStatistics statistics) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -60,7 +60,7 @@
    *
    * @param received whether it shows that what we say reaches the machine
    */
-  void absorb(Machine m, Report r, boolean received) {
+  void absorb(Machine m, Heartbeat r, boolean received) {
     noteReported(m, r);
     if (!m.settled) {
       if (!leadership.isOfThisTerm(r.token())) {
@@ -77,8 +77,8 @@
     Map<Ended, Instant> oldForeign = new HashMap<>(m.foreign);
     m.foreign.clear();
     Set<Placement> seen = new HashSet<>();
-    for (TaskReport t : r.tasks()) {
-      if (t.stage() == Report.Stage.ENDED) {
+    for (TaskStatus t : r.tasks()) {
+      if (t.stage() == Heartbeat.Stage.ENDED) {
         absorbEnded(m, r, t, oldEnded);
       } else {
         absorbPresent(m, r, t, oldForeign).ifPresent(seen::add);
@@ -94,7 +94,7 @@
   }
 
   /** Takes in what a report says of the machine itself, whatever term it has heard of. */
-  private void noteReported(Machine m, Report r) {
+  private void noteReported(Machine m, Heartbeat r) {
     Instant now = clock.instant();
     noteSession(m, r, now);
     m.seenToken = Math.max(m.seenToken, r.token());
@@ -120,7 +120,7 @@
   }
 
   /** Takes in the session; one that was not expected is worth a line in the log. */
-  private void noteSession(Machine m, Report r, Instant now) {
+  private void noteSession(Machine m, Heartbeat r, Instant now) {
     long former = m.lease.session();
     boolean isNew = m.lease.shown(r, now);
     if (isNew && (m.lost || (former > 0 && r.session() > former))) {
@@ -129,7 +129,7 @@
   }
 
   /** Notes that a machine lives, and for how long it will. */
-  private void noteAlive(Machine m, Report r, boolean received) {
+  private void noteAlive(Machine m, Heartbeat r, boolean received) {
     Instant now = clock.instant();
     if (received) {
       m.heard = now;
@@ -150,13 +150,13 @@
   }
 
   /** The job of a reported task; empty when it is over or has no such task. */
-  private Optional<Job> jobOf(TaskReport t) {
+  private Optional<Job> jobOf(TaskStatus t) {
     return Optional.ofNullable(jobs.get(t.task().job()))
         .filter(job -> t.task().index() < job.spec.tasks());
   }
 
   /** What is known of a reported attempt; one that a former leader gave is known from now on. */
-  private Optional<Placement> placementOf(Machine m, Report r, TaskReport t) {
+  private Optional<Placement> placementOf(Machine m, Heartbeat r, TaskStatus t) {
     Placement p = m.placements.get(t.task());
     if (p != null && p.attempt < 0) {
       p.attempt = t.attempt();
@@ -166,7 +166,7 @@
     return Optional.ofNullable(p).filter(known -> known.attempt == t.attempt());
   }
 
-  private void absorbEnded(Machine m, Report r, TaskReport t, Map<Ended, Long> oldEnded) {
+  private void absorbEnded(Machine m, Heartbeat r, TaskStatus t, Map<Ended, Long> oldEnded) {
     Optional<Placement> placement = placementOf(m, r, t);
     // What is done stays done however often it is started: no token need be raised for it.
     long started = t.cause().equals("done") ? -1 : placement.map(p -> p.token).orElse(m.token);
@@ -178,7 +178,7 @@
 
   /** Takes in a task that is on the machine; empty if it must not be there. */
   private Optional<Placement> absorbPresent(
-      Machine m, Report r, TaskReport t, Map<Ended, Instant> oldForeign) {
+      Machine m, Heartbeat r, TaskStatus t, Map<Ended, Instant> oldForeign) {
     Optional<Job> job = jobOf(t);
     Optional<Placement> placement = placementOf(m, r, t);
     if (placement.isEmpty() && job.isPresent() && !job.get().done.get(t.task().index())) {
@@ -193,7 +193,7 @@
   }
 
   /** Takes a task over that nobody knew to be here; empty if it is known to be elsewhere. */
-  private Optional<Placement> adopt(Job job, Machine m, Report r, TaskReport t) {
+  private Optional<Placement> adopt(Job job, Machine m, Heartbeat r, TaskStatus t) {
     Placement other = job.placed.get(t.task().index());
     if (other != null && other.stage == Stage.PLANNED) {
       inventory.remove(other, AbsenceProof.NOT_SENT);
@@ -213,7 +213,7 @@
   }
 
   /** What is not in the report is gone only if no command for it can still be on its way. */
-  private void removeUnseen(Machine m, Report r, Set<Placement> seen) {
+  private void removeUnseen(Machine m, Heartbeat r, Set<Placement> seen) {
     for (Placement p : List.copyOf(m.placements.values())) {
       if (p.stage == Stage.PLANNED || seen.contains(p)) {
         continue;
@@ -226,7 +226,7 @@
     }
   }
 
-  private void progress(Placement p, Report.Stage stage) {
+  private void progress(Placement p, Heartbeat.Stage stage) {
     p.confirmed = true;
     Stage before = p.stage;
     p.stage =
@@ -254,7 +254,7 @@
     }
   }
 
-  private void ended(Machine m, Job job, TaskReport t, Placement p) {
+  private void ended(Machine m, Job job, TaskStatus t, Placement p) {
     if (job == null) {
       return;
     }
@@ -305,7 +305,7 @@
   }
 
   /** The worker would not start the task: what is known of the machine or the job is wrong. */
-  private void refused(Machine m, Job job, TaskReport t) {
+  private void refused(Machine m, Job job, TaskStatus t) {
     LOG.info(
         "event=start_refused term={} machine={} task={} attempt={} cause={}",
         leadership.term(),
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -25,7 +25,7 @@
   final TaskStops stops;
   final Gangs gangs;
   final CommandDispatcher dispatcher;
-  final ReportHandler reports;
+  final HeartbeatHandler reports;
   final MachineHealth health;
   final LeaderRecovery recovery;
   final PlacementPass passes;
@@ -56,12 +56,12 @@
     inventory = shared.inventory();
     statistics = new LeaderStatistics(shared);
     stops = new TaskStops(shared, times);
-    ReportProcessor processor =
-        new ReportProcessor(shared, new FailureJudge(shared), stops, statistics);
+    HeartbeatProcessor processor =
+        new HeartbeatProcessor(shared, new FailureJudge(shared), stops, statistics);
     dispatcher =
         new CommandDispatcher(
             shared, settings, times, env.calls(), executor, listener::higherTerm, processor);
-    reports = new ReportHandler(shared, processor, dispatcher, listener::higherTerm);
+    reports = new HeartbeatHandler(shared, processor, dispatcher, listener::higherTerm);
     CloudActor cloud = new CloudActor(env.loop(), env.calls(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(shared, cloud);
     health = new MachineHealth(shared, times, dispatcher, retirement);
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -1,10 +1,10 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.ReplicaActor.Entry;
@@ -27,7 +27,7 @@
 /**
  * Receives what concerns jobs and machines, and wires the parts of a leader, each of which owns its
  * own state: {@link JobTable}, {@link MachineInventory}, {@link LeaderRecords}, {@link
- * LeaderRecovery}, {@link ReportProcessor}, {@link CommandDispatcher}, {@link MachineHealth},
+ * LeaderRecovery}, {@link HeartbeatProcessor}, {@link CommandDispatcher}, {@link MachineHealth},
  * {@link PlacementPass}, {@link MachineSupply} and {@link RecordWriter}. On a controller that does
  * not lead it only keeps the jobs and the stored records at hand.
  */
@@ -72,7 +72,7 @@
   public record Acknowledged(long term) implements Message {}
 
   /** A worker's report, to be answered; {@code via} is the controller that it came to. */
-  public record Reported(Report report, String via, Consumer<ReportAnswer> answer)
+  public record Reported(Heartbeat report, String via, Consumer<HeartbeatResponse> answer)
       implements Message {}
 
   /** The leader is to show that it lives, by a write if there is none to be made anyway. */
--- a/src/main/java/io/pearscale/scheduler/SessionLease.java
+++ b/src/main/java/io/pearscale/scheduler/SessionLease.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.protocol.Report;
+import io.pearscale.protocol.Heartbeat;
 import java.time.Duration;
 import java.time.Instant;
 
@@ -57,7 +57,7 @@
   }
 
   /** Whether the message is later than all that were taken in, and of a session to be believed. */
-  boolean isNews(Report message) {
+  boolean isNews(Heartbeat message) {
     return shownSession == NONE
         ? message.session() >= leastSession
         : message.newerThan(shownSession, shownSequence);
@@ -68,7 +68,7 @@
    *
    * @return whether it shows a session that was not seen before, which counts its lease from now
    */
-  boolean shown(Report message, Instant now) {
+  boolean shown(Heartbeat message, Instant now) {
     boolean sessionIsNew = shownSession == NONE || message.session() > shownSession;
     shownSession = message.session();
     shownSequence = message.sequence();
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -1,8 +1,8 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.protocol.Order;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.Report.TaskReport;
 import io.pearscale.scheduler.Placement.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -57,10 +57,10 @@
    *
    * @param isLive whether a job is not over
    */
-  static List<Order> forUnsettled(Report report, Predicate<String> isLive) {
+  static List<Order> forUnsettled(Heartbeat report, Predicate<String> isLive) {
     List<Order> stops = new ArrayList<>();
-    for (TaskReport task : report.tasks()) {
-      if (task.stage() != Report.Stage.ENDED && !isLive.test(task.task().job())) {
+    for (TaskStatus task : report.tasks()) {
+      if (task.stage() != Heartbeat.Stage.ENDED && !isLive.test(task.task().job())) {
         stops.add(Order.kill(task.task(), task.attempt(), Duration.ZERO));
       }
     }
--- a/src/test/java/io/pearscale/coordination/RelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/RelayActorTest.java
@@ -5,12 +5,12 @@
 
 import io.pearscale.coordination.RelayActor.Incoming;
 import io.pearscale.coordination.RelayActor.LeaderIs;
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.PeerMessage;
-import io.pearscale.protocol.PeerMessage.ForwardedAnswer;
-import io.pearscale.protocol.PeerMessage.ForwardedReport;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.SocketShares;
 import io.pearscale.transport.CountingLoop;
 import io.pearscale.transport.Links;
@@ -23,14 +23,14 @@
 
 /** Reports on their way to the leader: each is answered once, and few timers watch over them. */
 class RelayActorTest {
-  private static final Report REPORT =
-      new Report("m-1", "a:1", "small", "a", false, 1, 1, 0, Optional.empty(), List.of());
+  private static final Heartbeat REPORT =
+      new Heartbeat("m-1", "a:1", "small", "a", false, 1, 1, 0, Optional.empty(), List.of());
 
   /** Of a controller that is to serve 4,000 workers while it is the only one. */
   private static final int SOCKETS = 8000;
 
   private final CountingLoop loop = new CountingLoop();
-  private final List<ForwardedReport> sent = new ArrayList<>();
+  private final List<ForwardedHeartbeat> sent = new ArrayList<>();
   private final List<Integer> answers = new ArrayList<>();
   private final RelayActor relay =
       new RelayActor(
@@ -40,7 +40,7 @@
             @Override
             public boolean send(String peer, byte[] frame) {
               try {
-                sent.add((ForwardedReport) PeerMessage.decode(frame));
+                sent.add((ForwardedHeartbeat) PeerMessage.decode(frame));
               } catch (Malformed e) {
                 throw new IllegalStateException(e);
               }
@@ -73,7 +73,8 @@
     assertEquals(List.of(503), answers);
     relay.tell(
         new RelayActor.Answered(
-            new ForwardedAnswer(sent.get(0).exchange(), new ReportAnswer(200, 1, List.of()))));
+            new ForwardedHeartbeatResponse(
+                sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofSeconds(1));
     assertEquals(List.of(503), answers);
   }
@@ -89,7 +90,8 @@
     loop.pass(Duration.ofMillis(10));
     relay.tell(
         new RelayActor.Answered(
-            new ForwardedAnswer(sent.get(0).exchange(), new ReportAnswer(200, 1, List.of()))));
+            new ForwardedHeartbeatResponse(
+                sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofMillis(10));
     assertEquals(List.of(200), answers);
   }
@@ -138,7 +140,8 @@
       loop.pass(Duration.ofMillis(2));
       relay.tell(
           new RelayActor.Answered(
-              new ForwardedAnswer(sent.get(i).exchange(), new ReportAnswer(200, 1, List.of()))));
+              new ForwardedHeartbeatResponse(
+                  sent.get(i).exchange(), new HeartbeatResponse(200, 1, List.of()))));
       loop.pass(Duration.ofMillis(2));
     }
     assertEquals(1000, answers.stream().filter(status -> status == 200).count());
--- a/src/test/java/io/pearscale/protocol/ReportReaderTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports read from their bytes, against the same reports read as trees. */
-class ReportReaderTest {
+class HeartbeatDecoderTest {
   private static final int REPORTS = 2000;
 
   /** The tree of such a report takes 5.9 kB, reading it from its bytes 3.1 kB. */
@@ -42,18 +42,18 @@
     return report;
   }
 
-  private static Optional<Report> asTree(byte[] body) {
+  private static Optional<Heartbeat> asTree(byte[] body) {
     try {
       JsonNode tree = MessagePack.decode(body).orElseThrow(() -> new Malformed("none"));
-      return Optional.of(Report.parse(tree));
+      return Optional.of(Heartbeat.parse(tree));
     } catch (Malformed e) {
       return Optional.empty();
     }
   }
 
-  private static Optional<Report> asBytes(byte[] body) {
+  private static Optional<Heartbeat> asBytes(byte[] body) {
     try {
-      return Optional.of(ReportReader.read(body));
+      return Optional.of(HeartbeatDecoder.read(body));
     } catch (Malformed e) {
       return Optional.empty();
     }
@@ -106,18 +106,19 @@
       asBytes(body);
       asBytes(cut);
     }
-    assertThrows(Malformed.class, () -> ReportReader.read(new byte[0]));
-    assertThrows(Malformed.class, () -> ReportReader.read(MessagePack.encode(MessagePack.map())));
+    assertThrows(Malformed.class, () -> HeartbeatDecoder.read(new byte[0]));
+    assertThrows(
+        Malformed.class, () -> HeartbeatDecoder.read(MessagePack.encode(MessagePack.map())));
   }
 
   @Test
   void aReportPaysForNoTree() throws Malformed {
     byte[] body = MessagePack.encode(report(3));
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    ReportReader.read(body);
+    HeartbeatDecoder.read(body);
     long before = threads.getCurrentThreadAllocatedBytes();
     for (int i = 0; i < 100; i++) {
-      ReportReader.read(body);
+      HeartbeatDecoder.read(body);
     }
     long each = (threads.getCurrentThreadAllocatedBytes() - before) / 100;
     assertTrue(each < MOST_BYTES, "allocated: " + each);
--- a/src/test/java/io/pearscale/protocol/ReportAnswerTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ReportAnswerTest {
+class HeartbeatResponseTest {
   private static final TaskId TASK = new TaskId("wk-000412", 4);
 
   /** Encoding the tree of an answer without commands takes 1.3 kB, writing it half as much. */
@@ -27,14 +27,14 @@
     var tree = MessagePack.map().put("baton", 50331649L);
     var list = tree.putArray("orders");
     orders.forEach(order -> list.add(order.toNode()));
-    byte[] bytes = new ReportAnswer(200, 50331649L, orders).encode();
+    byte[] bytes = new HeartbeatResponse(200, 50331649L, orders).encode();
     JsonNode read = MessagePack.decode(bytes).orElseThrow();
     assertEquals(MessagePack.decode(MessagePack.encode(tree)).orElseThrow(), read);
   }
 
   @Test
   void anAnswerWithoutCommandsPaysForNoTree() {
-    ReportAnswer answer = new ReportAnswer(200, 50331649L, List.of());
+    HeartbeatResponse answer = new HeartbeatResponse(200, 50331649L, List.of());
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     answer.encode();
     long before = threads.getCurrentThreadAllocatedBytes();
--- a/src/test/java/io/pearscale/protocol/PeerMessageTest.java
+++ b/src/test/java/io/pearscale/protocol/PeerMessageTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.pearscale.protocol.PeerMessage.Cancelled;
+import io.pearscale.protocol.PeerMessage.Confirmation;
+import io.pearscale.protocol.PeerMessage.ConfirmationRequest;
+import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
 import io.pearscale.protocol.PeerMessage.Counts;
-import io.pearscale.protocol.PeerMessage.ForwardedAnswer;
-import io.pearscale.protocol.PeerMessage.ForwardedReport;
-import io.pearscale.protocol.PeerMessage.Heartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
-import io.pearscale.protocol.PeerMessage.Question;
-import io.pearscale.protocol.PeerMessage.Vouch;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
@@ -24,10 +24,10 @@
 
   private static final List<PeerMessage> ALL =
       List.of(
-          new Heartbeat(9, "hive-2", true),
-          new ForwardedReport(
+          new ControllerHeartbeat(9, "hive-2", true),
+          new ForwardedHeartbeat(
               4,
-              new Report(
+              new Heartbeat(
                   "m-1",
                   "10.0.0.1:9",
                   "g",
@@ -38,11 +38,11 @@
                   41,
                   Optional.of(Duration.ofSeconds(12)),
                   List.of(
-                      new Report.TaskReport(TASK, 5, Report.Stage.ENDED, "done"),
-                      new Report.TaskReport(TASK, 6, Report.Stage.FETCHING, "")))),
-          new ForwardedAnswer(
+                      new Heartbeat.TaskStatus(TASK, 5, Heartbeat.Stage.ENDED, "done"),
+                      new Heartbeat.TaskStatus(TASK, 6, Heartbeat.Stage.FETCHING, "")))),
+          new ForwardedHeartbeatResponse(
               4,
-              new ReportAnswer(
+              new HeartbeatResponse(
                   200,
                   77,
                   List.of(
@@ -50,9 +50,9 @@
                       Order.kill(TASK, 7, Duration.ofSeconds(4)),
                       Order.clear(TASK, 6)))),
           new Counts(List.of(new JobCount("wk-7", 1, 2))),
-          new Question(12, 431),
-          new Vouch(12, 9, List.of("wk-3", "wk-5"), Optional.empty()),
-          new Vouch(12, 9, List.of(), Optional.of(new LiveJobs(430, List.of("wk-8")))),
+          new ConfirmationRequest(12, 431),
+          new Confirmation(12, 9, List.of("wk-3", "wk-5"), Optional.empty()),
+          new Confirmation(12, 9, List.of(), Optional.of(new LiveJobs(430, List.of("wk-8")))),
           new Cancelled("wk-3"));
 
   @Test
--- a/src/test/java/io/pearscale/scheduler/SessionLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/SessionLeaseTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pearscale.protocol.Report;
+import io.pearscale.protocol.Heartbeat;
 import io.pearscale.scheduler.SessionLease.Basis;
 import java.time.Duration;
 import java.time.Instant;
@@ -21,8 +21,8 @@
     return START.plusSeconds(seconds);
   }
 
-  private static Report message(long session, long sequence) {
-    return new Report(
+  private static Heartbeat message(long session, long sequence) {
+    return new Heartbeat(
         "m-1", "", "small", "a", false, session, sequence, 0, Optional.empty(), List.of());
   }
 
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.drain.DrainSettings;
+import io.pearscale.protocol.Heartbeat;
+import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
-import io.pearscale.protocol.Report;
-import io.pearscale.protocol.ReportAnswer;
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Shape;
 import io.pearscale.scheduler.Operations;
@@ -67,7 +67,7 @@
   private long stamp;
   private long term;
   private final Map<String, Entry> keys = new LinkedHashMap<>();
-  private Optional<ReportAnswer> answer = Optional.empty();
+  private Optional<HeartbeatResponse> answer = Optional.empty();
   private boolean higher;
   private String unfit = "";
 
@@ -371,8 +371,8 @@
     stamp = world.state.epoch();
   }
 
-  private Report report(List<String> w) throws Malformed {
-    return Report.parse(body(w.get(1), w.subList(2, w.size())));
+  private Heartbeat report(List<String> w) throws Malformed {
+    return Heartbeat.parse(body(w.get(1), w.subList(2, w.size())));
   }
 
   /** Words: session sequence token, then tasks like wk-1/0:running or wk-1/0:ended:done. */
@@ -445,7 +445,7 @@
             : Optional.of("leeway " + got);
       }
       case "token" -> {
-        long got = answer.map(ReportAnswer::token).orElse(-1L) - (term << 24) - 1;
+        long got = answer.map(HeartbeatResponse::token).orElse(-1L) - (term << 24) - 1;
         return got == Long.parseLong(w.get(1)) ? Optional.empty() : Optional.of("token +" + got);
       }
       case "stored" -> {
