--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -9,7 +9,7 @@
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import io.pearscale.scheduler.Machine.Ended;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.MessagePack;
@@ -149,7 +149,7 @@
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
   private List<Order> repeatedStarts(Machine m) {
     List<Order> orders = new ArrayList<>();
-    for (Placement p : m.placements.values()) {
+    for (TaskAttempt p : m.placements.values()) {
       boolean seemsLost = p.stage == Stage.SENT && !p.confirmed && !p.stopping && !m.calling;
       if (seemsLost && leadership.mayStart()) {
         p.token = m.token;
@@ -193,7 +193,7 @@
       return orders;
     }
     Machine.Room room = null;
-    for (Placement p : List.copyOf(m.placements.values())) {
+    for (TaskAttempt p : List.copyOf(m.placements.values())) {
       boolean durable = p.stage == Stage.PLANNED && p.marked && Gangs.mayStart(p.job);
       if (!durable || mayBeCalledBusy(m, p, cleared)) {
         continue;
@@ -214,7 +214,7 @@
   }
 
   /** Whether the worker still knows another attempt of the task, and might refuse this one. */
-  private static boolean mayBeCalledBusy(Machine m, Placement p, Set<Ended> cleared) {
+  private static boolean mayBeCalledBusy(Machine m, TaskAttempt p, Set<Ended> cleared) {
     return m.ended.keySet().stream().anyMatch(e -> e.task().equals(p.task) && !cleared.contains(e));
   }
 
@@ -223,7 +223,7 @@
     if (StopCommands.unsent(m)) {
       return true;
     }
-    for (Placement p : m.placements.values()) {
+    for (TaskAttempt p : m.placements.values()) {
       if (p.stage == Stage.PLANNED && p.marked && m.recorded) {
         return true;
       }
@@ -388,7 +388,7 @@
    */
   private void notExecuted(Call call) {
     for (Order o : call.orders) {
-      Placement p = call.machine.placements.get(o.task());
+      TaskAttempt p = call.machine.placements.get(o.task());
       if (p == null || p.attempt != o.attempt()) {
         continue;
       }
@@ -400,7 +400,7 @@
     }
   }
 
-  private void startNotExecuted(Placement p) {
+  private void startNotExecuted(TaskAttempt p) {
     if (p.stopping) {
       inventory.remove(p, AbsenceProof.NOT_EXECUTED);
     } else {
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -84,7 +84,7 @@
   }
 
   /** A task is taken to be gone from its machine. */
-  void gone(Placement placement, AbsenceProof proof) {
+  void gone(TaskAttempt placement, AbsenceProof proof) {
     absences[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
       LOG.debug(
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -14,7 +14,7 @@
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Machine.Life;
 import io.pearscale.scheduler.MachineRetirement.Reason;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.ReplicaActor.KeyChange;
@@ -265,7 +265,7 @@
   // ---- Disruptions ----
 
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
-  boolean requestMove(Placement placement) {
+  boolean requestMove(TaskAttempt placement) {
     Disruption disruption = disruption(placement, /* voluntary= */ true);
     if (ledger.isOpen(placement.task) || ledger.spend(disruption).isPresent()) {
       return false;
@@ -274,7 +274,7 @@
     return true;
   }
 
-  private static Disruption disruption(Placement placement, boolean voluntary) {
+  private static Disruption disruption(TaskAttempt placement, boolean voluntary) {
     return new Disruption(
         placement.task,
         placement.job.spec.team(),
@@ -288,11 +288,11 @@
    * for all of them.
    */
   private void carryOut(Disruption disruption) {
-    Optional<Placement> placement = placementOf(disruption.task());
+    Optional<TaskAttempt> placement = placementOf(disruption.task());
     if (placement.isEmpty() || placement.get().stopping) {
       return;
     }
-    Placement p = placement.get();
+    TaskAttempt p = placement.get();
     if (matesOf(p).stream().anyMatch(disruptions::isPending)) {
       return;
     }
@@ -309,7 +309,7 @@
   }
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
-  private static List<TaskId> matesOf(Placement placement) {
+  private static List<TaskId> matesOf(TaskAttempt placement) {
     if (!placement.job.spec.gang()) {
       return List.of();
     }
@@ -319,12 +319,12 @@
         .toList();
   }
 
-  private Optional<Placement> placementOf(TaskId task) {
+  private Optional<TaskAttempt> placementOf(TaskId task) {
     return Optional.ofNullable(jobs.get(task.job())).map(job -> job.placed.get(task.index()));
   }
 
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
-  private void noteRemoved(Placement placement) {
+  private void noteRemoved(TaskAttempt placement) {
     boolean wasUp = placement.stage == Stage.RUNNING || placement.stage == Stage.SAVING;
     if (wasUp && jobs.contains(placement.job) && !placement.job.spec.service()) {
       ledger.note(disruption(placement, /* voluntary= */ false));
@@ -348,7 +348,7 @@
    * as heard only once it has shown a token of this term, after which no stop of a former leader
    * can reach it: so a new leader takes all as down that it has not heard.
    */
-  private boolean runsOn(Placement p, Instant now) {
+  private boolean runsOn(TaskAttempt p, Instant now) {
     return p.stage == Stage.RUNNING
         && p.confirmed
         && !p.stopping
@@ -389,7 +389,7 @@
   private Load load(Job job, int open, Instant now) {
     int up = 0;
     int ending = 0;
-    for (Placement p : job.placed.values()) {
+    for (TaskAttempt p : job.placed.values()) {
       boolean disrupted = ledger.isOpen(p.task);
       up += runsOn(p, now) && !disrupted ? 1 : 0;
       ending += p.stopping && !disrupted ? 1 : 0;
@@ -404,7 +404,7 @@
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
         machine.life == Life.UP && machine.settled && isHeard(machine, now) && !machine.faulty;
-    for (Placement p : machine.placements.values()) {
+    for (TaskAttempt p : machine.placements.values()) {
       tasks.add(view(p, now));
     }
     return new MachineView(
@@ -415,7 +415,7 @@
         tasks);
   }
 
-  private TaskView view(Placement p, Instant now) {
+  private TaskView view(TaskAttempt p, Instant now) {
     boolean saves = !p.job.spec.checkpoint().isZero();
     Duration ran = p.ranFor(now);
     return new TaskView(
--- a/src/main/java/io/pearscale/scheduler/DrainRoom.java
+++ b/src/main/java/io/pearscale/scheduler/DrainRoom.java
@@ -37,7 +37,7 @@
   @Override
   public Optional<String> reserve(TaskView task) {
     Job job = jobs.get(task.task().job());
-    Placement placement = job == null ? null : job.placed.get(task.task().index());
+    TaskAttempt placement = job == null ? null : job.placed.get(task.task().index());
     if (placement == null) {
       return Optional.of("it is not where it was");
     }
@@ -56,7 +56,7 @@
     return rooms.computeIfAbsent(machine, Machine::room);
   }
 
-  private static boolean mayGo(Placement placement, Machine machine) {
+  private static boolean mayGo(TaskAttempt placement, Machine machine) {
     Job job = placement.job;
     boolean alone = job.placed.size() == 1;
     boolean sameZone = machine.zone.equals(placement.machine.zone);
--- a/src/main/java/io/pearscale/scheduler/Fleet.java
+++ b/src/main/java/io/pearscale/scheduler/Fleet.java
@@ -51,7 +51,7 @@
       boolean mayGiveBack) {}
 
   /** What is to be done: rented, given back, and moved off machines that are to be empty. */
-  record Plan(Map<Kind, Integer> hires, List<Machine> giveBack, List<Placement> moves) {}
+  record Plan(Map<Kind, Integer> hires, List<Machine> giveBack, List<TaskAttempt> moves) {}
 
   private final Tuning tuning;
   private final JobClasses classes;
@@ -277,7 +277,7 @@
     if (moves <= 0) {
       return;
     }
-    for (Placement p : m.placements.values()) {
+    for (TaskAttempt p : m.placements.values()) {
       if (p.job.spec.service() && !p.stopping) {
         moves--;
         plan.moves.add(p);
--- a/src/main/java/io/pearscale/scheduler/Gangs.java
+++ b/src/main/java/io/pearscale/scheduler/Gangs.java
@@ -5,7 +5,7 @@
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.Member;
 import io.pearscale.gang.MemberStage;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -96,7 +96,7 @@
     return machinesOf(job, placed -> placed.stage.compareTo(Stage.WAITING) < 0);
   }
 
-  private static String machinesOf(Job job, Predicate<Placement> which) {
+  private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
     return job.placed.values().stream()
         .filter(which)
         .limit(MACHINES_NAMED)
@@ -150,7 +150,7 @@
 
   private static Collection<Member> membersOf(Job job) {
     List<Member> members = new ArrayList<>(job.placed.size());
-    for (Placement placement : job.placed.values()) {
+    for (TaskAttempt placement : job.placed.values()) {
       members.add(new Member(placement.attempt, stageOf(placement.stage), placement.stopping));
     }
     return members;
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.scheduler.Machine.Ended;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -76,7 +76,7 @@
     m.ended.clear();
     Map<Ended, Instant> oldForeign = new HashMap<>(m.foreign);
     m.foreign.clear();
-    Set<Placement> seen = new HashSet<>();
+    Set<TaskAttempt> seen = new HashSet<>();
     for (TaskStatus t : r.tasks()) {
       if (t.stage() == Heartbeat.Stage.ENDED) {
         absorbEnded(m, r, t, oldEnded);
@@ -156,8 +156,8 @@
   }
 
   /** What is known of a reported attempt; one that a former leader gave is known from now on. */
-  private Optional<Placement> placementOf(Machine m, Heartbeat r, TaskStatus t) {
-    Placement p = m.placements.get(t.task());
+  private Optional<TaskAttempt> placementOf(Machine m, Heartbeat r, TaskStatus t) {
+    TaskAttempt p = m.placements.get(t.task());
     if (p != null && p.attempt < 0) {
       p.attempt = t.attempt();
       p.token = r.token();
@@ -167,7 +167,7 @@
   }
 
   private void absorbEnded(Machine m, Heartbeat r, TaskStatus t, Map<Ended, Long> oldEnded) {
-    Optional<Placement> placement = placementOf(m, r, t);
+    Optional<TaskAttempt> placement = placementOf(m, r, t);
     // What is done stays done however often it is started: no token need be raised for it.
     long started = t.cause().equals("done") ? -1 : placement.map(p -> p.token).orElse(m.token);
     Ended key = new Ended(t.task(), t.attempt());
@@ -177,10 +177,10 @@
   }
 
   /** Takes in a task that is on the machine; empty if it must not be there. */
-  private Optional<Placement> absorbPresent(
+  private Optional<TaskAttempt> absorbPresent(
       Machine m, Heartbeat r, TaskStatus t, Map<Ended, Instant> oldForeign) {
     Optional<Job> job = jobOf(t);
-    Optional<Placement> placement = placementOf(m, r, t);
+    Optional<TaskAttempt> placement = placementOf(m, r, t);
     if (placement.isEmpty() && job.isPresent() && !job.get().done.get(t.task().index())) {
       placement = adopt(job.get(), m, r, t);
     }
@@ -193,8 +193,8 @@
   }
 
   /** Takes a task over that nobody knew to be here; empty if it is known to be elsewhere. */
-  private Optional<Placement> adopt(Job job, Machine m, Heartbeat r, TaskStatus t) {
-    Placement other = job.placed.get(t.task().index());
+  private Optional<TaskAttempt> adopt(Job job, Machine m, Heartbeat r, TaskStatus t) {
+    TaskAttempt other = job.placed.get(t.task().index());
     if (other != null && other.stage == Stage.PLANNED) {
       inventory.remove(other, AbsenceProof.NOT_SENT);
       other = null;
@@ -204,7 +204,7 @@
           "event=task_twice task={} machine={} other={}", t.task(), m.name, other.machine.name);
       return Optional.empty();
     }
-    Placement adopted = new Placement(job, t.task(), t.attempt(), m, Stage.SENT, job.submitted);
+    TaskAttempt adopted = new TaskAttempt(job, t.task(), t.attempt(), m, Stage.SENT, job.submitted);
     adopted.token = r.token();
     adopted.session = r.session();
     inventory.add(adopted);
@@ -213,8 +213,8 @@
   }
 
   /** What is not in the report is gone only if no command for it can still be on its way. */
-  private void removeUnseen(Machine m, Heartbeat r, Set<Placement> seen) {
-    for (Placement p : List.copyOf(m.placements.values())) {
+  private void removeUnseen(Machine m, Heartbeat r, Set<TaskAttempt> seen) {
+    for (TaskAttempt p : List.copyOf(m.placements.values())) {
       if (p.stage == Stage.PLANNED || seen.contains(p)) {
         continue;
       }
@@ -226,7 +226,7 @@
     }
   }
 
-  private void progress(Placement p, Heartbeat.Stage stage) {
+  private void progress(TaskAttempt p, Heartbeat.Stage stage) {
     p.confirmed = true;
     Stage before = p.stage;
     p.stage =
@@ -254,7 +254,7 @@
     }
   }
 
-  private void ended(Machine m, Job job, TaskStatus t, Placement p) {
+  private void ended(Machine m, Job job, TaskStatus t, TaskAttempt p) {
     if (job == null) {
       return;
     }
@@ -291,7 +291,7 @@
       records.recordEnd(job);
       return;
     }
-    Placement other = job.placed.get(index);
+    TaskAttempt other = job.placed.get(index);
     if (other != null) {
       inventory.stop(other);
     }
@@ -325,7 +325,7 @@
   private void prepareForNotice(Machine m) {
     Instant now = clock.instant();
     Duration left = Duration.between(now, m.takenAt.orElse(now));
-    for (Placement p : List.copyOf(m.placements.values())) {
+    for (TaskAttempt p : List.copyOf(m.placements.values())) {
       if (p.stopping) {
         continue;
       }
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -40,7 +40,7 @@
    * Where each task is, or may be: also such as were not seen since the takeover, each on the
    * machine that its mark names.
    */
-  final Map<Integer, Placement> placed = new HashMap<>();
+  final Map<Integer, TaskAttempt> placed = new HashMap<>();
 
   private final Map<String, Integer> byZone = new HashMap<>();
   final Set<String> failedOn = new HashSet<>();
@@ -74,12 +74,12 @@
     this.submitted = submitted;
   }
 
-  void add(Placement p) {
+  void add(TaskAttempt p) {
     placed.put(p.task.index(), p);
     byZone.merge(p.machine.zone, 1, Integer::sum);
   }
 
-  void remove(Placement p) {
+  void remove(TaskAttempt p) {
     if (placed.remove(p.task.index(), p)) {
       byZone.merge(p.machine.zone, -1, Integer::sum);
     }
@@ -113,8 +113,8 @@
 
   int running() {
     int n = 0;
-    for (Placement p : placed.values()) {
-      if (p.stage == Placement.Stage.RUNNING || p.stage == Placement.Stage.SAVING) {
+    for (TaskAttempt p : placed.values()) {
+      if (p.stage == TaskAttempt.Stage.RUNNING || p.stage == TaskAttempt.Stage.SAVING) {
         n++;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/JobPart.java
+++ b/src/main/java/io/pearscale/scheduler/JobPart.java
@@ -41,9 +41,9 @@
   }
 
   /** Where its tasks are, or may be. */
-  List<Placement> placements() {
-    List<Placement> placements = new ArrayList<>();
-    for (Placement placement : job.placed.values()) {
+  List<TaskAttempt> placements() {
+    List<TaskAttempt> placements = new ArrayList<>();
+    for (TaskAttempt placement : job.placed.values()) {
       int index = placement.task.index() - first;
       if (index >= 0 && index < tasks) {
         placements.add(placement);
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -192,7 +192,7 @@
     machine.recorded = false;
     assignPlace(machine);
     boolean waits =
-        machine.placements.values().stream().anyMatch(p -> p.stage == Placement.Stage.PLANNED);
+        machine.placements.values().stream().anyMatch(p -> p.stage == TaskAttempt.Stage.PLANNED);
     if (waits || (machine.life == Machine.Life.RETIRING && !machine.recordedRetiring)) {
       roster.due(machine);
     }
@@ -210,7 +210,7 @@
   // ---- What is to be written ----
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
-  void recordTask(Placement placement) {
+  void recordTask(TaskAttempt placement) {
     JobPart part = JobPart.of(placement.job, placement.task.index(), layout);
     assignPlace(placement.machine);
     if (!placement.machine.recorded) {
@@ -403,7 +403,7 @@
   private boolean writeMachinesOf(int value, LeaderTransaction transaction) {
     Set<Integer> missing = new LinkedHashSet<>();
     for (JobPart part : marks.items(value).values()) {
-      for (Placement placement : part.placements()) {
+      for (TaskAttempt placement : part.placements()) {
         if (!placement.machine.recorded) {
           roster.home(placement.machine).ifPresent(home -> missing.add(home.shard()));
         }
--- a/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Arrays;
@@ -69,7 +69,7 @@
       }
       faulty += m.faulty ? 1 : 0;
       avoided += now.isBefore(m.avoidUntil) ? 1 : 0;
-      for (Placement p : m.placements.values()) {
+      for (TaskAttempt p : m.placements.values()) {
         stages[p.stage.ordinal()]++;
         stopping += p.stopping ? 1 : 0;
       }
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -51,7 +51,7 @@
   private final Set<Integer> rosters = new LinkedHashSet<>();
   private final List<StoredMachine> machines = new ArrayList<>();
   private final Set<Integer> marks = new LinkedHashSet<>();
-  private final List<Placement> marked = new ArrayList<>();
+  private final List<TaskAttempt> marked = new ArrayList<>();
   private final Map<JobPart, BitSet> done = new HashMap<>();
   private final List<Job> finished = new ArrayList<>();
   private final List<String> dropped = new ArrayList<>();
@@ -146,7 +146,7 @@
   private Marks.Part marksOf(JobPart part, ToIntFunction<Machine> numberOf) {
     Job job = part.job();
     int[] hosts = new int[part.tasks()];
-    for (Placement placement : part.placements()) {
+    for (TaskAttempt placement : part.placements()) {
       int number = numberOf.applyAsInt(placement.machine);
       if (number > 0) {
         hosts[placement.task.index() - part.first()] = number;
@@ -239,7 +239,7 @@
   }
 
   /** Placements whose machine is named for the first time. */
-  List<Placement> marked() {
+  List<TaskAttempt> marked() {
     return marked;
   }
 
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -121,7 +121,7 @@
   boolean listed;
   Instant listedSince = Instant.MIN;
 
-  final Map<TaskId, Placement> placements = new LinkedHashMap<>();
+  final Map<TaskId, TaskAttempt> placements = new LinkedHashMap<>();
   private Room[] rooms;
 
   /** Attempts that ended, each with a token that no start command for it was above. */
@@ -209,9 +209,9 @@
   /** How many images beside that one are fetched, or are to be, for tasks that are placed here. */
   int otherFetches(String image) {
     Set<String> others = new HashSet<>();
-    for (Placement placement : placements.values()) {
+    for (TaskAttempt placement : placements.values()) {
       String other = placement.job.spec.image();
-      boolean fetches = placement.stage.compareTo(Placement.Stage.FETCHING) <= 0;
+      boolean fetches = placement.stage.compareTo(TaskAttempt.Stage.FETCHING) <= 0;
       if (fetches && !other.equals(image) && !images.containsKey(other)) {
         others.add(other);
       }
@@ -219,12 +219,12 @@
     return others.size();
   }
 
-  void add(Placement p) {
+  void add(TaskAttempt p) {
     placements.put(p.task, p);
     touch();
   }
 
-  void remove(Placement p) {
+  void remove(TaskAttempt p) {
     placements.remove(p.task, p);
     touch();
   }
@@ -248,7 +248,7 @@
       rooms = new Room[Priority.values().length];
       for (Priority floor : Priority.values()) {
         Room r = new Room(type.cpus(), type.gpus(), type.memoryGb());
-        for (Placement p : placements.values()) {
+        for (TaskAttempt p : placements.values()) {
           if (!p.stopping && p.job.spec.priority().compareTo(floor) >= 0) {
             r.take(p.job);
           }
@@ -262,8 +262,8 @@
   /** What is left now, counting all that may be on the machine. */
   Room physicalRoom() {
     Room r = new Room(type.cpus(), type.gpus(), type.memoryGb());
-    for (Placement p : placements.values()) {
-      if (p.stage != Placement.Stage.PLANNED) {
+    for (TaskAttempt p : placements.values()) {
+      if (p.stage != TaskAttempt.Stage.PLANNED) {
         r.take(p.job);
       }
     }
@@ -278,7 +278,7 @@
   /** Tasks of services here. */
   int replicas() {
     int n = 0;
-    for (Placement p : placements.values()) {
+    for (TaskAttempt p : placements.values()) {
       if (p.job.spec.service()) {
         n++;
       }
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/MachineInventory.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings.Team;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.InstantSource;
 import java.util.Collection;
 import java.util.Collections;
@@ -34,7 +34,7 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
   private final RemovedMachines removed = new RemovedMachines();
-  private Consumer<Placement> removedListener = placement -> {};
+  private Consumer<TaskAttempt> removedListener = placement -> {};
   private final Set<Machine> withCommands = new LinkedHashSet<>();
 
   /** Makes an empty inventory. */
@@ -131,7 +131,7 @@
   // ---- Tasks on machines ----
 
   /** From now on the task may be on the machine. */
-  void add(Placement placement) {
+  void add(TaskAttempt placement) {
     placement.machine.add(placement);
     placement.job.add(placement);
     jobs.requeue(placement.job);
@@ -141,7 +141,7 @@
   }
 
   /** The listener is told of each task that is proven not to be on its machine any more. */
-  void onRemoved(Consumer<Placement> listener) {
+  void onRemoved(Consumer<TaskAttempt> listener) {
     removedListener = listener;
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** It is proven that the task is not on the machine. */
-  void remove(Placement placement, AbsenceProof proof) {
+  void remove(TaskAttempt placement, AbsenceProof proof) {
     Job job = placement.job;
     decisions.gone(placement, proof);
     removedListener.accept(placement);
@@ -168,7 +168,7 @@
   }
 
   /** Decides that a task must go from where it is. */
-  void stop(Placement placement) {
+  void stop(TaskAttempt placement) {
     if (placement.stage == Stage.PLANNED) {
       remove(placement, AbsenceProof.NOT_SENT);
       return;
@@ -187,7 +187,7 @@
 
   /** Takes back what was decided for a machine that turned bad before the start was sent. */
   void withdrawPlanned(Machine machine) {
-    for (Placement placement : List.copyOf(machine.placements.values())) {
+    for (TaskAttempt placement : List.copyOf(machine.placements.values())) {
       if (placement.stage == Stage.PLANNED) {
         remove(placement, AbsenceProof.NOT_SENT);
       }
@@ -201,7 +201,7 @@
       return use;
     }
     for (Machine machine : machines.values()) {
-      for (Placement placement : machine.placements.values()) {
+      for (TaskAttempt placement : machine.placements.values()) {
         use.charge(placement.job.spec, 1);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/MachineSupply.java
+++ b/src/main/java/io/pearscale/scheduler/MachineSupply.java
@@ -136,7 +136,7 @@
     cloud.tell(new CloudActor.Hire(kind, count));
   }
 
-  private void move(Placement placement) {
+  private void move(TaskAttempt placement) {
     if (drains.isPresent() && !drains.get().requestMove(placement)) {
       return;
     }
--- a/src/main/java/io/pearscale/scheduler/PassRooms.java
+++ b/src/main/java/io/pearscale/scheduler/PassRooms.java
@@ -11,7 +11,7 @@
 final class PassRooms {
   private final TeamUse use;
   private final Map<Machine, Room> rooms = new HashMap<>();
-  private final Set<Placement> victims = new HashSet<>();
+  private final Set<TaskAttempt> victims = new HashSet<>();
 
   PassRooms(TeamUse use) {
     this.use = use;
@@ -26,7 +26,7 @@
   }
 
   /** Whether the pass has chosen the task to leave. */
-  boolean isVictim(Placement placement) {
+  boolean isVictim(TaskAttempt placement) {
     return victims.contains(placement);
   }
 
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -183,12 +183,12 @@
   private void start(
       Job job, int task, Placer.Choice choice, long attempt, Set<Machine> touched, Instant now) {
     Machine machine = choice.machine();
-    for (Placement victim : choice.victims()) {
+    for (TaskAttempt victim : choice.victims()) {
       evict(victim, job, task);
       touched.add(machine);
     }
-    Placement placement =
-        new Placement(job, new TaskId(job.spec.id(), task), attempt, machine, Stage.PLANNED, now);
+    TaskAttempt placement =
+        new TaskAttempt(job, new TaskId(job.spec.id(), task), attempt, machine, Stage.PLANNED, now);
     inventory.add(placement);
     LOG.debug(
         "event=placed term={} machine={} task={} attempt={} class={} image={} cached={}",
@@ -202,7 +202,7 @@
     records.recordTask(placement);
   }
 
-  private void evict(Placement victim, Job job, int index) {
+  private void evict(TaskAttempt victim, Job job, int index) {
     LOG.info(
         "event=evict term={} machine={} task={} attempt={} for={}/{}",
         leadership.term(),
--- a/src/main/java/io/pearscale/scheduler/PlacementScore.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementScore.java
@@ -66,7 +66,7 @@
    */
   private double mates(Job job, Machine machine) {
     int onMachine = 0;
-    for (Placement placement : machine.placements.values()) {
+    for (TaskAttempt placement : machine.placements.values()) {
       if (placement.job == job) {
         onMachine++;
       }
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -25,7 +25,7 @@
   }
 
   /** Where a task goes, and who has to leave for it. */
-  record Choice(Machine machine, List<Placement> victims) {}
+  record Choice(Machine machine, List<TaskAttempt> victims) {}
 
   /** The machines that were met for a class in this pass. */
   private final class Visit {
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -3,9 +3,9 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Placement.Stage;
 import io.pearscale.scheduler.StoredRecords.StoredMachine;
 import io.pearscale.scheduler.StoredRecords.StoredPart;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.storage.Marks;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.Roster;
@@ -51,7 +51,7 @@
     stored.tasks().forEach(this::noteRemains);
     stored.tasks().forEach(this::adopt);
     for (Job job : remains.values()) {
-      for (Placement placement : job.placed.values()) {
+      for (TaskAttempt placement : job.placed.values()) {
         placement.stopping = true;
         placement.stopsAtOnce = true;
       }
@@ -140,8 +140,8 @@
     for (int i = 0; i < part.hosts().length && first + i < job.spec.tasks(); i++) {
       Machine machine = numbered.get(stored.layout()).get(part.hosts()[i]);
       if (machine != null && !job.done.get(first + i) && !known.get(first + i)) {
-        Placement assumed =
-            new Placement(
+        TaskAttempt assumed =
+            new TaskAttempt(
                 job,
                 new TaskId(job.spec.id(), first + i),
                 -1,
--- a/src/main/java/io/pearscale/scheduler/ReplicaMoves.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaMoves.java
@@ -41,7 +41,7 @@
           || !Placer.allowedNow(job, machine)) {
         continue;
       }
-      for (Placement replica : machine.placements.values()) {
+      for (TaskAttempt replica : machine.placements.values()) {
         if (!isMovable(job, replica)) {
           continue;
         }
@@ -56,12 +56,12 @@
     return Optional.empty();
   }
 
-  private boolean isMovable(Job job, Placement replica) {
+  private boolean isMovable(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job.spec;
     Room trial = rooms.of(replica.machine).copy();
     trial.give(replica.job);
     return !replica.stopping
-        && replica.stage == Placement.Stage.RUNNING
+        && replica.stage == TaskAttempt.Stage.RUNNING
         && spec.service()
         && !spec.oneZone()
         && spec.priority() == job.spec.priority()
@@ -70,7 +70,7 @@
         && trial.fits(job);
   }
 
-  private boolean takesOtherPlace(Placement replica) {
+  private boolean takesOtherPlace(TaskAttempt replica) {
     for (Machine machine : input.machines()) {
       if (mayMoveTo(replica, machine) && rooms.of(machine).fits(replica.job)) {
         rooms.of(machine).take(replica.job);
@@ -81,7 +81,7 @@
   }
 
   /** Whether a replica could run on another machine without waiting for its image. */
-  static boolean mayMoveTo(Placement replica, Machine machine) {
+  static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job.spec;
     boolean zoneFree =
         machine.zone.equals(replica.machine.zone)
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -240,7 +240,7 @@
     }
     records.close(job.get());
     parts.gangs.forget(job.get());
-    for (Placement p : List.copyOf(job.get().placed.values())) {
+    for (TaskAttempt p : List.copyOf(job.get().placed.values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
       // saves already, for whatever reason it was stopped, is told to end.
       p.stopsAtOnce = true;
--- a/src/main/java/io/pearscale/scheduler/SpareRoom.java
+++ b/src/main/java/io/pearscale/scheduler/SpareRoom.java
@@ -43,7 +43,7 @@
    * their room is taken.
    */
   boolean takesReplicasOf(Machine machine, Instant now) {
-    for (Placement p : machine.placements.values()) {
+    for (TaskAttempt p : machine.placements.values()) {
       if (p.job.spec.service() && !(settled(p, now) && takes(p))) {
         return false;
       }
@@ -51,11 +51,12 @@
     return true;
   }
 
-  private static boolean settled(Placement p, Instant now) {
-    return p.stage == Placement.Stage.RUNNING && !p.since.isAfter(now.minus(ReplicaMoves.SETTLED));
+  private static boolean settled(TaskAttempt p, Instant now) {
+    return p.stage == TaskAttempt.Stage.RUNNING
+        && !p.since.isAfter(now.minus(ReplicaMoves.SETTLED));
   }
 
-  private boolean takes(Placement p) {
+  private boolean takes(TaskAttempt p) {
     for (Machine other : machines) {
       if (looksLeft <= 0) {
         return false;
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.protocol.Order;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
         .foreign
         .keySet()
         .forEach(e -> stops.add(Order.kill(e.task(), e.attempt(), Duration.ZERO)));
-    for (Placement placement : machine.placements.values()) {
+    for (TaskAttempt placement : machine.placements.values()) {
       if (isDue(placement, inAnswer, now)) {
         stops.add(stop(placement));
         placement.killSent = now;
@@ -75,7 +75,7 @@
         || machine.placements.values().stream().anyMatch(p -> p.stopping && p.kills == 0);
   }
 
-  private static boolean isDue(Placement placement, boolean inAnswer, Instant now) {
+  private static boolean isDue(TaskAttempt placement, boolean inAnswer, Instant now) {
     if (!placement.stopping || placement.attempt < 0) {
       return false;
     }
@@ -87,12 +87,12 @@
   }
 
   /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
-  private static boolean isSaving(Placement placement) {
+  private static boolean isSaving(TaskAttempt placement) {
     return placement.stage == Stage.SAVING && !placement.stopsAtOnce;
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
-  private static Order stop(Placement placement) {
+  private static Order stop(TaskAttempt placement) {
     boolean mayStillSave =
         !placement.stopsAtOnce
             && !placement.job.spec.checkpoint().isZero()
--- a/src/main/java/io/pearscale/scheduler/Placement.java
+++ b/src/main/java/io/pearscale/scheduler/TaskAttempt.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 
 /** One attempt of a task on one machine, from the decision until it is known to be gone. */
-final class Placement {
+final class TaskAttempt {
   enum Stage {
     /** Decided, no command sent: can be taken back. */
     PLANNED,
@@ -58,7 +58,7 @@
         : Duration.ZERO;
   }
 
-  Placement(Job job, TaskId task, long attempt, Machine machine, Stage stage, Instant since) {
+  TaskAttempt(Job job, TaskId task, long attempt, Machine machine, Stage stage, Instant since) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
--- a/src/main/java/io/pearscale/scheduler/TaskStops.java
+++ b/src/main/java/io/pearscale/scheduler/TaskStops.java
@@ -5,7 +5,7 @@
 import io.pearscale.gang.OrderlyStop;
 import io.pearscale.gang.OrderlyStop.Reach;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -35,7 +35,7 @@
   }
 
   /** Stops a task; what it has done is saved if that is possible. */
-  void stop(Placement placement) {
+  void stop(TaskAttempt placement) {
     stop(placement, /* atOnce= */ false);
   }
 
@@ -44,7 +44,7 @@
    *
    * @param atOnce whether what is to start instead can't wait until it has saved
    */
-  void stop(Placement placement, boolean atOnce) {
+  void stop(TaskAttempt placement, boolean atOnce) {
     if (placement.job.spec.gang() && gangs.phase(placement.job) == Phase.RUNNING) {
       stopGang(placement.job, atOnce);
     } else {
@@ -66,7 +66,7 @@
     Instant now = clock.instant();
     List<Reach> members = new ArrayList<>();
     Duration left = NO_NOTICE;
-    for (Placement placement : job.placed.values()) {
+    for (TaskAttempt placement : job.placed.values()) {
       members.add(new Reach(placement.stage == Stage.RUNNING, isReachable(placement.machine, now)));
       Duration untilTaken =
           placement.machine.takenAt.map(taken -> Duration.between(now, taken)).orElse(NO_NOTICE);
@@ -77,7 +77,7 @@
             && !job.spec.checkpoint().isZero()
             && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.save());
     gangs.noteEnding(job, saves);
-    for (Placement placement : List.copyOf(job.placed.values())) {
+    for (TaskAttempt placement : List.copyOf(job.placed.values())) {
       placement.stopsAtOnce |= !saves;
       inventory.stop(placement);
     }
--- a/src/main/java/io/pearscale/scheduler/VictimSearch.java
+++ b/src/main/java/io/pearscale/scheduler/VictimSearch.java
@@ -23,8 +23,8 @@
   private static final int SEARCH_TO_SPARE_GANGS = 4;
 
   /** Lowest first; among equals the youngest, which has the least to lose. */
-  private static final Comparator<Placement> LOWEST_AND_YOUNGEST =
-      Comparator.comparing((Placement placement) -> placement.job.spec.priority())
+  private static final Comparator<TaskAttempt> LOWEST_AND_YOUNGEST =
+      Comparator.comparing((TaskAttempt placement) -> placement.job.spec.priority())
           .thenComparing(placement -> placement.since, Comparator.reverseOrder());
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
@@ -109,7 +109,7 @@
           || (!guaranteed && !machine.roomAbove(job.spec.priority()).fits(job))) {
         continue;
       }
-      List<Placement> victims = victimsOn(machine, job, guaranteed);
+      List<TaskAttempt> victims = victimsOn(machine, job, guaranteed);
       boolean endsGang = losses(victims) > victims.size();
       if (victims.isEmpty() || (image.isPresent() && endsGang)) {
         continue;
@@ -134,9 +134,9 @@
   }
 
   /** Who would have to leave the machine; nobody if that would not make room enough. */
-  private List<Placement> victimsOn(Machine machine, Job job, boolean guaranteed) {
-    List<Placement> candidates = new ArrayList<>();
-    for (Placement placement : machine.placements.values()) {
+  private List<TaskAttempt> victimsOn(Machine machine, Job job, boolean guaranteed) {
+    List<TaskAttempt> candidates = new ArrayList<>();
+    for (TaskAttempt placement : machine.placements.values()) {
       if (!placement.stopping
           && !rooms.isVictim(placement)
           && !isSheltered(placement)
@@ -146,8 +146,8 @@
     }
     candidates.sort(LOWEST_AND_YOUNGEST);
     Room trial = rooms.of(machine).copy();
-    List<Placement> victims = new ArrayList<>();
-    for (Placement placement : candidates) {
+    List<TaskAttempt> victims = new ArrayList<>();
+    for (TaskAttempt placement : candidates) {
       if (trial.fits(job)) {
         break;
       }
@@ -161,7 +161,7 @@
    * Whether a task is the first of a batch job that has waited for long: stopped before it counts
    * as a start, the job would go on waiting, and the youngest are the first to be stopped.
    */
-  private boolean isSheltered(Placement placement) {
+  private boolean isSheltered(TaskAttempt placement) {
     Job job = placement.job;
     return !job.spec.service()
         && !job.begun
@@ -171,7 +171,7 @@
         && placement.ranFor(input.now()).compareTo(Job.A_START) < 0;
   }
 
-  private boolean mayEvict(Job job, Placement victim, boolean guaranteed) {
+  private boolean mayEvict(Job job, TaskAttempt victim, boolean guaranteed) {
     JobSpec spec = victim.job.spec;
     if (spec.priority().compareTo(job.spec.priority()) < 0) {
       return true;
@@ -189,7 +189,7 @@
    * with its last task, so one task stopped of each of many jobs makes all of them late, where many
    * tasks of one job make one late.
    */
-  private boolean better(List<Placement> victims, Machine machine, Choice best, Job job) {
+  private boolean better(List<TaskAttempt> victims, Machine machine, Choice best, Job job) {
     int losses = losses(victims);
     int bestLosses = losses(best.victims());
     if (losses != bestLosses) {
@@ -208,22 +208,22 @@
   }
 
   /** How many tasks end with the victims: a gang that runs loses all of its tasks with one. */
-  static int losses(List<Placement> victims) {
+  static int losses(List<TaskAttempt> victims) {
     int losses = 0;
-    for (Placement victim : victims) {
+    for (TaskAttempt victim : victims) {
       boolean ofRunningGang =
-          victim.job.spec.gang() && victim.stage.compareTo(Placement.Stage.RUNNING) >= 0;
+          victim.job.spec.gang() && victim.stage.compareTo(TaskAttempt.Stage.RUNNING) >= 0;
       losses += ofRunningGang ? victim.job.placed.size() : 1;
     }
     return losses;
   }
 
   /** Of the jobs that would lose a task the one whose turn comes first. */
-  private Job first(List<Placement> victims) {
+  private Job first(List<TaskAttempt> victims) {
     return victims.stream().map(victim -> victim.job).min(input.turns()).orElseThrow();
   }
 
-  private static Priority highest(List<Placement> victims) {
+  private static Priority highest(List<TaskAttempt> victims) {
     return victims.stream()
         .map(victim -> victim.job.spec.priority())
         .max(Comparator.naturalOrder())
--- a/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
@@ -32,8 +32,8 @@
         List.of(Order.run(TASK, 1), Order.clear(TASK, 0), Order.run(new TaskId("wk-1", 1), 2)),
         Carrier.COMMAND);
     log.sending(machine, List.of(Order.run(TASK, 3)), Carrier.ANSWER);
-    Placement placement =
-        new Placement(null, TASK, 1, machine, Placement.Stage.SENT, Instant.EPOCH);
+    TaskAttempt placement =
+        new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.SENT, Instant.EPOCH);
     log.gone(placement, AbsenceProof.ENDED);
     log.gone(placement, AbsenceProof.LEASE_OVER);
     assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] sessions=0", log.takeCounts());
--- a/src/test/java/io/pearscale/scheduler/SpareRoomTest.java
+++ b/src/test/java/io/pearscale/scheduler/SpareRoomTest.java
@@ -9,7 +9,7 @@
 import io.pearscale.protocol.Shape;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Placement.Stage;
+import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -54,8 +54,8 @@
     for (int i = 0; i < size; i++) {
       Machine m = new Machine("m-" + i, "a", false, BIG, Life.UP, NOW);
       m.noteImage("img", 1);
-      Placement p =
-          new Placement(
+      TaskAttempt p =
+          new TaskAttempt(
               job, new TaskId("wk-1", i), i, m, Stage.RUNNING, NOW.minus(Duration.ofHours(1)));
       m.add(p);
       job.add(p);
