--- a/src/main/java/io/pearscale/protocol/Order.java
+++ b/src/main/java/io/pearscale/protocol/AgentCommand.java
@@ -7,12 +7,12 @@
 import org.msgpack.core.MessagePacker;
 
 /** A command to a worker. */
-public record Order(Verb verb, TaskId task, long attempt, Duration grace) {
+public record AgentCommand(Verb verb, TaskId task, long attempt, Duration grace) {
   /** What the worker is to do. */
   public enum Verb {
-    RUN("run"),
-    KILL("kill"),
-    CLEAR("clear");
+    START("run"),
+    STOP("kill"),
+    FORGET("clear");
 
     private final String wire;
 
@@ -22,30 +22,30 @@
   }
 
   /** Starts an attempt. */
-  public static Order run(TaskId task, long attempt) {
-    return new Order(Verb.RUN, task, attempt, Duration.ZERO);
+  public static AgentCommand start(TaskId task, long attempt) {
+    return new AgentCommand(Verb.START, task, attempt, Duration.ZERO);
   }
 
   /** Stops an attempt; it may save for as long as the grace. */
-  public static Order kill(TaskId task, long attempt, Duration grace) {
-    return new Order(Verb.KILL, task, attempt, grace);
+  public static AgentCommand stop(TaskId task, long attempt, Duration grace) {
+    return new AgentCommand(Verb.STOP, task, attempt, grace);
   }
 
   /** Removes an ended attempt from the reports. */
-  public static Order clear(TaskId task, long attempt) {
-    return new Order(Verb.CLEAR, task, attempt, Duration.ZERO);
+  public static AgentCommand forget(TaskId task, long attempt) {
+    return new AgentCommand(Verb.FORGET, task, attempt, Duration.ZERO);
   }
 
   /** Writes what {@link #toNode} makes a tree of. */
   void pack(MessagePacker out) throws IOException {
-    out.packMapHeader(verb == Verb.KILL ? 4 : 3);
+    out.packMapHeader(verb == Verb.STOP ? 4 : 3);
     out.packString("verb");
     out.packString(verb.wire);
     out.packString("piece");
     out.packString(task.toString());
     out.packString("try");
     out.packLong(attempt);
-    if (verb == Verb.KILL) {
+    if (verb == Verb.STOP) {
       out.packString("leewayS");
       out.packDouble(Fields.seconds(grace));
     }
@@ -55,7 +55,7 @@
   public ObjectNode toNode() {
     ObjectNode n =
         MessagePack.map().put("verb", verb.wire).put("piece", task.toString()).put("try", attempt);
-    if (verb == Verb.KILL) {
+    if (verb == Verb.STOP) {
       n.put("leewayS", Fields.seconds(grace));
     }
     return n;
--- a/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -10,7 +10,7 @@
  *
  * @param status 200 renews the worker's lease; anything else doesn't
  */
-public record HeartbeatResponse(int status, long token, List<Order> orders) {
+public record HeartbeatResponse(int status, long token, List<AgentCommand> orders) {
   /** The library's own buffer is many times as large as an answer. */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(128);
@@ -29,7 +29,7 @@
       out.packLong(token);
       out.packString("orders");
       out.packArrayHeader(orders.size());
-      for (Order order : orders) {
+      for (AgentCommand order : orders) {
         order.pack(out);
       }
       return out.toByteArray();
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -89,7 +89,7 @@
         out.writeShort(m.answer.status());
         out.writeLong(m.answer.token());
         out.writeInt(m.answer.orders().size());
-        for (Order o : m.answer.orders()) {
+        for (AgentCommand o : m.answer.orders()) {
           out.writeByte(o.verb().ordinal());
           write(out, o.task());
           out.writeLong(o.attempt());
@@ -138,11 +138,11 @@
               long exchange = in.readLong();
               int status = in.readShort();
               long token = in.readLong();
-              List<Order> orders = new ArrayList<>();
+              List<AgentCommand> orders = new ArrayList<>();
               for (int n = count(in); n > 0; n--) {
                 orders.add(
-                    new Order(
-                        pick(Order.Verb.values(), in.readByte()),
+                    new AgentCommand(
+                        pick(AgentCommand.Verb.values(), in.readByte()),
                         readTask(in),
                         in.readLong(),
                         Duration.ofNanos(in.readLong())));
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -1,10 +1,10 @@
 package io.pearscale.scheduler;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Malformed;
-import io.pearscale.protocol.Order;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import io.pearscale.scheduler.Machine.Ended;
@@ -54,7 +54,7 @@
   private static final Duration DOUBT_PAUSE = Duration.ofSeconds(3);
 
   /** A command that is under way. */
-  private record Call(Machine machine, long token, List<Order> orders) {
+  private record Call(Machine machine, long token, List<AgentCommand> orders) {
     boolean isProbe() {
       return orders.isEmpty();
     }
@@ -128,33 +128,33 @@
   }
 
   /** All that goes with the answer to a report of the machine. */
-  List<Order> ordersInAnswer(Machine m) {
-    List<Order> orders = ordersDue(m, true);
+  List<AgentCommand> ordersInAnswer(Machine m) {
+    List<AgentCommand> orders = ordersDue(m, true);
     decisions.sending(m, orders, Carrier.ANSWER);
     return orders;
   }
 
   /** All that the worker has to be told now. */
-  private List<Order> ordersDue(Machine m, boolean inAnswer) {
-    List<Order> orders = StopCommands.due(m, inAnswer, clock.instant());
+  private List<AgentCommand> ordersDue(Machine m, boolean inAnswer) {
+    List<AgentCommand> orders = StopCommands.due(m, inAnswer, clock.instant());
     if (inAnswer) {
       orders.addAll(repeatedStarts(m));
     }
     Set<Ended> cleared = clearable(m);
-    cleared.forEach(e -> orders.add(Order.clear(e.task(), e.attempt())));
+    cleared.forEach(e -> orders.add(AgentCommand.forget(e.task(), e.attempt())));
     orders.addAll(starts(m, cleared));
     return orders;
   }
 
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
-  private List<Order> repeatedStarts(Machine m) {
-    List<Order> orders = new ArrayList<>();
+  private List<AgentCommand> repeatedStarts(Machine m) {
+    List<AgentCommand> orders = new ArrayList<>();
     for (TaskAttempt p : m.placements.values()) {
       boolean seemsLost = p.stage == Stage.SENT && !p.confirmed && !p.stopping && !m.calling;
       if (seemsLost && leadership.mayStart()) {
         p.token = m.token;
         p.session = m.lease.session();
-        orders.add(Order.run(p.task, p.attempt));
+        orders.add(AgentCommand.start(p.task, p.attempt));
       }
     }
     return orders;
@@ -187,8 +187,8 @@
   }
 
   /** Placements that may be started now; they count as sent from here on. */
-  private List<Order> starts(Machine m, Set<Ended> cleared) {
-    List<Order> orders = new ArrayList<>();
+  private List<AgentCommand> starts(Machine m, Set<Ended> cleared) {
+    List<AgentCommand> orders = new ArrayList<>();
     if (!m.recorded || m.life != Life.UP || !m.settled || m.lost) {
       return orders;
     }
@@ -208,7 +208,7 @@
       p.stage = Stage.SENT;
       p.token = m.token;
       p.session = m.lease.session();
-      orders.add(Order.run(p.task, p.attempt));
+      orders.add(AgentCommand.start(p.task, p.attempt));
     }
     return orders;
   }
@@ -236,7 +236,7 @@
     if (!mayCall(m) || !leadership.mayRenew() || !isWorthACall(m)) {
       return;
     }
-    List<Order> orders = ordersDue(m, false);
+    List<AgentCommand> orders = ordersDue(m, false);
     if (!orders.isEmpty()) {
       decisions.sending(m, orders, Carrier.COMMAND);
       send(m, orders);
@@ -301,7 +301,7 @@
     return unprobed.isEmpty();
   }
 
-  private void send(Machine m, List<Order> orders) {
+  private void send(Machine m, List<AgentCommand> orders) {
     Call call = new Call(m, m.token, orders);
     m.calling = true;
     probing += call.isProbe() ? 1 : 0;
@@ -387,14 +387,14 @@
    * otherwise.
    */
   private void notExecuted(Call call) {
-    for (Order o : call.orders) {
+    for (AgentCommand o : call.orders) {
       TaskAttempt p = call.machine.placements.get(o.task());
       if (p == null || p.attempt != o.attempt()) {
         continue;
       }
-      if (o.verb() == Order.Verb.KILL) {
+      if (o.verb() == AgentCommand.Verb.STOP) {
         p.kills = 0;
-      } else if (o.verb() == Order.Verb.RUN && !p.confirmed && p.token == call.token) {
+      } else if (o.verb() == AgentCommand.Verb.START && !p.confirmed && p.token == call.token) {
         startNotExecuted(p);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
-import io.pearscale.protocol.Order;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.Arrays;
@@ -36,10 +36,10 @@
   }
 
   /** Starts are being sent; orders of other kinds among them are not counted. */
-  void sending(Machine machine, List<Order> orders, Carrier carrier) {
+  void sending(Machine machine, List<AgentCommand> orders, Carrier carrier) {
     int before = starts[carrier.ordinal()];
-    for (Order order : orders) {
-      starts[carrier.ordinal()] += order.verb() == Order.Verb.RUN ? 1 : 0;
+    for (AgentCommand order : orders) {
+      starts[carrier.ordinal()] += order.verb() == AgentCommand.Verb.START ? 1 : 0;
     }
     if (starts[carrier.ordinal()] > before && LOG.isDebugEnabled()) {
       LOG.debug(
@@ -53,9 +53,9 @@
     }
   }
 
-  private static List<String> startsIn(List<Order> orders) {
+  private static List<String> startsIn(List<AgentCommand> orders) {
     return orders.stream()
-        .filter(order -> order.verb() == Order.Verb.RUN)
+        .filter(order -> order.verb() == AgentCommand.Verb.START)
         .map(order -> order.task() + "@" + order.attempt())
         .toList();
   }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -1,9 +1,9 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.Order;
 import io.pearscale.scheduler.Machine.Life;
 import java.time.InstantSource;
 import java.util.List;
@@ -65,14 +65,14 @@
     m.answersSince = Optional.empty();
     m.lease.answered(clock.instant());
     m.via = via;
-    List<Order> orders = ordersInAnswer(m, r);
+    List<AgentCommand> orders = ordersInAnswer(m, r);
     dispatcher.sendDue(m);
     m.answered = m.token;
     return new HeartbeatResponse(200, m.token, orders);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
-  private List<Order> ordersInAnswer(Machine m, Heartbeat r) {
+  private List<AgentCommand> ordersInAnswer(Machine m, Heartbeat r) {
     if (r.token() > m.token) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -1,8 +1,8 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
-import io.pearscale.protocol.Order;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -33,13 +33,13 @@
    *
    * @param inAnswer whether they go with an answer that renews the machine's lease
    */
-  static List<Order> due(Machine machine, boolean inAnswer, Instant now) {
-    List<Order> stops = new ArrayList<>();
+  static List<AgentCommand> due(Machine machine, boolean inAnswer, Instant now) {
+    List<AgentCommand> stops = new ArrayList<>();
     machine.foreign.replaceAll((attempt, sent) -> now);
     machine
         .foreign
         .keySet()
-        .forEach(e -> stops.add(Order.kill(e.task(), e.attempt(), Duration.ZERO)));
+        .forEach(e -> stops.add(AgentCommand.stop(e.task(), e.attempt(), Duration.ZERO)));
     for (TaskAttempt placement : machine.placements.values()) {
       if (isDue(placement, inAnswer, now)) {
         stops.add(stop(placement));
@@ -57,11 +57,11 @@
    *
    * @param isLive whether a job is not over
    */
-  static List<Order> forUnsettled(Heartbeat report, Predicate<String> isLive) {
-    List<Order> stops = new ArrayList<>();
+  static List<AgentCommand> forUnsettled(Heartbeat report, Predicate<String> isLive) {
+    List<AgentCommand> stops = new ArrayList<>();
     for (TaskStatus task : report.tasks()) {
       if (task.stage() != Heartbeat.Stage.ENDED && !isLive.test(task.task().job())) {
-        stops.add(Order.kill(task.task(), task.attempt(), Duration.ZERO));
+        stops.add(AgentCommand.stop(task.task(), task.attempt(), Duration.ZERO));
       }
     }
     return stops;
@@ -92,12 +92,12 @@
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
-  private static Order stop(TaskAttempt placement) {
+  private static AgentCommand stop(TaskAttempt placement) {
     boolean mayStillSave =
         !placement.stopsAtOnce
             && !placement.job.spec.checkpoint().isZero()
             && (placement.kills == 0 || placement.stage != Stage.SAVING);
     Duration grace = mayStillSave ? placement.job.spec.save().plus(SAVING_MARGIN) : Duration.ZERO;
-    return Order.kill(placement.task, placement.attempt, grace);
+    return AgentCommand.stop(placement.task, placement.attempt, grace);
   }
 }
--- a/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
@@ -19,11 +19,11 @@
 
   @Test
   void theBytesAreThoseOfTheTree() {
-    List<Order> orders =
+    List<AgentCommand> orders =
         List.of(
-            Order.run(TASK, 1L << 40),
-            Order.kill(TASK, 7, Duration.ofMillis(2500)),
-            Order.clear(TASK, 3));
+            AgentCommand.start(TASK, 1L << 40),
+            AgentCommand.stop(TASK, 7, Duration.ofMillis(2500)),
+            AgentCommand.forget(TASK, 3));
     var tree = MessagePack.map().put("baton", 50331649L);
     var list = tree.putArray("orders");
     orders.forEach(order -> list.add(order.toNode()));
--- a/src/test/java/io/pearscale/protocol/PeerMessageTest.java
+++ b/src/test/java/io/pearscale/protocol/PeerMessageTest.java
@@ -46,9 +46,9 @@
                   200,
                   77,
                   List.of(
-                      Order.run(TASK, 8),
-                      Order.kill(TASK, 7, Duration.ofSeconds(4)),
-                      Order.clear(TASK, 6)))),
+                      AgentCommand.start(TASK, 8),
+                      AgentCommand.stop(TASK, 7, Duration.ofSeconds(4)),
+                      AgentCommand.forget(TASK, 6)))),
           new Counts(List.of(new JobCount("wk-7", 1, 2))),
           new ConfirmationRequest(12, 431),
           new Confirmation(12, 9, List.of("wk-3", "wk-5"), Optional.empty()),
--- a/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.Order;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import java.time.Duration;
@@ -29,9 +29,12 @@
   void countsStartsAndProofsOnce() {
     log.sending(
         machine,
-        List.of(Order.run(TASK, 1), Order.clear(TASK, 0), Order.run(new TaskId("wk-1", 1), 2)),
+        List.of(
+            AgentCommand.start(TASK, 1),
+            AgentCommand.forget(TASK, 0),
+            AgentCommand.start(new TaskId("wk-1", 1), 2)),
         Carrier.COMMAND);
-    log.sending(machine, List.of(Order.run(TASK, 3)), Carrier.ANSWER);
+    log.sending(machine, List.of(AgentCommand.start(TASK, 3)), Carrier.ANSWER);
     TaskAttempt placement =
         new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.SENT, Instant.EPOCH);
     log.gone(placement, AbsenceProof.ENDED);
