--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -102,7 +102,7 @@
   }
 
   private String lease(Machine machine) {
-    SessionLease lease = machine.lease;
+    IncarnationLease lease = machine.lease;
     return "session=%d sequence=%d shown_token=%d lease_from=%s lease_age_ms=%d"
         .formatted(
             lease.session(),
--- a/src/main/java/io/pearscale/scheduler/SessionLease.java
+++ b/src/main/java/io/pearscale/scheduler/IncarnationLease.java
@@ -14,7 +14,7 @@
  * session a shown one, and it counts that session's lease: so nothing can be started in a session
  * whose lease is not counted.
  */
-final class SessionLease {
+final class IncarnationLease {
   /** What the lease was last counted from. */
   enum Basis {
     /** Nothing was heard of the worker, and nobody can have started anything there. */
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -49,7 +49,7 @@
   Instant rented;
 
   /** Its sessions, and until when anything in them can be alive. */
-  final SessionLease lease = new SessionLease();
+  final IncarnationLease lease = new IncarnationLease();
 
   /** Highest token that a report has shown, and the one that we command with. */
   long seenToken;
--- a/src/test/java/io/pearscale/scheduler/SessionLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/IncarnationLeaseTest.java
@@ -5,17 +5,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pearscale.protocol.Heartbeat;
-import io.pearscale.scheduler.SessionLease.Basis;
+import io.pearscale.scheduler.IncarnationLease.Basis;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class SessionLeaseTest {
+class IncarnationLeaseTest {
   private static final Instant START = Instant.EPOCH;
   private static final Duration BOUND = Duration.ofSeconds(17);
-  private final SessionLease lease = new SessionLease();
+  private final IncarnationLease lease = new IncarnationLease();
 
   private static Instant at(long seconds) {
     return START.plusSeconds(seconds);
