--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -13,7 +13,7 @@
 import io.pearscale.drain.MachineSelector.MachineFacts;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Roster;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.StateClient.Change;
 import io.pearscale.storage.StateClient.Guard;
 import io.pearscale.upgrade.ClusterLevel;
@@ -139,7 +139,7 @@
         MachineSelector selector = selection.selector();
         List<String> machines = new ArrayList<>();
         Set<String> drained = new TreeSet<>();
-        for (Roster.Entry entry : StoredRoster.read(state)) {
+        for (MachineRecordCodec.Entry entry : StoredMachineRecords.read(state)) {
           if (!entry.retiring() && selector.matches(facts(entry))) {
             machines.add(entry.machine());
             if (!entry.maintenance().isNone()) {
@@ -184,7 +184,7 @@
       return (machines * percent + 99) / 100;
     }
 
-    private static MachineFacts facts(Roster.Entry entry) {
+    private static MachineFacts facts(MachineRecordCodec.Entry entry) {
       return new MachineFacts(entry.machine(), entry.zone(), entry.type(), entry.address());
     }
 
@@ -377,7 +377,7 @@
       }
       List<String> held = new ArrayList<>();
       try {
-        StoredRoster.read(state).stream()
+        StoredMachineRecords.read(state).stream()
             .filter(entry -> !entry.maintenance().takesTasks())
             .filter(entry -> entry.maintenance().drain().equals(id))
             .forEach(entry -> held.add(entry.machine()));
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -6,9 +6,9 @@
 import io.pearscale.cli.StateSession.Stored;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
@@ -149,10 +149,10 @@
     private int placedTasks(StateSession state) throws IOException, Malformed {
       BitSet told = new BitSet();
       BitSet placed = new BitSet();
-      for (RecordLayout layout : StoredRoster.layouts(state)) {
+      for (RecordLayout layout : StoredMachineRecords.layouts(state)) {
         BitSet toldHere = new BitSet();
         for (Stored marks : state.list(layout.marksPrefix()).values()) {
-          for (Marks.Part part : Marks.decode(marks.value())) {
+          for (PlacementRecordCodec.Part part : PlacementRecordCodec.decode(marks.value())) {
             if (part.job().equals(name)) {
               notePlaced(part, told, placed);
               toldHere.set(part.first(), part.first() + layout.partTasks());
@@ -164,7 +164,7 @@
       return placed.cardinality();
     }
 
-    private static void notePlaced(Marks.Part part, BitSet told, BitSet placed) {
+    private static void notePlaced(PlacementRecordCodec.Part part, BitSet told, BitSet placed) {
       for (int i = 0; i < part.hosts().length; i++) {
         int task = part.first() + i;
         if (part.hosts()[i] > 0 && !told.get(task)) {
@@ -174,7 +174,7 @@
     }
 
     private int ofMachine(StateSession state) throws IOException, Malformed {
-      for (Roster.Entry entry : StoredRoster.read(state)) {
+      for (MachineRecordCodec.Entry entry : StoredMachineRecords.read(state)) {
         if (entry.machine().equals(name)) {
           say(describe(entry));
           return 0;
@@ -183,7 +183,7 @@
       return fail("no record names " + name + ": it is not used, or gone", Main.EXIT_SETTINGS);
     }
 
-    private String describe(Roster.Entry entry) {
+    private String describe(MachineRecordCodec.Entry entry) {
       String use =
           switch (entry.maintenance().stage()) {
             case NONE -> "in service";
--- a/src/main/java/io/pearscale/cli/StoredRoster.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -3,8 +3,8 @@
 import io.pearscale.cli.StateSession.Stored;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.storage.Keys;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.upgrade.ClusterLevel;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,16 +15,17 @@
 import java.util.Optional;
 
 /** The machines that the records name. */
-final class StoredRoster {
-  private StoredRoster() {}
+final class StoredMachineRecords {
+  private StoredMachineRecords() {}
 
   /** All entries of the roster, one a machine. */
-  static Collection<Roster.Entry> read(StateSession state) throws IOException, Malformed {
-    Map<String, Roster.Entry> byMachine = new LinkedHashMap<>();
+  static Collection<MachineRecordCodec.Entry> read(StateSession state)
+      throws IOException, Malformed {
+    Map<String, MachineRecordCodec.Entry> byMachine = new LinkedHashMap<>();
     // What is written now is newer than what the other layout says of the same machine.
     for (RecordLayout layout : layouts(state)) {
       for (Stored value : state.list(layout.rosterPrefix()).values()) {
-        for (Roster.Entry entry : Roster.decode(value.value())) {
+        for (MachineRecordCodec.Entry entry : MachineRecordCodec.decode(value.value())) {
           byMachine.putIfAbsent(entry.machine(), entry);
         }
       }
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -8,9 +8,9 @@
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.storage.StateClient.Guard;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.ClusterLevel;
@@ -118,7 +118,7 @@
 
   private static boolean hasFormOf(JsonNode roster, int written) {
     return RecordLayout.ofLevel(written) == RecordLayout.BY_NUMBER
-        || Roster.levelOf(roster).orElse(written) == written;
+        || MachineRecordCodec.levelOf(roster).orElse(written) == written;
   }
 
   /** Jobs that an earlier level can't hold: gangs, and such as need larger values. */
@@ -135,7 +135,7 @@
           if (JobSpec.isGang(spec)) {
             gangs.add(id);
           }
-          if (Marks.size(id, tasks, earlier) > settings.stateLimits().valueBytes()) {
+          if (PlacementRecordCodec.size(id, tasks, earlier) > settings.stateLimits().valueBytes()) {
             large.add(id);
           }
         });
@@ -149,7 +149,7 @@
         continue;
       }
       try {
-        Roster.decode(record.getValue().value()).stream()
+        MachineRecordCodec.decode(record.getValue().value()).stream()
             .filter(entry -> !entry.maintenance().isNone())
             .forEach(entry -> names.add(entry.machine()));
       } catch (Malformed e) {
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -9,7 +9,7 @@
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.ReplicaActor;
 import io.pearscale.storage.ReplicaActor.Entry;
@@ -302,9 +302,10 @@
     Team team = teams.get(s.team());
     int claim =
         team != null && team.limited()
-            ? new Marks.Claim(s.team(), s.cpus(), s.gpus(), s.memoryGb()).size()
+            ? new PlacementRecordCodec.Claim(s.team(), s.cpus(), s.gpus(), s.memoryGb()).size()
             : 0;
-    return Marks.size(s.id(), Math.min(s.tasks(), layout.partTasks()), layout) + claim;
+    return PlacementRecordCodec.size(s.id(), Math.min(s.tasks(), layout.partTasks()), layout)
+        + claim;
   }
 
   /** What stands against any gang job. */
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -30,7 +30,7 @@
   private final Set<Disruption> notDurable = new LinkedHashSet<>();
   private final Map<LeaderTransaction, List<Disruption>> sent = new HashMap<>();
   private final Map<LeaderTransaction, List<Integer>> values = new HashMap<>();
-  private Shards<Disruption> shards;
+  private RecordPacker<Disruption> shards;
 
   /**
    * Makes empty records.
@@ -41,7 +41,7 @@
     this.valueSize = Math.min(VALUE_SIZE, largestValue / 2);
     this.requestCommit = requestCommit;
     this.durable = durable;
-    this.shards = new Shards<>(valueSize);
+    this.shards = new RecordPacker<>(valueSize);
   }
 
   /** All keys are about to be read anew. */
@@ -76,7 +76,7 @@
 
   /** The term is over. */
   void clear() {
-    shards = new Shards<>(valueSize);
+    shards = new RecordPacker<>(valueSize);
     notDurable.clear();
     sent.clear();
     values.clear();
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.Shape;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.PlacementRecordCodec;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.BitSet;
@@ -131,9 +131,10 @@
   }
 
   /** What its tasks take of their team's limit. */
-  Optional<Marks.Claim> claim() {
+  Optional<PlacementRecordCodec.Claim> claim() {
     return limited
-        ? Optional.of(new Marks.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb()))
+        ? Optional.of(
+            new PlacementRecordCodec.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb()))
         : Optional.empty();
   }
 
@@ -141,7 +142,7 @@
    * What a former leader started of a job that is over by now. Nothing is known of it but the marks
    * of one part; its tasks count for their team's limit until they are known to be gone.
    */
-  static Job remains(Marks.Part p, Marks.Claim claim, Instant now) {
+  static Job remains(PlacementRecordCodec.Part p, PlacementRecordCodec.Claim claim, Instant now) {
     JobSpec spec =
         new JobSpec(
             p.job(),
--- a/src/main/java/io/pearscale/scheduler/JobPart.java
+++ b/src/main/java/io/pearscale/scheduler/JobPartition.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -13,21 +13,21 @@
  * @param first its first task
  * @param tasks how many tasks it has
  */
-record JobPart(Job job, int first, int tasks) {
+record JobPartition(Job job, int first, int tasks) {
   /** The part that a task belongs to. */
-  static JobPart of(Job job, int task, RecordLayout layout) {
+  static JobPartition of(Job job, int task, RecordLayout layout) {
     int first = task - task % layout.partTasks();
-    return new JobPart(job, first, Math.min(layout.partTasks(), job.spec.tasks() - first));
+    return new JobPartition(job, first, Math.min(layout.partTasks(), job.spec.tasks() - first));
   }
 
   /** All parts of a job. */
-  static List<JobPart> all(Job job, RecordLayout layout) {
+  static List<JobPartition> all(Job job, RecordLayout layout) {
     return covering(job, 0, job.spec.tasks(), layout);
   }
 
   /** The parts that hold tasks from the first one on, up to the last one, which is excluded. */
-  static List<JobPart> covering(Job job, int from, int to, RecordLayout layout) {
-    List<JobPart> parts = new ArrayList<>();
+  static List<JobPartition> covering(Job job, int from, int to, RecordLayout layout) {
+    List<JobPartition> parts = new ArrayList<>();
     int end = Math.min(to, job.spec.tasks());
     for (int task = from - from % layout.partTasks(); task < end; task += layout.partTasks()) {
       parts.add(of(job, task, layout));
@@ -37,7 +37,8 @@
 
   /** How large the marks of this part may become. */
   int marksSize(RecordLayout layout) {
-    return Marks.size(job.spec.id(), tasks, layout) + job.claim().map(Marks.Claim::size).orElse(0);
+    return PlacementRecordCodec.size(job.spec.id(), tasks, layout)
+        + job.claim().map(PlacementRecordCodec.Claim::size).orElse(0);
   }
 
   /** Where its tasks are, or may be. */
@@ -64,7 +65,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof JobPart o && first == o.first && job == o.job;
+    return other instanceof JobPartition o && first == o.first && job == o.job;
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -4,9 +4,9 @@
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.Settings.State;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
@@ -37,18 +37,18 @@
   private final Runnable requestCommit;
   private final StoredValues storedValues = new StoredValues();
   private final MachineNumbers numbers = new MachineNumbers();
-  private final FormerRecords former = new FormerRecords();
+  private final PreviousLayoutRecords former = new PreviousLayoutRecords();
   private final RecordMigration migration;
   private final RefusedValues refused = new RefusedValues();
   private RecordLayout layout;
-  private Shards<JobPart> marks;
-  private Shards<Machine> roster;
+  private RecordPacker<JobPartition> marks;
+  private RecordPacker<Machine> roster;
   private final Set<Job> ended = new LinkedHashSet<>();
 
   /** Parts whose records were found in the layout that is written when the term began. */
-  private final Set<JobPart> found = new HashSet<>();
+  private final Set<JobPartition> found = new HashSet<>();
 
-  private final UnusedValues unused = new UnusedValues();
+  private final ObsoleteValues unused = new ObsoleteValues();
   private boolean catalogueDue;
 
   /**
@@ -84,8 +84,8 @@
   }
 
   private void emptyShards() {
-    marks = new Shards<>(valueSize);
-    roster = new Shards<>(valueSize);
+    marks = new RecordPacker<>(valueSize);
+    roster = new RecordPacker<>(valueSize);
   }
 
   // ---- What is stored ----
@@ -108,12 +108,12 @@
       former.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
       return;
     }
-    Roster.Entry entry = stored.entry();
+    MachineRecordCodec.Entry entry = stored.entry();
     if (layout == RecordLayout.BY_NUMBER) {
       machine.number = entry.number();
-      roster.adopt(machine, Roster.size(entry), stored.value());
+      roster.adopt(machine, MachineRecordCodec.size(entry), stored.value());
     } else {
-      roster.adopt(machine, Roster.size(entry), stored.value(), entry.number());
+      roster.adopt(machine, MachineRecordCodec.size(entry), stored.value(), entry.number());
     }
     machine.recorded = true;
   }
@@ -129,12 +129,13 @@
   void adoptPart(Job job, StoredRecords.StoredPart stored) {
     int first = stored.part().first();
     if (stored.layout() == layout) {
-      JobPart part = JobPart.of(job, first, layout);
+      JobPartition part = JobPartition.of(job, first, layout);
       marks.adopt(part, part.marksSize(layout), stored.value());
       found.add(part);
       return;
     }
-    List<JobPart> parts = JobPart.covering(job, first, first + stored.layout().partTasks(), layout);
+    List<JobPartition> parts =
+        JobPartition.covering(job, first, first + stored.layout().partTasks(), layout);
     parts.removeIf(found::contains);
     parts.forEach(part -> marks.put(part, part.marksSize(layout)));
     former.add(stored.key(), parts);
@@ -160,8 +161,8 @@
   /** The layout of another level is to be written: all is copied, what is due first. */
   private void changeLayout() {
     RecordLayout before = layout;
-    Shards<JobPart> formerMarks = marks;
-    Shards<Machine> formerRoster = roster;
+    RecordPacker<JobPartition> formerMarks = marks;
+    RecordPacker<Machine> formerRoster = roster;
     layout = layoutInForce();
     unused.clear();
     former.clear();
@@ -179,8 +180,8 @@
         former.add(key, inLayout(formerMarks.items(Keys.number(key)).values()));
       }
     }
-    Set<JobPart> urgent = inLayout(formerMarks.itemsOf(formerMarks.urgent()));
-    for (JobPart part : inLayout(formerMarks.all())) {
+    Set<JobPartition> urgent = inLayout(formerMarks.itemsOf(formerMarks.urgent()));
+    for (JobPartition part : inLayout(formerMarks.all())) {
       marks.put(part, part.marksSize(layout));
       if (urgent.contains(part)) {
         marks.due(part);
@@ -198,11 +199,11 @@
     }
   }
 
-  private Set<JobPart> inLayout(Collection<JobPart> parts) {
-    Set<JobPart> converted = new LinkedHashSet<>();
-    for (JobPart part : parts) {
+  private Set<JobPartition> inLayout(Collection<JobPartition> parts) {
+    Set<JobPartition> converted = new LinkedHashSet<>();
+    for (JobPartition part : parts) {
       int end = part.first() + part.tasks();
-      converted.addAll(JobPart.covering(part.job(), part.first(), end, layout));
+      converted.addAll(JobPartition.covering(part.job(), part.first(), end, layout));
     }
     return converted;
   }
@@ -211,7 +212,7 @@
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
   void recordTask(TaskAttempt placement) {
-    JobPart part = JobPart.of(placement.job, placement.task.index(), layout);
+    JobPartition part = JobPartition.of(placement.job, placement.task.index(), layout);
     assignPlace(placement.machine);
     if (!placement.machine.recorded) {
       roster.due(placement.machine);
@@ -223,7 +224,7 @@
 
   /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
   void recordProgress(Job job, int task) {
-    JobPart part = JobPart.of(job, task, layout);
+    JobPartition part = JobPartition.of(job, task, layout);
     marks.put(part, part.marksSize(layout));
     marks.due(part, clock.instant().plus(UNHURRIED));
   }
@@ -244,7 +245,7 @@
     if (layout == RecordLayout.BY_NUMBER && machine.number == 0) {
       machine.number = numbers.next();
     }
-    roster.put(machine, Roster.size(machine.rosterEntry(0)));
+    roster.put(machine, MachineRecordCodec.size(machine.rosterEntry(0)));
   }
 
   /** The machine's record is to be written within that time. */
@@ -274,7 +275,7 @@
 
   /** The records of a job's tasks need no room any more. */
   void removeJob(Job job) {
-    for (JobPart part : JobPart.all(job, layout)) {
+    for (JobPartition part : JobPartition.all(job, layout)) {
       marks.remove(part);
       former.copied(part);
     }
@@ -373,7 +374,7 @@
   private Optional<RecordMigration.Home> homeOfCopy(Object item) {
     return item instanceof Machine machine
         ? roster.home(machine).map(home -> new RecordMigration.Home(false, home.shard()))
-        : marks.home((JobPart) item).map(home -> new RecordMigration.Home(true, home.shard()));
+        : marks.home((JobPartition) item).map(home -> new RecordMigration.Home(true, home.shard()));
   }
 
   private void writeRosters(Collection<Integer> values, LeaderTransaction transaction) {
@@ -402,7 +403,7 @@
    */
   private boolean writeMachinesOf(int value, LeaderTransaction transaction) {
     Set<Integer> missing = new LinkedHashSet<>();
-    for (JobPart part : marks.items(value).values()) {
+    for (JobPartition part : marks.items(value).values()) {
       for (TaskAttempt placement : part.placements()) {
         if (!placement.machine.recorded) {
           roster.home(placement.machine).ifPresent(home -> missing.add(home.shard()));
@@ -416,13 +417,14 @@
 
   /** The number by which marks name a machine; 0 while it has none. */
   private int numberOf(Machine machine) {
-    Optional<Shards.Home> home = roster.home(machine);
+    Optional<RecordPacker.Home> home = roster.home(machine);
     if (home.isEmpty()) {
       return 0;
     }
     return layout == RecordLayout.BY_NUMBER
         ? machine.number
-        : Marks.numberOfPlace(home.get().shard(), home.get().place(), Shards.PLACES);
+        : PlacementRecordCodec.numberOfPlace(
+            home.get().shard(), home.get().place(), RecordPacker.PLACES);
   }
 
   /** The transaction was not applied, as far as known: its values are to be written again. */
@@ -464,7 +466,7 @@
 
   /** Whether that is the machine's place in the roster. */
   boolean hasPlace(Machine machine, LeaderTransaction.StoredMachine stored) {
-    Optional<Shards.Home> home = roster.home(machine);
+    Optional<RecordPacker.Home> home = roster.home(machine);
     int number = stored.entry().number();
     return home.isPresent()
         && home.get().shard() == stored.value()
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.storage.StateClient.Change;
 import io.pearscale.storage.StateClient.Guard;
 import io.pearscale.transport.MessagePack;
@@ -29,7 +29,7 @@
   private static final int LARGEST_BODY = 40 * 1024;
 
   /** A machine that a value of the roster names. */
-  record StoredMachine(int value, Roster.Entry entry) {}
+  record StoredMachine(int value, MachineRecordCodec.Entry entry) {}
 
   /** What the term, its guard and the frame take. */
   private static final int FRAME_SIZE = 512;
@@ -52,7 +52,7 @@
   private final List<StoredMachine> machines = new ArrayList<>();
   private final Set<Integer> marks = new LinkedHashSet<>();
   private final List<TaskAttempt> marked = new ArrayList<>();
-  private final Map<JobPart, BitSet> done = new HashMap<>();
+  private final Map<JobPartition, BitSet> done = new HashMap<>();
   private final List<Job> finished = new ArrayList<>();
   private final List<String> dropped = new ArrayList<>();
   private final Map<String, Integer> sizes = new HashMap<>();
@@ -107,9 +107,9 @@
   }
 
   /** Adds a value of the roster. */
-  void addRoster(RecordLayout layout, int number, Shards<Machine> roster) {
+  void addRoster(RecordLayout layout, int number, RecordPacker<Machine> roster) {
     boolean byNumber = layout == RecordLayout.BY_NUMBER;
-    List<Roster.Entry> entries = new ArrayList<>();
+    List<MachineRecordCodec.Entry> entries = new ArrayList<>();
     roster
         .items(number)
         .forEach(
@@ -117,8 +117,8 @@
                 entries.add(machine.rosterEntry(byNumber ? machine.number : place)));
     rosters.add(number);
     entries.forEach(entry -> machines.add(new StoredMachine(number, entry)));
-    JsonNode value = Roster.encode(entries, level);
-    addRecord(layout.rosterKey(number), value, Roster.length(value));
+    JsonNode value = MachineRecordCodec.encode(entries, level);
+    addRecord(layout.rosterKey(number), value, MachineRecordCodec.length(value));
     roster.sent(number);
   }
 
@@ -128,12 +128,15 @@
    * @param numberOf the number by which marks name a machine; 0 if it has none
    */
   void addMarks(
-      RecordLayout layout, int number, Shards<JobPart> parts, ToIntFunction<Machine> numberOf) {
-    List<Marks.Part> encoded = new ArrayList<>();
+      RecordLayout layout,
+      int number,
+      RecordPacker<JobPartition> parts,
+      ToIntFunction<Machine> numberOf) {
+    List<PlacementRecordCodec.Part> encoded = new ArrayList<>();
     parts.items(number).values().forEach(part -> encoded.add(marksOf(part, numberOf)));
     marks.add(number);
-    JsonNode value = Marks.encode(encoded, layout);
-    addRecord(layout.marksKey(number), value, Marks.length(value));
+    JsonNode value = PlacementRecordCodec.encode(encoded, layout);
+    addRecord(layout.marksKey(number), value, PlacementRecordCodec.length(value));
     parts.sent(number);
   }
 
@@ -143,7 +146,7 @@
     size += length;
   }
 
-  private Marks.Part marksOf(JobPart part, ToIntFunction<Machine> numberOf) {
+  private PlacementRecordCodec.Part marksOf(JobPartition part, ToIntFunction<Machine> numberOf) {
     Job job = part.job();
     int[] hosts = new int[part.tasks()];
     for (TaskAttempt placement : part.placements()) {
@@ -157,7 +160,8 @@
     }
     BitSet doneTasks = part.done();
     done.put(part, doneTasks);
-    return new Marks.Part(job.spec.id(), part.first(), doneTasks, hosts, job.claim());
+    return new PlacementRecordCodec.Part(
+        job.spec.id(), part.first(), doneTasks, hosts, job.claim());
   }
 
   /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
@@ -244,7 +248,7 @@
   }
 
   /** Tasks that are done, by part of their job. */
-  Map<JobPart, BitSet> done() {
+  Map<JobPartition, BitSet> done() {
     return done;
   }
 
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -3,8 +3,8 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
-import io.pearscale.storage.Roster;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -143,8 +143,8 @@
   }
 
   /** What the roster is to say of the machine, with the number by which marks name it. */
-  Roster.Entry rosterEntry(int byNumber) {
-    return new Roster.Entry(
+  MachineRecordCodec.Entry rosterEntry(int byNumber) {
+    return new MachineRecordCodec.Entry(
         byNumber,
         name,
         address,
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/MachineInventory.java
@@ -33,7 +33,7 @@
   private final DecisionLog decisions;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
-  private final RemovedMachines removed = new RemovedMachines();
+  private final MachineTombstones removed = new MachineTombstones();
   private Consumer<TaskAttempt> removedListener = placement -> {};
   private final Set<Machine> withCommands = new LinkedHashSet<>();
 
--- a/src/main/java/io/pearscale/scheduler/RemovedMachines.java
+++ b/src/main/java/io/pearscale/scheduler/MachineTombstones.java
@@ -12,7 +12,7 @@
  * many there are follows from how fast a fleet shrinks, so they are forgotten by age and not by
  * number.
  */
-final class RemovedMachines {
+final class MachineTombstones {
   /** Longer than any message was seen to be late, and than any list lags. */
   static final Duration KEPT = Duration.ofMinutes(15);
 
--- a/src/main/java/io/pearscale/scheduler/UnusedValues.java
+++ b/src/main/java/io/pearscale/scheduler/ObsoleteValues.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 
 /** Stored values that hold nothing any more, and are to be removed. */
-final class UnusedValues {
+final class ObsoleteValues {
   private final Set<String> keys = new LinkedHashSet<>();
 
   /** Forgets all. */
--- a/src/main/java/io/pearscale/scheduler/FormerRecords.java
+++ b/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
@@ -17,7 +17,7 @@
  * A value may be removed once all that it says of something alive stands in the present layout; the
  * roster only after all marks, which name machines by it.
  */
-final class FormerRecords {
+final class PreviousLayoutRecords {
   private final Map<String, Set<Object>> waiting = new TreeMap<>();
   private final Map<Object, List<String>> keysOf = new HashMap<>();
 
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -6,9 +6,9 @@
 import io.pearscale.scheduler.StoredRecords.StoredMachine;
 import io.pearscale.scheduler.StoredRecords.StoredPart;
 import io.pearscale.scheduler.TaskAttempt.Stage;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import java.time.Instant;
 import java.time.InstantSource;
 import java.util.BitSet;
@@ -62,7 +62,7 @@
   }
 
   private void adopt(StoredMachine stored) {
-    Roster.Entry entry = stored.entry();
+    MachineRecordCodec.Entry entry = stored.entry();
     Machine machine = inventory.get(entry.machine());
     if (machine == null) {
       machine = machineOf(entry);
@@ -76,7 +76,7 @@
     records.adoptMachine(machine, stored);
   }
 
-  private Machine machineOf(Roster.Entry entry) {
+  private Machine machineOf(MachineRecordCodec.Entry entry) {
     MachineType type = inventory.catalogue().typeOf(entry.type());
     boolean seen = !entry.address().isEmpty();
     Life life = entry.retiring() ? Life.RETIRING : seen ? Life.UP : Life.BOOTING;
@@ -94,7 +94,7 @@
 
   /** Finds how many tasks a job had that is over, but may still be somewhere. */
   private void noteRemains(StoredPart stored) {
-    Marks.Part part = stored.part();
+    PlacementRecordCodec.Part part = stored.part();
     if (jobs.get(part.job()) == null && part.claim().isPresent()) {
       Instant now = clock.instant();
       remains.merge(
@@ -105,7 +105,7 @@
   }
 
   private void adopt(StoredPart stored) {
-    Marks.Part part = stored.part();
+    PlacementRecordCodec.Part part = stored.part();
     Job job = jobs.get(part.job());
     if (job == null) {
       job = remains.get(part.job());
@@ -123,7 +123,7 @@
    * only when the task is known to be gone from there. So it waits for that machine alone.
    */
   private void adopt(Job job, StoredPart stored) {
-    Marks.Part part = stored.part();
+    PlacementRecordCodec.Part part = stored.part();
     BitSet known = told.computeIfAbsent(job.spec.id(), id -> new BitSet());
     boolean written = records.isWritten(stored.layout());
     int first = part.first();
--- a/src/main/java/io/pearscale/scheduler/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/RecordMigration.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.storage.Keys;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
@@ -41,7 +41,7 @@
 
   private final LevelGate gate;
   private final int most;
-  private final FormerRecords former;
+  private final PreviousLayoutRecords former;
   private final Map<Integer, Integer> levels = new TreeMap<>();
   private Instant next = Instant.MIN;
 
@@ -51,7 +51,7 @@
    * @param gate says which level is written
    * @param former what stands in the other layout
    */
-  RecordMigration(LevelGate gate, int mostChanges, FormerRecords former) {
+  RecordMigration(LevelGate gate, int mostChanges, PreviousLayoutRecords former) {
     this.gate = gate;
     this.most = Math.max(SMALLEST_BATCH, mostChanges / PART_OF_TRANSACTION);
     this.former = former;
@@ -64,7 +64,8 @@
     roster.forEach(
         (key, value) -> {
           if (key.startsWith(RecordLayout.BY_PLACE.rosterPrefix())) {
-            Roster.levelOf(value).ifPresent(level -> levels.put(Keys.number(key), level));
+            MachineRecordCodec.levelOf(value)
+                .ifPresent(level -> levels.put(Keys.number(key), level));
           }
         });
   }
--- a/src/main/java/io/pearscale/scheduler/Shards.java
+++ b/src/main/java/io/pearscale/scheduler/RecordPacker.java
@@ -19,7 +19,7 @@
  *
  * @param <T> what is kept
  */
-final class Shards<T> {
+final class RecordPacker<T> {
   /** Places in a value. */
   static final int PLACES = 64;
 
@@ -39,7 +39,7 @@
   private final Map<Integer, Instant> later = new LinkedHashMap<>();
 
   /** Values may grow up to so many bytes. */
-  Shards(int room) {
+  RecordPacker(int room) {
     this.room = room;
   }
 
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -6,7 +6,7 @@
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Roster;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.StateClient;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.upgrade.LevelGate;
@@ -246,7 +246,7 @@
    * marks name machines by their places.
    */
   private void recorded(StoredMachine stored) {
-    Roster.Entry entry = stored.entry();
+    MachineRecordCodec.Entry entry = stored.entry();
     Machine machine = inventory.get(entry.machine());
     if (machine != null && records.hasPlace(machine, stored)) {
       machine.recorded = true;
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/StoredRecords.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -23,7 +23,7 @@
  */
 record StoredRecords(List<StoredMachine> machines, List<StoredPart> tasks) {
   /** A machine, as one value says. */
-  record StoredMachine(RecordLayout layout, int value, Roster.Entry entry) {
+  record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.Entry entry) {
     /** The key of the value. */
     String key() {
       return layout.rosterKey(value);
@@ -33,12 +33,12 @@
     int number() {
       return layout == RecordLayout.BY_NUMBER
           ? entry.number()
-          : Marks.numberOfPlace(value, entry.number(), Shards.PLACES);
+          : PlacementRecordCodec.numberOfPlace(value, entry.number(), RecordPacker.PLACES);
     }
   }
 
   /** A part of a job, as one value says. */
-  record StoredPart(RecordLayout layout, int value, Marks.Part part) {
+  record StoredPart(RecordLayout layout, int value, PlacementRecordCodec.Part part) {
     /** The key of the value. */
     String key() {
       return layout.marksKey(value);
@@ -67,11 +67,14 @@
         decode(
             roster,
             key -> RecordLayout.ofRoster(key).orElseThrow(),
-            Roster::decode,
+            MachineRecordCodec::decode,
             StoredMachine::new);
     List<StoredPart> tasks =
         decode(
-            marks, key -> RecordLayout.ofMarks(key).orElseThrow(), Marks::decode, StoredPart::new);
+            marks,
+            key -> RecordLayout.ofMarks(key).orElseThrow(),
+            PlacementRecordCodec::decode,
+            StoredPart::new);
     machines.sort(Comparator.comparing(machine -> machine.layout() != written));
     tasks.sort(Comparator.comparing(part -> part.layout() != written));
     return new StoredRecords(machines, tasks);
--- a/src/main/java/io/pearscale/storage/Roster.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -16,7 +16,7 @@
  * The form in which one value names many machines. A machine is named before anything is started on
  * it, so that a new leader knows each one that might hold a task.
  */
-public final class Roster {
+public final class MachineRecordCodec {
   /**
    * A machine of the roster.
    *
@@ -40,7 +40,7 @@
   /** So many fields has an entry at level 0; another one from level 1 on. */
   private static final int FIELDS_OF_LEVEL_0 = 8;
 
-  private Roster() {}
+  private MachineRecordCodec() {}
 
   /** How large an entry may become. */
   public static int size(Entry e) {
@@ -88,7 +88,10 @@
         : OptionalInt.of(first.size() > FIELDS_OF_LEVEL_0 ? 1 : 0);
   }
 
-  /** Decodes a value. An entry that can't be read is not taken for absent, as in {@link Marks}. */
+  /**
+   * Decodes a value. An entry that can't be read is not taken for absent, as in {@link
+   * PlacementRecordCodec}.
+   */
   public static List<Entry> decode(JsonNode value) throws Malformed {
     List<Entry> entries = new ArrayList<>();
     for (JsonNode n : Fields.list(Fields.map(value), "m")) {
--- a/src/main/java/io/pearscale/storage/Marks.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -17,7 +17,7 @@
  * for each other one the machine that it may be on. The mark is durable before the start command is
  * sent, so that a new leader need hold a task back for that one machine alone.
  */
-public final class Marks {
+public final class PlacementRecordCodec {
   private static final int MOST_BY_PLACE = 0xffff;
 
   /** Done tasks, hosts, three amounts and a team. */
@@ -57,7 +57,7 @@
     }
   }
 
-  private Marks() {}
+  private PlacementRecordCodec() {}
 
   /** The number by which marks name the machine at a place of the roster. */
   public static int numberOfPlace(int value, int place, int places) {
--- a/src/test/java/io/pearscale/scheduler/RemovedMachinesTest.java
+++ b/src/test/java/io/pearscale/scheduler/MachineTombstonesTest.java
@@ -6,13 +6,13 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-class RemovedMachinesTest {
+class MachineTombstonesTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
 
   /** A fleet that is given back goes on to be listed for as long as the list lags. */
   @Test
   void aWholeFleetIsRememberedWhileListsAndReportsMayNameIt() {
-    RemovedMachines removed = new RemovedMachines();
+    MachineTombstones removed = new MachineTombstones();
     for (int i = 0; i < 6000; i++) {
       removed.note("m-" + i, NOW.plusMillis(i));
     }
@@ -23,10 +23,10 @@
 
   @Test
   void whatIsLongGoneIsForgotten() {
-    RemovedMachines removed = new RemovedMachines();
+    MachineTombstones removed = new MachineTombstones();
     removed.note("m-1", NOW);
     removed.note("m-2", NOW.plusSeconds(1));
-    removed.note("m-3", NOW.plus(RemovedMachines.KEPT).plusMillis(500));
+    removed.note("m-3", NOW.plus(MachineTombstones.KEPT).plusMillis(500));
     assertFalse(removed.contains("m-1"));
     assertTrue(removed.contains("m-2"));
     assertTrue(removed.contains("m-3"));
--- a/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
-import io.pearscale.storage.Roster;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.LevelGate;
 import io.pearscale.upgrade.SupportedLevels;
@@ -22,7 +22,7 @@
 class RecordMigrationTest {
   private static final int CHANGES = 16;
   private final LevelGate gate = new LevelGate(new SupportedLevels(0, 2));
-  private final FormerRecords former = new FormerRecords();
+  private final PreviousLayoutRecords former = new PreviousLayoutRecords();
   private final RecordMigration migration = new RecordMigration(gate, CHANGES, former);
   private Instant now = Instant.EPOCH;
 
@@ -33,9 +33,9 @@
   }
 
   private static JsonNode value(int level) {
-    Roster.Entry entry =
-        new Roster.Entry(0, "m", "a:1", "t", "z", false, 1, false, Maintenance.NONE);
-    return Roster.encode(List.of(entry), level);
+    MachineRecordCodec.Entry entry =
+        new MachineRecordCodec.Entry(0, "m", "a:1", "t", "z", false, 1, false, Maintenance.NONE);
+    return MachineRecordCodec.encode(List.of(entry), level);
   }
 
   /** Items are named after the value in which their copy is to stand. */
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -15,12 +15,12 @@
 import io.pearscale.scheduler.SchedulerActor;
 import io.pearscale.scheduler.Tuning;
 import io.pearscale.storage.Keys;
+import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.ReplicaActor.Entry;
 import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.Roster;
 import io.pearscale.storage.StateClient;
 import io.pearscale.transport.Calls;
 import io.pearscale.upgrade.LevelGate;
@@ -60,7 +60,7 @@
   /** Places in a value of the roster, as the leader counts them. */
   private static final int PLACES = 64;
 
-  private final List<Roster.Entry> hosts = new ArrayList<>();
+  private final List<MachineRecordCodec.Entry> hosts = new ArrayList<>();
   private int marked;
   private String via = "hive-0";
   private boolean holdCommits;
@@ -145,7 +145,7 @@
       case "host" -> {
         String m = w.get(1);
         hosts.add(
-            new Roster.Entry(
+            new MachineRecordCodec.Entry(
                 hosts.size(),
                 m,
                 m,
@@ -155,7 +155,7 @@
                 1,
                 w.get(2).equals("retiring"),
                 Maintenance.NONE));
-        changed("c/roster/0", Optional.of(Roster.encode(hosts, 0)));
+        changed("c/roster/0", Optional.of(MachineRecordCodec.encode(hosts, 0)));
       }
       case "damaged" -> changed(w.get(1), Optional.of(World.map().put("wk-1/0", "?")));
       case "damaged-job" ->
@@ -245,25 +245,26 @@
       if (word.endsWith("=done")) {
         done.set(task);
       } else {
-        Roster.Entry e =
+        MachineRecordCodec.Entry e =
             hosts.stream().filter(h -> h.machine().equals(parts[1])).findFirst().orElseThrow();
-        on[task] = Marks.numberOfPlace(0, e.number(), PLACES);
+        on[task] = PlacementRecordCodec.numberOfPlace(0, e.number(), PLACES);
       }
     }
     changed(
         "c/marks/" + marked++,
         Optional.of(
-            Marks.encode(
-                List.of(new Marks.Part(job, 0, done, on, claim(job))), RecordLayout.BY_PLACE)));
+            PlacementRecordCodec.encode(
+                List.of(new PlacementRecordCodec.Part(job, 0, done, on, claim(job))),
+                RecordLayout.BY_PLACE)));
   }
 
   /** As a leader writes it: what the tasks of a job take of their team's limit. */
-  private Optional<Marks.Claim> claim(String job) {
+  private Optional<PlacementRecordCodec.Claim> claim(String job) {
     JsonNode spec = keys.get("c/live/" + job).value().path("spec");
     String team = spec.path("crew").asText();
     return world.teams.stream().anyMatch(t -> t.name().equals(team) && t.limited())
         ? Optional.of(
-            new Marks.Claim(
+            new PlacementRecordCodec.Claim(
                 team,
                 spec.path("vcpus").asDouble(),
                 spec.path("accelerators").asDouble(),
@@ -283,12 +284,12 @@
     Map<Integer, String> names = new HashMap<>();
     for (Map.Entry<String, JsonNode> value : world.state.under("c/roster/").entrySet()) {
       int number = Keys.number(value.getKey());
-      for (Roster.Entry e : Roster.decode(value.getValue())) {
-        names.put(Marks.numberOfPlace(number, e.number(), PLACES), e.machine());
+      for (MachineRecordCodec.Entry e : MachineRecordCodec.decode(value.getValue())) {
+        names.put(PlacementRecordCodec.numberOfPlace(number, e.number(), PLACES), e.machine());
       }
     }
     for (JsonNode value : world.state.under("c/marks/").values()) {
-      for (Marks.Part p : Marks.decode(value)) {
+      for (PlacementRecordCodec.Part p : PlacementRecordCodec.decode(value)) {
         if (p.job().equals(job) && p.done().get(index)) {
           return "done";
         } else if (p.job().equals(job) && index < p.hosts().length) {
@@ -302,7 +303,7 @@
   /** What the roster says of a machine. */
   private String rosterOf(String machine) throws Malformed {
     for (JsonNode value : world.state.under("c/roster/").values()) {
-      for (Roster.Entry e : Roster.decode(value)) {
+      for (MachineRecordCodec.Entry e : MachineRecordCodec.decode(value)) {
         if (e.machine().equals(machine)) {
           return e.retiring() ? "retiring" : "usable";
         }
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Malformed;
-import io.pearscale.storage.Marks;
+import io.pearscale.storage.MachineRecordCodec;
+import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.Roster;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.upgrade.ClusterLevel;
 import java.time.Duration;
@@ -285,13 +285,14 @@
     try {
       for (JsonNode change : body.path("then")) {
         if (change.path("write").asText().startsWith(RecordLayout.BY_NUMBER.rosterPrefix())) {
-          Roster.decode(change.path("value")).forEach(entry -> numbers.add(entry.number()));
+          MachineRecordCodec.decode(change.path("value"))
+              .forEach(entry -> numbers.add(entry.number()));
         }
       }
       for (JsonNode change : body.path("then")) {
         String key = change.path("write").asText();
         if (key.startsWith(RecordLayout.BY_NUMBER.marksPrefix())) {
-          for (Marks.Part part : Marks.decode(change.path("value"))) {
+          for (PlacementRecordCodec.Part part : PlacementRecordCodec.decode(change.path("value"))) {
             for (int host : part.hosts()) {
               if (host > 0 && !numbers.contains(host)) {
                 world.breaks("mark_without_machine", key + " names " + host + " for " + part.job());
@@ -319,7 +320,7 @@
     under("c/roster/")
         .forEach(
             (key, value) -> {
-              int form = Roster.levelOf(value).orElse(level.written());
+              int form = MachineRecordCodec.levelOf(value).orElse(level.written());
               if (form > level.level() || level.migrated() && form < level.level()) {
                 world.breaks("form_of_other_level", key + " has form " + form + " at " + level);
               }
