--- a/src/main/java/io/pearscale/scheduler/Pacing.java
+++ b/src/main/java/io/pearscale/scheduler/AdaptiveThrottle.java
@@ -10,7 +10,7 @@
  * @param least the shortest rest
  * @param most the longest rest: a process that stood still meanwhile must not rest for minutes
  */
-record Pacing(int share, Duration least, Duration most) {
+record AdaptiveThrottle(int share, Duration least, Duration most) {
   /** The rest after work that took so long. */
   Duration restAfter(Duration work) {
     Duration rest = work.multipliedBy(share);
--- a/src/main/java/io/pearscale/scheduler/Fleet.java
+++ b/src/main/java/io/pearscale/scheduler/Autoscaler.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
 import io.pearscale.scheduler.Machine.Life;
-import io.pearscale.scheduler.Renter.Kind;
+import io.pearscale.scheduler.ScaleOutPlanner.Kind;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
  * Decides what to rent, which machines to empty and which to give back, from what waits, runs and
  * is on its way. It only says what to do; the leader does it.
  */
-final class Fleet {
+final class Autoscaler {
   private static final Duration MOVE_SPACING = Duration.ofSeconds(3);
 
   /** Shares of room to keep are meant for a fleet of so many machines. */
@@ -47,7 +47,7 @@
       TeamUse use,
       Collection<MachineType> types,
       Set<String> silentZones,
-      List<Renter.Demand> replacements,
+      List<ScaleOutPlanner.Demand> replacements,
       boolean mayGiveBack) {}
 
   /** What is to be done: rented, given back, and moved off machines that are to be empty. */
@@ -55,23 +55,23 @@
 
   private final Tuning tuning;
   private final JobClasses classes;
-  private Renter renter;
+  private ScaleOutPlanner renter;
   private Instant nextMove = Instant.MIN;
   private int moves;
 
-  Fleet(Tuning tuning, JobClasses classes) {
+  Autoscaler(Tuning tuning, JobClasses classes) {
     this.tuning = tuning;
     this.classes = classes;
-    this.renter = new Renter(tuning);
+    this.renter = new ScaleOutPlanner(tuning);
   }
 
   /** Begins a term: what was asked for under another is not ours. */
   void begin() {
-    renter = new Renter(tuning);
+    renter = new ScaleOutPlanner(tuning);
   }
 
   /** Is to be told of what the cloud grants and refuses. */
-  Renter renter() {
+  ScaleOutPlanner renter() {
     return renter;
   }
 
@@ -80,14 +80,14 @@
     List<Machine> coming = new ArrayList<>();
     List<Machine> usable = new ArrayList<>();
     for (Machine m : v.machines) {
-      if (m.life == Life.BOOTING && now.isBefore(m.rented.plus(Renter.patience(m.type)))) {
+      if (m.life == Life.BOOTING && now.isBefore(m.rented.plus(ScaleOutPlanner.patience(m.type)))) {
         coming.add(m);
       } else if (v.usable.test(m)) {
         usable.add(m);
       }
     }
     Headroom headroom = headroom(v, usable);
-    List<Renter.Demand> demands = demands(v, usable);
+    List<ScaleOutPlanner.Demand> demands = demands(v, usable);
     demands.addAll(headroom.demands());
     demands.addAll(v.replacements);
     Map<Kind, Integer> hires =
@@ -103,9 +103,9 @@
   }
 
   /** What waits for room. */
-  private List<Renter.Demand> demands(View v, List<Machine> usable) {
+  private List<ScaleOutPlanner.Demand> demands(View v, List<Machine> usable) {
     // Like tasks are asked for as one.
-    Map<Like, Renter.Demand> demands = new LinkedHashMap<>();
+    Map<Like, ScaleOutPlanner.Demand> demands = new LinkedHashMap<>();
     for (Job j : v.waiting) {
       // What the team's limit keeps waiting would wait on rented machines as well.
       int tasks = Math.min(j.pending(), v.use.leftWithinLimit(j.spec));
@@ -134,7 +134,7 @@
 
   /** What a gang lacks in the zone that lacks least, so that all of its tasks get room there. */
   private static void demandInOneZone(
-      Map<Like, Renter.Demand> demands, Job job, int tasks, List<Machine> usable) {
+      Map<Like, ScaleOutPlanner.Demand> demands, Job job, int tasks, List<Machine> usable) {
     Map<String, Integer> places = new TreeMap<>();
     for (Machine m : usable) {
       if (job.spec.allows(m.type, m.zone, m.spot) && job.onlyIn(m.zone)) {
@@ -152,11 +152,11 @@
   private record Like(TaskShape shape, Optional<String> zone) {}
 
   private static void demand(
-      Map<Like, Renter.Demand> demands, Job j, int tasks, Optional<String> zone) {
+      Map<Like, ScaleOutPlanner.Demand> demands, Job j, int tasks, Optional<String> zone) {
     demands.merge(
         new Like(TaskShape.of(j.spec), zone),
-        new Renter.Demand(j, tasks, zone),
-        (a, b) -> new Renter.Demand(a.job(), a.tasks() + b.tasks(), zone));
+        new ScaleOutPlanner.Demand(j, tasks, zone),
+        (a, b) -> new ScaleOutPlanner.Demand(a.job(), a.tasks() + b.tasks(), zone));
   }
 
   /** All zones of the catalogue. */
@@ -236,7 +236,7 @@
       nextMove = now.plus(MOVE_SPACING);
       moves = most;
     }
-    SpareRoom rest = new SpareRoom(usable);
+    ReplicaCapacity rest = new ReplicaCapacity(usable);
     int emptied = 0;
     int tried = 0;
     for (Candidate c : candidates) {
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.Renter.Kind;
+import io.pearscale.scheduler.ScaleOutPlanner.Kind;
 import io.pearscale.storage.Budget;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls;
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -432,7 +432,7 @@
   }
 
   /** What should be rented so that drains find room. */
-  List<Renter.Demand> replacements() {
+  List<ScaleOutPlanner.Demand> replacements() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
     for (TaskView task : lackingRoom) {
       Job job = jobs.get(task.task().job());
@@ -440,8 +440,9 @@
         tasks.merge(job, 1, Integer::sum);
       }
     }
-    List<Renter.Demand> demands = new ArrayList<>();
-    tasks.forEach((job, count) -> demands.add(new Renter.Demand(job, count, Optional.empty())));
+    List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
+    tasks.forEach(
+        (job, count) -> demands.add(new ScaleOutPlanner.Demand(job, count, Optional.empty())));
     return demands;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/Headroom.java
@@ -39,12 +39,12 @@
   }
 
   /** What has to be rented so that each zone has its room. */
-  List<Renter.Demand> demands() {
-    List<Renter.Demand> demands = new ArrayList<>();
+  List<ScaleOutPlanner.Demand> demands() {
+    List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
     lacking.forEach(
         (part, n) -> {
           if (n > 0) {
-            demands.add(new Renter.Demand(part.sample, n, Optional.of(part.zone)));
+            demands.add(new ScaleOutPlanner.Demand(part.sample, n, Optional.of(part.zone)));
           }
         });
     return demands;
--- a/src/main/java/io/pearscale/scheduler/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/JobClasses.java
@@ -57,7 +57,7 @@
     }
     return types.stream()
         .filter(spec::allowsSomewhere)
-        .map(t -> Renter.bootTime(t).plus(t.fetchTime(spec.imageGb())).plus(MESSAGES))
+        .map(t -> ScaleOutPlanner.bootTime(t).plus(t.fetchTime(spec.imageGb())).plus(MESSAGES))
         .noneMatch(need -> need.compareTo(within.get()) <= 0);
   }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -30,7 +30,7 @@
   final LeaderRecovery recovery;
   final PlacementPass passes;
   final Optional<DrainCoordinator> drains;
-  final MachineSupply supply;
+  final MachineProvisioner supply;
   final RecordWriter writer;
   final TaskCounts counts;
 
@@ -70,9 +70,9 @@
     passes =
         new PlacementPass(shared, times, policy, executor, health, dispatcher, stops, statistics);
     drains = drains(env, shared, times, retirement);
-    Fleet fleet = new Fleet(env.tuning(), classes);
+    Autoscaler fleet = new Autoscaler(env.tuning(), classes);
     supply =
-        new MachineSupply(
+        new MachineProvisioner(
             shared,
             settings,
             cloud,
--- a/src/main/java/io/pearscale/scheduler/MachineSupply.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents machines and gives spare ones back, and takes in what the cloud says. */
-final class MachineSupply {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineSupply.class);
-  private static final Pacing PACING =
-      new Pacing(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
+final class MachineProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
+  private static final AdaptiveThrottle PACING =
+      new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
   /** A machine may be given back while the state service can be written, as of so long ago. */
   private static final Duration WRITABLE = Duration.ofSeconds(2);
@@ -40,7 +40,7 @@
   private final InstantSource clock;
   private final Settings settings;
   private final CloudActor cloud;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final JobOrder order;
   private final MachineHealth health;
   private final MachineRetirement retirement;
@@ -54,11 +54,11 @@
    *
    * @param drains if they are switched on, is asked before a replica is moved, and stops it
    */
-  MachineSupply(
+  MachineProvisioner(
       LeaderState state,
       Settings settings,
       CloudActor cloud,
-      Fleet fleet,
+      Autoscaler fleet,
       JobOrder order,
       MachineHealth health,
       MachineRetirement retirement,
@@ -107,9 +107,9 @@
     }
     // When the state service can't be written, a machine marked now would be of no use to anybody.
     boolean mayGiveBack = recovery.isComplete() && leadership.provenWithin(WRITABLE);
-    Fleet.Plan plan =
+    Autoscaler.Plan plan =
         fleet.plan(
-            new Fleet.View(
+            new Autoscaler.View(
                 inventory.all(),
                 m -> health.usable(m, now),
                 jobs.all(),
@@ -125,7 +125,7 @@
     plan.giveBack().forEach(machine -> retirement.retire(machine, Reason.SPARE));
   }
 
-  private void hire(Renter.Kind kind, int count) {
+  private void hire(ScaleOutPlanner.Kind kind, int count) {
     LOG.info(
         "event=rent term={} type={} zone={} spot={} count={}",
         leadership.term(),
@@ -174,7 +174,7 @@
   }
 
   private void hired(CloudActor.Hired event, Instant now) {
-    Renter.Kind kind = event.kind();
+    ScaleOutPlanner.Kind kind = event.kind();
     fleet.renter().noteGranted(kind);
     Optional<MachineType> type = inventory.catalogue().find(kind.type());
     for (String name : event.names()) {
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -20,7 +20,8 @@
 /** Decides on which machines the tasks that wait are started. */
 final class PlacementPass {
   private static final Logger LOG = LoggerFactory.getLogger(PlacementPass.class);
-  private static final Pacing PACING = new Pacing(4, Duration.ofMillis(30), Duration.ofSeconds(2));
+  private static final AdaptiveThrottle PACING =
+      new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   /** By what a pass decides. */
   record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, JobOrder order) {}
--- a/src/main/java/io/pearscale/scheduler/SpareRoom.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -12,7 +12,7 @@
  * about and how many have to be looked at for each grow with the fleet, so that the looks of one
  * plan are bounded by the fleet's size: what is not found by then is left for the next plan.
  */
-final class SpareRoom {
+final class ReplicaCapacity {
   private static final int LOOKS_PER_MACHINE = 32;
 
   /** A small fleet is looked through as a whole. */
@@ -23,7 +23,7 @@
   private int looksLeft;
 
   /** Begins with the room of machines that may take tasks. */
-  SpareRoom(Collection<Machine> usable) {
+  ReplicaCapacity(Collection<Machine> usable) {
     machines = new LinkedHashSet<>(usable);
     looksLeft = Math.max(LEAST_LOOKS, LOOKS_PER_MACHINE * usable.size());
   }
--- a/src/main/java/io/pearscale/scheduler/Renter.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -17,7 +17,7 @@
  * Decides what to rent: work that finds no room is packed into machines that are on their way, and
  * for what is left over the cheapest kind that can be had is chosen.
  */
-final class Renter {
+final class ScaleOutPlanner {
   private static final int LEAST_AT_ONCE = 12;
 
   /** The cloud takes no more in one call. */
@@ -35,7 +35,7 @@
   private final Map<Kind, Refusal> refused = new HashMap<>();
   private final Map<Kind, Integer> asked = new HashMap<>();
 
-  Renter(Tuning tuning) {
+  ScaleOutPlanner(Tuning tuning) {
     this.tuning = tuning;
   }
 
--- a/src/test/java/io/pearscale/scheduler/PacingTest.java
+++ b/src/test/java/io/pearscale/scheduler/AdaptiveThrottleTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Work rests in proportion to what it took, within bounds. */
-class PacingTest {
-  private final Pacing pacing = new Pacing(4, Duration.ofMillis(30), Duration.ofSeconds(2));
+class AdaptiveThrottleTest {
+  private final AdaptiveThrottle pacing =
+      new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   @Test
   void restsInProportion() {
--- a/src/test/java/io/pearscale/scheduler/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/CloudActorTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.Renter.Kind;
+import io.pearscale.scheduler.ScaleOutPlanner.Kind;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.CountingLoop;
 import io.pearscale.transport.MessagePack;
--- a/src/test/java/io/pearscale/scheduler/GangsTest.java
+++ b/src/test/java/io/pearscale/scheduler/GangsTest.java
@@ -15,7 +15,7 @@
   private static final Duration FORMING = Duration.ofSeconds(40);
 
   private static Job job() {
-    return new Job(SpareRoomTest.replica(1, Priority.NORMAL), 0, Instant.EPOCH, false);
+    return new Job(ReplicaCapacityTest.replica(1, Priority.NORMAL), 0, Instant.EPOCH, false);
   }
 
   @Test
--- a/src/test/java/io/pearscale/scheduler/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/ProbationTest.java
@@ -19,7 +19,7 @@
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
   private static Job job(Priority priority) {
-    return new Job(SpareRoomTest.replica(1, priority), 1, NOW, false);
+    return new Job(ReplicaCapacityTest.replica(1, priority), 1, NOW, false);
   }
 
   @Test
--- a/src/test/java/io/pearscale/scheduler/SpareRoomTest.java
+++ b/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Emptying machines of a fleet that is full, where every look is in vain. */
-class SpareRoomTest {
+class ReplicaCapacityTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
   private static final MachineType BIG =
       new MachineType("big", 8, 0, 64, 100, 1, 1, 0.4, Duration.ofSeconds(20), List.of("a"));
@@ -67,7 +67,7 @@
   /** Asks about as many machines as a plan does: a part of the fleet. */
   private static int looks(int size) {
     List<Machine> machines = fleet(size, 8);
-    SpareRoom room = new SpareRoom(machines);
+    ReplicaCapacity room = new ReplicaCapacity(machines);
     int before = room.looksLeft();
     for (int i = 0; i < size / 13; i++) {
       room.takesReplicasOf(machines.get(i), NOW);
@@ -86,7 +86,7 @@
   @Test
   void roomThatOneReplicaTookIsNotFreeForTheNext() {
     List<Machine> machines = fleet(3, 4);
-    SpareRoom room = new SpareRoom(machines);
+    ReplicaCapacity room = new ReplicaCapacity(machines);
     room.remove(machines.get(0));
     room.remove(machines.get(1));
     assertEquals(
