--- a/src/main/java/io/pearscale/scheduler/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/Autoscaler.java
@@ -149,12 +149,12 @@
     }
   }
 
-  private record Like(TaskShape shape, Optional<String> zone) {}
+  private record Like(EquivalenceClass shape, Optional<String> zone) {}
 
   private static void demand(
       Map<Like, ScaleOutPlanner.Demand> demands, Job j, int tasks, Optional<String> zone) {
     demands.merge(
-        new Like(TaskShape.of(j.spec), zone),
+        new Like(EquivalenceClass.of(j.spec), zone),
         new ScaleOutPlanner.Demand(j, tasks, zone),
         (a, b) -> new ScaleOutPlanner.Demand(a.job(), a.tasks() + b.tasks(), zone));
   }
--- a/src/main/java/io/pearscale/scheduler/DrainRoom.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -11,12 +11,12 @@
 import java.util.Optional;
 
 /** Looks for room for tasks of machines that are drained, and sets it aside for one round. */
-final class DrainRoom implements DrainPlanner.Room {
+final class DrainCapacity implements DrainPlanner.Room {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
   private final Map<Machine, Machine.Room> rooms = new HashMap<>();
 
-  DrainRoom(MachineInventory inventory, JobTable jobs, Instant now, WorkerTimes times) {
+  DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, WorkerTimes times) {
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
       boolean heard = !now.isAfter(machine.heard.plus(times.silent()));
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -48,7 +48,7 @@
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final WorkerTimes times;
-  private final TaskStops stops;
+  private final GracefulTermination stops;
   private final LevelGate level;
   private final InstantSource timeOfDay;
   private final CommandDispatcher dispatcher;
@@ -67,7 +67,7 @@
       LeaderState state,
       DrainSettings settings,
       WorkerTimes times,
-      TaskStops stops,
+      GracefulTermination stops,
       LevelGate level,
       int largestValue,
       InstantSource timeOfDay,
@@ -178,7 +178,7 @@
     Instant today = timeOfDay.instant();
     inventory.all().forEach(machine -> machine.drainsLater = false);
     drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteDrainsLater);
-    DrainRoom room = new DrainRoom(inventory, jobs, now, times);
+    DrainCapacity room = new DrainCapacity(inventory, jobs, now, times);
     return planner.plan(drains, machines, ledger, room, today);
   }
 
--- a/src/main/java/io/pearscale/scheduler/TaskShape.java
+++ b/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /** What decides where a task may go and whom it may evict. */
-record TaskShape(
+record EquivalenceClass(
     Priority priority,
     double cpus,
     double gpus,
@@ -15,8 +15,8 @@
     Optional<String> zone,
     boolean spot) {
 
-  static TaskShape of(JobSpec spec) {
-    return new TaskShape(
+  static EquivalenceClass of(JobSpec spec) {
+    return new EquivalenceClass(
         spec.priority(),
         spec.cpus(),
         spec.gpus(),
--- a/src/main/java/io/pearscale/scheduler/GangPlacement.java
+++ b/src/main/java/io/pearscale/scheduler/GangPlacement.java
@@ -23,7 +23,7 @@
   /** Where the tasks go. */
   private record Plan(Job job, List<Choice> choices) {
     int losses() {
-      return choices.stream().mapToInt(choice -> VictimSearch.losses(choice.victims())).sum();
+      return choices.stream().mapToInt(choice -> PreemptionPlanner.losses(choice.victims())).sum();
     }
 
     /** The gang starts when the last of its tasks has its image. */
--- a/src/main/java/io/pearscale/scheduler/TaskStops.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -17,7 +17,7 @@
  * on. Whether they save is decided for all of them before the first one is told. A task of a gang
  * that has not begun is stopped alone, since another one can take its place.
  */
-final class TaskStops {
+final class GracefulTermination {
   private static final Duration NO_NOTICE = Duration.ofDays(365);
 
   private final JobTable jobs;
@@ -26,7 +26,7 @@
   private final InstantSource clock;
   private final WorkerTimes times;
 
-  TaskStops(LeaderState state, WorkerTimes times) {
+  GracefulTermination(LeaderState state, WorkerTimes times) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.gangs = state.gangs();
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -35,13 +35,16 @@
   private final InstantSource clock;
   private final Runnable requestPass;
   private final FailureJudge failures;
-  private final TaskStops stops;
+  private final GracefulTermination stops;
   private final Gangs gangs;
   private final LeaderStatistics statistics;
   private final DecisionLog decisions;
 
   HeartbeatProcessor(
-      LeaderState state, FailureJudge failures, TaskStops stops, LeaderStatistics statistics) {
+      LeaderState state,
+      FailureJudge failures,
+      GracefulTermination stops,
+      LeaderStatistics statistics) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -22,7 +22,7 @@
   final LeaderRecords records;
   final LeaderStatistics statistics;
   final LevelRaiser raiser;
-  final TaskStops stops;
+  final GracefulTermination stops;
   final Gangs gangs;
   final CommandDispatcher dispatcher;
   final HeartbeatHandler reports;
@@ -47,7 +47,7 @@
     WorkerTimes times = WorkerTimes.of(settings.workers());
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.objectives(), catalogue.types());
-    JobOrder order = new JobOrder(settings.objectives(), classes);
+    QueueOrder order = new QueueOrder(settings.objectives(), classes);
     LeaderState shared = state(env, teams, classes, catalogue);
     leadership = shared.leadership();
     records = shared.records();
@@ -55,7 +55,7 @@
     gangs = shared.gangs();
     inventory = shared.inventory();
     statistics = new LeaderStatistics(shared);
-    stops = new TaskStops(shared, times);
+    stops = new GracefulTermination(shared, times);
     HeartbeatProcessor processor =
         new HeartbeatProcessor(shared, new FailureJudge(shared), stops, statistics);
     dispatcher =
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -41,7 +41,7 @@
   private final Settings settings;
   private final CloudActor cloud;
   private final Autoscaler fleet;
-  private final JobOrder order;
+  private final QueueOrder order;
   private final MachineHealth health;
   private final MachineRetirement retirement;
   private final CommandDispatcher dispatcher;
@@ -59,7 +59,7 @@
       Settings settings,
       CloudActor cloud,
       Autoscaler fleet,
-      JobOrder order,
+      QueueOrder order,
       MachineHealth health,
       MachineRetirement retirement,
       CommandDispatcher dispatcher,
--- a/src/main/java/io/pearscale/scheduler/PassRooms.java
+++ b/src/main/java/io/pearscale/scheduler/PassCapacity.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /** The room of machines, and what teams have in use, after all that was booked in a pass. */
-final class PassRooms {
+final class PassCapacity {
   private final TeamUse use;
   private final Map<Machine, Room> rooms = new HashMap<>();
   private final Set<TaskAttempt> victims = new HashSet<>();
 
-  PassRooms(TeamUse use) {
+  PassCapacity(TeamUse use) {
     this.use = use;
   }
 
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -24,7 +24,7 @@
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   /** By what a pass decides. */
-  record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, JobOrder order) {}
+  record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder order) {}
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -37,7 +37,7 @@
   private final MachineHealth health;
   private final CommandDispatcher dispatcher;
   private final Gangs gangs;
-  private final TaskStops stops;
+  private final GracefulTermination stops;
   private final LeaderStatistics statistics;
   private final AttemptNumbers attempts = new AttemptNumbers();
   private boolean requested;
@@ -50,7 +50,7 @@
       TermExecutor executor,
       MachineHealth health,
       CommandDispatcher dispatcher,
-      TaskStops stops,
+      GracefulTermination stops,
       LeaderStatistics statistics) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -91,7 +91,7 @@
   private void pass() {
     Instant now = clock.instant();
     stops.endBrokenGangs();
-    Function<Job, JobOrder.Turn> turns = policy.order.turns(now);
+    Function<Job, QueueOrder.Turn> turns = policy.order.turns(now);
     List<Job> waiting = policy.order.waiting(jobs.waiting(), turns, now);
     if (!waiting.isEmpty()) {
       List<Machine> usable = usable(now);
@@ -113,7 +113,7 @@
   }
 
   private Placer placer(
-      List<Job> waiting, List<Machine> usable, Function<Job, JobOrder.Turn> turns, Instant now) {
+      List<Job> waiting, List<Machine> usable, Function<Job, QueueOrder.Turn> turns, Instant now) {
     PlacementInput input =
         new PlacementInput(
             policy.tuning,
@@ -137,9 +137,9 @@
   }
 
   private void place(Placer placer, Job j, Set<Machine> touched, Instant now) {
-    boolean pressing = JobOrder.pressing(j, now);
+    boolean pressing = QueueOrder.pressing(j, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
-    boolean one = JobOrder.begins(j, now) || j.mistaken();
+    boolean one = QueueOrder.begins(j, now) || j.mistaken();
     for (int i = j.nextPending(0); i >= 0; i = j.nextPending(i + 1)) {
       Optional<Placer.Choice> choice = placer.place(j, pressing);
       j.noRoom = choice.isEmpty();
@@ -160,10 +160,10 @@
       return;
     }
     int tasks = job.pending();
-    List<Placer.Choice> choices = placement.place(job, tasks, JobOrder.pressing(job, now));
+    List<Placer.Choice> choices = placement.place(job, tasks, QueueOrder.pressing(job, now));
     job.noRoom = choices.isEmpty();
     if (choices.isEmpty()) {
-      if (JobOrder.begins(job, now)) {
+      if (QueueOrder.begins(job, now)) {
         placement.hold(job, tasks);
       } else if (policy.classes.startWithin(job.spec).isPresent()) {
         placement.holdIfSmall(job, tasks);
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -18,9 +18,9 @@
  */
 final class Placer {
   /** Tasks that are alike for feasibility and score. */
-  private record TaskClass(TaskShape shape, String team, boolean service, String image) {
+  private record TaskClass(EquivalenceClass shape, String team, boolean service, String image) {
     static TaskClass of(JobSpec spec) {
-      return new TaskClass(TaskShape.of(spec), spec.team(), spec.service(), spec.image());
+      return new TaskClass(EquivalenceClass.of(spec), spec.team(), spec.service(), spec.image());
     }
   }
 
@@ -42,15 +42,15 @@
   }
 
   private final PlacementInput input;
-  private final PassRooms rooms;
-  private final ZoneRoom zones;
-  private final PlacementScore score;
-  private final VictimSearch victims;
-  private final ReplicaMoves moves;
-  private final MachineOrder open;
+  private final PassCapacity rooms;
+  private final ZoneCapacity zones;
+  private final ScoringPolicy score;
+  private final PreemptionPlanner victims;
+  private final ReplicaRelocation moves;
+  private final RandomizedMachineScan open;
   private final Map<TaskClass, Visit> visits = new HashMap<>();
   private final Map<String, List<Machine>> holders = new HashMap<>();
-  private Optional<MachineOrder> all = Optional.empty();
+  private Optional<RandomizedMachineScan> all = Optional.empty();
 
   /**
    * Prepares a pass.
@@ -61,12 +61,12 @@
    */
   Placer(PlacementInput input, Collection<Job> waiting, TeamUse use) {
     this.input = input;
-    this.rooms = new PassRooms(use);
-    this.zones = new ZoneRoom(input.machines());
-    this.score = new PlacementScore(input, rooms);
-    this.victims = new VictimSearch(input, rooms, zones, this::all);
-    this.moves = new ReplicaMoves(input, rooms, this::all);
-    this.open = new MachineOrder(withSomeRoom(input.machines(), waiting), input.random());
+    this.rooms = new PassCapacity(use);
+    this.zones = new ZoneCapacity(input.machines());
+    this.score = new ScoringPolicy(input, rooms);
+    this.victims = new PreemptionPlanner(input, rooms, zones, this::all);
+    this.moves = new ReplicaRelocation(input, rooms, this::all);
+    this.open = new RandomizedMachineScan(withSomeRoom(input.machines(), waiting), input.random());
   }
 
   private static List<Machine> withSomeRoom(List<Machine> machines, Collection<Job> waiting) {
@@ -87,9 +87,9 @@
   }
 
   /** The order for those who look for victims, on machines with room or without. */
-  private MachineOrder all() {
+  private RandomizedMachineScan all() {
     if (all.isEmpty()) {
-      all = Optional.of(new MachineOrder(input.machines(), input.random()));
+      all = Optional.of(new RandomizedMachineScan(input.machines(), input.random()));
     }
     return all.get();
   }
--- a/src/main/java/io/pearscale/scheduler/VictimSearch.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -18,7 +18,7 @@
  * Looks for the fewest, lowest tasks that have to leave for another one. What found nobody to evict
  * is not looked for again in the pass.
  */
-final class VictimSearch {
+final class PreemptionPlanner {
   /** So many times as many machines are met while the best victims would end a gang that runs. */
   private static final int SEARCH_TO_SPARE_GANGS = 4;
 
@@ -29,16 +29,23 @@
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
   private record Search(
-      TaskShape shape, String team, boolean service, List<String> zones, Optional<String> image) {}
+      EquivalenceClass shape,
+      String team,
+      boolean service,
+      List<String> zones,
+      Optional<String> image) {}
 
   private final PlacementInput input;
-  private final PassRooms rooms;
-  private final ZoneRoom zones;
-  private final Supplier<MachineOrder> order;
+  private final PassCapacity rooms;
+  private final ZoneCapacity zones;
+  private final Supplier<RandomizedMachineScan> order;
   private final Set<Search> inVain = new HashSet<>();
 
-  VictimSearch(
-      PlacementInput input, PassRooms rooms, ZoneRoom zones, Supplier<MachineOrder> order) {
+  PreemptionPlanner(
+      PlacementInput input,
+      PassCapacity rooms,
+      ZoneCapacity zones,
+      Supplier<RandomizedMachineScan> order) {
     this.input = input;
     this.rooms = rooms;
     this.zones = zones;
@@ -47,7 +54,8 @@
 
   private Search search(Job job, Optional<String> image) {
     JobSpec spec = job.spec;
-    return new Search(TaskShape.of(spec), spec.team(), spec.service(), zones.left(job), image);
+    return new Search(
+        EquivalenceClass.of(spec), spec.team(), spec.service(), zones.left(job), image);
   }
 
   /** Whether such tasks were found to have no victims anywhere. */
@@ -95,7 +103,7 @@
   private Optional<Choice> evict(Job job, Optional<String> image, Predicate<Machine> allowed) {
     boolean guaranteed = rooms.use().isGuaranteed(job.spec);
     Choice best = null;
-    MachineOrder machines = order.get();
+    RandomizedMachineScan machines = order.get();
     int start = machines.start();
     int met = 0;
     // As with room, the best of the first that will do: at size, seeing all would cost more than a
--- a/src/main/java/io/pearscale/scheduler/JobOrder.java
+++ b/src/main/java/io/pearscale/scheduler/QueueOrder.java
@@ -17,7 +17,7 @@
  * The order in which a pass decides jobs: by priority, then by what can still be over in time, then
  * by when it is due.
  */
-final class JobOrder {
+final class QueueOrder {
   /** An image may have to be fetched before a task runs. */
   private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(6);
 
@@ -27,7 +27,7 @@
   private final List<Objective> objectives;
   private final JobClasses classes;
 
-  JobOrder(List<Objective> objectives, JobClasses classes) {
+  QueueOrder(List<Objective> objectives, JobClasses classes) {
     this.objectives = objectives;
     this.classes = classes;
   }
--- a/src/main/java/io/pearscale/scheduler/MachineOrder.java
+++ b/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
@@ -11,12 +11,12 @@
  * Machines in an order that is shuffled once a pass; each visit begins at a random place of its
  * own. Machines that can be spared are met last, so that they run empty.
  */
-final class MachineOrder {
+final class RandomizedMachineScan {
   private final RandomGenerator random;
   private final List<Machine> kept = new ArrayList<>();
   private final List<Machine> spare = new ArrayList<>();
 
-  MachineOrder(Collection<Machine> machines, RandomGenerator random) {
+  RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
       boolean stays = machine.spareSince.equals(Instant.MAX) && !machine.drainsLater;
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -53,7 +53,7 @@
 
   private static boolean settled(TaskAttempt p, Instant now) {
     return p.stage == TaskAttempt.Stage.RUNNING
-        && !p.since.isAfter(now.minus(ReplicaMoves.SETTLED));
+        && !p.since.isAfter(now.minus(ReplicaRelocation.SETTLED));
   }
 
   private boolean takes(TaskAttempt p) {
@@ -62,7 +62,7 @@
         return false;
       }
       looksLeft--;
-      if (ReplicaMoves.mayMoveTo(p, other)
+      if (ReplicaRelocation.mayMoveTo(p, other)
           && rooms.computeIfAbsent(other, Machine::room).fits(p.job)) {
         rooms.get(other).take(p.job);
         return true;
--- a/src/main/java/io/pearscale/scheduler/ReplicaMoves.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
@@ -13,15 +13,16 @@
  * its image: a job that must spread can't go anywhere else, while the replica that fills its zone
  * often can. The move costs a moment of one replica, waiting would cost the whole time.
  */
-final class ReplicaMoves {
+final class ReplicaRelocation {
   /** A replica that has run for less is not moved: its start would have been in vain. */
   static final Duration SETTLED = Duration.ofSeconds(40);
 
   private final PlacementInput input;
-  private final PassRooms rooms;
-  private final Supplier<MachineOrder> order;
+  private final PassCapacity rooms;
+  private final Supplier<RandomizedMachineScan> order;
 
-  ReplicaMoves(PlacementInput input, PassRooms rooms, Supplier<MachineOrder> order) {
+  ReplicaRelocation(
+      PlacementInput input, PassCapacity rooms, Supplier<RandomizedMachineScan> order) {
     this.input = input;
     this.rooms = rooms;
     this.order = order;
@@ -32,7 +33,7 @@
     if (!job.spec.service()) {
       return Optional.empty();
     }
-    MachineOrder machines = order.get();
+    RandomizedMachineScan machines = order.get();
     int start = machines.start();
     int asked = 0;
     for (int i = 0; i < machines.size() && asked < input.tuning().sample(); i++) {
--- a/src/main/java/io/pearscale/scheduler/PlacementScore.java
+++ b/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /** The score of a machine for a task of a job; the lowest is the best. */
-final class PlacementScore {
+final class ScoringPolicy {
   private static final double SHORTEST_TIME = 1e-3;
 
   private final PlacementInput input;
   private final Tuning tuning;
-  private final PassRooms rooms;
+  private final PassCapacity rooms;
 
-  PlacementScore(PlacementInput input, PassRooms rooms) {
+  ScoringPolicy(PlacementInput input, PassCapacity rooms) {
     this.input = input;
     this.tuning = input.tuning();
     this.rooms = rooms;
--- a/src/main/java/io/pearscale/scheduler/ZoneRoom.java
+++ b/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /** How many tasks of a shape each zone has room for, with all that may be evicted for them. */
-final class ZoneRoom {
+final class ZoneCapacity {
   private final List<Machine> machines;
-  private final Map<TaskShape, Map<String, Integer>> counted = new HashMap<>();
+  private final Map<EquivalenceClass, Map<String, Integer>> counted = new HashMap<>();
 
-  ZoneRoom(List<Machine> machines) {
+  ZoneCapacity(List<Machine> machines) {
     this.machines = machines;
   }
 
   /** By zone; counted once for each shape. */
   Map<String, Integer> of(Job job) {
-    return counted.computeIfAbsent(TaskShape.of(job.spec), shape -> count(job));
+    return counted.computeIfAbsent(EquivalenceClass.of(job.spec), shape -> count(job));
   }
 
   private Map<String, Integer> count(Job job) {
