--- a/src/main/java/io/pearscale/scheduler/MachineHealth.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -13,7 +13,7 @@
  * Looks after machines one by one: finds those that are silent, that hear nothing, that do not
  * report, that fail what they start or that never came up.
  */
-final class MachineHealth {
+final class FailureDetector {
   /**
    * A cut-off zone is waited for so many leases, since its machines come back with their images.
    */
@@ -42,9 +42,9 @@
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
   private final DecisionLog decisions;
-  private Optional<Silence> silence = Optional.empty();
+  private Optional<FleetReachability> silence = Optional.empty();
 
-  MachineHealth(
+  FailureDetector(
       LeaderState state,
       WorkerTimes times,
       CommandDispatcher dispatcher,
@@ -247,9 +247,11 @@
    * a whole zone is silent and most machines are heard, those that hold replicas are worth it: a
    * new leader would otherwise wait for a lease from its own election on, while nothing serves.
    */
-  private Silence silence(Instant now) {
+  private FleetReachability silence(Instant now) {
     if (silence.isEmpty()) {
-      silence = Optional.of(Silence.count(inventory.all(), this::spoke, now.minus(times.silent())));
+      silence =
+          Optional.of(
+              FleetReachability.count(inventory.all(), this::spoke, now.minus(times.silent())));
     }
     return silence.get();
   }
--- a/src/main/java/io/pearscale/scheduler/FailureJudge.java
+++ b/src/main/java/io/pearscale/scheduler/FaultAttribution.java
@@ -7,14 +7,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells faulty machines from mistaken jobs, by counting on both sides what failed. */
-final class FailureJudge {
-  private static final Logger LOG = LoggerFactory.getLogger(FailureJudge.class);
+final class FaultAttribution {
+  private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final InstantSource clock;
 
-  FailureJudge(LeaderState state) {
+  FaultAttribution(LeaderState state) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.clock = state.clock();
--- a/src/main/java/io/pearscale/scheduler/Silence.java
+++ b/src/main/java/io/pearscale/scheduler/FleetReachability.java
@@ -15,7 +15,7 @@
  * @param minority whether it is not most of them
  * @param zones the zones of which most machines are
  */
-record Silence(boolean few, boolean minority, Set<String> zones) {
+record FleetReachability(boolean few, boolean minority, Set<String> zones) {
   /** So many may be silent in the smallest fleet, and one of so many in a larger one. */
   private static final int FEW = 2;
 
@@ -27,7 +27,7 @@
    * @param spoke when a machine was last heard
    * @param limit what was not heard since then is silent
    */
-  static Silence count(
+  static FleetReachability count(
       Collection<Machine> machines, Function<Machine, Instant> spoke, Instant limit) {
     int up = 0;
     int silent = 0;
@@ -43,6 +43,7 @@
     }
     byZone.values().removeIf(n -> n <= 0);
     boolean minority = silent * 2 < up;
-    return new Silence(silent <= Math.max(FEW, up / ONE_OF) && minority, minority, byZone.keySet());
+    return new FleetReachability(
+        silent <= Math.max(FEW, up / ONE_OF) && minority, minority, byZone.keySet());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -34,7 +34,7 @@
   private final LeaderRecords records;
   private final InstantSource clock;
   private final Runnable requestPass;
-  private final FailureJudge failures;
+  private final FaultAttribution failures;
   private final GracefulTermination stops;
   private final Gangs gangs;
   private final LeaderStatistics statistics;
@@ -42,7 +42,7 @@
 
   HeartbeatProcessor(
       LeaderState state,
-      FailureJudge failures,
+      FaultAttribution failures,
       GracefulTermination stops,
       LeaderStatistics statistics) {
     this.leadership = state.leadership();
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -26,7 +26,7 @@
   final Gangs gangs;
   final CommandDispatcher dispatcher;
   final HeartbeatHandler reports;
-  final MachineHealth health;
+  final FailureDetector health;
   final LeaderRecovery recovery;
   final PlacementPass passes;
   final Optional<DrainCoordinator> drains;
@@ -57,14 +57,14 @@
     statistics = new LeaderStatistics(shared);
     stops = new GracefulTermination(shared, times);
     HeartbeatProcessor processor =
-        new HeartbeatProcessor(shared, new FailureJudge(shared), stops, statistics);
+        new HeartbeatProcessor(shared, new FaultAttribution(shared), stops, statistics);
     dispatcher =
         new CommandDispatcher(
             shared, settings, times, env.calls(), executor, listener::higherTerm, processor);
     reports = new HeartbeatHandler(shared, processor, dispatcher, listener::higherTerm);
     CloudActor cloud = new CloudActor(env.loop(), env.calls(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(shared, cloud);
-    health = new MachineHealth(shared, times, dispatcher, retirement);
+    health = new FailureDetector(shared, times, dispatcher, retirement);
     recovery = new LeaderRecovery(shared, dispatcher, listener::unfit);
     var policy = new PlacementPass.Policy(env.tuning(), env.random(), classes, order);
     passes =
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -42,7 +42,7 @@
   private final CloudActor cloud;
   private final Autoscaler fleet;
   private final QueueOrder order;
-  private final MachineHealth health;
+  private final FailureDetector health;
   private final MachineRetirement retirement;
   private final CommandDispatcher dispatcher;
   private final LeaderRecovery recovery;
@@ -60,7 +60,7 @@
       CloudActor cloud,
       Autoscaler fleet,
       QueueOrder order,
-      MachineHealth health,
+      FailureDetector health,
       MachineRetirement retirement,
       CommandDispatcher dispatcher,
       LeaderRecovery recovery,
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -34,7 +34,7 @@
   private final WorkerTimes times;
   private final Policy policy;
   private final TermExecutor executor;
-  private final MachineHealth health;
+  private final FailureDetector health;
   private final CommandDispatcher dispatcher;
   private final Gangs gangs;
   private final GracefulTermination stops;
@@ -48,7 +48,7 @@
       WorkerTimes times,
       Policy policy,
       TermExecutor executor,
-      MachineHealth health,
+      FailureDetector health,
       CommandDispatcher dispatcher,
       GracefulTermination stops,
       LeaderStatistics statistics) {
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -27,7 +27,7 @@
 /**
  * Receives what concerns jobs and machines, and wires the parts of a leader, each of which owns its
  * own state: {@link JobTable}, {@link MachineInventory}, {@link LeaderRecords}, {@link
- * LeaderRecovery}, {@link HeartbeatProcessor}, {@link CommandDispatcher}, {@link MachineHealth},
+ * LeaderRecovery}, {@link HeartbeatProcessor}, {@link CommandDispatcher}, {@link FailureDetector},
  * {@link PlacementPass}, {@link MachineProvisioner} and {@link RecordWriter}. On a controller that
  * does not lead it only keeps the jobs and the stored records at hand.
  */
