--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -192,7 +192,7 @@
     if (!m.recorded || m.life != Life.UP || !m.settled || m.lost) {
       return orders;
     }
-    Machine.Room room = null;
+    Machine.Resources room = null;
     for (TaskAttempt p : List.copyOf(m.placements.values())) {
       boolean durable = p.stage == Stage.PLANNED && p.marked && Gangs.mayStart(p.job);
       if (!durable || mayBeCalledBusy(m, p, cleared)) {
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -14,7 +14,7 @@
 final class DrainCapacity implements DrainPlanner.Room {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
-  private final Map<Machine, Machine.Room> rooms = new HashMap<>();
+  private final Map<Machine, Machine.Resources> rooms = new HashMap<>();
 
   DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, WorkerTimes times) {
     this.jobs = jobs;
@@ -52,7 +52,7 @@
             + (job.spec.oneZone() ? " in zone " + placement.machine.zone : ""));
   }
 
-  private Machine.Room roomOf(Machine machine) {
+  private Machine.Resources roomOf(Machine machine) {
     return rooms.computeIfAbsent(machine, Machine::room);
   }
 
--- a/src/main/java/io/pearscale/scheduler/GangPlacement.java
+++ b/src/main/java/io/pearscale/scheduler/GangPlacement.java
@@ -158,7 +158,7 @@
           machines.stream()
               .filter(among)
               .filter(machine -> job.spec.allows(machine.type, machine.zone, machine.spot))
-              .mapToLong(machine -> Machine.Room.of(machine.type).count(job))
+              .mapToLong(machine -> Machine.Resources.of(machine.type).count(job))
               .sum();
       most = Math.max(most, places);
     }
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -122,7 +122,7 @@
   Instant listedSince = Instant.MIN;
 
   final Map<TaskId, TaskAttempt> placements = new LinkedHashMap<>();
-  private Room[] rooms;
+  private Resources[] rooms;
 
   /** Attempts that ended, each with a token that no start command for it was above. */
   final Map<Ended, Long> ended = new HashMap<>();
@@ -235,7 +235,7 @@
   }
 
   /** What is left, when everything decided has come to pass; the caller may change it. */
-  Room room() {
+  Resources room() {
     return roomAbove(Priority.IDLE).copy();
   }
 
@@ -243,11 +243,11 @@
    * What would be left if all below the priority were evicted. Kept from one question to the next,
    * since every pass asks every machine and most have not changed. Not to be changed.
    */
-  Room roomAbove(Priority priority) {
+  Resources roomAbove(Priority priority) {
     if (rooms == null) {
-      rooms = new Room[Priority.values().length];
+      rooms = new Resources[Priority.values().length];
       for (Priority floor : Priority.values()) {
-        Room r = new Room(type.cpus(), type.gpus(), type.memoryGb());
+        Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
         for (TaskAttempt p : placements.values()) {
           if (!p.stopping && p.job.spec.priority().compareTo(floor) >= 0) {
             r.take(p.job);
@@ -260,8 +260,8 @@
   }
 
   /** What is left now, counting all that may be on the machine. */
-  Room physicalRoom() {
-    Room r = new Room(type.cpus(), type.gpus(), type.memoryGb());
+  Resources physicalRoom() {
+    Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     for (TaskAttempt p : placements.values()) {
       if (p.stage != TaskAttempt.Stage.PLANNED) {
         r.take(p.job);
@@ -296,25 +296,25 @@
   }
 
   /** Room in all resources. */
-  static final class Room {
+  static final class Resources {
     static final double SLACK = 1e-6;
     double cpus;
     double gpus;
     double memoryGb;
 
-    Room(double cpus, double gpus, double memoryGb) {
+    Resources(double cpus, double gpus, double memoryGb) {
       this.cpus = cpus;
       this.gpus = gpus;
       this.memoryGb = memoryGb;
     }
 
     /** All that a machine of the type has. */
-    static Room of(MachineType type) {
-      return new Room(type.cpus(), type.gpus(), type.memoryGb());
+    static Resources of(MachineType type) {
+      return new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    Room copy() {
-      return new Room(cpus, gpus, memoryGb);
+    Resources copy() {
+      return new Resources(cpus, gpus, memoryGb);
     }
 
     void take(Job j) {
--- a/src/main/java/io/pearscale/scheduler/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/PassCapacity.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import io.pearscale.scheduler.Placer.Choice;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,14 +10,14 @@
 /** The room of machines, and what teams have in use, after all that was booked in a pass. */
 final class PassCapacity {
   private final TeamUse use;
-  private final Map<Machine, Room> rooms = new HashMap<>();
+  private final Map<Machine, Resources> rooms = new HashMap<>();
   private final Set<TaskAttempt> victims = new HashSet<>();
 
   PassCapacity(TeamUse use) {
     this.use = use;
   }
 
-  Room of(Machine machine) {
+  Resources of(Machine machine) {
     return rooms.computeIfAbsent(machine, Machine::room);
   }
 
@@ -32,7 +32,7 @@
 
   /** Books a task's room, after that of its victims has become free. */
   void book(Job job, Choice choice) {
-    Room room = of(choice.machine());
+    Resources room = of(choice.machine());
     choice.victims().forEach(victim -> room.give(victim.job));
     victims.addAll(choice.victims());
     room.take(job);
@@ -41,7 +41,7 @@
 
   /** Takes back what was booked for a task. */
   void release(Job job, Choice choice) {
-    Room room = of(choice.machine());
+    Resources room = of(choice.machine());
     choice.victims().forEach(victim -> room.take(victim.job));
     victims.removeAll(choice.victims());
     room.give(job);
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import io.pearscale.storage.Maintenance;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -78,8 +78,8 @@
     }
     List<Machine> roomy = new ArrayList<>();
     for (Machine machine : machines) {
-      Room room = machine.roomAbove(Priority.IDLE);
-      if (room.cpus + Room.SLACK >= cpus && room.memoryGb + Room.SLACK >= memoryGb) {
+      Resources room = machine.roomAbove(Priority.IDLE);
+      if (room.cpus + Resources.SLACK >= cpus && room.memoryGb + Resources.SLACK >= memoryGb) {
         roomy.add(machine);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import io.pearscale.scheduler.Placer.Choice;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -153,7 +153,7 @@
       }
     }
     candidates.sort(LOWEST_AND_YOUNGEST);
-    Room trial = rooms.of(machine).copy();
+    Resources trial = rooms.of(machine).copy();
     List<TaskAttempt> victims = new ArrayList<>();
     for (TaskAttempt placement : candidates) {
       if (trial.fits(job)) {
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -19,7 +19,7 @@
   private static final int LEAST_LOOKS = 10_000;
 
   private final Set<Machine> machines;
-  private final Map<Machine, Machine.Room> rooms = new HashMap<>();
+  private final Map<Machine, Machine.Resources> rooms = new HashMap<>();
   private int looksLeft;
 
   /** Begins with the room of machines that may take tasks. */
--- a/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import io.pearscale.scheduler.Placer.Choice;
 import java.time.Duration;
 import java.util.List;
@@ -59,7 +59,7 @@
 
   private boolean isMovable(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job.spec;
-    Room trial = rooms.of(replica.machine).copy();
+    Resources trial = rooms.of(replica.machine).copy();
     trial.give(replica.job);
     return !replica.stopping
         && replica.stage == TaskAttempt.Stage.RUNNING
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.MachineType;
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -66,13 +66,13 @@
     final MachineType type;
     final String zone;
     final boolean spot;
-    final Room room;
+    final Resources room;
 
     Bin(MachineType type, String zone, boolean spot) {
       this.type = type;
       this.zone = zone;
       this.spot = spot;
-      this.room = new Room(type.cpus(), type.gpus(), type.memoryGb());
+      this.room = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
     int take(Demand d, int tasks) {
--- a/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.scheduler.Machine.Room;
+import io.pearscale.scheduler.Machine.Resources;
 import java.util.Map;
 
 /** The score of a machine for a task of a job; the lowest is the best. */
@@ -48,7 +48,7 @@
   }
 
   private double stranded(Job job, Machine machine) {
-    Room room = rooms.of(machine);
+    Resources room = rooms.of(machine);
     JobSpec spec = job.spec;
     int coming = coming(job, machine);
     double stranded = (room.cpus - coming * spec.cpus()) / Math.max(1e-9, machine.type.cpus());
