--- a/src/main/java/io/pearscale/cli/StateSession.java
+++ b/src/main/java/io/pearscale/cli/StateSession.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.Settings;
+import io.pearscale.storage.KeyValueStoreClient;
+import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.StateClient;
-import io.pearscale.storage.StateClient.Change;
-import io.pearscale.storage.StateClient.Guard;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.HttpCalls;
 import io.pearscale.transport.XnioLoop;
@@ -47,7 +47,7 @@
 
   private final XnioWorker worker;
   private final XnioLoop loop;
-  private final StateClient client;
+  private final KeyValueStoreClient client;
   private final String address;
   private OptionalLong levelStamp = OptionalLong.empty();
 
@@ -60,7 +60,7 @@
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
             CONNECTIONS);
-    client = new StateClient(loop, calls, settings, () -> levelStamp);
+    client = new KeyValueStoreClient(loop, calls, settings, () -> levelStamp);
     address = settings.state();
   }
 
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.StateClient.Change;
 import io.pearscale.upgrade.SupportedLevels;
 import io.pearscale.upgrade.UpgradePlan;
 import io.pearscale.upgrade.UpgradePlan.Outcome;
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
+import io.pearscale.storage.KeyValueStoreClient;
+import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.Entry;
-import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.StateClient;
-import io.pearscale.storage.StateClient.Change;
-import io.pearscale.storage.StateClient.Guard;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.Loop;
@@ -120,8 +120,8 @@
     void leader(long term, Optional<String> name);
   }
 
-  private final StateClient state;
-  private final GrantKeeper keeper;
+  private final KeyValueStoreClient state;
+  private final LeaderLeaseRenewer keeper;
   private final Settings settings;
   private final RandomGenerator random;
   private final List<Listener> listeners;
@@ -163,8 +163,8 @@
    */
   public ElectionActor(
       Loop loop,
-      StateClient state,
-      GrantKeeper keeper,
+      KeyValueStoreClient state,
+      LeaderLeaseRenewer keeper,
       Settings settings,
       RandomGenerator random,
       Supplier<Optional<String>> objection,
@@ -453,7 +453,7 @@
     listeners.forEach(l -> l.won(term, termStamp, evidence));
     int r = round;
     keeper.keep(grant, (sent, reply) -> tell(new Renewed(r, sent, reply)));
-    loop.after(GrantKeeper.INTERVAL, () -> tell(new Renew(r)));
+    loop.after(LeaderLeaseRenewer.INTERVAL, () -> tell(new Renew(r)));
     planExpiry();
   }
 
@@ -462,7 +462,7 @@
     int r = round;
     Instant now = loop.clock().instant();
     keeper.progress();
-    loop.after(GrantKeeper.INTERVAL, () -> tell(new Renew(r)));
+    loop.after(LeaderLeaseRenewer.INTERVAL, () -> tell(new Renew(r)));
     if (Duration.between(evidence, now).compareTo(DOUBT) > 0) {
       ask(now);
     }
--- a/src/main/java/io/pearscale/coordination/GrantKeeper.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -1,6 +1,6 @@
 package io.pearscale.coordination;
 
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.Loop;
 import java.time.Duration;
@@ -15,13 +15,13 @@
  * <p>A process whose main loop stands still should lose its leadership all the same: nothing is
  * renewed once the main loop has not shown for a while that it goes on.
  */
-public final class GrantKeeper {
+public final class LeaderLeaseRenewer {
   /** How often a leader's grant is renewed: four times within the shortest one. */
   static final Duration INTERVAL = Duration.ofMillis(550);
 
   private final Loop own;
   private final Loop home;
-  private final StateClient state;
+  private final KeyValueStoreClient state;
   private final Duration patience;
   private volatile Instant progress = Instant.MIN;
   private int round;
@@ -33,7 +33,7 @@
    * @param home the loop of its caller, on which answers are handed back
    * @param patience for how long the main loop may show no progress
    */
-  public GrantKeeper(Loop own, Loop home, StateClient state, Duration patience) {
+  public LeaderLeaseRenewer(Loop own, Loop home, KeyValueStoreClient state, Duration patience) {
     this.own = own;
     this.home = home;
     this.state = state;
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -1,8 +1,8 @@
 package io.pearscale.coordination;
 
+import io.pearscale.storage.KeyValueStoreClient;
+import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.StateClient;
-import io.pearscale.storage.StateClient.Change;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.Loop;
@@ -43,7 +43,7 @@
 
   private record Retry() implements Message {}
 
-  private final StateClient state;
+  private final KeyValueStoreClient state;
   private final String host;
   private final MemberSupport support;
   private final Duration grantTime;
@@ -51,7 +51,11 @@
 
   /** Makes an announcer; it does nothing before {@link Start}. */
   public SupportAnnouncer(
-      Loop loop, StateClient state, String host, MemberSupport support, Duration grantTime) {
+      Loop loop,
+      KeyValueStoreClient state,
+      String host,
+      MemberSupport support,
+      Duration grantTime) {
     super(loop);
     this.state = state;
     this.host = host;
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -8,15 +8,15 @@
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.Team;
+import io.pearscale.storage.KeyValueStoreClient;
+import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.ReplicaActor;
-import io.pearscale.storage.ReplicaActor.Entry;
-import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.StateClient;
-import io.pearscale.storage.StateClient.Change;
-import io.pearscale.storage.StateClient.Guard;
+import io.pearscale.storage.StoreReplicaActor;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.transport.HttpServer.Response;
@@ -101,8 +101,8 @@
   /** How a job ended. */
   private record Past(String stage, int pieces) {}
 
-  private final StateClient state;
-  private final ReplicaActor replica;
+  private final KeyValueStoreClient state;
+  private final StoreReplicaActor replica;
   private final Settings settings;
   private final InstantSource timeOfDay;
   private final LevelGate level;
@@ -132,8 +132,8 @@
    */
   public ApiActor(
       Loop loop,
-      StateClient state,
-      ReplicaActor replica,
+      KeyValueStoreClient state,
+      StoreReplicaActor replica,
       Settings settings,
       InstantSource timeOfDay,
       LevelGate level,
@@ -360,7 +360,7 @@
       then.accept(JobSpec.isId(id) ? new Unknown() : new Nothing());
       return;
     }
-    replica.tell(new ReplicaActor.Ask(Keys.live(id), e -> tell(new Found(id, e, then))));
+    replica.tell(new StoreReplicaActor.Ask(Keys.live(id), e -> tell(new Found(id, e, then))));
   }
 
   private void found(Found m) {
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.ScaleOutPlanner.Kind;
-import io.pearscale.storage.Budget;
+import io.pearscale.storage.TokenBucket;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.Calls.Reply;
@@ -89,7 +89,7 @@
 
   private final Calls calls;
   private final Settings settings;
-  private final Budget budget;
+  private final TokenBucket budget;
   private final Consumer<Event> events;
   private final ArrayDeque<Job> queue = new ArrayDeque<>();
   private int round;
@@ -109,7 +109,7 @@
     this.settings = settings;
     this.events = events;
     // A little under the limit: a former leader may have used some of the burst.
-    this.budget = new Budget(loop, settings.cloudLimits().rps() * 0.9);
+    this.budget = new TokenBucket(loop, settings.cloudLimits().rps() * 0.9);
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.coordination.ElectionActor;
-import io.pearscale.coordination.GrantKeeper;
+import io.pearscale.coordination.LeaderLeaseRenewer;
 import io.pearscale.coordination.RelayActor;
 import io.pearscale.coordination.SupportAnnouncer;
 import io.pearscale.protocol.Heartbeat;
@@ -15,11 +15,11 @@
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor;
-import io.pearscale.storage.ReplicaActor.Entry;
-import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.StoreReplicaActor;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Body;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.HttpServer.Response;
@@ -62,8 +62,8 @@
   private final Loop loop;
   private final Settings settings;
   private final Links links;
-  private final StateClient state;
-  private final ReplicaActor replica;
+  private final KeyValueStoreClient state;
+  private final StoreReplicaActor replica;
   private final ElectionActor election;
   private final RelayActor relay;
   private final SchedulerActor scheduler;
@@ -107,8 +107,8 @@
     this.settings = settings;
     this.links = links;
     this.level = new LevelGate(supported.upTo(options.operations.highestLevel()));
-    this.state = new StateClient(loop, calls, settings, level::writeStamp);
-    this.replica = new ReplicaActor(loop, state, random);
+    this.state = new KeyValueStoreClient(loop, calls, settings, level::writeStamp);
+    this.replica = new StoreReplicaActor(loop, state, random);
     this.api =
         new ApiActor(
             loop,
@@ -121,11 +121,11 @@
               sendAll(new PeerMessage.Cancelled(job));
               cancelled(job);
             });
-    GrantKeeper keeper =
-        new GrantKeeper(
+    LeaderLeaseRenewer keeper =
+        new LeaderLeaseRenewer(
             renewals.loop,
             loop,
-            new StateClient(renewals.loop, renewals.calls, settings),
+            new KeyValueStoreClient(renewals.loop, renewals.calls, settings),
             settings.grantTime().multipliedBy(2));
     this.election =
         new ElectionActor(
@@ -182,7 +182,7 @@
     }
   }
 
-  private final class ReplicaListener implements ReplicaActor.Listener {
+  private final class ReplicaListener implements StoreReplicaActor.Listener {
     @Override
     public void loaded(Map<String, Entry> all, long epoch) {
       // First of all: what the others do with the keys depends on it.
@@ -291,7 +291,7 @@
   /** Begins to work. */
   public void start() {
     started = loop.clock().instant();
-    replica.tell(new ReplicaActor.Start());
+    replica.tell(new StoreReplicaActor.Start());
     announcer.ifPresent(a -> a.tell(new SupportAnnouncer.Start()));
     heartbeat();
     beat();
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -17,7 +17,7 @@
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.Maintenance;
-import io.pearscale.storage.ReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
--- a/src/main/java/io/pearscale/scheduler/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/DrainRequests.java
@@ -5,7 +5,7 @@
 import io.pearscale.drain.DrainRequest;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -5,9 +5,9 @@
 import io.pearscale.scheduler.LeaderTransaction.StoredMachine;
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
-import io.pearscale.storage.StateClient;
 import io.pearscale.transport.Calls.Reply;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
@@ -50,7 +50,7 @@
   private final Gangs gangs;
   private final InstantSource clock;
   private final Settings.State limits;
-  private final StateClient state;
+  private final KeyValueStoreClient state;
   private final List<TransactionSource> sources;
   private final TermExecutor executor;
   private final RandomGenerator random;
@@ -180,7 +180,8 @@
     }
     records.writeAgain(transaction);
     sources.forEach(source -> source.writeAgain(transaction));
-    List<String> failed = reply.status() == 409 ? StateClient.failedGuards(reply) : List.of();
+    List<String> failed =
+        reply.status() == 409 ? KeyValueStoreClient.failedGuards(reply) : List.of();
     if (reply.status() == 0 || failed.contains(Keys.TERM)) {
       executor.after(reply.status() == 0 ? READ_PAUSE : AT_ONCE, this::readTerm);
     } else if (failed.contains(Keys.LEVEL)) {
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -6,10 +6,10 @@
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.Entry;
-import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.Loop;
@@ -103,7 +103,7 @@
    */
   public record Environment(
       Loop loop,
-      StateClient state,
+      KeyValueStoreClient state,
       Calls calls,
       Settings settings,
       Tuning tuning,
--- a/src/main/java/io/pearscale/scheduler/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/StoredValues.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.ReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/io/pearscale/storage/StateClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -20,7 +20,7 @@
  * Speaks to the state service within this controller's part of the rates. What would go over is
  * answered 429 here, at once, so that three controllers together never flood the service.
  */
-public final class StateClient {
+public final class KeyValueStoreClient {
   private static final Duration QUICK = Duration.ofMillis(1500);
   private static final Reply LIMITED = new Reply(429, MessagePack.MISSING);
 
@@ -30,13 +30,13 @@
   private final Loop loop;
   private final Calls calls;
   private final String address;
-  private final Budget requests;
-  private final Budget writes;
+  private final TokenBucket requests;
+  private final TokenBucket writes;
   private final Supplier<OptionalLong> levelStamp;
   private Optional<Instant> lastGood = Optional.empty();
 
   /** Uses the service named in the settings, for writes only where no level was ever stored. */
-  public StateClient(Loop loop, Calls calls, Settings settings) {
+  public KeyValueStoreClient(Loop loop, Calls calls, Settings settings) {
     this(loop, calls, settings, () -> OptionalLong.of(0));
   }
 
@@ -46,14 +46,15 @@
    * @param levelStamp the stamp of {@link Keys#LEVEL} as far as known, which guards each write;
    *     empty while this build must not write
    */
-  public StateClient(Loop loop, Calls calls, Settings settings, Supplier<OptionalLong> levelStamp) {
+  public KeyValueStoreClient(
+      Loop loop, Calls calls, Settings settings, Supplier<OptionalLong> levelStamp) {
     this.levelStamp = levelStamp;
     this.loop = loop;
     this.calls = calls;
     this.address = settings.state();
     // Load is uneven: one controller may take half of all, which leaves room for the two others.
-    this.requests = new Budget(loop, settings.stateLimits().rps() * 0.5);
-    this.writes = new Budget(loop, settings.stateLimits().writeRps() * 0.6);
+    this.requests = new TokenBucket(loop, settings.stateLimits().rps() * 0.5);
+    this.writes = new TokenBucket(loop, settings.stateLimits().writeRps() * 0.6);
   }
 
   /** Part of a transaction. */
--- a/src/main/java/io/pearscale/storage/ReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -19,7 +19,7 @@
  * that were sent after somebody asked (barriers), for answers that must not be older than their
  * question. Both may overlap: what is not newer than the copy is passed over.
  */
-public final class ReplicaActor extends Actor<ReplicaActor.Message> {
+public final class StoreReplicaActor extends Actor<StoreReplicaActor.Message> {
   private static final Duration BLOCK = Duration.ofSeconds(2);
   private static final Duration REOPEN = Duration.ofMillis(50);
   private static final Duration RETRY = Duration.ofMillis(500);
@@ -65,7 +65,7 @@
     void fresh(Instant asOf);
   }
 
-  private final StateClient state;
+  private final KeyValueStoreClient state;
   private final RandomGenerator random;
   private final List<Listener> listeners = new ArrayList<>();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -78,7 +78,7 @@
   private TreeMap<String, Entry> loading = new TreeMap<>();
 
   /** Reads from the given service. */
-  public ReplicaActor(Loop loop, StateClient state, RandomGenerator random) {
+  public StoreReplicaActor(Loop loop, KeyValueStoreClient state, RandomGenerator random) {
     super(loop);
     this.state = state;
     this.random = random;
--- a/src/main/java/io/pearscale/storage/Budget.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -5,14 +5,14 @@
 import java.time.Instant;
 
 /** A rate with a burst of one second's worth. */
-public final class Budget {
+public final class TokenBucket {
   private final Loop loop;
   private final double perSecond;
   private double tokens;
   private Instant filled;
 
   /** Allows so many a second. */
-  public Budget(Loop loop, double perSecond) {
+  public TokenBucket(Loop loop, double perSecond) {
     this.loop = loop;
     this.perSecond = perSecond;
     this.tokens = Math.max(1, perSecond);
--- a/src/test/java/io/pearscale/coordination/GrantKeeperTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.Settings;
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.transport.Calls;
 import io.pearscale.transport.CountingLoop;
 import io.pearscale.transport.Loop;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The grant is renewed while the main loop is busy, and not for a main loop that stands still. */
-class GrantKeeperTest {
+class LeaderLeaseRenewerTest {
   private static final Duration PATIENCE = Duration.ofSeconds(4);
 
   private final CountingLoop own = new CountingLoop();
@@ -63,8 +63,8 @@
         }
       };
 
-  private final GrantKeeper keeper =
-      new GrantKeeper(own, home, new StateClient(own, calls, settings()), PATIENCE);
+  private final LeaderLeaseRenewer keeper =
+      new LeaderLeaseRenewer(own, home, new KeyValueStoreClient(own, calls, settings()), PATIENCE);
 
   private static Settings settings() {
     InetSocketAddress address = InetSocketAddress.createUnresolved("a", 1);
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -5,10 +5,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.coordination.ElectionActor;
-import io.pearscale.coordination.GrantKeeper;
+import io.pearscale.coordination.LeaderLeaseRenewer;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.transport.Calls;
 import java.time.Duration;
 import java.time.Instant;
@@ -40,11 +40,11 @@
     Settings settings = world.settings("hive-0");
     return new ElectionActor(
         this,
-        new StateClient(this, this, settings),
-        new GrantKeeper(
+        new KeyValueStoreClient(this, this, settings),
+        new LeaderLeaseRenewer(
             this,
             this,
-            new StateClient(this, this, settings),
+            new KeyValueStoreClient(this, this, settings),
             settings.grantTime().multipliedBy(2)),
         settings,
         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -14,14 +14,14 @@
 import io.pearscale.scheduler.Operations;
 import io.pearscale.scheduler.SchedulerActor;
 import io.pearscale.scheduler.Tuning;
+import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.storage.ReplicaActor.Entry;
-import io.pearscale.storage.ReplicaActor.KeyChange;
-import io.pearscale.storage.StateClient;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Calls;
 import io.pearscale.upgrade.LevelGate;
 import io.pearscale.upgrade.SupportedLevels;
@@ -49,7 +49,7 @@
   private record Pending(String path, JsonNode body, Consumer<Reply> answer) {}
 
   private final SchedulerActor core;
-  private final StateClient client;
+  private final KeyValueStoreClient client;
   private final Map<String, Pending> direct = new TreeMap<>();
   private final List<Pending> heldCommits = new ArrayList<>();
   private final Map<String, Long> attempts = new HashMap<>();
@@ -76,7 +76,7 @@
     world.teams.add(new Settings.Team("t", 0, 0, 0, 0));
     world.teams.add(new Settings.Team("q", 0, 2, 0, 0));
     Settings settings = world.settings("hive-0");
-    client = new StateClient(this, this, settings);
+    client = new KeyValueStoreClient(this, this, settings);
     core =
         new SchedulerActor(
             new SchedulerActor.Environment(
