--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -5,11 +5,11 @@
 import io.pearscale.scheduler.Controller;
 import io.pearscale.scheduler.Operations;
 import io.pearscale.scheduler.Tuning;
-import io.pearscale.transport.HttpCalls;
 import io.pearscale.transport.HttpServer;
-import io.pearscale.transport.Links;
-import io.pearscale.transport.PeerLinks;
-import io.pearscale.transport.XnioLoop;
+import io.pearscale.transport.PeerTransport;
+import io.pearscale.transport.TcpPeerTransport;
+import io.pearscale.transport.UndertowHttpClient;
+import io.pearscale.transport.XnioEventLoop;
 import io.pearscale.upgrade.SupportedLevels;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -47,13 +47,14 @@
   Server(Settings settings, Tuning tuning, Operations operations) throws IOException {
     worker = oneThread();
     renewalWorker = oneThread();
-    XnioLoop loop = new XnioLoop(worker.getIoThread());
-    XnioLoop renewalLoop = new XnioLoop(renewalWorker.getIoThread(), loop.clock());
+    XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
+    XnioEventLoop renewalLoop = new XnioEventLoop(renewalWorker.getIoThread(), loop.clock());
     ByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 200, 4);
-    HttpCalls calls = calls(settings, loop, buffers);
-    HttpCalls renewalCalls =
-        new HttpCalls(renewalLoop, renewalWorker.getIoThread(), buffers, RENEWAL_CONNECTIONS);
-    PeerLinks links = links(settings, loop);
+    UndertowHttpClient calls = calls(settings, loop, buffers);
+    UndertowHttpClient renewalCalls =
+        new UndertowHttpClient(
+            renewalLoop, renewalWorker.getIoThread(), buffers, RENEWAL_CONNECTIONS);
+    TcpPeerTransport links = links(settings, loop);
     RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     controller =
         new Controller(
@@ -92,8 +93,8 @@
    * Most sockets are for workers and users, who may all come to one controller when it is the only
    * one left. What we open ourselves is closed when others need it.
    */
-  private HttpCalls calls(Settings settings, XnioLoop loop, ByteBufferPool buffers) {
-    return new HttpCalls(
+  private UndertowHttpClient calls(Settings settings, XnioEventLoop loop, ByteBufferPool buffers) {
+    return new UndertowHttpClient(
         loop,
         worker.getIoThread(),
         buffers,
@@ -102,9 +103,9 @@
         Set.copyOf(List.of(settings.state(), settings.cloud())));
   }
 
-  private PeerLinks links(Settings settings, XnioLoop loop) {
-    Links.Receiver receiver =
-        new Links.Receiver() {
+  private TcpPeerTransport links(Settings settings, XnioEventLoop loop) {
+    PeerTransport.Receiver receiver =
+        new PeerTransport.Receiver() {
           @Override
           public void received(String peer, byte[] frame) {
             controller.fromPeer(peer, frame);
@@ -115,7 +116,7 @@
             controller.peerEnded(peer);
           }
         };
-    return new PeerLinks(
+    return new TcpPeerTransport(
         loop,
         worker,
         settings.host(),
@@ -137,7 +138,7 @@
                 .getMap());
   }
 
-  private void logSockets(XnioLoop loop, HttpCalls calls) {
+  private void logSockets(XnioEventLoop loop, UndertowHttpClient calls) {
     LOG.info(
         "event=sockets served={} called={} calls_refused={}",
         http.open(),
@@ -146,7 +147,7 @@
     loop.after(SOCKETS_LOGGED, () -> logSockets(loop, calls));
   }
 
-  private void listen(XnioLoop loop, InetSocketAddress address) {
+  private void listen(XnioEventLoop loop, InetSocketAddress address) {
     if (!controller.ready()) {
       loop.after(LISTEN_RETRY, () -> listen(loop, address));
       return;
--- a/src/main/java/io/pearscale/cli/StateSession.java
+++ b/src/main/java/io/pearscale/cli/StateSession.java
@@ -6,9 +6,9 @@
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.HttpCalls;
-import io.pearscale.transport.XnioLoop;
+import io.pearscale.transport.HttpClient.Reply;
+import io.pearscale.transport.UndertowHttpClient;
+import io.pearscale.transport.XnioEventLoop;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.util.List;
@@ -46,16 +46,16 @@
   }
 
   private final XnioWorker worker;
-  private final XnioLoop loop;
+  private final XnioEventLoop loop;
   private final KeyValueStoreClient client;
   private final String address;
   private OptionalLong levelStamp = OptionalLong.empty();
 
   StateSession(Settings settings) throws IOException {
     worker = Server.oneThread();
-    loop = new XnioLoop(worker.getIoThread());
-    HttpCalls calls =
-        new HttpCalls(
+    loop = new XnioEventLoop(worker.getIoThread());
+    UndertowHttpClient calls =
+        new UndertowHttpClient(
             loop,
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
--- a/src/main/java/io/pearscale/cli/WarmUp.java
+++ b/src/main/java/io/pearscale/cli/WarmUp.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.scheduler.Operations;
-import io.pearscale.transport.HttpCalls;
 import io.pearscale.transport.HttpServer;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.transport.XnioLoop;
+import io.pearscale.transport.UndertowHttpClient;
+import io.pearscale.transport.XnioEventLoop;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -95,8 +95,8 @@
     stub.start();
     Server first = serve("warm-0", ports[0], ports[2], "warm-1", ports[3], ports[4]);
     Server second = serve("warm-1", ports[1], ports[3], "warm-0", ports[2], ports[4]);
-    XnioLoop loop = new XnioLoop(worker.getIoThread());
-    HttpCalls calls = new HttpCalls(loop, worker.getIoThread(), buffers, 20);
+    XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
+    UndertowHttpClient calls = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 20);
     String stubAddress = "127.0.0.1:" + ports[4];
     for (int round = 0; round < ROUNDS; round++) {
       // One of the two leads, the other relays.
@@ -151,7 +151,12 @@
   }
 
   private static void ask(
-      XnioLoop loop, HttpCalls calls, String to, String method, String path, JsonNode body)
+      XnioEventLoop loop,
+      UndertowHttpClient calls,
+      String to,
+      String method,
+      String path,
+      JsonNode body)
       throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
     loop.execute(
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -10,8 +10,8 @@
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 import java.time.Instant;
@@ -162,7 +162,7 @@
    * @param listeners are told of the outcome
    */
   public ElectionActor(
-      Loop loop,
+      EventLoop loop,
       KeyValueStoreClient state,
       LeaderLeaseRenewer keeper,
       Settings settings,
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -1,8 +1,8 @@
 package io.pearscale.coordination;
 
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient.Reply;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.function.BiConsumer;
@@ -19,8 +19,8 @@
   /** How often a leader's grant is renewed: four times within the shortest one. */
   static final Duration INTERVAL = Duration.ofMillis(550);
 
-  private final Loop own;
-  private final Loop home;
+  private final EventLoop own;
+  private final EventLoop home;
   private final KeyValueStoreClient state;
   private final Duration patience;
   private volatile Instant progress = Instant.MIN;
@@ -33,7 +33,8 @@
    * @param home the loop of its caller, on which answers are handed back
    * @param patience for how long the main loop may show no progress
    */
-  public LeaderLeaseRenewer(Loop own, Loop home, KeyValueStoreClient state, Duration patience) {
+  public LeaderLeaseRenewer(
+      EventLoop own, EventLoop home, KeyValueStoreClient state, Duration patience) {
     this.own = own;
     this.home = home;
     this.state = state;
--- a/src/main/java/io/pearscale/coordination/RelayActor.java
+++ b/src/main/java/io/pearscale/coordination/RelayActor.java
@@ -6,8 +6,8 @@
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Links;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.PeerTransport;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -51,7 +51,7 @@
   private record Exchange(Instant until, BiConsumer<HeartbeatResponse, Optional<String>> answer) {}
 
   private final String self;
-  private final Links links;
+  private final PeerTransport links;
   private final Duration patience;
   private final int mostParked;
   private final BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> local;
@@ -78,9 +78,9 @@
    * @param mostParked how many reports may wait for an election at the same time
    */
   public RelayActor(
-      Loop loop,
+      EventLoop loop,
       String self,
-      Links links,
+      PeerTransport links,
       Duration patience,
       int mostParked,
       BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> local) {
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -4,8 +4,8 @@
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.upgrade.MemberSupport;
 import java.time.Duration;
 import java.util.List;
@@ -51,7 +51,7 @@
 
   /** Makes an announcer; it does nothing before {@link Start}. */
   public SupportAnnouncer(
-      Loop loop,
+      EventLoop loop,
       KeyValueStoreClient state,
       String host,
       MemberSupport support,
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -18,9 +18,9 @@
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.HttpServer.Response;
-import io.pearscale.transport.Loop;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
@@ -131,7 +131,7 @@
    * @param cancelled is told of each job that users are about to be told as cancelled
    */
   public ApiActor(
-      Loop loop,
+      EventLoop loop,
       KeyValueStoreClient state,
       StoreReplicaActor replica,
       Settings settings,
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -6,9 +6,9 @@
 import io.pearscale.scheduler.ScaleOutPlanner.Kind;
 import io.pearscale.storage.TokenBucket;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 import java.time.Instant;
@@ -87,7 +87,7 @@
     }
   }
 
-  private final Calls calls;
+  private final HttpClient calls;
   private final Settings settings;
   private final TokenBucket budget;
   private final Consumer<Event> events;
@@ -103,7 +103,7 @@
   private Instant quietUntil = Instant.MIN;
 
   /** Calls the cloud of the settings and hands what it says to {@code events}. */
-  CloudActor(Loop loop, Calls calls, Settings settings, Consumer<Event> events) {
+  CloudActor(EventLoop loop, HttpClient calls, Settings settings, Consumer<Event> events) {
     super(loop);
     this.calls = calls;
     this.settings = settings;
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -10,8 +10,8 @@
 import io.pearscale.scheduler.Machine.Ended;
 import io.pearscale.scheduler.Machine.Life;
 import io.pearscale.scheduler.TaskAttempt.Stage;
-import io.pearscale.transport.Calls;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 import java.time.Instant;
@@ -66,7 +66,7 @@
   private final InstantSource clock;
   private final Settings settings;
   private final WorkerTimes times;
-  private final Calls calls;
+  private final HttpClient calls;
   private final TermExecutor executor;
   private final LongConsumer higherTerm;
   private final HeartbeatProcessor reports;
@@ -91,7 +91,7 @@
       LeaderState state,
       Settings settings,
       WorkerTimes times,
-      Calls calls,
+      HttpClient calls,
       TermExecutor executor,
       LongConsumer higherTerm,
       HeartbeatProcessor reports) {
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -21,11 +21,11 @@
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Body;
-import io.pearscale.transport.Calls;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.HttpServer.Response;
-import io.pearscale.transport.Links;
-import io.pearscale.transport.Loop;
 import io.pearscale.transport.MessagePack;
+import io.pearscale.transport.PeerTransport;
 import io.pearscale.upgrade.LevelGate;
 import io.pearscale.upgrade.MemberSupport;
 import io.pearscale.upgrade.Release;
@@ -59,9 +59,9 @@
 
   private record PeerState(Instant heard, boolean storeOk) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
-  private final Links links;
+  private final PeerTransport links;
   private final KeyValueStoreClient state;
   private final StoreReplicaActor replica;
   private final ElectionActor election;
@@ -85,7 +85,7 @@
   public record Options(Tuning tuning, Operations operations) {}
 
   /** A loop, and the calls that are made on it. */
-  public record Lane(Loop loop, Calls calls) {}
+  public record Lane(EventLoop loop, HttpClient calls) {}
 
   /**
    * Wires a controller; {@link #start} sets it going.
@@ -94,10 +94,10 @@
    * @param supported the levels of stored forms that this build reads and writes
    */
   public Controller(
-      Loop loop,
-      Calls calls,
+      EventLoop loop,
+      HttpClient calls,
       Lane renewals,
-      Links links,
+      PeerTransport links,
       Settings settings,
       SupportedLevels supported,
       Options options,
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -8,7 +8,7 @@
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -11,8 +11,8 @@
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
@@ -102,9 +102,9 @@
    * @param level says in the forms of which level records are written
    */
   public record Environment(
-      Loop loop,
+      EventLoop loop,
       KeyValueStoreClient state,
-      Calls calls,
+      HttpClient calls,
       Settings settings,
       Tuning tuning,
       Operations operations,
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Settings;
-import io.pearscale.transport.Calls;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 import java.time.Instant;
@@ -27,8 +27,8 @@
   /** What a write is answered that this build must not make; it was not sent. */
   private static final Reply NOT_ALLOWED = new Reply(503, MessagePack.MISSING);
 
-  private final Loop loop;
-  private final Calls calls;
+  private final EventLoop loop;
+  private final HttpClient calls;
   private final String address;
   private final TokenBucket requests;
   private final TokenBucket writes;
@@ -36,7 +36,7 @@
   private Optional<Instant> lastGood = Optional.empty();
 
   /** Uses the service named in the settings, for writes only where no level was ever stored. */
-  public KeyValueStoreClient(Loop loop, Calls calls, Settings settings) {
+  public KeyValueStoreClient(EventLoop loop, HttpClient calls, Settings settings) {
     this(loop, calls, settings, () -> OptionalLong.of(0));
   }
 
@@ -47,7 +47,7 @@
    *     empty while this build must not write
    */
   public KeyValueStoreClient(
-      Loop loop, Calls calls, Settings settings, Supplier<OptionalLong> levelStamp) {
+      EventLoop loop, HttpClient calls, Settings settings, Supplier<OptionalLong> levelStamp) {
     this.levelStamp = levelStamp;
     this.loop = loop;
     this.calls = calls;
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.transport.Actor;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient.Reply;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -78,7 +78,7 @@
   private TreeMap<String, Entry> loading = new TreeMap<>();
 
   /** Reads from the given service. */
-  public StoreReplicaActor(Loop loop, KeyValueStoreClient state, RandomGenerator random) {
+  public StoreReplicaActor(EventLoop loop, KeyValueStoreClient state, RandomGenerator random) {
     super(loop);
     this.state = state;
     this.random = random;
--- a/src/main/java/io/pearscale/storage/TokenBucket.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -1,18 +1,18 @@
 package io.pearscale.storage;
 
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 
 /** A rate with a burst of one second's worth. */
 public final class TokenBucket {
-  private final Loop loop;
+  private final EventLoop loop;
   private final double perSecond;
   private double tokens;
   private Instant filled;
 
   /** Allows so many a second. */
-  public TokenBucket(Loop loop, double perSecond) {
+  public TokenBucket(EventLoop loop, double perSecond) {
     this.loop = loop;
     this.perSecond = perSecond;
     this.tokens = Math.max(1, perSecond);
--- a/src/main/java/io/pearscale/transport/Actor.java
+++ b/src/main/java/io/pearscale/transport/Actor.java
@@ -22,13 +22,13 @@
   private static final int BATCH = 64;
 
   protected final Logger log = LoggerFactory.getLogger(getClass());
-  protected final Loop loop;
+  protected final EventLoop loop;
   private final ManyToOneConcurrentLinkedQueue<M> mailbox = new ManyToOneConcurrentLinkedQueue<>();
   private int waiting;
   private boolean awake;
 
   /** Makes an actor whose messages are handled on the loop, one after the other. */
-  protected Actor(Loop loop) {
+  protected Actor(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/io/pearscale/transport/Calls.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Outgoing HTTP requests. Nothing is ever sent twice by this layer: repeats are the caller's. */
-public interface Calls {
+public interface HttpClient {
   /**
    * Sends one request.
    *
--- a/src/main/java/io/pearscale/transport/Links.java
+++ b/src/main/java/io/pearscale/transport/PeerTransport.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** Records to and from the other controllers. A record may get lost with its connection. */
-public interface Links {
+public interface PeerTransport {
   /** Sends a record; false when there is no link to that peer, or its queue is full. */
   boolean send(String peer, byte[] frame);
 
--- a/src/main/java/io/pearscale/transport/PeerLinks.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -33,8 +33,8 @@
  * <p>The first frame names versions and sender; a frame that is too long, or a sender that is not a
  * configured peer, closes the connection: foreign or garbled bytes change nothing.
  */
-public final class PeerLinks implements Links {
-  private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
+public final class TcpPeerTransport implements PeerTransport {
+  private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
   private static final int MAX_FRAME = 4 << 20;
   private static final int MAX_QUEUE = 8 << 20;
   private static final Duration SILENCE = Duration.ofSeconds(3);
@@ -43,7 +43,7 @@
   private static final Duration GATHER = Duration.ofMillis(15);
   private static final int MOST_GATHERED = 64;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final XnioWorker worker;
   private final String self;
   private final String greeting;
@@ -73,8 +73,8 @@
    * @param greeting names the versions of records that this side understands
    * @param accepted which greetings of the other side name a version that this one understands
    */
-  public PeerLinks(
-      Loop loop,
+  public TcpPeerTransport(
+      EventLoop loop,
       XnioWorker worker,
       String self,
       String greeting,
--- a/src/main/java/io/pearscale/transport/Timeouts.java
+++ b/src/main/java/io/pearscale/transport/Timeouts.java
@@ -30,13 +30,13 @@
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final DeadlineTimerWheel wheel;
   private final Long2ObjectHashMap<Timeout> running = new Long2ObjectHashMap<>();
   private final List<Timeout> expired = new ArrayList<>();
   private boolean ticking;
 
-  Timeouts(Loop loop) {
+  Timeouts(EventLoop loop) {
     this.loop = loop;
     this.wheel =
         new DeadlineTimerWheel(
--- a/src/main/java/io/pearscale/transport/HttpCalls.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -40,12 +40,12 @@
  * request timed out is closed, so that a late answer can never be taken for the answer to a later
  * request. The number of connections is bounded, so that hanging hosts cannot eat up the sockets.
  */
-public final class HttpCalls implements Calls {
+public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_RESPONSE = 64 << 20;
   private static final int CONNECTING_PER_HOST = 3;
   private static final int IDLE_PER_HOST = 6;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Timeouts timeouts;
   private final Dialler dialler;
   private final ByteBufferPool buffers;
@@ -64,7 +64,8 @@
   private long refused;
 
   /** Uses at most {@code maxOpen} sockets. */
-  public HttpCalls(Loop loop, XnioIoThread thread, ByteBufferPool buffers, int maxOpen) {
+  public UndertowHttpClient(
+      EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxOpen) {
     this(loop, thread, buffers, maxOpen, 0, Set.of());
   }
 
@@ -74,8 +75,8 @@
    * @param reserved how many of them are for the preferred addresses alone: with more machines than
    *     sockets, a burst of commands must not keep the leader from the state service
    */
-  public HttpCalls(
-      Loop loop,
+  public UndertowHttpClient(
+      EventLoop loop,
       XnioIoThread thread,
       ByteBufferPool buffers,
       int maxOpen,
--- a/src/main/java/io/pearscale/transport/XnioLoop.java
+++ b/src/main/java/io/pearscale/transport/XnioEventLoop.java
@@ -8,18 +8,18 @@
 import org.xnio.XnioIoThread;
 
 /** The loop of a real process: the one XNIO thread that also moves the bytes. */
-public final class XnioLoop implements Loop {
-  private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
   private final XnioIoThread thread;
   private final InstantSource clock;
 
   /** Runs tasks on the given thread. */
-  public XnioLoop(XnioIoThread thread) {
+  public XnioEventLoop(XnioIoThread thread) {
     this(thread, new SteadyClock());
   }
 
   /** Runs tasks on the given thread; loops of one process share their clock. */
-  public XnioLoop(XnioIoThread thread, InstantSource clock) {
+  public XnioEventLoop(XnioIoThread thread, InstantSource clock) {
     this.thread = thread;
     this.clock = clock;
   }
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.transport.Calls;
 import io.pearscale.transport.CountingLoop;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -30,8 +30,8 @@
   private final List<String> extended = new ArrayList<>();
   private final List<Instant> told = new ArrayList<>();
 
-  private final Loop home =
-      new Loop() {
+  private final EventLoop home =
+      new EventLoop() {
         @Override
         public void execute(Runnable task) {
           mainLoop.add(task);
@@ -48,8 +48,8 @@
         }
       };
 
-  private final Calls calls =
-      new Calls() {
+  private final HttpClient calls =
+      new HttpClient() {
         @Override
         public void call(
             String address,
--- a/src/test/java/io/pearscale/coordination/RelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/RelayActorTest.java
@@ -13,7 +13,7 @@
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.SocketShares;
 import io.pearscale.transport.CountingLoop;
-import io.pearscale.transport.Links;
+import io.pearscale.transport.PeerTransport;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +36,7 @@
       new RelayActor(
           loop,
           "hive-0",
-          new Links() {
+          new PeerTransport() {
             @Override
             public boolean send(String peer, byte[] frame) {
               try {
--- a/src/test/java/io/pearscale/scheduler/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/CloudActorTest.java
@@ -7,8 +7,8 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.ScaleOutPlanner.Kind;
-import io.pearscale.transport.Calls;
 import io.pearscale.transport.CountingLoop;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -33,7 +33,7 @@
   private int refused;
 
   /** Answers by the cloud's protocol: pages of a list, bursts of two seconds' worth, then 429. */
-  private final class SlowCloud implements Calls {
+  private final class SlowCloud implements HttpClient {
     private double calls = 2 * RATE;
     private Instant filled = loop.clock().instant();
 
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -9,7 +9,7 @@
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.transport.Calls;
+import io.pearscale.transport.HttpClient;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An election whose news come late, and what peers say meanwhile. */
-class ElectionTest extends WorldLoop implements Calls, ElectionActor.Listener {
+class ElectionTest extends WorldLoop implements HttpClient, ElectionActor.Listener {
   private final List<String> told = new ArrayList<>();
   private boolean holdCommits;
   private Runnable held = () -> {};
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -22,7 +22,7 @@
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
-import io.pearscale.transport.Calls;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.upgrade.LevelGate;
 import io.pearscale.upgrade.SupportedLevels;
 import java.time.Duration;
@@ -45,7 +45,7 @@
  * Plays a script against the leader's core alone: each message to it is written out, and so is what
  * it must answer. For what can't be met by chance in a whole simulated world.
  */
-final class LeaderScript extends WorldLoop implements Calls, SchedulerActor.Listener {
+final class LeaderScript extends WorldLoop implements HttpClient, SchedulerActor.Listener {
   private record Pending(String path, JsonNode body, Consumer<Reply> answer) {}
 
   private final SchedulerActor core;
--- a/src/test/java/io/pearscale/sim/LoopbackWorld.java
+++ b/src/test/java/io/pearscale/sim/LoopbackWorld.java
@@ -1,10 +1,10 @@
 package io.pearscale.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pearscale.transport.Calls.Reply;
-import io.pearscale.transport.HttpCalls;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.transport.XnioLoop;
+import io.pearscale.transport.UndertowHttpClient;
+import io.pearscale.transport.XnioEventLoop;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -40,8 +40,8 @@
   private final int port;
   private final World world;
   private final XnioWorker worker;
-  private final XnioLoop loop;
-  private final HttpCalls calls;
+  private final XnioEventLoop loop;
+  private final UndertowHttpClient calls;
   private final Undertow server;
   private final Path folder;
   private final Map<String, Process> processes = new HashMap<>();
@@ -67,8 +67,8 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 400, 4);
-    this.loop = new XnioLoop(worker.getIoThread());
-    this.calls = new HttpCalls(loop, worker.getIoThread(), buffers, 6000);
+    this.loop = new XnioEventLoop(worker.getIoThread());
+    this.calls = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 6000);
     this.server =
         Undertow.builder()
             .setWorker(worker)
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
--- a/src/test/java/io/pearscale/sim/SimNode.java
+++ b/src/test/java/io/pearscale/sim/SimNode.java
@@ -5,10 +5,10 @@
 import io.pearscale.scheduler.Operations;
 import io.pearscale.scheduler.Tuning;
 import io.pearscale.transport.Body;
-import io.pearscale.transport.Calls;
-import io.pearscale.transport.Links;
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
+import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
+import io.pearscale.transport.PeerTransport;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.SupportedLevels;
 import java.time.Duration;
@@ -71,11 +71,11 @@
   /** A controller's process outside of the simulated world. */
   interface External {
     void request(
-        String from, String method, String path, JsonNode body, Consumer<Calls.Reply> answer);
+        String from, String method, String path, JsonNode body, Consumer<HttpClient.Reply> answer);
   }
 
   /** The seam that real sockets fill in production. */
-  private final class Process implements Loop, Calls, Links {
+  private final class Process implements EventLoop, HttpClient, PeerTransport {
     final int mine = life;
 
     private boolean alive() {
@@ -313,13 +313,14 @@
     fromPeer(world.nodes.keySet().stream().filter(n -> !n.equals(name)).findFirst().get(), frame);
   }
 
-  void serve(String from, String method, String path, JsonNode body, Consumer<Calls.Reply> answer) {
+  void serve(
+      String from, String method, String path, JsonNode body, Consumer<HttpClient.Reply> answer) {
     if (external.isPresent()) {
       external.get().request(from, method, path, body, answer);
       return;
     }
     if (controller == null) {
-      answer.accept(Calls.Reply.NONE);
+      answer.accept(HttpClient.Reply.NONE);
       return;
     }
     int mine = life;
@@ -335,7 +336,7 @@
                         () -> {
                           if (mine == life) {
                             answer.accept(
-                                new Calls.Reply(
+                                new HttpClient.Reply(
                                     r.status(), r.body().tree().orElse(MessagePack.MISSING)));
                           }
                         })));
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -6,7 +6,7 @@
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.upgrade.ClusterLevel;
 import java.time.Duration;
 import java.time.Instant;
--- a/src/test/java/io/pearscale/sim/SimUser.java
+++ b/src/test/java/io/pearscale/sim/SimUser.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Malformed;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 import java.time.Instant;
--- a/src/test/java/io/pearscale/sim/SimWorker.java
+++ b/src/test/java/io/pearscale/sim/SimWorker.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
--- a/src/test/java/io/pearscale/sim/World.java
+++ b/src/test/java/io/pearscale/sim/World.java
@@ -6,7 +6,7 @@
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Operations;
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.Feature;
 import java.net.InetSocketAddress;
--- a/src/test/java/io/pearscale/sim/WorldLoop.java
+++ b/src/test/java/io/pearscale/sim/WorldLoop.java
@@ -1,11 +1,11 @@
 package io.pearscale.sim;
 
-import io.pearscale.transport.Loop;
+import io.pearscale.transport.EventLoop;
 import java.time.Duration;
 import java.time.InstantSource;
 
 /** The loop of a part that a test plays alone, on the clock of a simulated world. */
-abstract class WorldLoop implements Loop {
+abstract class WorldLoop implements EventLoop {
   final World world = new World(1);
 
   @Override
--- a/src/test/java/io/pearscale/transport/ActorTest.java
+++ b/src/test/java/io/pearscale/transport/ActorTest.java
@@ -14,7 +14,7 @@
   private static final class Listener extends Actor<String> {
     final List<String> received = new ArrayList<>();
 
-    Listener(Loop loop) {
+    Listener(EventLoop loop) {
       super(loop);
     }
 
--- a/src/test/java/io/pearscale/transport/CountingLoop.java
+++ b/src/test/java/io/pearscale/transport/CountingLoop.java
@@ -7,7 +7,7 @@
 import java.util.PriorityQueue;
 
 /** A loop under a simulated clock that counts the timers that it is asked for. */
-public final class CountingLoop implements Loop {
+public final class CountingLoop implements EventLoop {
   private record Timer(Instant at, long order, Runnable task) {}
 
   private final PriorityQueue<Timer> timers =
--- a/src/test/java/io/pearscale/transport/HttpCallsTest.java
+++ b/src/test/java/io/pearscale/transport/UndertowHttpClientTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pearscale.transport.Calls.Reply;
+import io.pearscale.transport.HttpClient.Reply;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -27,12 +27,12 @@
 import org.xnio.XnioWorker;
 
 /** Outgoing requests on real sockets, where some hosts never answer. */
-class HttpCallsTest {
+class UndertowHttpClientTest {
   private static final int MOST = 4;
   private static final int RESERVED = 1;
   private static final String STATE = "127.0.0.2:1";
   private XnioWorker worker;
-  private HttpCalls calls;
+  private UndertowHttpClient calls;
   private final List<ServerSocket> servers = new ArrayList<>();
   private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
@@ -42,8 +42,8 @@
         Xnio.getInstance()
             .createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).getMap());
     calls =
-        new HttpCalls(
-            new XnioLoop(worker.getIoThread()),
+        new UndertowHttpClient(
+            new XnioEventLoop(worker.getIoThread()),
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, 8, 0),
             MOST,
