--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -59,15 +59,15 @@
         description = "what is switched on beside scheduling (S-expressions)")
     Path operations;
 
-    Settings settings() throws SettingsError {
+    Settings settings() throws SettingsException {
       return SettingsReader.read(config);
     }
 
-    Tuning tuning() throws SettingsError {
+    Tuning tuning() throws SettingsException {
       return TuningReader.read(Optional.ofNullable(tuning));
     }
 
-    Operations operations() throws SettingsError {
+    Operations operations() throws SettingsException {
       return OperationsReader.read(Optional.ofNullable(operations));
     }
   }
@@ -102,7 +102,7 @@
         System.out.println("settings of " + s.host() + " are good");
         System.out.println(sockets(s.maxConnections(), s.sockets()));
         return 0;
-      } catch (SettingsError e) {
+      } catch (SettingsException e) {
         System.err.println("pearscale: " + e.getMessage());
         return Main.EXIT_SETTINGS;
       }
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -11,7 +11,7 @@
 import io.pearscale.drain.DrainStatus;
 import io.pearscale.drain.MachineSelector;
 import io.pearscale.drain.MachineSelector.MachineFacts;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
@@ -76,7 +76,7 @@
     @Option(names = "--all", description = "all machines")
     boolean all;
 
-    MachineSelector selector() throws Malformed {
+    MachineSelector selector() throws MalformedMessageException {
       if (machines != null) {
         return new MachineSelector.Names(machines);
       }
@@ -130,7 +130,7 @@
     boolean dryRun;
 
     @Override
-    int run(StateSession state) throws IOException, SettingsError {
+    int run(StateSession state) throws IOException, SettingsException {
       Optional<String> bad = badArgument();
       if (bad.isPresent()) {
         return fail(bad.get(), Main.EXIT_SETTINGS);
@@ -148,12 +148,12 @@
           }
         }
         return start(state, selector, machines, drained);
-      } catch (Malformed e) {
+      } catch (MalformedMessageException e) {
         return fail(e.getMessage(), Main.EXIT_SETTINGS);
       }
     }
 
-    private Optional<String> badArgument() throws SettingsError {
+    private Optional<String> badArgument() throws SettingsException {
       if (!DrainRequest.isId(id)) {
         return Optional.of("ID " + id + ": expected up to 12 of a-z, 0-9 and -");
       }
@@ -190,7 +190,7 @@
 
     private int start(
         StateSession state, MachineSelector selector, List<String> machines, Set<String> drained)
-        throws IOException, SettingsError, Malformed {
+        throws IOException, SettingsException, MalformedMessageException {
       Optional<Stored> level = state.read(Keys.LEVEL);
       ClusterLevel inForce = ClusterLevel.ofStored(level.map(Stored::value));
       if (!Feature.MACHINE_MAINTENANCE.isOn(inForce)) {
@@ -381,7 +381,7 @@
             .filter(entry -> !entry.maintenance().takesTasks())
             .filter(entry -> entry.maintenance().drain().equals(id))
             .forEach(entry -> held.add(entry.machine()));
-      } catch (Malformed e) {
+      } catch (MalformedMessageException e) {
         return fail("a record can't be read: " + e.getMessage(), Main.EXIT_FAILURE);
       }
       if (!held.isEmpty()) {
--- a/src/main/java/io/pearscale/cli/Main.java
+++ b/src/main/java/io/pearscale/cli/Main.java
@@ -49,7 +49,7 @@
           TuningReader.read(tuning),
           OperationsReader.read(operations));
       return 0;
-    } catch (SettingsError e) {
+    } catch (SettingsException e) {
       System.err.println("pearscale: " + e.getMessage());
       return EXIT_SETTINGS;
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/io/pearscale/cli/OperationsReader.java
+++ b/src/main/java/io/pearscale/cli/OperationsReader.java
@@ -51,19 +51,19 @@
     this.file = file;
   }
 
-  static Operations read(Optional<Path> file) throws SettingsError {
+  static Operations read(Optional<Path> file) throws SettingsException {
     return file.isEmpty() ? Operations.standard() : new OperationsReader(file.get()).read();
   }
 
-  private Operations read() throws SettingsError {
+  private Operations read() throws SettingsException {
     try {
       for (List<String> entry : Sexp.read(Files.readString(file))) {
         take(entry);
       }
     } catch (IOException e) {
-      throw new SettingsError(file, "file", "nothing readable", "a file of S-expressions");
+      throw new SettingsException(file, "file", "nothing readable", "a file of S-expressions");
     } catch (Sexp.Bad e) {
-      throw new SettingsError(file, "file", e.getMessage(), "S-expressions");
+      throw new SettingsException(file, "file", e.getMessage(), "S-expressions");
     }
     return new Operations(
         announceSupport,
@@ -72,7 +72,7 @@
         drains ? Optional.of(new DrainSettings(budgets, windows)) : Optional.empty());
   }
 
-  private void take(List<String> entry) throws SettingsError {
+  private void take(List<String> entry) throws SettingsException {
     switch (entry.isEmpty() ? "" : entry.get(0)) {
       case ANNOUNCE_SUPPORT -> {
         int seconds = number(entry, SHORTEST_ANNOUNCEMENT, LONGEST_ANNOUNCEMENT);
@@ -107,7 +107,7 @@
     }
   }
 
-  private DisruptionBudget budget(List<String> entry) throws SettingsError {
+  private DisruptionBudget budget(List<String> entry) throws SettingsException {
     String expected = "(budget TEAM|* CLASS|* most-down|most-down-share|least-up|most-lost-s N)";
     Optional<Kind> kind = entry.size() == 5 ? Kind.parse(entry.get(3)) : Optional.empty();
     if (kind.isEmpty()) {
@@ -126,7 +126,7 @@
     }
   }
 
-  private void window(List<String> entry) throws SettingsError {
+  private void window(List<String> entry) throws SettingsException {
     String expected =
         "(window NAME ZONE DAYS FROM TO) such as (window night America/Costa_Rica mon,tue 22:00 04:00)";
     if (entry.size() != 6 || windows.containsKey(entry.get(1))) {
@@ -169,7 +169,7 @@
     return days;
   }
 
-  private int number(List<String> entry, int least, int most) throws SettingsError {
+  private int number(List<String> entry, int least, int most) throws SettingsException {
     String expected = "(%s N) with a number from %d to %d".formatted(entry.get(0), least, most);
     if (entry.size() != 2) {
       throw error(entry, expected);
@@ -185,7 +185,7 @@
     }
   }
 
-  private SettingsError error(List<String> entry, String expected) {
-    return new SettingsError(file, "entry", "(" + String.join(" ", entry) + ")", expected);
+  private SettingsException error(List<String> entry, String expected) {
+    return new SettingsException(file, "entry", "(" + String.join(" ", entry) + ")", expected);
   }
 }
--- a/src/main/java/io/pearscale/cli/OperatorCommand.java
+++ b/src/main/java/io/pearscale/cli/OperatorCommand.java
@@ -16,13 +16,13 @@
   @Spec CommandSpec spec;
 
   /** Does its work; what is thrown says that nothing is known. */
-  abstract int run(StateSession state) throws IOException, SettingsError;
+  abstract int run(StateSession state) throws IOException, SettingsException;
 
   @Override
   public Integer call() {
     try (StateSession state = new StateSession(files.settings())) {
       return run(state);
-    } catch (SettingsError e) {
+    } catch (SettingsException e) {
       return fail(e.getMessage(), Main.EXIT_SETTINGS);
     } catch (IOException e) {
       return fail(e.getMessage() + "; nothing is known, ask again", Main.EXIT_FAILURE);
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -34,19 +34,19 @@
     this.file = file;
   }
 
-  static Settings read(Path file) throws SettingsError {
+  static Settings read(Path file) throws SettingsException {
     JsonNode root;
     try {
       root = new ObjectMapper(new TomlFactory()).readTree(Files.readString(file));
     } catch (JsonProcessingException e) {
-      throw new SettingsError(file, "file", e.getOriginalMessage().replace('\n', ' '), "TOML");
+      throw new SettingsException(file, "file", e.getOriginalMessage().replace('\n', ' '), "TOML");
     } catch (IOException e) {
-      throw new SettingsError(file, "file", "nothing readable", "a TOML file");
+      throw new SettingsException(file, "file", "nothing readable", "a TOML file");
     }
     return new SettingsReader(file).settings(root);
   }
 
-  private Settings settings(JsonNode root) throws SettingsError {
+  private Settings settings(JsonNode root) throws SettingsException {
     JsonNode facts = table(root, "facts", "");
     JsonNode workers = table(facts, "workers", "facts.");
     JsonNode state = table(facts, "state", "facts.");
@@ -76,7 +76,7 @@
   }
 
   /** Both times, or none: a gang can't be served with one of them. */
-  private Optional<Settings.GangTimes> gangTimes(JsonNode workers) throws SettingsError {
+  private Optional<Settings.GangTimes> gangTimes(JsonNode workers) throws SettingsException {
     if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) {
       return Optional.empty();
     }
@@ -90,7 +90,7 @@
    * The limits that hold at any time: those that the state service has, and those that it may have
    * from some moment on, without notice. What is larger than either would be refused some day.
    */
-  private Settings.State stateLimits(JsonNode state) throws SettingsError {
+  private Settings.State stateLimits(JsonNode state) throws SettingsException {
     String now = "facts.state.";
     Settings.State limits = limits(state, state, now);
     if (!state.hasNonNull("next")) {
@@ -102,7 +102,7 @@
 
   /** Limits of a table; what it does not name is as in the other one. */
   private Settings.State limits(JsonNode table, JsonNode otherwise, String where)
-      throws SettingsError {
+      throws SettingsException {
     return new Settings.State(
         number(having("rps", table, otherwise), "rps", where, 1),
         number(having("write_rps", table, otherwise), "write_rps", where, 1),
@@ -114,7 +114,7 @@
     return table.hasNonNull(key) ? table : otherwise;
   }
 
-  private Map<String, InetSocketAddress> peers(JsonNode root) throws SettingsError {
+  private Map<String, InetSocketAddress> peers(JsonNode root) throws SettingsException {
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
     for (JsonNode p : root.path("peers")) {
       peers.put(text(p, "host_name", "peers."), address(p, "address", "peers."));
@@ -122,7 +122,7 @@
     return peers;
   }
 
-  private List<Settings.Team> teams(JsonNode facts) throws SettingsError {
+  private List<Settings.Team> teams(JsonNode facts) throws SettingsException {
     List<Settings.Team> teams = new ArrayList<>();
     for (JsonNode t : facts.path("teams")) {
       teams.add(
@@ -136,7 +136,7 @@
     return teams;
   }
 
-  private List<Settings.Objective> objectives(JsonNode facts) throws SettingsError {
+  private List<Settings.Objective> objectives(JsonNode facts) throws SettingsException {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode o : facts.path("objectives")) {
       objectives.add(
@@ -148,48 +148,49 @@
     return objectives;
   }
 
-  private JsonNode table(JsonNode from, String key, String where) throws SettingsError {
+  private JsonNode table(JsonNode from, String key, String where) throws SettingsException {
     JsonNode n = from.path(key);
     if (!n.isObject()) {
-      throw new SettingsError(file, where + key, describe(n), "a table");
+      throw new SettingsException(file, where + key, describe(n), "a table");
     }
     return n;
   }
 
-  private String text(JsonNode from, String key, String where) throws SettingsError {
+  private String text(JsonNode from, String key, String where) throws SettingsException {
     JsonNode n = from.path(key);
     if (!n.isTextual() || n.textValue().isBlank()) {
-      throw new SettingsError(file, where + key, describe(n), "a text");
+      throw new SettingsException(file, where + key, describe(n), "a text");
     }
     return n.textValue();
   }
 
   private double number(JsonNode from, String key, String where, double least)
-      throws SettingsError {
+      throws SettingsException {
     JsonNode n = from.path(key);
     if (!n.isNumber() || !(n.doubleValue() >= least) || Double.isInfinite(n.doubleValue())) {
-      throw new SettingsError(file, where + key, describe(n), "a number of at least " + least);
+      throw new SettingsException(file, where + key, describe(n), "a number of at least " + least);
     }
     return n.doubleValue();
   }
 
   /** A limit of the machine that may be left out. */
   private double limit(JsonNode facts, String key, double least, double otherwise)
-      throws SettingsError {
+      throws SettingsException {
     JsonNode limits = facts.path("limits");
     return limits.hasNonNull(key) ? number(limits, key, "facts.limits.", least) : otherwise;
   }
 
-  private Duration seconds(JsonNode from, String key, String where) throws SettingsError {
+  private Duration seconds(JsonNode from, String key, String where) throws SettingsException {
     return Fields.duration(number(from, key, where, 0));
   }
 
-  private String checkedAddress(JsonNode from, String key, String where) throws SettingsError {
+  private String checkedAddress(JsonNode from, String key, String where) throws SettingsException {
     address(from, key, where);
     return text(from, key, where);
   }
 
-  private InetSocketAddress address(JsonNode from, String key, String where) throws SettingsError {
+  private InetSocketAddress address(JsonNode from, String key, String where)
+      throws SettingsException {
     String text = text(from, key, where);
     int colon = text.lastIndexOf(':');
     try {
@@ -200,9 +201,9 @@
         return new InetSocketAddress(InetAddress.getByName(host), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      throw new SettingsError(file, where + key, text, "an address like 10.0.0.1:8080");
+      throw new SettingsException(file, where + key, text, "an address like 10.0.0.1:8080");
     }
-    throw new SettingsError(file, where + key, text, "an address like 10.0.0.1:8080");
+    throw new SettingsException(file, where + key, text, "an address like 10.0.0.1:8080");
   }
 
   private static String describe(JsonNode n) {
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.cli.StateSession.Stored;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -120,12 +120,13 @@
     int show(StateSession state, JsonNode status) throws IOException {
       try {
         return name.startsWith("wk-") ? ofJob(state, status) : ofMachine(state);
-      } catch (Malformed e) {
+      } catch (MalformedMessageException e) {
         return fail("a record can't be read: " + e.getMessage(), Main.EXIT_FAILURE);
       }
     }
 
-    private int ofJob(StateSession state, JsonNode status) throws IOException, Malformed {
+    private int ofJob(StateSession state, JsonNode status)
+        throws IOException, MalformedMessageException {
       Optional<Stored> past = state.read(Keys.past(name));
       if (past.isPresent()) {
         say(name + " is over: " + past.get().value().path("stage").asText());
@@ -146,7 +147,7 @@
     }
 
     /** How many tasks have a machine, by the newer of two records where both layouts have one. */
-    private int placedTasks(StateSession state) throws IOException, Malformed {
+    private int placedTasks(StateSession state) throws IOException, MalformedMessageException {
       BitSet told = new BitSet();
       BitSet placed = new BitSet();
       for (RecordLayout layout : StoredMachineRecords.layouts(state)) {
@@ -173,7 +174,7 @@
       }
     }
 
-    private int ofMachine(StateSession state) throws IOException, Malformed {
+    private int ofMachine(StateSession state) throws IOException, MalformedMessageException {
       for (MachineRecordCodec.Entry entry : StoredMachineRecords.read(state)) {
         if (entry.machine().equals(name)) {
           say(describe(entry));
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -1,7 +1,7 @@
 package io.pearscale.cli;
 
 import io.pearscale.cli.StateSession.Stored;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.RecordLayout;
@@ -20,7 +20,7 @@
 
   /** All entries of the roster, one a machine. */
   static Collection<MachineRecordCodec.Entry> read(StateSession state)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     Map<String, MachineRecordCodec.Entry> byMachine = new LinkedHashMap<>();
     // What is written now is newer than what the other layout says of the same machine.
     for (RecordLayout layout : layouts(state)) {
@@ -34,7 +34,8 @@
   }
 
   /** Both layouts, first the one that is written. */
-  static List<RecordLayout> layouts(StateSession state) throws IOException, Malformed {
+  static List<RecordLayout> layouts(StateSession state)
+      throws IOException, MalformedMessageException {
     Optional<Stored> level = state.read(Keys.LEVEL);
     ClusterLevel inForce = ClusterLevel.ofStored(level.map(Stored::value));
     RecordLayout written = RecordLayout.ofLevel(inForce.written());
--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -34,7 +34,7 @@
 
   private TuningReader() {}
 
-  static Tuning read(Optional<Path> file) throws SettingsError {
+  static Tuning read(Optional<Path> file) throws SettingsException {
     Tuning d = Tuning.defaults();
     if (file.isEmpty()) {
       return d;
@@ -57,12 +57,12 @@
         values.getOrDefault("spot-risk", d.spotRisk()));
   }
 
-  private static Map<String, Double> values(Path file) throws SettingsError {
+  private static Map<String, Double> values(Path file) throws SettingsException {
     Map<String, Double> values = new LinkedHashMap<>();
     try {
       for (List<String> entry : Sexp.read(Files.readString(file))) {
         if (entry.size() != 2) {
-          throw new SettingsError(file, "entry", entry.toString(), "a name and a value");
+          throw new SettingsException(file, "entry", entry.toString(), "a name and a value");
         }
         Range range = KNOWN.get(entry.get(0));
         if (range == null) {
@@ -72,17 +72,17 @@
         try {
           double v = Double.parseDouble(entry.get(1));
           if (!(v >= range.least && v <= range.most)) {
-            throw new SettingsError(file, entry.get(0), entry.get(1), expected);
+            throw new SettingsException(file, entry.get(0), entry.get(1), expected);
           }
           values.put(entry.get(0), v);
         } catch (NumberFormatException e) {
-          throw new SettingsError(file, entry.get(0), entry.get(1), expected);
+          throw new SettingsException(file, entry.get(0), entry.get(1), expected);
         }
       }
     } catch (IOException e) {
-      throw new SettingsError(file, "file", "nothing readable", "a file of S-expressions");
+      throw new SettingsException(file, "file", "nothing readable", "a file of S-expressions");
     } catch (Sexp.Bad e) {
-      throw new SettingsError(file, "file", e.getMessage(), "S-expressions");
+      throw new SettingsException(file, "file", e.getMessage(), "S-expressions");
     }
     return values;
   }
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -46,7 +46,7 @@
     abstract int run(StateSession state, UpgradeView view) throws IOException;
 
     @Override
-    int run(StateSession state) throws IOException, SettingsError {
+    int run(StateSession state) throws IOException, SettingsException {
       SupportedLevels build = SupportedLevels.OF_THIS_BUILD.upTo(files.operations().highestLevel());
       return run(state, UpgradeView.read(state, files.settings(), build));
     }
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.cli.StateSession.Stored;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient.Guard;
 import io.pearscale.storage.Keys;
@@ -85,7 +85,7 @@
   private static Optional<ClusterLevel> parse(Optional<Stored> level) {
     try {
       return Optional.of(ClusterLevel.ofStored(level.map(Stored::value)));
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
@@ -97,7 +97,7 @@
         (host, stored) -> {
           try {
             supports.put(host, MemberSupport.parse(stored.value()));
-          } catch (Malformed e) {
+          } catch (MalformedMessageException e) {
             supports.remove(host);
           }
         });
@@ -152,7 +152,7 @@
         MachineRecordCodec.decode(record.getValue().value()).stream()
             .filter(entry -> !entry.maintenance().isNone())
             .forEach(entry -> names.add(entry.machine()));
-      } catch (Malformed e) {
+      } catch (MalformedMessageException e) {
         names.add("(unreadable: " + e.getMessage() + ")");
       }
     }
--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
@@ -42,11 +42,11 @@
   }
 
   /** Decodes a value. */
-  public static List<Disruption> decode(JsonNode value) throws Malformed {
+  public static List<Disruption> decode(JsonNode value) throws MalformedMessageException {
     List<Disruption> disruptions = new ArrayList<>();
     for (JsonNode n : Fields.list(Fields.map(value), LIST)) {
       if (n.size() < FIELDS || !n.path(0).isTextual() || !n.path(3).isIntegralNumber()) {
-        throw new Malformed("disruption " + n);
+        throw new MalformedMessageException("disruption " + n);
       }
       disruptions.add(
           new Disruption(
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.MessagePack;
@@ -67,7 +67,7 @@
   }
 
   /** Reads the record. */
-  public static DrainRequest parse(String id, JsonNode value) throws Malformed {
+  public static DrainRequest parse(String id, JsonNode value) throws MalformedMessageException {
     JsonNode map = Fields.map(value);
     return new DrainRequest(
         id,
@@ -80,13 +80,14 @@
         Fields.optText(map, "window"));
   }
 
-  private static <E extends Enum<E>> E constant(Class<E> type, String text) throws Malformed {
+  private static <E extends Enum<E>> E constant(Class<E> type, String text)
+      throws MalformedMessageException {
     for (E each : type.getEnumConstants()) {
       if (word(each).equals(text)) {
         return each;
       }
     }
-    throw new Malformed("unknown word " + text);
+    throw new MalformedMessageException("unknown word " + text);
   }
 
   private static String word(Enum<?> constant) {
--- a/src/main/java/io/pearscale/drain/IpNetwork.java
+++ b/src/main/java/io/pearscale/drain/IpNetwork.java
@@ -4,7 +4,7 @@
 import inet.ipaddr.HostName;
 import inet.ipaddr.IPAddress;
 import inet.ipaddr.IPAddressString;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import java.util.Optional;
 
 /** An IP network, such as {@code 10.1.4.0/22}, as a set of machines that fail or move together. */
@@ -16,15 +16,16 @@
   }
 
   /** Reads a network in the form of CIDR; one with host bits set is not guessed at. */
-  public static IpNetwork parse(String text) throws Malformed {
+  public static IpNetwork parse(String text) throws MalformedMessageException {
     try {
       IPAddress address = new IPAddressString(text).toAddress();
       if (!address.isPrefixed() || !address.equals(address.toPrefixBlock())) {
-        throw new Malformed("network " + text + ": expected a form like 10.1.4.0/22");
+        throw new MalformedMessageException(
+            "network " + text + ": expected a form like 10.1.4.0/22");
       }
       return new IpNetwork(address);
     } catch (AddressStringException e) {
-      throw new Malformed("network " + text + ": expected a form like 10.1.4.0/22");
+      throw new MalformedMessageException("network " + text + ": expected a form like 10.1.4.0/22");
     }
   }
 
--- a/src/main/java/io/pearscale/drain/MachineSelector.java
+++ b/src/main/java/io/pearscale/drain/MachineSelector.java
@@ -1,6 +1,6 @@
 package io.pearscale.drain;
 
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -54,7 +54,7 @@
   /** All machines whose address lies in a network. */
   record Network(IpNetwork network) implements MachineSelector {
     /** Reads the network. */
-    public static Network parse(String text) throws Malformed {
+    public static Network parse(String text) throws MalformedMessageException {
       return new Network(IpNetwork.parse(text));
     }
 
--- a/src/main/java/io/pearscale/protocol/Fields.java
+++ b/src/main/java/io/pearscale/protocol/Fields.java
@@ -24,51 +24,55 @@
   }
 
   /** The message must be a map. */
-  public static JsonNode map(JsonNode node) throws Malformed {
+  public static JsonNode map(JsonNode node) throws MalformedMessageException {
     if (!node.isObject()) {
-      throw new Malformed("not a map");
+      throw new MalformedMessageException("not a map");
     }
     return node;
   }
 
   /** A text that may be missing. */
-  public static Optional<String> optText(JsonNode map, String name) throws Malformed {
+  public static Optional<String> optText(JsonNode map, String name)
+      throws MalformedMessageException {
     Optional<JsonNode> n = get(map, name);
     if (n.isPresent() && !n.get().isTextual()) {
-      throw new Malformed(name + ": text expected");
+      throw new MalformedMessageException(name + ": text expected");
     }
     return n.map(JsonNode::textValue);
   }
 
   /** A text of 1 to 200 characters. */
-  public static String text(JsonNode map, String name) throws Malformed {
-    String s = optText(map, name).orElseThrow(() -> new Malformed(name + ": missing"));
+  public static String text(JsonNode map, String name) throws MalformedMessageException {
+    String s =
+        optText(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
     if (s.isEmpty() || s.length() > LONGEST_TEXT) {
-      throw new Malformed(name + ": 1 to 200 characters expected");
+      throw new MalformedMessageException(name + ": 1 to 200 characters expected");
     }
     return s;
   }
 
   /** A finite amount that is not negative. */
-  public static Optional<Double> optAmount(JsonNode map, String name) throws Malformed {
+  public static Optional<Double> optAmount(JsonNode map, String name)
+      throws MalformedMessageException {
     Optional<JsonNode> n = get(map, name);
     if (n.isEmpty()) {
       return Optional.empty();
     }
     double d = n.get().isNumber() ? n.get().doubleValue() : Double.NaN;
     if (!(d >= 0 && d <= MAX_AMOUNT)) {
-      throw new Malformed(name + ": a number of at least 0 expected");
+      throw new MalformedMessageException(name + ": a number of at least 0 expected");
     }
     return Optional.of(d);
   }
 
   /** A finite amount that is not negative, and must be there. */
-  public static double amount(JsonNode map, String name) throws Malformed {
-    return optAmount(map, name).orElseThrow(() -> new Malformed(name + ": missing"));
+  public static double amount(JsonNode map, String name) throws MalformedMessageException {
+    return optAmount(map, name)
+        .orElseThrow(() -> new MalformedMessageException(name + ": missing"));
   }
 
   /** A duration given in seconds. */
-  public static Duration seconds(JsonNode map, String name) throws Malformed {
+  public static Duration seconds(JsonNode map, String name) throws MalformedMessageException {
     return duration(amount(map, name));
   }
 
@@ -83,35 +87,38 @@
   }
 
   /** A whole number within bounds. */
-  public static long integer(JsonNode map, String name, long min, long max) throws Malformed {
-    JsonNode n = get(map, name).orElseThrow(() -> new Malformed(name + ": missing"));
+  public static long integer(JsonNode map, String name, long min, long max)
+      throws MalformedMessageException {
+    JsonNode n =
+        get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
     if (!n.isIntegralNumber() || !n.canConvertToLong()) {
-      throw new Malformed(name + ": a whole number expected");
+      throw new MalformedMessageException(name + ": a whole number expected");
     }
     long v = n.longValue();
     if (v < min || v > max) {
-      throw new Malformed(name + ": " + min + " to " + max + " expected");
+      throw new MalformedMessageException(name + ": " + min + " to " + max + " expected");
     }
     return v;
   }
 
   /** A truth value. */
-  public static boolean flag(JsonNode map, String name) throws Malformed {
-    JsonNode n = get(map, name).orElseThrow(() -> new Malformed(name + ": missing"));
+  public static boolean flag(JsonNode map, String name) throws MalformedMessageException {
+    JsonNode n =
+        get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
     if (!n.isBoolean()) {
-      throw new Malformed(name + ": true or false expected");
+      throw new MalformedMessageException(name + ": true or false expected");
     }
     return n.booleanValue();
   }
 
   /** A list of maps or texts; empty when it is missing. */
-  public static List<JsonNode> list(JsonNode map, String name) throws Malformed {
+  public static List<JsonNode> list(JsonNode map, String name) throws MalformedMessageException {
     Optional<JsonNode> n = get(map, name);
     if (n.isEmpty()) {
       return List.of();
     }
     if (!n.get().isArray()) {
-      throw new Malformed(name + ": a list expected");
+      throw new MalformedMessageException(name + ": a list expected");
     }
     List<JsonNode> result = new ArrayList<>();
     n.get().forEach(result::add);
@@ -119,14 +126,15 @@
   }
 
   /** A list of texts; empty when the list itself is missing. */
-  public static Optional<List<String>> texts(JsonNode map, String name) throws Malformed {
+  public static Optional<List<String>> texts(JsonNode map, String name)
+      throws MalformedMessageException {
     if (get(map, name).isEmpty()) {
       return Optional.empty();
     }
     List<String> result = new ArrayList<>();
     for (JsonNode n : list(map, name)) {
       if (!n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > LONGEST_TEXT) {
-        throw new Malformed(name + ": texts expected");
+        throw new MalformedMessageException(name + ": texts expected");
       }
       result.add(n.textValue());
     }
--- a/src/main/java/io/pearscale/protocol/Heartbeat.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -28,14 +28,14 @@
     /** Of a gang: it has its image, and waits for the others. */
     WAITING;
 
-    static Stage parse(String text) throws Malformed {
+    static Stage parse(String text) throws MalformedMessageException {
       return switch (text) {
         case "fetching" -> FETCHING;
         case "waiting" -> WAITING;
         case "running" -> RUNNING;
         case "flushing" -> FLUSHING;
         case "ended" -> ENDED;
-        default -> throw new Malformed("stage: unknown");
+        default -> throw new MalformedMessageException("stage: unknown");
       };
     }
   }
@@ -44,7 +44,7 @@
   public record TaskStatus(TaskId task, long attempt, Stage stage, String cause) {}
 
   /** Reads a report. */
-  public static Heartbeat parse(JsonNode body) throws Malformed {
+  public static Heartbeat parse(JsonNode body) throws MalformedMessageException {
     JsonNode m = Fields.map(body);
     List<TaskStatus> tasks = new ArrayList<>();
     for (JsonNode t : Fields.list(m, "pieces")) {
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -45,15 +45,15 @@
   }
 
   /** Reads the report that the bytes begin with. */
-  public static Heartbeat read(byte[] body) throws Malformed {
+  public static Heartbeat read(byte[] body) throws MalformedMessageException {
     try {
       return new HeartbeatDecoder(body).report();
     } catch (IOException | MessagePackException e) {
-      throw new Malformed("report: " + e.getMessage());
+      throw new MalformedMessageException("report: " + e.getMessage());
     }
   }
 
-  private Heartbeat report() throws IOException, Malformed {
+  private Heartbeat report() throws IOException, MalformedMessageException {
     int fields = mapHeader();
     for (int i = 0; i < fields; i++) {
       field(fieldName());
@@ -63,7 +63,7 @@
         present("address", address),
         present("breed", type),
         present("yard", zone),
-        spot.orElseThrow(() -> new Malformed("windfall: missing")),
+        spot.orElseThrow(() -> new MalformedMessageException("windfall: missing")),
         present("stint", session),
         present("tally", sequence),
         present("baton", token),
@@ -71,7 +71,7 @@
         tasks);
   }
 
-  private void field(String name) throws IOException, Malformed {
+  private void field(String name) throws IOException, MalformedMessageException {
     if (in.getNextFormat() == MessageFormat.NIL) {
       in.unpackNil();
       return;
@@ -91,7 +91,7 @@
     }
   }
 
-  private List<TaskStatus> tasks() throws IOException, Malformed {
+  private List<TaskStatus> tasks() throws IOException, MalformedMessageException {
     int count = in.unpackArrayHeader();
     List<TaskStatus> list = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -100,7 +100,7 @@
     return list;
   }
 
-  private TaskStatus task() throws IOException, Malformed {
+  private TaskStatus task() throws IOException, MalformedMessageException {
     String task = ABSENT;
     String stage = ABSENT;
     String cause = ABSENT;
@@ -125,9 +125,9 @@
         TaskId.parse(present("piece", task)), present("try", attempt), parsed, cause);
   }
 
-  private int mapHeader() throws IOException, Malformed {
+  private int mapHeader() throws IOException, MalformedMessageException {
     if (in.getNextFormat().getValueType() != ValueType.MAP) {
-      throw new Malformed("not a map");
+      throw new MalformedMessageException("not a map");
     }
     return in.unpackMapHeader();
   }
@@ -141,41 +141,41 @@
     return ABSENT;
   }
 
-  private String text(String name) throws IOException, Malformed {
+  private String text(String name) throws IOException, MalformedMessageException {
     String text = in.unpackString();
     if (text.isEmpty() || text.length() > Fields.LONGEST_TEXT) {
-      throw new Malformed(name + ": 1 to 200 characters expected");
+      throw new MalformedMessageException(name + ": 1 to 200 characters expected");
     }
     return text;
   }
 
-  private long whole(String name) throws IOException, Malformed {
+  private long whole(String name) throws IOException, MalformedMessageException {
     long value = in.unpackLong();
     if (value < 0) {
-      throw new Malformed(name + ": a whole number of at least 0 expected");
+      throw new MalformedMessageException(name + ": a whole number of at least 0 expected");
     }
     return value;
   }
 
-  private double amount(String name) throws IOException, Malformed {
+  private double amount(String name) throws IOException, MalformedMessageException {
     boolean isWhole = in.getNextFormat().getValueType() == ValueType.INTEGER;
     double amount = isWhole ? in.unpackBigInteger().doubleValue() : in.unpackDouble();
     if (!(amount >= 0 && amount <= Fields.MAX_AMOUNT)) {
-      throw new Malformed(name + ": a number of at least 0 expected");
+      throw new MalformedMessageException(name + ": a number of at least 0 expected");
     }
     return amount;
   }
 
-  private static String present(String name, String text) throws Malformed {
+  private static String present(String name, String text) throws MalformedMessageException {
     if (text.isEmpty()) {
-      throw new Malformed(name + ": missing");
+      throw new MalformedMessageException(name + ": missing");
     }
     return text;
   }
 
-  private static long present(String name, long value) throws Malformed {
+  private static long present(String name, long value) throws MalformedMessageException {
     if (value == MISSING) {
-      throw new Malformed(name + ": missing");
+      throw new MalformedMessageException(name + ": missing");
     }
     return value;
   }
--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -54,18 +54,21 @@
   }
 
   /** Reads a submission, or the same out of the state service. */
-  public static JobSpec parse(JsonNode body) throws Malformed {
+  public static JobSpec parse(JsonNode body) throws MalformedMessageException {
     JsonNode m = Fields.map(body);
     String id = Fields.text(m, "uid");
     if (!isId(id)) {
-      throw new Malformed("uid: an id like wk-000412 expected");
+      throw new MalformedMessageException("uid: an id like wk-000412 expected");
     }
     Shape shape =
         Shape.parse(Fields.text(m, SHAPE))
-            .orElseThrow(() -> new Malformed("shape: batch, service or group expected"));
+            .orElseThrow(
+                () -> new MalformedMessageException("shape: batch, service or group expected"));
     Priority priority =
         Priority.parse(Fields.text(m, "rank"))
-            .orElseThrow(() -> new Malformed("rank: critical, high, normal or idle expected"));
+            .orElseThrow(
+                () ->
+                    new MalformedMessageException("rank: critical, high, normal or idle expected"));
     Optional<Double> due = Fields.optAmount(m, "dueS");
     Optional<List<String>> types = Fields.texts(m, "breeds");
     return new JobSpec(
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -32,17 +32,17 @@
       for (JsonNode n : Fields.list(Fields.map(body), "breeds")) {
         try {
           result.add(parse(n));
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
           continue;
         }
       }
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return List.of();
     }
     return result;
   }
 
-  private static MachineType parse(JsonNode n) throws Malformed {
+  private static MachineType parse(JsonNode n) throws MalformedMessageException {
     Fields.map(n);
     return new MachineType(
         Fields.text(n, "sku"),
--- a/src/main/java/io/pearscale/protocol/Malformed.java
+++ b/src/main/java/io/pearscale/protocol/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package io.pearscale.protocol;
 
 /** A message breaks the protocol; the text says where. It is answered or dropped, never trusted. */
-public final class Malformed extends Exception {
+public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /** Says which field is wrong. */
-  public Malformed(String what) {
+  public MalformedMessageException(String what) {
     super(what, null, false, false);
   }
 }
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -128,7 +128,7 @@
   }
 
   /** Decodes a record; bytes that are none of ours are said to be malformed and change nothing. */
-  static PeerMessage decode(byte[] frame) throws Malformed {
+  static PeerMessage decode(byte[] frame) throws MalformedMessageException {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
       PeerMessage message =
           switch (in.readByte()) {
@@ -167,29 +167,29 @@
                         ? Optional.of(new LiveJobs(in.readLong(), readTexts(in)))
                         : Optional.empty());
             case 7 -> new Cancelled(in.readUTF());
-            default -> throw new Malformed("peer record of unknown kind");
+            default -> throw new MalformedMessageException("peer record of unknown kind");
           };
       if (in.read() >= 0) {
-        throw new Malformed("peer record with bytes left over");
+        throw new MalformedMessageException("peer record with bytes left over");
       }
       return message;
     } catch (IOException e) {
-      throw new Malformed("peer record cut short");
+      throw new MalformedMessageException("peer record cut short");
     }
   }
 
-  private static int count(DataInputStream in) throws IOException, Malformed {
+  private static int count(DataInputStream in) throws IOException, MalformedMessageException {
     int n = in.readInt();
     // Each entry takes at least one byte: a larger count is garbage and must not reserve memory.
     if (n < 0 || n > in.available()) {
-      throw new Malformed("peer record with an impossible count");
+      throw new MalformedMessageException("peer record with an impossible count");
     }
     return n;
   }
 
-  private static <T> T pick(T[] values, int i) throws Malformed {
+  private static <T> T pick(T[] values, int i) throws MalformedMessageException {
     if (i < 0 || i >= values.length) {
-      throw new Malformed("peer record with an unknown value");
+      throw new MalformedMessageException("peer record with an unknown value");
     }
     return values[i];
   }
@@ -201,7 +201,8 @@
     }
   }
 
-  private static List<String> readTexts(DataInputStream in) throws IOException, Malformed {
+  private static List<String> readTexts(DataInputStream in)
+      throws IOException, MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (int n = count(in); n > 0; n--) {
       texts.add(in.readUTF());
@@ -239,7 +240,7 @@
   }
 
   private static Heartbeat.TaskStatus readTaskReport(DataInputStream in)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     TaskId task = readTask(in);
     long attempt = in.readLong();
     Heartbeat.Stage stage = pick(Heartbeat.Stage.values(), in.readByte());
@@ -249,7 +250,8 @@
         : new Heartbeat.TaskStatus(task, attempt, stage, cause);
   }
 
-  private static Heartbeat readReport(DataInputStream in) throws IOException, Malformed {
+  private static Heartbeat readReport(DataInputStream in)
+      throws IOException, MalformedMessageException {
     String machine = in.readUTF();
     String address = in.readUTF();
     String type = in.readUTF();
--- a/src/main/java/io/pearscale/protocol/TaskId.java
+++ b/src/main/java/io/pearscale/protocol/TaskId.java
@@ -3,7 +3,7 @@
 /** Names a task: a job and an index. */
 public record TaskId(String job, int index) {
   /** Reads {@code wk-000412/3}. */
-  public static TaskId parse(String text) throws Malformed {
+  public static TaskId parse(String text) throws MalformedMessageException {
     int slash = text.lastIndexOf('/');
     try {
       if (slash > 0 && JobSpec.isId(text.substring(0, slash))) {
@@ -13,9 +13,9 @@
         }
       }
     } catch (NumberFormatException e) {
-      throw new Malformed("piece: " + text);
+      throw new MalformedMessageException("piece: " + text);
     }
-    throw new Malformed("piece: " + text);
+    throw new MalformedMessageException("piece: " + text);
   }
 
   // Written out: this is the key of most maps, and what a record gets by itself is linked at run
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.Team;
@@ -213,11 +213,13 @@
   private void submit(Optional<JsonNode> body, Consumer<Response> answer) {
     JobSpec spec;
     try {
-      spec = JobSpec.parse(body.orElseThrow(() -> new Malformed("MessagePack expected")));
+      spec =
+          JobSpec.parse(
+              body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
       if (spec.toNode().toString().length() + 100 > settings.stateLimits().valueBytes()) {
-        throw new Malformed("too long");
+        throw new MalformedMessageException("too long");
       }
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       answer.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
       return;
     }
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.Heartbeat;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import io.pearscale.scheduler.Machine.Ended;
@@ -356,7 +356,7 @@
     try {
       Heartbeat r = Heartbeat.parse(reply.body());
       if (!r.machine().equals(m.name)) {
-        throw new Malformed("answer of another machine");
+        throw new MalformedMessageException("answer of another machine");
       }
       if (leadership.isOfLaterTerm(r.token())) {
         higherTerm.accept(Leadership.termOf(r.token()));
@@ -376,7 +376,7 @@
         sendDue(m);
       }
       return true;
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("event=worker_answer_malformed machine={} reason={}", m.name, e.getMessage());
       return false;
     }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -7,7 +7,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatDecoder;
 import io.pearscale.protocol.HeartbeatResponse;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage;
 import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
 import io.pearscale.protocol.PeerMessage.Counts;
@@ -335,7 +335,7 @@
     PeerMessage message;
     try {
       message = PeerMessage.decode(frame);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("event=peer_record_dropped peer={} reason={}", peer, e.getMessage());
       return;
     }
@@ -443,7 +443,7 @@
     Heartbeat report;
     try {
       report = HeartbeatDecoder.read(body.bytes());
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("event=report_malformed reason={}", e.getMessage());
       respond.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
       return;
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.drain.Disruption;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -58,7 +58,7 @@
   }
 
   /** A term begins: takes over what is stored, and returns it. */
-  List<Disruption> begin() throws Malformed {
+  List<Disruption> begin() throws MalformedMessageException {
     clear();
     List<Disruption> all = new ArrayList<>();
     for (Map.Entry<String, JsonNode> value : stored.entrySet()) {
@@ -67,8 +67,8 @@
           shards.adopt(disruption, disruption.size(), Keys.number(value.getKey()));
           all.add(disruption);
         }
-      } catch (Malformed e) {
-        throw new Malformed(value.getKey() + ": " + e.getMessage());
+      } catch (MalformedMessageException e) {
+        throw new MalformedMessageException(value.getKey() + ": " + e.getMessage());
       }
     }
     return all;
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -10,7 +10,7 @@
 import io.pearscale.drain.DrainPlanner.Plan;
 import io.pearscale.drain.DrainPlanner.TaskView;
 import io.pearscale.drain.DrainSettings;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Machine.Life;
 import io.pearscale.scheduler.MachineRetirement.Reason;
@@ -121,7 +121,7 @@
     next = Instant.MIN;
     try {
       ledger.begin(disruptions.begin());
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       ledger.begin(List.of());
       ledger.spentIsUnknown("what is disrupted can't be read: " + e.getMessage());
       LOG.error("event=disruptions_unreadable reason={}", e.getMessage());
--- a/src/main/java/io/pearscale/scheduler/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/DrainRequests.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.drain.DrainPlanner.Drain;
 import io.pearscale.drain.DrainRequest;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import java.util.ArrayList;
@@ -50,7 +50,7 @@
       String id = Keys.name(request.getKey());
       try {
         drains.add(new Drain(DrainRequest.parse(id, request.getValue()), namesOf(id)));
-      } catch (Malformed e) {
+      } catch (MalformedMessageException e) {
         LOG.warn("event=drain_unreadable drain={} reason={}", id, e.getMessage());
       }
     }
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.Entry;
@@ -105,7 +105,7 @@
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
       if (spec.gang() && !level.knows(Feature.GANG_JOBS)) {
-        throw new Malformed("a gang job, which this build must not serve");
+        throw new MalformedMessageException("a gang job, which this build must not serve");
       }
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
         return;
@@ -122,7 +122,7 @@
       }
       added.accept(job);
       requeue(job);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.error("event=stored_job_unreadable key={} reason={}", key, e.getMessage());
       unreadableKeys.add(key);
     }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings.State;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
@@ -96,7 +96,7 @@
   }
 
   /** All that is stored, decoded, for a term that begins. */
-  StoredRecords decodeStored() throws Malformed {
+  StoredRecords decodeStored() throws MalformedMessageException {
     migration.begin(storedValues.roster());
     return StoredRecords.decode(storedValues.roster(), storedValues.marks(), layoutInForce());
   }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -83,10 +83,10 @@
   private Optional<StoredRecords> storedRecords() {
     try {
       if (jobs.unreadableKey().isPresent()) {
-        throw new Malformed(jobs.unreadableKey().get() + ": job can't be read");
+        throw new MalformedMessageException(jobs.unreadableKey().get() + ": job can't be read");
       }
       return Optional.of(records.decodeStored());
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.error(
           "event=stored_record_unreadable term={} reason={}", leadership.term(), e.getMessage());
       unfit.accept(e.getMessage());
--- a/src/main/java/io/pearscale/scheduler/LevelRaiser.java
+++ b/src/main/java/io/pearscale/scheduler/LevelRaiser.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -63,7 +63,7 @@
   private static Optional<Word> wordOf(Entry entry) {
     try {
       return Optional.of(new Word(MemberSupport.parse(entry.value()), entry.stamp()));
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/StoredRecords.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -47,7 +47,7 @@
 
   /** Reads a record's value. */
   private interface Decoder<T> {
-    List<T> decode(JsonNode value) throws Malformed;
+    List<T> decode(JsonNode value) throws MalformedMessageException;
   }
 
   /** Makes an entry of a decoded one. */
@@ -62,7 +62,7 @@
    */
   static StoredRecords decode(
       Map<String, JsonNode> roster, Map<String, JsonNode> marks, RecordLayout written)
-      throws Malformed {
+      throws MalformedMessageException {
     List<StoredMachine> machines =
         decode(
             roster,
@@ -85,7 +85,7 @@
       Function<String, RecordLayout> layoutOf,
       Decoder<T> decoder,
       Maker<T, S> maker)
-      throws Malformed {
+      throws MalformedMessageException {
     List<S> entries = new ArrayList<>();
     for (Map.Entry<String, JsonNode> value : values.entrySet()) {
       String key = value.getKey();
@@ -94,8 +94,8 @@
         for (T decoded : decoder.decode(value.getValue())) {
           entries.add(maker.make(layout, Keys.number(key), decoded));
         }
-      } catch (Malformed | NumberFormatException e) {
-        throw new Malformed(key + ": " + e.getMessage());
+      } catch (MalformedMessageException | NumberFormatException e) {
+        throw new MalformedMessageException(key + ": " + e.getMessage());
       }
     }
     return entries;
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.Feature;
 import java.util.ArrayList;
@@ -92,7 +92,7 @@
    * Decodes a value. An entry that can't be read is not taken for absent, as in {@link
    * PlacementRecordCodec}.
    */
-  public static List<Entry> decode(JsonNode value) throws Malformed {
+  public static List<Entry> decode(JsonNode value) throws MalformedMessageException {
     List<Entry> entries = new ArrayList<>();
     for (JsonNode n : Fields.list(Fields.map(value), "m")) {
       boolean complete =
@@ -106,7 +106,7 @@
               && n.path(7).isBoolean()
               && (n.size() <= FIELDS_OF_LEVEL_0 || n.path(8).isTextual());
       if (!complete) {
-        throw new Malformed("roster entry " + n.path(1).asText("without a name"));
+        throw new MalformedMessageException("roster entry " + n.path(1).asText("without a name"));
       }
       entries.add(
           new Entry(
--- a/src/main/java/io/pearscale/storage/Maintenance.java
+++ b/src/main/java/io/pearscale/storage/Maintenance.java
@@ -1,6 +1,6 @@
 package io.pearscale.storage;
 
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 
 /**
  * Whether a machine is in maintenance, as the roster says it from level 1 on.
@@ -48,7 +48,7 @@
   }
 
   /** Reads the stored form. */
-  static Maintenance parse(String text) throws Malformed {
+  static Maintenance parse(String text) throws MalformedMessageException {
     if (text.isEmpty()) {
       return NONE;
     }
@@ -58,6 +58,6 @@
         return new Maintenance(stage, text.substring(separator + 1));
       }
     }
-    throw new Malformed("maintenance " + text);
+    throw new MalformedMessageException("maintenance " + text);
   }
 }
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -126,14 +126,14 @@
    * Decodes a value. An entry that can't be read is not taken for absent: its tasks may run
    * somewhere, so whoever can't read it must not lead.
    */
-  public static List<Part> decode(JsonNode value) throws Malformed {
+  public static List<Part> decode(JsonNode value) throws MalformedMessageException {
     List<Part> parts = new ArrayList<>();
     for (var fields = Fields.map(value).fields(); fields.hasNext(); ) {
       var field = fields.next();
       try {
         parts.add(decode(field.getKey(), field.getValue().asText()));
       } catch (IllegalArgumentException | IndexOutOfBoundsException | ArithmeticException e) {
-        throw new Malformed("marks of " + field.getKey());
+        throw new MalformedMessageException("marks of " + field.getKey());
       }
     }
     return parts;
--- a/src/main/java/io/pearscale/upgrade/ClusterLevel.java
+++ b/src/main/java/io/pearscale/upgrade/ClusterLevel.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 import java.util.Optional;
 
@@ -31,12 +31,12 @@
   }
 
   /** The level that is in force, given what is stored, if anything is. */
-  public static ClusterLevel ofStored(Optional<JsonNode> value) throws Malformed {
+  public static ClusterLevel ofStored(Optional<JsonNode> value) throws MalformedMessageException {
     return value.isEmpty() ? UNVERSIONED : parse(value.get());
   }
 
   /** Reads the record; fields that a later release may add are passed over. */
-  public static ClusterLevel parse(JsonNode value) throws Malformed {
+  public static ClusterLevel parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = Fields.map(value);
     int level = (int) Fields.integer(map, LEVEL, 0, Integer.MAX_VALUE);
     int written = map.has(WRITTEN) ? (int) Fields.integer(map, WRITTEN, 0, level) : level;
--- a/src/main/java/io/pearscale/upgrade/LevelGate.java
+++ b/src/main/java/io/pearscale/upgrade/LevelGate.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 import java.util.Optional;
 import java.util.OptionalLong;
@@ -86,7 +86,7 @@
     try {
       inForce = ClusterLevel.ofStored(value);
       return objectionTo(inForce);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return Optional.of("the level of the stored state can't be read: " + e.getMessage());
     }
   }
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/MemberSupport.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.Fields;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 
 /**
@@ -15,7 +15,7 @@
  */
 public record MemberSupport(SupportedLevels levels, long incarnation, String release) {
   /** Reads the record. */
-  public static MemberSupport parse(JsonNode value) throws Malformed {
+  public static MemberSupport parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = Fields.map(value);
     int lowest = (int) Fields.integer(map, "lowest", 0, Integer.MAX_VALUE);
     int highest = (int) Fields.integer(map, "highest", lowest, Integer.MAX_VALUE);
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -62,7 +62,7 @@
           "(",
           "x"
         }) {
-      SettingsError error = assertThrows(SettingsError.class, () -> operations(bad), bad);
+      SettingsException error = assertThrows(SettingsException.class, () -> operations(bad), bad);
       assertTrue(error.getMessage().contains("o.sexp"), error.getMessage());
     }
   }
@@ -117,7 +117,7 @@
 
   private String refusal(String from, String to) throws IOException {
     Path file = write(settings(1, 2, 3, 4).replace(from, to));
-    return assertThrows(SettingsError.class, () -> SettingsReader.read(file)).getMessage();
+    return assertThrows(SettingsException.class, () -> SettingsReader.read(file)).getMessage();
   }
 
   @Test
@@ -143,7 +143,7 @@
     assertTrue(refusal("fd_limit = 1000", "fd_limit = \"all\"").contains("facts.limits.fd_limit"));
     assertTrue(refusal("fd_limit = 1000", "cpu_share = 0").contains("facts.limits.cpu_share"));
     Path none = folder.resolve("none.toml");
-    assertThrows(SettingsError.class, () -> SettingsReader.read(none));
+    assertThrows(SettingsException.class, () -> SettingsReader.read(none));
   }
 
   @Test
@@ -167,7 +167,7 @@
           "(sample 0)", "(sample many)", "(sample", "sample 8", "(sample 8 9)", "((a 1))"
         }) {
       Files.writeString(file, bad);
-      assertThrows(SettingsError.class, () -> TuningReader.read(Optional.of(file)), bad);
+      assertThrows(SettingsException.class, () -> TuningReader.read(Optional.of(file)), bad);
     }
   }
 }
--- a/src/test/java/io/pearscale/coordination/RelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/RelayActorTest.java
@@ -7,7 +7,7 @@
 import io.pearscale.coordination.RelayActor.LeaderIs;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
@@ -41,7 +41,7 @@
             public boolean send(String peer, byte[] frame) {
               try {
                 sent.add((ForwardedHeartbeat) PeerMessage.decode(frame));
-              } catch (Malformed e) {
+              } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
               }
               return true;
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -14,7 +14,7 @@
 import io.pearscale.drain.DrainPlanner.TaskView;
 import io.pearscale.drain.DrainRequest.Afterwards;
 import io.pearscale.drain.DrainRequest.Wish;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.Maintenance.Stage;
@@ -255,7 +255,7 @@
   }
 
   @Test
-  void networksSelectByAddress() throws Malformed {
+  void networksSelectByAddress() throws MalformedMessageException {
     IpNetwork network = IpNetwork.parse("10.1.4.0/22");
     assertTrue(network.contains("10.1.7.255:9000"));
     assertFalse(network.contains("10.1.8.0:9000"));
@@ -263,7 +263,7 @@
     assertFalse(network.contains("nowhere:1"));
     assertTrue(IpNetwork.parse("fd00:1::/32").contains("[fd00:1::7]:9000"));
     for (String bad : List.of("10.1.4.7/22", "10.1.4.0", "x", "10.1.4.0/40")) {
-      assertThrows(Malformed.class, () -> IpNetwork.parse(bad), bad);
+      assertThrows(MalformedMessageException.class, () -> IpNetwork.parse(bad), bad);
     }
   }
 }
--- a/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
@@ -44,9 +44,10 @@
 
   private static Optional<Heartbeat> asTree(byte[] body) {
     try {
-      JsonNode tree = MessagePack.decode(body).orElseThrow(() -> new Malformed("none"));
+      JsonNode tree =
+          MessagePack.decode(body).orElseThrow(() -> new MalformedMessageException("none"));
       return Optional.of(Heartbeat.parse(tree));
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
@@ -54,7 +55,7 @@
   private static Optional<Heartbeat> asBytes(byte[] body) {
     try {
       return Optional.of(HeartbeatDecoder.read(body));
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
@@ -106,13 +107,14 @@
       asBytes(body);
       asBytes(cut);
     }
-    assertThrows(Malformed.class, () -> HeartbeatDecoder.read(new byte[0]));
+    assertThrows(MalformedMessageException.class, () -> HeartbeatDecoder.read(new byte[0]));
     assertThrows(
-        Malformed.class, () -> HeartbeatDecoder.read(MessagePack.encode(MessagePack.map())));
+        MalformedMessageException.class,
+        () -> HeartbeatDecoder.read(MessagePack.encode(MessagePack.map())));
   }
 
   @Test
-  void aReportPaysForNoTree() throws Malformed {
+  void aReportPaysForNoTree() throws MalformedMessageException {
     byte[] body = MessagePack.encode(report(3));
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     HeartbeatDecoder.read(body);
--- a/src/test/java/io/pearscale/protocol/PeerMessageTest.java
+++ b/src/test/java/io/pearscale/protocol/PeerMessageTest.java
@@ -56,7 +56,7 @@
           new Cancelled("wk-3"));
 
   @Test
-  void recordsComeOutAsTheyWentIn() throws Malformed {
+  void recordsComeOutAsTheyWentIn() throws MalformedMessageException {
     for (PeerMessage m : ALL) {
       assertEquals(m, PeerMessage.decode(PeerMessage.encode(m)));
     }
@@ -68,10 +68,11 @@
       byte[] whole = PeerMessage.encode(m);
       for (int n = 0; n < whole.length; n++) {
         byte[] part = Arrays.copyOf(whole, n);
-        assertThrows(Malformed.class, () -> PeerMessage.decode(part), m + " cut to " + n);
+        assertThrows(
+            MalformedMessageException.class, () -> PeerMessage.decode(part), m + " cut to " + n);
       }
       byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-      assertThrows(Malformed.class, () -> PeerMessage.decode(longer));
+      assertThrows(MalformedMessageException.class, () -> PeerMessage.decode(longer));
     }
   }
 }
--- a/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
@@ -7,7 +7,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.drain.Disruption;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.StoreReplicaActor.Entry;
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aSuccessorFindsWhatWasRecorded() throws Malformed {
+  void aSuccessorFindsWhatWasRecorded() throws MalformedMessageException {
     records.record(disruption(1));
     JsonNode value = valueIn(transaction());
     DisruptionRecords successor = new DisruptionRecords(8192, () -> {}, durable::add);
@@ -85,6 +85,6 @@
     assertEquals(Duration.ofSeconds(3), successor.begin().get(0).lost());
     JsonNode bad = MessagePack.map().put("d", "?");
     successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(bad, 8))));
-    assertThrows(Malformed.class, successor::begin);
+    assertThrows(MalformedMessageException.class, successor::begin);
   }
 }
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -6,7 +6,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage.JobCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
@@ -106,7 +106,7 @@
   public void counts(List<JobCount> counts) {}
 
   /** Plays the script; empty when all came as written. */
-  static Optional<String> play(String text) throws Malformed {
+  static Optional<String> play(String text) throws MalformedMessageException {
     LeaderScript s =
         new LeaderScript(text.contains("\ndrains on\n") ? withDrains() : Operations.off());
     int number = 0;
@@ -133,7 +133,7 @@
         Optional.of(new DrainSettings(List.of(), Map.of())));
   }
 
-  private Optional<String> line(List<String> w) throws Malformed {
+  private Optional<String> line(List<String> w) throws MalformedMessageException {
     switch (w.get(0)) {
       case "drains" -> {
         // Read before the first line is played.
@@ -278,7 +278,7 @@
   }
 
   /** What the state service holds of a task: done, the name of a machine, or none. */
-  private String markOf(String task) throws Malformed {
+  private String markOf(String task) throws MalformedMessageException {
     String job = task.split("/")[0];
     int index = Integer.parseInt(task.split("/")[1]);
     Map<Integer, String> names = new HashMap<>();
@@ -301,7 +301,7 @@
   }
 
   /** What the roster says of a machine. */
-  private String rosterOf(String machine) throws Malformed {
+  private String rosterOf(String machine) throws MalformedMessageException {
     for (JsonNode value : world.state.under("c/roster/").values()) {
       for (MachineRecordCodec.Entry e : MachineRecordCodec.decode(value)) {
         if (e.machine().equals(machine)) {
@@ -372,7 +372,7 @@
     stamp = world.state.epoch();
   }
 
-  private Heartbeat report(List<String> w) throws Malformed {
+  private Heartbeat report(List<String> w) throws MalformedMessageException {
     return Heartbeat.parse(body(w.get(1), w.subList(2, w.size())));
   }
 
@@ -418,7 +418,7 @@
     return set;
   }
 
-  private Optional<String> expect(List<String> w) throws Malformed {
+  private Optional<String> expect(List<String> w) throws MalformedMessageException {
     switch (w.get(0)) {
       case "answer" -> {
         if (answer.isEmpty() || answer.get().status() != Integer.parseInt(w.get(1))) {
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
@@ -301,7 +301,7 @@
           }
         }
       }
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -333,7 +333,7 @@
       return pairs.containsKey("c/level")
           ? ClusterLevel.parse(pairs.get("c/level").value)
           : ClusterLevel.UNVERSIONED;
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/io/pearscale/sim/SimUser.java
+++ b/src/test/java/io/pearscale/sim/SimUser.java
@@ -1,7 +1,7 @@
 package io.pearscale.sim;
 
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
@@ -69,7 +69,7 @@
   static TaskId task(String text) {
     try {
       return TaskId.parse(text);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalArgumentException(e);
     }
   }
--- a/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
+++ b/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Malformed;
+import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.UpgradePlan.Change;
 import io.pearscale.upgrade.UpgradePlan.Nothing;
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void theRecordKeepsWhatALaterReleaseAdded() throws Malformed {
+  void theRecordKeepsWhatALaterReleaseAdded() throws MalformedMessageException {
     ObjectNode stored = MessagePack.map().put("level", 1).put("later", "x");
     ObjectNode next = ClusterLevel.parse(stored).goingBack().toNode(stored);
     assertEquals("x", next.path("later").asText());
@@ -110,11 +110,13 @@
   @Test
   void contradictoryRecordsAreNoLevel() {
     assertThrows(
-        Malformed.class,
+        MalformedMessageException.class,
         () -> ClusterLevel.parse(MessagePack.map().put("level", 0).put("written", 1)));
-    assertThrows(Malformed.class, () -> MemberSupport.parse(MessagePack.map().put("lowest", 2)));
     assertThrows(
-        Malformed.class,
+        MalformedMessageException.class,
+        () -> MemberSupport.parse(MessagePack.map().put("lowest", 2)));
+    assertThrows(
+        MalformedMessageException.class,
         () -> MemberSupport.parse(MessagePack.map().put("lowest", 2).put("highest", 1)));
   }
 }
