--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -96,11 +96,11 @@
     @Override
     public Integer call() {
       try {
-        Settings s = files.settings();
+        Settings settings = files.settings();
         files.tuning();
         files.operations();
-        System.out.println("settings of " + s.host() + " are good");
-        System.out.println(sockets(s.maxConnections(), s.sockets()));
+        System.out.println("settings of " + settings.host() + " are good");
+        System.out.println(sockets(settings.maxConnections(), settings.sockets()));
         return 0;
       } catch (SettingsException e) {
         System.err.println("pearscale: " + e.getMessage());
--- a/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -29,8 +29,8 @@
       out.packLong(token);
       out.packString("orders");
       out.packArrayHeader(orders.size());
-      for (AgentCommand order : orders) {
-        order.pack(out);
+      for (AgentCommand command : orders) {
+        command.pack(out);
       }
       return out.toByteArray();
     } catch (IOException e) {
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -89,11 +89,11 @@
         out.writeShort(m.answer.status());
         out.writeLong(m.answer.token());
         out.writeInt(m.answer.orders().size());
-        for (AgentCommand o : m.answer.orders()) {
-          out.writeByte(o.verb().ordinal());
-          write(out, o.task());
-          out.writeLong(o.attempt());
-          out.writeLong(o.grace().toNanos());
+        for (AgentCommand command : m.answer.orders()) {
+          out.writeByte(command.verb().ordinal());
+          write(out, command.task());
+          out.writeLong(command.attempt());
+          out.writeLong(command.grace().toNanos());
         }
       } else if (message instanceof Counts m) {
         out.writeByte(4);
@@ -219,23 +219,23 @@
     return new TaskId(in.readUTF(), in.readInt());
   }
 
-  private static void write(DataOutputStream out, Heartbeat r) throws IOException {
-    out.writeUTF(r.machine());
-    out.writeUTF(r.address());
-    out.writeUTF(r.type());
-    out.writeUTF(r.zone());
-    out.writeBoolean(r.spot());
-    out.writeLong(r.session());
-    out.writeLong(r.sequence());
-    out.writeLong(r.token());
-    out.writeLong(r.notice().map(Duration::toNanos).orElse(-1L));
-    out.writeInt(r.tasks().size());
-    for (Heartbeat.TaskStatus t : r.tasks()) {
-      write(out, t.task());
-      out.writeLong(t.attempt());
-      boolean waiting = t.stage() == Heartbeat.Stage.WAITING;
-      out.writeByte(waiting ? Heartbeat.Stage.FETCHING.ordinal() : t.stage().ordinal());
-      out.writeUTF(waiting ? WAITING : t.cause());
+  private static void write(DataOutputStream out, Heartbeat heartbeat) throws IOException {
+    out.writeUTF(heartbeat.machine());
+    out.writeUTF(heartbeat.address());
+    out.writeUTF(heartbeat.type());
+    out.writeUTF(heartbeat.zone());
+    out.writeBoolean(heartbeat.spot());
+    out.writeLong(heartbeat.session());
+    out.writeLong(heartbeat.sequence());
+    out.writeLong(heartbeat.token());
+    out.writeLong(heartbeat.notice().map(Duration::toNanos).orElse(-1L));
+    out.writeInt(heartbeat.tasks().size());
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      write(out, status.task());
+      out.writeLong(status.attempt());
+      boolean waiting = status.stage() == Heartbeat.Stage.WAITING;
+      out.writeByte(waiting ? Heartbeat.Stage.FETCHING.ordinal() : status.stage().ordinal());
+      out.writeUTF(waiting ? WAITING : status.cause());
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -251,36 +251,36 @@
   }
 
   /** What stands against a new job; empty when it can be accepted. */
-  private Optional<Response> judge(JobSpec s) {
+  private Optional<Response> judge(JobSpec spec) {
     if (types.isEmpty()) {
       return Optional.of(Response.later(Duration.ofSeconds(2), "machine types unknown as yet"));
     }
     if (live.size() >= MOST_LIVE) {
       return Optional.of(Response.later(Duration.ofSeconds(30), "too many jobs"));
     }
-    Team t = teams.get(s.team());
+    Team t = teams.get(spec.team());
     if (t == null) {
       return refuse("unknown team");
     }
-    if (s.gang()) {
+    if (spec.gang()) {
       Optional<Response> refusal = judgeGang();
       if (refusal.isPresent()) {
         return refusal;
       }
     }
-    int n = s.service() || s.gang() ? s.tasks() : 1;
-    if ((t.cpusMax() > 0 && n * s.cpus() > t.cpusMax() + 1e-6)
-        || (t.gpusMax() > 0 && n * s.gpus() > t.gpusMax() + 1e-6)) {
+    int n = spec.service() || spec.gang() ? spec.tasks() : 1;
+    if ((t.cpusMax() > 0 && n * spec.cpus() > t.cpusMax() + 1e-6)
+        || (t.gpusMax() > 0 && n * spec.gpus() > t.gpusMax() + 1e-6)) {
       return refuse("beyond the team's limit");
     }
-    if (s.spread() && s.tasks() > 1 && (s.oneZone() || s.zone().isPresent())) {
+    if (spec.spread() && spec.tasks() > 1 && (spec.oneZone() || spec.zone().isPresent())) {
       return refuse("tasks must spread over zones and stay in one");
     }
-    Optional<Response> unrecordable = judgeSize(s);
+    Optional<Response> unrecordable = judgeSize(spec);
     if (unrecordable.isPresent()) {
       return unrecordable;
     }
-    if (types.stream().anyMatch(s::allowsSomewhere)) {
+    if (types.stream().anyMatch(spec::allowsSomewhere)) {
       return Optional.empty();
     }
     return refuse("no allowed machine type is large enough");
@@ -290,23 +290,25 @@
    * A job whose tasks can't be recorded could never start one of them. Where a later level takes
    * smaller parts of jobs, it is only a matter of time.
    */
-  private Optional<Response> judgeSize(JobSpec s) {
+  private Optional<Response> judgeSize(JobSpec spec) {
     int longest = settings.stateLimits().valueBytes();
-    if (longestRecord(s, RecordLayout.ofLevel(level.inForce().written())) <= longest) {
+    if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().written())) <= longest) {
       return Optional.empty();
     }
-    return longestRecord(s, RecordLayout.BY_NUMBER) <= longest && level.knows(Feature.SMALL_VALUES)
+    return longestRecord(spec, RecordLayout.BY_NUMBER) <= longest
+            && level.knows(Feature.SMALL_VALUES)
         ? Optional.of(Response.later(UPGRADED_LATER, "not all controllers take so many tasks yet"))
         : refuse("its tasks can't be recorded in values of " + longest + " bytes");
   }
 
-  private int longestRecord(JobSpec s, RecordLayout layout) {
-    Team team = teams.get(s.team());
+  private int longestRecord(JobSpec spec, RecordLayout layout) {
+    Team team = teams.get(spec.team());
     int claim =
         team != null && team.limited()
-            ? new PlacementRecordCodec.Claim(s.team(), s.cpus(), s.gpus(), s.memoryGb()).size()
+            ? new PlacementRecordCodec.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
+                .size()
             : 0;
-    return PlacementRecordCodec.size(s.id(), Math.min(s.tasks(), layout.partTasks()), layout)
+    return PlacementRecordCodec.size(spec.id(), Math.min(spec.tasks(), layout.partTasks()), layout)
         + claim;
   }
 
--- a/src/main/java/io/pearscale/scheduler/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/Autoscaler.java
@@ -79,11 +79,12 @@
   Plan plan(View v, Instant now) {
     List<Machine> coming = new ArrayList<>();
     List<Machine> usable = new ArrayList<>();
-    for (Machine m : v.machines) {
-      if (m.life == Life.BOOTING && now.isBefore(m.rented.plus(ScaleOutPlanner.patience(m.type)))) {
-        coming.add(m);
-      } else if (v.usable.test(m)) {
-        usable.add(m);
+    for (Machine machine : v.machines) {
+      if (machine.life == Life.BOOTING
+          && now.isBefore(machine.rented.plus(ScaleOutPlanner.patience(machine.type)))) {
+        coming.add(machine);
+      } else if (v.usable.test(machine)) {
+        usable.add(machine);
       }
     }
     Headroom headroom = headroom(v, usable);
@@ -97,7 +98,7 @@
     Plan plan = new Plan(hires, new ArrayList<>(), new ArrayList<>());
     if (v.mayGiveBack) {
       // Some tasks wait at any moment for the next pass; what counts is whether it finds room.
-      spare(usable, v.waiting.stream().anyMatch(j -> j.noRoom), headroom, plan, now);
+      spare(usable, v.waiting.stream().anyMatch(job -> job.noRoom), headroom, plan, now);
     }
     return plan;
   }
@@ -106,27 +107,27 @@
   private List<ScaleOutPlanner.Demand> demands(View v, List<Machine> usable) {
     // Like tasks are asked for as one.
     Map<Like, ScaleOutPlanner.Demand> demands = new LinkedHashMap<>();
-    for (Job j : v.waiting) {
+    for (Job job : v.waiting) {
       // What the team's limit keeps waiting would wait on rented machines as well.
-      int tasks = Math.min(j.pending(), v.use.leftWithinLimit(j.spec));
-      if (tasks == 0 || (j.spec.gang() && tasks < j.pending())) {
+      int tasks = Math.min(job.pending(), v.use.leftWithinLimit(job.spec));
+      if (tasks == 0 || (job.spec.gang() && tasks < job.pending())) {
         continue;
       }
-      v.use.charge(j.spec, tasks);
-      if (j.spec.gang() && j.spec.oneZone()) {
-        demandInOneZone(demands, j, tasks, usable);
-      } else if (j.spec.spread()) {
+      v.use.charge(job.spec, tasks);
+      if (job.spec.gang() && job.spec.oneZone()) {
+        demandInOneZone(demands, job, tasks, usable);
+      } else if (job.spec.spread()) {
         // Each zone may take its part only.
         int left = tasks;
         for (String zone : zones(v)) {
-          int n = Math.min(left, j.spec.perZone() - j.inZone(zone));
+          int n = Math.min(left, job.spec.perZone() - job.inZone(zone));
           if (n > 0) {
-            demand(demands, j, n, Optional.of(zone));
+            demand(demands, job, n, Optional.of(zone));
             left -= n;
           }
         }
       } else {
-        demand(demands, j, tasks, Optional.empty());
+        demand(demands, job, tasks, Optional.empty());
       }
     }
     return new ArrayList<>(demands.values());
@@ -136,9 +137,9 @@
   private static void demandInOneZone(
       Map<Like, ScaleOutPlanner.Demand> demands, Job job, int tasks, List<Machine> usable) {
     Map<String, Integer> places = new TreeMap<>();
-    for (Machine m : usable) {
-      if (job.spec.allows(m.type, m.zone, m.spot) && job.onlyIn(m.zone)) {
-        places.merge(m.zone, m.roomAbove(Priority.IDLE).count(job), Integer::sum);
+    for (Machine machine : usable) {
+      if (job.spec.allows(machine.type, machine.zone, machine.spot) && job.onlyIn(machine.zone)) {
+        places.merge(machine.zone, machine.roomAbove(Priority.IDLE).count(job), Integer::sum);
       }
     }
     Optional<Map.Entry<String, Integer>> most =
@@ -152,26 +153,26 @@
   private record Like(EquivalenceClass shape, Optional<String> zone) {}
 
   private static void demand(
-      Map<Like, ScaleOutPlanner.Demand> demands, Job j, int tasks, Optional<String> zone) {
+      Map<Like, ScaleOutPlanner.Demand> demands, Job job, int tasks, Optional<String> zone) {
     demands.merge(
-        new Like(EquivalenceClass.of(j.spec), zone),
-        new ScaleOutPlanner.Demand(j, tasks, zone),
+        new Like(EquivalenceClass.of(job.spec), zone),
+        new ScaleOutPlanner.Demand(job, tasks, zone),
         (a, b) -> new ScaleOutPlanner.Demand(a.job(), a.tasks() + b.tasks(), zone));
   }
 
   /** All zones of the catalogue. */
   private static Set<String> zones(View v) {
     Set<String> zones = new LinkedHashSet<>();
-    v.types.forEach(t -> zones.addAll(t.zones()));
+    v.types.forEach(type -> zones.addAll(type.zones()));
     return zones;
   }
 
   /** Room to keep for classes that are expected to start at once. */
   private Headroom headroom(View v, List<Machine> usable) {
     Map<String, Integer> running = new HashMap<>();
-    for (Job j : v.jobs) {
-      if (classes.startsAtOnce(j.spec)) {
-        running.merge(j.spec.jobClass(), j.placed.size(), Integer::sum);
+    for (Job job : v.jobs) {
+      if (classes.startsAtOnce(job.spec)) {
+        running.merge(job.spec.jobClass(), job.placed.size(), Integer::sum);
       }
     }
     Set<String> zones = zones(v);
@@ -188,11 +189,11 @@
   }
 
   /** How many tasks of a class with a time to keep have room on the machine now. */
-  private int placesFor(String jobClass, Machine m) {
+  private int placesFor(String jobClass, Machine machine) {
     return classes
         .sample(jobClass)
-        .filter(j -> j.spec.allows(m.type, m.zone, m.spot))
-        .map(j -> m.room().count(j))
+        .filter(job -> job.spec.allows(machine.type, machine.zone, machine.spot))
+        .map(job -> machine.room().count(job))
         .orElse(0);
   }
 
@@ -273,14 +274,14 @@
   }
 
   /** Moves a replica off a machine that is to be given back, not too many at a time. */
-  private void moveOne(Machine m, Plan plan) {
+  private void moveOne(Machine machine, Plan plan) {
     if (moves <= 0) {
       return;
     }
-    for (TaskAttempt p : m.placements.values()) {
-      if (p.job.spec.service() && !p.stopping) {
+    for (TaskAttempt attempt : machine.placements.values()) {
+      if (attempt.job.spec.service() && !attempt.stopping) {
         moves--;
-        plan.moves.add(p);
+        plan.moves.add(attempt);
         return;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -120,41 +120,46 @@
 
   /** Sends all that is decided, durable and has its room free. */
   void sendAllDue() {
-    inventory.forEachWithCommands(this::sendDue, m -> hasPlanned(m) || isWorthACall(m));
+    inventory.forEachWithCommands(
+        this::sendDue, machine -> hasPlanned(machine) || isWorthACall(machine));
   }
 
-  private static boolean hasPlanned(Machine m) {
-    return m.placements.values().stream().anyMatch(p -> p.stage == Stage.PLANNED);
+  private static boolean hasPlanned(Machine machine) {
+    return machine.placements.values().stream().anyMatch(attempt -> attempt.stage == Stage.PLANNED);
   }
 
   /** All that goes with the answer to a report of the machine. */
-  List<AgentCommand> ordersInAnswer(Machine m) {
-    List<AgentCommand> orders = ordersDue(m, true);
-    decisions.sending(m, orders, Carrier.ANSWER);
+  List<AgentCommand> ordersInAnswer(Machine machine) {
+    List<AgentCommand> orders = ordersDue(machine, true);
+    decisions.sending(machine, orders, Carrier.ANSWER);
     return orders;
   }
 
   /** All that the worker has to be told now. */
-  private List<AgentCommand> ordersDue(Machine m, boolean inAnswer) {
-    List<AgentCommand> orders = StopCommands.due(m, inAnswer, clock.instant());
+  private List<AgentCommand> ordersDue(Machine machine, boolean inAnswer) {
+    List<AgentCommand> orders = StopCommands.due(machine, inAnswer, clock.instant());
     if (inAnswer) {
-      orders.addAll(repeatedStarts(m));
+      orders.addAll(repeatedStarts(machine));
     }
-    Set<Ended> cleared = clearable(m);
+    Set<Ended> cleared = clearable(machine);
     cleared.forEach(e -> orders.add(AgentCommand.forget(e.task(), e.attempt())));
-    orders.addAll(starts(m, cleared));
+    orders.addAll(starts(machine, cleared));
     return orders;
   }
 
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
-  private List<AgentCommand> repeatedStarts(Machine m) {
+  private List<AgentCommand> repeatedStarts(Machine machine) {
     List<AgentCommand> orders = new ArrayList<>();
-    for (TaskAttempt p : m.placements.values()) {
-      boolean seemsLost = p.stage == Stage.SENT && !p.confirmed && !p.stopping && !m.calling;
+    for (TaskAttempt attempt : machine.placements.values()) {
+      boolean seemsLost =
+          attempt.stage == Stage.SENT
+              && !attempt.confirmed
+              && !attempt.stopping
+              && !machine.calling;
       if (seemsLost && leadership.mayStart()) {
-        p.token = m.token;
-        p.session = m.lease.session();
-        orders.add(AgentCommand.start(p.task, p.attempt));
+        attempt.token = machine.token;
+        attempt.session = machine.lease.session();
+        orders.add(AgentCommand.start(attempt.task, attempt.attempt));
       }
     }
     return orders;
@@ -163,9 +168,9 @@
   /**
    * Attempts that the worker may forget now; the machine's token is raised where that is needed.
    */
-  private Set<Ended> clearable(Machine m) {
+  private Set<Ended> clearable(Machine machine) {
     Set<Ended> clearable = new LinkedHashSet<>();
-    for (Map.Entry<Ended, Long> entry : m.ended.entrySet()) {
+    for (Map.Entry<Ended, Long> entry : machine.ended.entrySet()) {
       Ended e = entry.getKey();
       Job job = jobs.get(e.task().job());
       if (job != null && job.done.get(e.task().index()) && !job.durableDone.get(e.task().index())) {
@@ -175,11 +180,11 @@
       // its way or a copy. So what clears an attempt carries a higher token than any start of it
       // did: from then on the worker refuses those. Only what is done may be started again: it
       // stays done.
-      if (entry.getValue() < 0 && (m.calling || m.inDoubt())) {
+      if (entry.getValue() < 0 && (machine.calling || machine.inDoubt())) {
         continue;
       }
-      if (m.token <= entry.getValue()) {
-        m.raiseToken();
+      if (machine.token <= entry.getValue()) {
+        machine.raiseToken();
       }
       clearable.add(e);
     }
@@ -187,44 +192,46 @@
   }
 
   /** Placements that may be started now; they count as sent from here on. */
-  private List<AgentCommand> starts(Machine m, Set<Ended> cleared) {
+  private List<AgentCommand> starts(Machine machine, Set<Ended> cleared) {
     List<AgentCommand> orders = new ArrayList<>();
-    if (!m.recorded || m.life != Life.UP || !m.settled || m.lost) {
+    if (!machine.recorded || machine.life != Life.UP || !machine.settled || machine.lost) {
       return orders;
     }
     Machine.Resources room = null;
-    for (TaskAttempt p : List.copyOf(m.placements.values())) {
-      boolean durable = p.stage == Stage.PLANNED && p.marked && Gangs.mayStart(p.job);
-      if (!durable || mayBeCalledBusy(m, p, cleared)) {
+    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+      boolean durable =
+          attempt.stage == Stage.PLANNED && attempt.marked && Gangs.mayStart(attempt.job);
+      if (!durable || mayBeCalledBusy(machine, attempt, cleared)) {
         continue;
       }
       if (room == null) {
-        room = m.physicalRoom();
+        room = machine.physicalRoom();
       }
-      if (!room.fits(p.job) || !leadership.mayStart()) {
+      if (!room.fits(attempt.job) || !leadership.mayStart()) {
         continue;
       }
-      room.take(p.job);
-      p.stage = Stage.SENT;
-      p.token = m.token;
-      p.session = m.lease.session();
-      orders.add(AgentCommand.start(p.task, p.attempt));
+      room.take(attempt.job);
+      attempt.stage = Stage.SENT;
+      attempt.token = machine.token;
+      attempt.session = machine.lease.session();
+      orders.add(AgentCommand.start(attempt.task, attempt.attempt));
     }
     return orders;
   }
 
   /** Whether the worker still knows another attempt of the task, and might refuse this one. */
-  private static boolean mayBeCalledBusy(Machine m, TaskAttempt p, Set<Ended> cleared) {
-    return m.ended.keySet().stream().anyMatch(e -> e.task().equals(p.task) && !cleared.contains(e));
+  private static boolean mayBeCalledBusy(Machine machine, TaskAttempt attempt, Set<Ended> cleared) {
+    return machine.ended.keySet().stream()
+        .anyMatch(e -> e.task().equals(attempt.task) && !cleared.contains(e));
   }
 
   /** Whether something waits that is worth a command of its own. */
-  private static boolean isWorthACall(Machine m) {
-    if (StopCommands.unsent(m)) {
+  private static boolean isWorthACall(Machine machine) {
+    if (StopCommands.unsent(machine)) {
       return true;
     }
-    for (TaskAttempt p : m.placements.values()) {
-      if (p.stage == Stage.PLANNED && p.marked && m.recorded) {
+    for (TaskAttempt attempt : machine.placements.values()) {
+      if (attempt.stage == Stage.PLANNED && attempt.marked && machine.recorded) {
         return true;
       }
     }
@@ -232,25 +239,25 @@
   }
 
   /** Sends what is due straight to the worker, unless a call is under way or just failed. */
-  void sendDue(Machine m) {
-    if (!mayCall(m) || !leadership.mayRenew() || !isWorthACall(m)) {
+  void sendDue(Machine machine) {
+    if (!mayCall(machine) || !leadership.mayRenew() || !isWorthACall(machine)) {
       return;
     }
-    List<AgentCommand> orders = ordersDue(m, false);
+    List<AgentCommand> orders = ordersDue(machine, false);
     if (!orders.isEmpty()) {
-      decisions.sending(m, orders, Carrier.COMMAND);
-      send(m, orders);
+      decisions.sending(machine, orders, Carrier.COMMAND);
+      send(machine, orders);
     }
   }
 
-  private boolean mayCall(Machine m) {
+  private boolean mayCall(Machine machine) {
     return leadership.ready()
-        && !m.calling
-        && m.settled
-        && !m.lost
-        && !m.address.isEmpty()
-        && m.life == Life.UP
-        && !clock.instant().isBefore(m.directAfter);
+        && !machine.calling
+        && machine.settled
+        && !machine.lost
+        && !machine.address.isEmpty()
+        && machine.life == Life.UP
+        && !clock.instant().isBefore(machine.directAfter);
   }
 
   /**
@@ -277,17 +284,20 @@
       return;
     }
     while (probing < MOST_PROBES && !unprobed.isEmpty()) {
-      Machine m = unprobed.poll();
-      if (!m.settled && !m.calling && inventory.contains(m) && !m.address.isEmpty()) {
-        send(m, List.of());
+      Machine machine = unprobed.poll();
+      if (!machine.settled
+          && !machine.calling
+          && inventory.contains(machine)
+          && !machine.address.isEmpty()) {
+        send(machine, List.of());
       }
     }
   }
 
   /** Asks a machine of the roster for its state, and shows it our token on the way. */
-  void probe(Machine m) {
-    if (!m.calling && !m.address.isEmpty()) {
-      send(m, List.of());
+  void probe(Machine machine) {
+    if (!machine.calling && !machine.address.isEmpty()) {
+      send(machine, List.of());
     }
   }
 
@@ -301,26 +311,27 @@
     return unprobed.isEmpty();
   }
 
-  private void send(Machine m, List<AgentCommand> orders) {
-    Call call = new Call(m, m.token, orders);
-    m.calling = true;
+  private void send(Machine machine, List<AgentCommand> orders) {
+    Call call = new Call(machine, machine.token, orders);
+    machine.calling = true;
     probing += call.isProbe() ? 1 : 0;
-    ObjectNode body = MessagePack.map().put("baton", m.token).put("stint", m.lease.session());
+    ObjectNode body =
+        MessagePack.map().put("baton", machine.token).put("stint", machine.lease.session());
     var list = body.putArray("orders");
-    orders.forEach(o -> list.add(o.toNode()));
+    orders.forEach(command -> list.add(command.toNode()));
     Duration timeout = call.isProbe() ? PROBE_TIMEOUT : COMMAND_TIMEOUT;
     Consumer<Reply> handler = executor.callback(reply -> answered(call, reply));
-    calls.call(m.address, "POST", "/do", body, timeout, handler);
+    calls.call(machine.address, "POST", "/do", body, timeout, handler);
   }
 
   private void answered(Call call, Reply reply) {
-    Machine m = call.machine;
-    m.calling = false;
+    Machine machine = call.machine;
+    machine.calling = false;
     probing -= call.isProbe() ? 1 : 0;
     if (!unprobed.isEmpty()) {
       probeMore();
     }
-    if (!inventory.contains(m)) {
+    if (!inventory.contains(machine)) {
       return;
     }
     boolean executed = reply.status() == 200;
@@ -331,53 +342,53 @@
     if (reply.notSent()) {
       // Not a sign of anything about the machine: the next report or moment brings another chance.
       notExecuted(call);
-      m.directAfter = clock.instant().plus(FIRST_PAUSE);
+      machine.directAfter = clock.instant().plus(FIRST_PAUSE);
     } else if (call.isProbe()) {
       // Each miss doubles the pause: a zone that is cut off must not keep us busy.
-      m.missedProbes++;
-      long factor = 1L << Math.min(MOST_DOUBLINGS, m.missedProbes);
-      m.directAfter = clock.instant().plus(FIRST_PAUSE.multipliedBy(factor));
+      machine.missedProbes++;
+      long factor = 1L << Math.min(MOST_DOUBLINGS, machine.missedProbes);
+      machine.directAfter = clock.instant().plus(FIRST_PAUSE.multipliedBy(factor));
     } else {
       // It may have been executed, or be executed later: a higher token puts an end to that.
-      m.doubtToken = Math.max(m.doubtToken, call.token);
-      m.raiseToken();
-      m.directAfter = clock.instant().plus(DOUBT_PAUSE);
+      machine.doubtToken = Math.max(machine.doubtToken, call.token);
+      machine.raiseToken();
+      machine.directAfter = clock.instant().plus(DOUBT_PAUSE);
       LOG.info(
           "event=command_in_doubt term={} machine={} token={}",
           leadership.term(),
-          m.name,
+          machine.name,
           call.token);
     }
   }
 
   /** Takes in what the worker answered; false if it can't be read. */
   private boolean takeIn(Call call, Reply reply, boolean refused) {
-    Machine m = call.machine;
+    Machine machine = call.machine;
     try {
-      Heartbeat r = Heartbeat.parse(reply.body());
-      if (!r.machine().equals(m.name)) {
+      Heartbeat heartbeat = Heartbeat.parse(reply.body());
+      if (!heartbeat.machine().equals(machine.name)) {
         throw new MalformedMessageException("answer of another machine");
       }
-      if (leadership.isOfLaterTerm(r.token())) {
-        higherTerm.accept(Leadership.termOf(r.token()));
+      if (leadership.isOfLaterTerm(heartbeat.token())) {
+        higherTerm.accept(Leadership.termOf(heartbeat.token()));
         return true;
       }
       if (refused) {
         notExecuted(call);
       }
-      boolean wasSettled = m.settled;
-      if (m.lease.isNews(r)) {
-        reports.absorb(m, r, true);
-        m.answersSince = m.answersSince.or(() -> Optional.of(clock.instant()));
+      boolean wasSettled = machine.settled;
+      if (machine.lease.isNews(heartbeat)) {
+        reports.absorb(machine, heartbeat, true);
+        machine.answersSince = machine.answersSince.or(() -> Optional.of(clock.instant()));
       }
-      if (!wasSettled && !m.settled && refused) {
-        probe(m);
+      if (!wasSettled && !machine.settled && refused) {
+        probe(machine);
       } else {
-        sendDue(m);
+        sendDue(machine);
       }
       return true;
     } catch (MalformedMessageException e) {
-      LOG.warn("event=worker_answer_malformed machine={} reason={}", m.name, e.getMessage());
+      LOG.warn("event=worker_answer_malformed machine={} reason={}", machine.name, e.getMessage());
       return false;
     }
   }
@@ -387,25 +398,27 @@
    * otherwise.
    */
   private void notExecuted(Call call) {
-    for (AgentCommand o : call.orders) {
-      TaskAttempt p = call.machine.placements.get(o.task());
-      if (p == null || p.attempt != o.attempt()) {
+    for (AgentCommand command : call.orders) {
+      TaskAttempt attempt = call.machine.placements.get(command.task());
+      if (attempt == null || attempt.attempt != command.attempt()) {
         continue;
       }
-      if (o.verb() == AgentCommand.Verb.STOP) {
-        p.kills = 0;
-      } else if (o.verb() == AgentCommand.Verb.START && !p.confirmed && p.token == call.token) {
-        startNotExecuted(p);
+      if (command.verb() == AgentCommand.Verb.STOP) {
+        attempt.kills = 0;
+      } else if (command.verb() == AgentCommand.Verb.START
+          && !attempt.confirmed
+          && attempt.token == call.token) {
+        startNotExecuted(attempt);
       }
     }
   }
 
-  private void startNotExecuted(TaskAttempt p) {
-    if (p.stopping) {
-      inventory.remove(p, AbsenceProof.NOT_EXECUTED);
+  private void startNotExecuted(TaskAttempt attempt) {
+    if (attempt.stopping) {
+      inventory.remove(attempt, AbsenceProof.NOT_EXECUTED);
     } else {
-      p.stage = Stage.PLANNED;
-      inventory.noteCommandDue(p.machine);
+      attempt.stage = Stage.PLANNED;
+      inventory.noteCommandDue(attempt.machine);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -156,7 +156,7 @@
             links,
             settings.relayPatience(),
             settings.sockets().parkedReports(),
-            (report, answer) -> local(report, settings.host(), answer));
+            (heartbeat, answer) -> local(heartbeat, settings.host(), answer));
     this.announcer =
         options
             .operations
@@ -176,8 +176,8 @@
     election.tell(m);
   }
 
-  private void local(Heartbeat report, String via, Consumer<HeartbeatResponse> answer) {
-    if (!scheduler.offer(new SchedulerActor.Reported(report, via, answer))) {
+  private void local(Heartbeat heartbeat, String via, Consumer<HeartbeatResponse> answer) {
+    if (!scheduler.offer(new SchedulerActor.Reported(heartbeat, via, answer))) {
       answer.accept(HeartbeatResponse.UNAVAILABLE);
     }
   }
@@ -440,9 +440,9 @@
   }
 
   private void checkin(Body body, Consumer<Response> respond) {
-    Heartbeat report;
+    Heartbeat heartbeat;
     try {
-      report = HeartbeatDecoder.read(body.bytes());
+      heartbeat = HeartbeatDecoder.read(body.bytes());
     } catch (MalformedMessageException e) {
       LOG.warn("event=report_malformed reason={}", e.getMessage());
       respond.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
@@ -451,7 +451,7 @@
     boolean taken =
         relay.offer(
             new RelayActor.Incoming(
-                report,
+                heartbeat,
                 (answer, elsewhere) -> {
                   if (answer.status() == 200) {
                     respond.accept(Response.of(200, answer.encode()));
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -38,8 +38,8 @@
   /** Starts are being sent; orders of other kinds among them are not counted. */
   void sending(Machine machine, List<AgentCommand> orders, Carrier carrier) {
     int before = starts[carrier.ordinal()];
-    for (AgentCommand order : orders) {
-      starts[carrier.ordinal()] += order.verb() == AgentCommand.Verb.START ? 1 : 0;
+    for (AgentCommand command : orders) {
+      starts[carrier.ordinal()] += command.verb() == AgentCommand.Verb.START ? 1 : 0;
     }
     if (starts[carrier.ordinal()] > before && LOG.isDebugEnabled()) {
       LOG.debug(
@@ -55,8 +55,8 @@
 
   private static List<String> startsIn(List<AgentCommand> orders) {
     return orders.stream()
-        .filter(order -> order.verb() == AgentCommand.Verb.START)
-        .map(order -> order.task() + "@" + order.attempt())
+        .filter(command -> command.verb() == AgentCommand.Verb.START)
+        .map(command -> command.task() + "@" + command.attempt())
         .toList();
   }
 
@@ -84,20 +84,20 @@
   }
 
   /** A task is taken to be gone from its machine. */
-  void gone(TaskAttempt placement, AbsenceProof proof) {
+  void gone(TaskAttempt attempt, AbsenceProof proof) {
     absences[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "event=task_gone term={} task={} attempt={} machine={} proof={} start_token={}"
               + " start_session={} {}",
           leadership.term(),
-          placement.task,
-          placement.attempt,
-          placement.machine.name,
+          attempt.task,
+          attempt.attempt,
+          attempt.machine.name,
           proof,
-          placement.token,
-          placement.session,
-          lease(placement.machine));
+          attempt.token,
+          attempt.session,
+          lease(attempt.machine));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -37,34 +37,34 @@
   @Override
   public Optional<String> reserve(TaskView task) {
     Job job = jobs.get(task.task().job());
-    TaskAttempt placement = job == null ? null : job.placed.get(task.task().index());
-    if (placement == null) {
+    TaskAttempt attempt = job == null ? null : job.placed.get(task.task().index());
+    if (attempt == null) {
       return Optional.of("it is not where it was");
     }
     for (Machine machine : usable) {
-      if (mayGo(placement, machine) && roomOf(machine).fits(job)) {
+      if (mayGo(attempt, machine) && roomOf(machine).fits(job)) {
         roomOf(machine).take(job);
         return Optional.empty();
       }
     }
     return Optional.of(
         "no other machine in service has room for it"
-            + (job.spec.oneZone() ? " in zone " + placement.machine.zone : ""));
+            + (job.spec.oneZone() ? " in zone " + attempt.machine.zone : ""));
   }
 
   private Machine.Resources roomOf(Machine machine) {
     return rooms.computeIfAbsent(machine, Machine::room);
   }
 
-  private static boolean mayGo(TaskAttempt placement, Machine machine) {
-    Job job = placement.job;
+  private static boolean mayGo(TaskAttempt attempt, Machine machine) {
+    Job job = attempt.job;
     boolean alone = job.placed.size() == 1;
-    boolean sameZone = machine.zone.equals(placement.machine.zone);
+    boolean sameZone = machine.zone.equals(attempt.machine.zone);
     boolean zoneFree =
         sameZone
             || ((!job.spec.oneZone() || alone)
                 && (!job.spec.spread() || job.inZone(machine.zone) < job.spec.perZone()));
-    return machine != placement.machine
+    return machine != attempt.machine
         && zoneFree
         && job.spec.allows(machine.type, machine.zone, machine.spot);
   }
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -265,20 +265,20 @@
   // ---- Disruptions ----
 
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
-  boolean requestMove(TaskAttempt placement) {
-    Disruption disruption = disruption(placement, /* voluntary= */ true);
-    if (ledger.isOpen(placement.task) || ledger.spend(disruption).isPresent()) {
+  boolean requestMove(TaskAttempt attempt) {
+    Disruption disruption = disruption(attempt, /* voluntary= */ true);
+    if (ledger.isOpen(attempt.task) || ledger.spend(disruption).isPresent()) {
       return false;
     }
     disruptions.record(disruption);
     return true;
   }
 
-  private static Disruption disruption(TaskAttempt placement, boolean voluntary) {
+  private static Disruption disruption(TaskAttempt attempt, boolean voluntary) {
     return new Disruption(
-        placement.task,
-        placement.job.spec.team(),
-        placement.job.spec.jobClass(),
+        attempt.task,
+        attempt.job.spec.team(),
+        attempt.job.spec.jobClass(),
         voluntary,
         Duration.ZERO);
   }
@@ -292,29 +292,29 @@
     if (placement.isEmpty() || placement.get().stopping) {
       return;
     }
-    TaskAttempt p = placement.get();
-    if (matesOf(p).stream().anyMatch(disruptions::isPending)) {
+    TaskAttempt attempt = placement.get();
+    if (matesOf(attempt).stream().anyMatch(disruptions::isPending)) {
       return;
     }
     LOG.info(
         "event=drain_stop term={} machine={} task={} attempt={}",
         leadership.term(),
-        p.machine.name,
-        p.task,
-        p.attempt);
-    stops.stop(p);
-    List.copyOf(p.job.placed.values()).stream()
+        attempt.machine.name,
+        attempt.task,
+        attempt.attempt);
+    stops.stop(attempt);
+    List.copyOf(attempt.job.placed.values()).stream()
         .filter(stopped -> stopped.stopping)
         .forEach(stopped -> dispatcher.sendDue(stopped.machine));
   }
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
-  private static List<TaskId> matesOf(TaskAttempt placement) {
-    if (!placement.job.spec.gang()) {
+  private static List<TaskId> matesOf(TaskAttempt attempt) {
+    if (!attempt.job.spec.gang()) {
       return List.of();
     }
-    return placement.job.placed.values().stream()
-        .filter(mate -> mate != placement)
+    return attempt.job.placed.values().stream()
+        .filter(mate -> mate != attempt)
         .map(mate -> mate.task)
         .toList();
   }
@@ -324,10 +324,10 @@
   }
 
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
-  private void noteRemoved(TaskAttempt placement) {
-    boolean wasUp = placement.stage == Stage.RUNNING || placement.stage == Stage.SAVING;
-    if (wasUp && jobs.contains(placement.job) && !placement.job.spec.service()) {
-      ledger.note(disruption(placement, /* voluntary= */ false));
+  private void noteRemoved(TaskAttempt attempt) {
+    boolean wasUp = attempt.stage == Stage.RUNNING || attempt.stage == Stage.SAVING;
+    if (wasUp && jobs.contains(attempt.job) && !attempt.job.spec.service()) {
+      ledger.note(disruption(attempt, /* voluntary= */ false));
     }
   }
 
@@ -338,7 +338,7 @@
               Job job = jobs.get(task.job());
               return job == null
                   || job.done.get(task.index())
-                  || placementOf(task).map(p -> runsOn(p, now)).orElse(false);
+                  || placementOf(task).map(attempt -> runsOn(attempt, now)).orElse(false);
             });
     closed.stream().filter(Disruption::voluntary).forEach(disruptions::remove);
   }
@@ -348,12 +348,12 @@
    * as heard only once it has shown a token of this term, after which no stop of a former leader
    * can reach it: so a new leader takes all as down that it has not heard.
    */
-  private boolean runsOn(TaskAttempt p, Instant now) {
-    return p.stage == Stage.RUNNING
-        && p.confirmed
-        && !p.stopping
-        && isHeard(p.machine, now)
-        && !disruptions.isPending(p.task);
+  private boolean runsOn(TaskAttempt attempt, Instant now) {
+    return attempt.stage == Stage.RUNNING
+        && attempt.confirmed
+        && !attempt.stopping
+        && isHeard(attempt.machine, now)
+        && !disruptions.isPending(attempt.task);
   }
 
   private boolean isHeard(Machine machine, Instant now) {
@@ -389,10 +389,10 @@
   private Load load(Job job, int open, Instant now) {
     int up = 0;
     int ending = 0;
-    for (TaskAttempt p : job.placed.values()) {
-      boolean disrupted = ledger.isOpen(p.task);
-      up += runsOn(p, now) && !disrupted ? 1 : 0;
-      ending += p.stopping && !disrupted ? 1 : 0;
+    for (TaskAttempt attempt : job.placed.values()) {
+      boolean disrupted = ledger.isOpen(attempt.task);
+      up += runsOn(attempt, now) && !disrupted ? 1 : 0;
+      ending += attempt.stopping && !disrupted ? 1 : 0;
     }
     if (job.spec.service()) {
       return new Load(job.spec.tasks(), job.spec.tasks() - up, Duration.ZERO);
@@ -404,8 +404,8 @@
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
         machine.life == Life.UP && machine.settled && isHeard(machine, now) && !machine.faulty;
-    for (TaskAttempt p : machine.placements.values()) {
-      tasks.add(view(p, now));
+    for (TaskAttempt attempt : machine.placements.values()) {
+      tasks.add(view(attempt, now));
     }
     return new MachineView(
         machine.name,
@@ -415,20 +415,20 @@
         tasks);
   }
 
-  private TaskView view(TaskAttempt p, Instant now) {
-    boolean saves = !p.job.spec.checkpoint().isZero();
-    Duration ran = p.ranFor(now);
+  private TaskView view(TaskAttempt attempt, Instant now) {
+    boolean saves = !attempt.job.spec.checkpoint().isZero();
+    Duration ran = attempt.ranFor(now);
     return new TaskView(
-        p.task,
-        p.job.spec.team(),
-        p.job.spec.jobClass(),
-        runsOn(p, now),
-        p.stopping,
-        p.job.spec.service() || p.job.spec.estimate().minus(ran).isNegative()
+        attempt.task,
+        attempt.job.spec.team(),
+        attempt.job.spec.jobClass(),
+        runsOn(attempt, now),
+        attempt.stopping,
+        attempt.job.spec.service() || attempt.job.spec.estimate().minus(ran).isNegative()
             ? Optional.empty()
-            : Optional.of(p.job.spec.estimate().minus(ran)),
-        p.job.spec.service() || saves ? Duration.ZERO : ran,
-        matesOf(p));
+            : Optional.of(attempt.job.spec.estimate().minus(ran)),
+        attempt.job.spec.service() || saves ? Duration.ZERO : ran,
+        matesOf(attempt));
   }
 
   /** What should be rented so that drains find room. */
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -60,33 +60,33 @@
   }
 
   /** Whether tasks may be placed on the machine. */
-  boolean usable(Machine m, Instant now) {
-    return m.life == Life.UP
-        && m.settled
-        && !m.lost
-        && !m.faulty
-        && m.takenAt.isEmpty()
-        && m.maintenance.takesTasks()
-        && m.everReported
-        && m.unheard == 0
-        && !mute(m, now)
-        && !now.isBefore(m.avoidUntil)
-        && Duration.between(m.heard, now).compareTo(times.usable()) < 0;
+  boolean usable(Machine machine, Instant now) {
+    return machine.life == Life.UP
+        && machine.settled
+        && !machine.lost
+        && !machine.faulty
+        && machine.takenAt.isEmpty()
+        && machine.maintenance.takesTasks()
+        && machine.everReported
+        && machine.unheard == 0
+        && !mute(machine, now)
+        && !now.isBefore(machine.avoidUntil)
+        && Duration.between(machine.heard, now).compareTo(times.usable()) < 0;
   }
 
   /**
    * Whether there is nothing to look after: the machine reports, hears, keeps its lease and is to
    * stay. Nearly all machines are like this nearly always, so this is asked before all else.
    */
-  private boolean healthy(Machine m, Instant now) {
-    return m.life == Life.UP
-        && m.settled
-        && !m.lost
-        && !m.faulty
-        && m.takenAt.isEmpty()
-        && m.answersSince.isEmpty()
-        && now.isBefore(m.heard.plus(times.reportDue()))
-        && m.lease.isHeld(now, times.lease());
+  private boolean healthy(Machine machine, Instant now) {
+    return machine.life == Life.UP
+        && machine.settled
+        && !machine.lost
+        && !machine.faulty
+        && machine.takenAt.isEmpty()
+        && machine.answersSince.isEmpty()
+        && now.isBefore(machine.heard.plus(times.reportDue()))
+        && machine.lease.isHeld(now, times.lease());
   }
 
   /** A round over the machines begins: how many are silent is counted anew. */
@@ -95,55 +95,55 @@
   }
 
   /** Looks after one machine. */
-  void check(Machine m, Instant now) {
-    if (healthy(m, now)) {
+  void check(Machine machine, Instant now) {
+    if (healthy(machine, now)) {
       return;
     }
-    if (isLost(m, now)) {
-      noteLost(m);
+    if (isLost(machine, now)) {
+      noteLost(machine);
     }
-    probeIfSilent(m, now);
+    probeIfSilent(machine, now);
     // What was only planned still counts as something to be freed from a machine that is deaf.
-    boolean deaf = isDeaf(m, now);
-    if (!mayKeepPlanned(m, now)) {
-      inventory.withdrawPlanned(m);
+    boolean deaf = isDeaf(machine, now);
+    if (!mayKeepPlanned(machine, now)) {
+      inventory.withdrawPlanned(machine);
     }
-    reasonToRetire(m, deaf, now).ifPresent(reason -> retirement.retire(m, reason));
+    reasonToRetire(machine, deaf, now).ifPresent(reason -> retirement.retire(machine, reason));
   }
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
-  private boolean isLost(Machine m, Instant now) {
-    return m.everReported && !m.lost && m.lease.isOver(now, times.leaseOver());
+  private boolean isLost(Machine machine, Instant now) {
+    return machine.everReported && !machine.lost && machine.lease.isOver(now, times.leaseOver());
   }
 
   /** Nothing can be alive on the machine. */
-  private void noteLost(Machine m) {
-    m.lost = true;
-    decisions.lost(m, m.placements.size(), times.leaseOver());
+  private void noteLost(Machine machine) {
+    machine.lost = true;
+    decisions.lost(machine, machine.placements.size(), times.leaseOver());
     // Its worker has gone on to another session, and has to show that, with our token: reports of
     // this one that a cut had held back say only what was.
-    m.settled = false;
-    m.ended.clear();
-    m.foreign.clear();
-    inventory.removeAll(m, AbsenceProof.LEASE_OVER);
-    m.lease.end();
-    if (m.life == Life.UP && m.maintenance.isNone()) {
+    machine.settled = false;
+    machine.ended.clear();
+    machine.foreign.clear();
+    inventory.removeAll(machine, AbsenceProof.LEASE_OVER);
+    machine.lease.end();
+    if (machine.life == Life.UP && machine.maintenance.isNone()) {
       // A successor need not wait for it again. Before its next start it is recorded anew.
-      records.removeMachine(m);
+      records.removeMachine(machine);
     }
   }
 
-  private void probeIfSilent(Machine m, Instant now) {
-    boolean silent = silentFor(m, now).compareTo(times.reportDue()) > 0;
-    boolean unseen = !m.settled && dispatcher.askedAll();
-    if (m.life == Life.UP
-        && m.everReported
-        && !m.lost
+  private void probeIfSilent(Machine machine, Instant now) {
+    boolean silent = silentFor(machine, now).compareTo(times.reportDue()) > 0;
+    boolean unseen = !machine.settled && dispatcher.askedAll();
+    if (machine.life == Life.UP
+        && machine.everReported
+        && !machine.lost
         && (unseen || silent)
-        && !m.calling
+        && !machine.calling
         && dispatcher.mayProbe()
-        && now.isAfter(m.directAfter)) {
-      dispatcher.probe(m);
+        && now.isAfter(machine.directAfter)) {
+      dispatcher.probe(machine);
     }
   }
 
@@ -153,59 +153,59 @@
    * is kept for what may come between, an outage in which nothing can be recorded or an election.
    * Other work is done again, the sooner the better.
    */
-  private boolean isDeaf(Machine m, Instant now) {
-    boolean serves = m.replicas() > 0;
+  private boolean isDeaf(Machine machine, Instant now) {
+    boolean serves = machine.replicas() > 0;
     boolean few = silence(now).few();
-    Duration patience = serves && (m.settled || !few) ? times.halfLease() : times.silent();
-    return m.life == Life.UP
-        && !m.lost
-        && m.missedProbes >= DEAF_AFTER
-        && silentFor(m, now).compareTo(patience) > 0
-        && (!m.placements.isEmpty() || !m.settled)
+    Duration patience = serves && (machine.settled || !few) ? times.halfLease() : times.silent();
+    return machine.life == Life.UP
+        && !machine.lost
+        && machine.missedProbes >= DEAF_AFTER
+        && silentFor(machine, now).compareTo(patience) > 0
+        && (!machine.placements.isEmpty() || !machine.settled)
         && (few || (serves && silence(now).minority()));
   }
 
   /** Whether what was decided for the machine, but not sent, may stay decided. */
-  private boolean mayKeepPlanned(Machine m, Instant now) {
-    return !m.faulty
-        && m.takenAt.isEmpty()
-        && m.life == Life.UP
-        && !now.isAfter(m.heard.plus(times.abandoned()));
+  private boolean mayKeepPlanned(Machine machine, Instant now) {
+    return !machine.faulty
+        && machine.takenAt.isEmpty()
+        && machine.life == Life.UP
+        && !now.isAfter(machine.heard.plus(times.abandoned()));
   }
 
-  private Optional<Reason> reasonToRetire(Machine m, boolean deaf, Instant now) {
-    if (m.maintenance.stage() == Maintenance.Stage.DRAINED && m.placements.isEmpty()) {
+  private Optional<Reason> reasonToRetire(Machine machine, boolean deaf, Instant now) {
+    if (machine.maintenance.stage() == Maintenance.Stage.DRAINED && machine.placements.isEmpty()) {
       // Whoever maintains it may switch it off; what the cloud says of it counts all the same.
       return Optional.empty();
     }
-    if (neverCame(m, now)) {
+    if (neverCame(machine, now)) {
       return Optional.of(Reason.NEVER_CAME);
     }
-    if (wasTaken(m, now)) {
+    if (wasTaken(machine, now)) {
       return Optional.of(Reason.TAKEN);
     }
-    boolean empty = m.life == Life.UP && m.placements.isEmpty();
-    if (m.faulty && empty) {
+    boolean empty = machine.life == Life.UP && machine.placements.isEmpty();
+    if (machine.faulty && empty) {
       return Optional.of(Reason.FAULTY);
     }
     if (deaf) {
       return Optional.of(Reason.DEAF);
     }
-    if (mute(m, now) && empty && silence(now).few()) {
+    if (mute(machine, now) && empty && silence(now).few()) {
       return Optional.of(Reason.MUTE);
     }
-    return isSilentForGood(m, now) ? Optional.of(Reason.SILENT) : Optional.empty();
+    return isSilentForGood(machine, now) ? Optional.of(Reason.SILENT) : Optional.empty();
   }
 
-  private static boolean neverCame(Machine m, Instant now) {
-    Duration patience = m.type.boot().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
-    return m.life == Life.BOOTING && now.isAfter(m.rented.plus(patience));
+  private static boolean neverCame(Machine machine, Instant now) {
+    Duration patience = machine.type.boot().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
+    return machine.life == Life.BOOTING && now.isAfter(machine.rented.plus(patience));
   }
 
-  private static boolean wasTaken(Machine m, Instant now) {
-    return m.takenAt.isPresent()
-        && now.isAfter(m.takenAt.get().plus(NOTICE_MARGIN))
-        && now.isAfter(m.heard.plus(TAKEN_SILENCE));
+  private static boolean wasTaken(Machine machine, Instant now) {
+    return machine.takenAt.isPresent()
+        && now.isAfter(machine.takenAt.get().plus(NOTICE_MARGIN))
+        && now.isAfter(machine.heard.plus(TAKEN_SILENCE));
   }
 
   /**
@@ -213,12 +213,12 @@
    * its machines come back with it, each with the images that it has: those given back would have
    * to be rented again, and boot, and fetch.
    */
-  private boolean isSilentForGood(Machine m, Instant now) {
+  private boolean isSilentForGood(Machine machine, Instant now) {
     int leases =
-        silence(now).zones().contains(m.zone) ? LEASES_OF_A_CUT : LEASES_OF_A_SILENT_MACHINE;
-    return m.lost
-        && m.life == Life.UP
-        && now.isAfter(spoke(m).plus(times.lease().multipliedBy(leases)));
+        silence(now).zones().contains(machine.zone) ? LEASES_OF_A_CUT : LEASES_OF_A_SILENT_MACHINE;
+    return machine.lost
+        && machine.life == Life.UP
+        && now.isAfter(spoke(machine).plus(times.lease().multipliedBy(leases)));
   }
 
   /** Zones of which nothing is heard. */
@@ -226,8 +226,8 @@
     return silence(now).zones();
   }
 
-  private Duration silentFor(Machine m, Instant now) {
-    return Duration.between(spoke(m), now);
+  private Duration silentFor(Machine machine, Instant now) {
+    return Duration.between(spoke(machine), now);
   }
 
   /**
@@ -237,8 +237,9 @@
    * back while anything may run there: after a takeover, with a controller that stands still, a
    * report may find nobody for as long, and comes in time.
    */
-  private boolean mute(Machine m, Instant now) {
-    return m.answersSince.isPresent() && now.isAfter(m.answersSince.get().plus(times.halfLease()));
+  private boolean mute(Machine machine, Instant now) {
+    return machine.answersSince.isPresent()
+        && now.isAfter(machine.answersSince.get().plus(times.halfLease()));
   }
 
   /**
@@ -257,7 +258,7 @@
   }
 
   /** When a machine was last heard; one that a new leader has not heard yet counts from its win. */
-  private Instant spoke(Machine m) {
-    return m.heard.isAfter(leadership.wonAt()) ? m.heard : leadership.wonAt();
+  private Instant spoke(Machine machine) {
+    return machine.heard.isAfter(leadership.wonAt()) ? machine.heard : leadership.wonAt();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/FaultAttribution.java
@@ -26,10 +26,10 @@
    * that was submitted with a mistake fails on healthy machines: once it is known, they are not
    * blamed for it, while the job is tried ever more rarely.
    */
-  void failed(Machine m, Job job) {
+  void failed(Machine machine, Job job) {
     Instant now = clock.instant();
-    job.failedOn.add(m.name);
-    m.noteFailure(job);
+    job.failedOn.add(machine.name);
+    machine.noteFailure(job);
     if (job.mistaken()) {
       if (!now.isBefore(job.notBefore)) {
         job.notBefore = now.plusSeconds(Math.min(60, 4L << Math.min(4, job.retries++)));
@@ -41,13 +41,13 @@
         }
       }
     } else {
-      m.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, m.strikes())));
+      machine.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.strikes())));
     }
-    judge(m);
+    judge(machine);
   }
 
   /** A task of the job was done. Where others failed before, the machine was at fault. */
-  void succeeded(Machine m, Job job) {
+  void succeeded(Machine machine, Job job) {
     if (!job.succeeded) {
       job.succeeded = true;
       job.notBefore = Instant.MIN;
@@ -55,17 +55,17 @@
         Optional.ofNullable(inventory.get(name)).ifPresent(this::judge);
       }
     }
-    m.noteSuccess();
+    machine.noteSuccess();
   }
 
-  private void judge(Machine m) {
-    if (!m.faulty && m.failsWhatItStarts()) {
-      m.faulty = true;
+  private void judge(Machine machine) {
+    if (!machine.faulty && machine.failsWhatItStarts()) {
+      machine.faulty = true;
       LOG.warn(
           "event=machine_faulty term={} machine={} strikes={}",
           leadership.term(),
-          m.name,
-          m.strikes());
+          machine.name,
+          machine.strikes());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/FleetReachability.java
@@ -32,12 +32,12 @@
     int up = 0;
     int silent = 0;
     Map<String, Integer> byZone = new HashMap<>();
-    for (Machine m : machines) {
-      if (m.life == Life.UP && m.everReported) {
-        byZone.merge(m.zone, spoke.apply(m).isBefore(limit) ? 1 : -1, Integer::sum);
-        if (!m.lost) {
+    for (Machine machine : machines) {
+      if (machine.life == Life.UP && machine.everReported) {
+        byZone.merge(machine.zone, spoke.apply(machine).isBefore(limit) ? 1 : -1, Integer::sum);
+        if (!machine.lost) {
           up++;
-          silent += m.heard.isBefore(limit) ? 1 : 0;
+          silent += machine.heard.isBefore(limit) ? 1 : 0;
         }
       }
     }
--- a/src/main/java/io/pearscale/scheduler/Gangs.java
+++ b/src/main/java/io/pearscale/scheduler/Gangs.java
@@ -150,8 +150,8 @@
 
   private static Collection<Member> membersOf(Job job) {
     List<Member> members = new ArrayList<>(job.placed.size());
-    for (TaskAttempt placement : job.placed.values()) {
-      members.add(new Member(placement.attempt, stageOf(placement.stage), placement.stopping));
+    for (TaskAttempt attempt : job.placed.values()) {
+      members.add(new Member(attempt.attempt, stageOf(attempt.stage), attempt.stopping));
     }
     return members;
   }
@@ -205,7 +205,9 @@
     }
     return job.placed.size() == job.spec.tasks()
         && job.placed.values().stream()
-            .allMatch(p -> p.stage != Stage.PLANNED || (p.marked && p.machine.recorded));
+            .allMatch(
+                attempt ->
+                    attempt.stage != Stage.PLANNED || (attempt.marked && attempt.machine.recorded));
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -35,8 +35,8 @@
   }
 
   /** Stops a task; what it has done is saved if that is possible. */
-  void stop(TaskAttempt placement) {
-    stop(placement, /* atOnce= */ false);
+  void stop(TaskAttempt attempt) {
+    stop(attempt, /* atOnce= */ false);
   }
 
   /**
@@ -44,12 +44,12 @@
    *
    * @param atOnce whether what is to start instead can't wait until it has saved
    */
-  void stop(TaskAttempt placement, boolean atOnce) {
-    if (placement.job.spec.gang() && gangs.phase(placement.job) == Phase.RUNNING) {
-      stopGang(placement.job, atOnce);
+  void stop(TaskAttempt attempt, boolean atOnce) {
+    if (attempt.job.spec.gang() && gangs.phase(attempt.job) == Phase.RUNNING) {
+      stopGang(attempt.job, atOnce);
     } else {
-      placement.stopsAtOnce |= atOnce;
-      inventory.stop(placement);
+      attempt.stopsAtOnce |= atOnce;
+      inventory.stop(attempt);
     }
   }
 
@@ -66,10 +66,10 @@
     Instant now = clock.instant();
     List<Reach> members = new ArrayList<>();
     Duration left = NO_NOTICE;
-    for (TaskAttempt placement : job.placed.values()) {
-      members.add(new Reach(placement.stage == Stage.RUNNING, isReachable(placement.machine, now)));
+    for (TaskAttempt attempt : job.placed.values()) {
+      members.add(new Reach(attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
       Duration untilTaken =
-          placement.machine.takenAt.map(taken -> Duration.between(now, taken)).orElse(NO_NOTICE);
+          attempt.machine.takenAt.map(taken -> Duration.between(now, taken)).orElse(NO_NOTICE);
       left = untilTaken.compareTo(left) < 0 ? untilTaken : left;
     }
     boolean saves =
@@ -77,9 +77,9 @@
             && !job.spec.checkpoint().isZero()
             && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.save());
     gangs.noteEnding(job, saves);
-    for (TaskAttempt placement : List.copyOf(job.placed.values())) {
-      placement.stopsAtOnce |= !saves;
-      inventory.stop(placement);
+    for (TaskAttempt attempt : List.copyOf(job.placed.values())) {
+      attempt.stopsAtOnce |= !saves;
+      inventory.stop(attempt);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/Headroom.java
@@ -25,8 +25,8 @@
     this.wants = wants;
     for (Want w : wants) {
       Map<String, Integer> free = new HashMap<>();
-      for (Machine m : usable) {
-        free.merge(m.zone, places(w.sample, m), Integer::sum);
+      for (Machine machine : usable) {
+        free.merge(machine.zone, places(w.sample, machine), Integer::sum);
       }
       for (String zone : zones) {
         lacking.put(new Part(w.sample, zone), w.each - free.getOrDefault(zone, 0));
@@ -34,8 +34,10 @@
     }
   }
 
-  private static int places(Job sample, Machine m) {
-    return sample.spec.allows(m.type, m.zone, m.spot) ? m.roomWithEviction(sample) : 0;
+  private static int places(Job sample, Machine machine) {
+    return sample.spec.allows(machine.type, machine.zone, machine.spot)
+        ? machine.roomWithEviction(sample)
+        : 0;
   }
 
   /** What has to be rented so that each zone has its room. */
@@ -54,10 +56,10 @@
    * Whether no zone would lack more without the machine. What no machine here can give, in a zone
    * that is full, must not keep all others.
    */
-  boolean canLose(Machine m) {
+  boolean canLose(Machine machine) {
     for (Want w : wants) {
-      int lacks = lacking.getOrDefault(new Part(w.sample, m.zone), 0);
-      if (Math.max(0, lacks + places(w.sample, m)) > Math.max(0, lacks)) {
+      int lacks = lacking.getOrDefault(new Part(w.sample, machine.zone), 0);
+      if (Math.max(0, lacks + places(w.sample, machine)) > Math.max(0, lacks)) {
         return false;
       }
     }
@@ -65,9 +67,9 @@
   }
 
   /** The machine is to be given back. */
-  void lose(Machine m) {
+  void lose(Machine machine) {
     for (Want w : wants) {
-      lacking.merge(new Part(w.sample, m.zone), places(w.sample, m), Integer::sum);
+      lacking.merge(new Part(w.sample, machine.zone), places(w.sample, machine), Integer::sum);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -47,37 +47,42 @@
    *
    * @param via the controller that it came to
    */
-  HeartbeatResponse answer(Heartbeat r, String via) {
+  HeartbeatResponse answer(Heartbeat heartbeat, String via) {
     if (!leadership.ready() || !leadership.mayRenew()) {
       return HeartbeatResponse.UNAVAILABLE;
     }
-    if (leadership.isOfLaterTerm(r.token())) {
-      LOG.warn("event=report_of_higher_term machine={} token={}", r.machine(), r.token());
-      higherTerm.accept(Leadership.termOf(r.token()));
+    if (leadership.isOfLaterTerm(heartbeat.token())) {
+      LOG.warn(
+          "event=report_of_higher_term machine={} token={}",
+          heartbeat.machine(),
+          heartbeat.token());
+      higherTerm.accept(Leadership.termOf(heartbeat.token()));
       return HeartbeatResponse.UNAVAILABLE;
     }
-    Machine m = machineOf(r);
-    if (m == null || !m.lease.isNews(r)) {
-      LOG.debug("event=report_dropped machine={}", r.machine());
+    Machine machine = machineOf(heartbeat);
+    if (machine == null || !machine.lease.isNews(heartbeat)) {
+      LOG.debug("event=report_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
     }
-    reports.absorb(m, r, gotLastAnswer(m, r, via));
-    m.answersSince = Optional.empty();
-    m.lease.answered(clock.instant());
-    m.via = via;
-    List<AgentCommand> orders = ordersInAnswer(m, r);
-    dispatcher.sendDue(m);
-    m.answered = m.token;
-    return new HeartbeatResponse(200, m.token, orders);
+    reports.absorb(machine, heartbeat, gotLastAnswer(machine, heartbeat, via));
+    machine.answersSince = Optional.empty();
+    machine.lease.answered(clock.instant());
+    machine.via = via;
+    List<AgentCommand> orders = ordersInAnswer(machine, heartbeat);
+    dispatcher.sendDue(machine);
+    machine.answered = machine.token;
+    return new HeartbeatResponse(200, machine.token, orders);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
-  private List<AgentCommand> ordersInAnswer(Machine m, Heartbeat r) {
-    if (r.token() > m.token) {
+  private List<AgentCommand> ordersInAnswer(Machine machine, Heartbeat heartbeat) {
+    if (heartbeat.token() > machine.token) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
     }
-    return m.settled ? dispatcher.ordersInAnswer(m) : StopCommands.forUnsettled(r, jobs::isLive);
+    return machine.settled
+        ? dispatcher.ordersInAnswer(machine)
+        : StopCommands.forUnsettled(heartbeat, jobs::isLive);
   }
 
   /**
@@ -86,32 +91,39 @@
    * same: it shows an older token than it was answered with, or turns to another controller
    * although it was answered, as workers do when no answer comes. A higher token makes sure.
    */
-  private boolean gotLastAnswer(Machine m, Heartbeat r, String via) {
-    if (r.token() < m.answered) {
-      m.unheard++;
+  private boolean gotLastAnswer(Machine machine, Heartbeat heartbeat, String via) {
+    if (heartbeat.token() < machine.answered) {
+      machine.unheard++;
       return false;
     }
-    m.unheard = 0;
-    if (m.via.isEmpty() || m.via.equals(via)) {
+    machine.unheard = 0;
+    if (machine.via.isEmpty() || machine.via.equals(via)) {
       return true;
     }
-    if (m.token <= r.token()) {
-      m.raiseToken();
+    if (machine.token <= heartbeat.token()) {
+      machine.raiseToken();
     }
     return false;
   }
 
-  private Machine machineOf(Heartbeat r) {
-    Machine m = inventory.get(r.machine());
-    if (m == null) {
-      if (inventory.isRemoved(r.machine())) {
+  private Machine machineOf(Heartbeat heartbeat) {
+    Machine machine = inventory.get(heartbeat.machine());
+    if (machine == null) {
+      if (inventory.isRemoved(heartbeat.machine())) {
         return null;
       }
-      MachineType type = inventory.catalogue().typeOf(r.type());
-      m = new Machine(r.machine(), r.zone(), r.spot(), type, Life.UP, clock.instant());
-      inventory.addFormer(m);
-      LOG.info("event=machine_unexpected term={} machine={}", leadership.term(), m.name);
+      MachineType type = inventory.catalogue().typeOf(heartbeat.type());
+      machine =
+          new Machine(
+              heartbeat.machine(),
+              heartbeat.zone(),
+              heartbeat.spot(),
+              type,
+              Life.UP,
+              clock.instant());
+      inventory.addFormer(machine);
+      LOG.info("event=machine_unexpected term={} machine={}", leadership.term(), machine.name);
     }
-    return m;
+    return machine;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -63,223 +63,233 @@
    *
    * @param received whether it shows that what we say reaches the machine
    */
-  void absorb(Machine m, Heartbeat r, boolean received) {
-    noteReported(m, r);
-    if (!m.settled) {
-      if (!leadership.isOfThisTerm(r.token())) {
+  void absorb(Machine machine, Heartbeat heartbeat, boolean received) {
+    noteReported(machine, heartbeat);
+    if (!machine.settled) {
+      if (!leadership.isOfThisTerm(heartbeat.token())) {
         // It has not heard of this term, or is a late copy: it says nothing of what an old command
         // may yet do, nor that the machine is alive.
         return;
       }
-      m.settled = true;
+      machine.settled = true;
       requestPass.run();
     }
-    noteAlive(m, r, received);
-    Map<Ended, Long> oldEnded = new HashMap<>(m.ended);
-    m.ended.clear();
-    Map<Ended, Instant> oldForeign = new HashMap<>(m.foreign);
-    m.foreign.clear();
+    noteAlive(machine, heartbeat, received);
+    Map<Ended, Long> oldEnded = new HashMap<>(machine.ended);
+    machine.ended.clear();
+    Map<Ended, Instant> oldForeign = new HashMap<>(machine.foreign);
+    machine.foreign.clear();
     Set<TaskAttempt> seen = new HashSet<>();
-    for (TaskStatus t : r.tasks()) {
-      if (t.stage() == Heartbeat.Stage.ENDED) {
-        absorbEnded(m, r, t, oldEnded);
+    for (TaskStatus status : heartbeat.tasks()) {
+      if (status.stage() == Heartbeat.Stage.ENDED) {
+        absorbEnded(machine, heartbeat, status, oldEnded);
       } else {
-        absorbPresent(m, r, t, oldForeign).ifPresent(seen::add);
+        absorbPresent(machine, heartbeat, status, oldForeign).ifPresent(seen::add);
       }
     }
-    removeUnseen(m, r, seen);
-    if (m.takenAt.isPresent()) {
-      prepareForNotice(m);
+    removeUnseen(machine, heartbeat, seen);
+    if (machine.takenAt.isPresent()) {
+      prepareForNotice(machine);
     }
-    if (!m.foreign.isEmpty()) {
-      inventory.noteCommandDue(m);
+    if (!machine.foreign.isEmpty()) {
+      inventory.noteCommandDue(machine);
     }
   }
 
   /** Takes in what a report says of the machine itself, whatever term it has heard of. */
-  private void noteReported(Machine m, Heartbeat r) {
+  private void noteReported(Machine machine, Heartbeat heartbeat) {
     Instant now = clock.instant();
-    noteSession(m, r, now);
-    m.seenToken = Math.max(m.seenToken, r.token());
-    m.address = r.address();
-    if (m.life == Life.BOOTING) {
-      m.life = Life.UP;
+    noteSession(machine, heartbeat, now);
+    machine.seenToken = Math.max(machine.seenToken, heartbeat.token());
+    machine.address = heartbeat.address();
+    if (machine.life == Life.BOOTING) {
+      machine.life = Life.UP;
     }
-    if (m.recorded && !m.recordedAddress.equals(m.address)) {
-      m.recordedAddress = m.address;
-      records.recordMachineUnhurried(m);
+    if (machine.recorded && !machine.recordedAddress.equals(machine.address)) {
+      machine.recordedAddress = machine.address;
+      records.recordMachineUnhurried(machine);
     }
-    if (!m.everReported) {
-      m.everReported = true;
+    if (!machine.everReported) {
+      machine.everReported = true;
       LOG.info(
           "event=machine_up term={} machine={} type={} zone={} spot={} after_ms={}",
           leadership.term(),
-          m.name,
-          m.type.name(),
-          m.zone,
-          m.spot,
-          Duration.between(m.rented, now).toMillis());
+          machine.name,
+          machine.type.name(),
+          machine.zone,
+          machine.spot,
+          Duration.between(machine.rented, now).toMillis());
     }
   }
 
   /** Takes in the session; one that was not expected is worth a line in the log. */
-  private void noteSession(Machine m, Heartbeat r, Instant now) {
-    long former = m.lease.session();
-    boolean isNew = m.lease.shown(r, now);
-    if (isNew && (m.lost || (former > 0 && r.session() > former))) {
-      decisions.sessionBegan(m, r, former);
+  private void noteSession(Machine machine, Heartbeat heartbeat, Instant now) {
+    long former = machine.lease.session();
+    boolean isNew = machine.lease.shown(heartbeat, now);
+    if (isNew && (machine.lost || (former > 0 && heartbeat.session() > former))) {
+      decisions.sessionBegan(machine, heartbeat, former);
     }
   }
 
   /** Notes that a machine lives, and for how long it will. */
-  private void noteAlive(Machine m, Heartbeat r, boolean received) {
+  private void noteAlive(Machine machine, Heartbeat heartbeat, boolean received) {
     Instant now = clock.instant();
     if (received) {
-      m.heard = now;
-      if (m.missedProbes > 0) {
-        m.missedProbes = 0;
-        m.directAfter = now;
+      machine.heard = now;
+      if (machine.missedProbes > 0) {
+        machine.missedProbes = 0;
+        machine.directAfter = now;
       }
     }
-    m.lost = false;
-    if (r.notice().isPresent() && m.takenAt.isEmpty()) {
+    machine.lost = false;
+    if (heartbeat.notice().isPresent() && machine.takenAt.isEmpty()) {
       LOG.info(
           "event=spot_notice term={} machine={} left={}",
           leadership.term(),
-          m.name,
-          r.notice().get());
+          machine.name,
+          heartbeat.notice().get());
     }
-    m.takenAt = r.notice().map(now::plus);
+    machine.takenAt = heartbeat.notice().map(now::plus);
   }
 
   /** The job of a reported task; empty when it is over or has no such task. */
-  private Optional<Job> jobOf(TaskStatus t) {
-    return Optional.ofNullable(jobs.get(t.task().job()))
-        .filter(job -> t.task().index() < job.spec.tasks());
+  private Optional<Job> jobOf(TaskStatus status) {
+    return Optional.ofNullable(jobs.get(status.task().job()))
+        .filter(job -> status.task().index() < job.spec.tasks());
   }
 
   /** What is known of a reported attempt; one that a former leader gave is known from now on. */
-  private Optional<TaskAttempt> placementOf(Machine m, Heartbeat r, TaskStatus t) {
-    TaskAttempt p = m.placements.get(t.task());
-    if (p != null && p.attempt < 0) {
-      p.attempt = t.attempt();
-      p.token = r.token();
-      p.session = r.session();
+  private Optional<TaskAttempt> placementOf(
+      Machine machine, Heartbeat heartbeat, TaskStatus status) {
+    TaskAttempt attempt = machine.placements.get(status.task());
+    if (attempt != null && attempt.attempt < 0) {
+      attempt.attempt = status.attempt();
+      attempt.token = heartbeat.token();
+      attempt.session = heartbeat.session();
     }
-    return Optional.ofNullable(p).filter(known -> known.attempt == t.attempt());
+    return Optional.ofNullable(attempt).filter(known -> known.attempt == status.attempt());
   }
 
-  private void absorbEnded(Machine m, Heartbeat r, TaskStatus t, Map<Ended, Long> oldEnded) {
-    Optional<TaskAttempt> placement = placementOf(m, r, t);
+  private void absorbEnded(
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<Ended, Long> oldEnded) {
+    Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
     // What is done stays done however often it is started: no token need be raised for it.
-    long started = t.cause().equals("done") ? -1 : placement.map(p -> p.token).orElse(m.token);
-    Ended key = new Ended(t.task(), t.attempt());
-    m.ended.put(key, oldEnded.getOrDefault(key, started));
-    placement.ifPresent(p -> inventory.remove(p, AbsenceProof.ENDED));
-    ended(m, jobOf(t).orElse(null), t, placement.orElse(null));
+    long started =
+        status.cause().equals("done")
+            ? -1
+            : placement.map(attempt -> attempt.token).orElse(machine.token);
+    Ended key = new Ended(status.task(), status.attempt());
+    machine.ended.put(key, oldEnded.getOrDefault(key, started));
+    placement.ifPresent(attempt -> inventory.remove(attempt, AbsenceProof.ENDED));
+    ended(machine, jobOf(status).orElse(null), status, placement.orElse(null));
   }
 
   /** Takes in a task that is on the machine; empty if it must not be there. */
   private Optional<TaskAttempt> absorbPresent(
-      Machine m, Heartbeat r, TaskStatus t, Map<Ended, Instant> oldForeign) {
-    Optional<Job> job = jobOf(t);
-    Optional<TaskAttempt> placement = placementOf(m, r, t);
-    if (placement.isEmpty() && job.isPresent() && !job.get().done.get(t.task().index())) {
-      placement = adopt(job.get(), m, r, t);
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<Ended, Instant> oldForeign) {
+    Optional<Job> job = jobOf(status);
+    Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
+    if (placement.isEmpty() && job.isPresent() && !job.get().done.get(status.task().index())) {
+      placement = adopt(job.get(), machine, heartbeat, status);
     }
     if (placement.isEmpty()) {
-      Ended key = new Ended(t.task(), t.attempt());
-      m.foreign.put(key, oldForeign.getOrDefault(key, Instant.MIN));
+      Ended key = new Ended(status.task(), status.attempt());
+      machine.foreign.put(key, oldForeign.getOrDefault(key, Instant.MIN));
     }
-    placement.ifPresent(p -> progress(p, t.stage()));
+    placement.ifPresent(attempt -> progress(attempt, status.stage()));
     return placement;
   }
 
   /** Takes a task over that nobody knew to be here; empty if it is known to be elsewhere. */
-  private Optional<TaskAttempt> adopt(Job job, Machine m, Heartbeat r, TaskStatus t) {
-    TaskAttempt other = job.placed.get(t.task().index());
+  private Optional<TaskAttempt> adopt(
+      Job job, Machine machine, Heartbeat heartbeat, TaskStatus status) {
+    TaskAttempt other = job.placed.get(status.task().index());
     if (other != null && other.stage == Stage.PLANNED) {
       inventory.remove(other, AbsenceProof.NOT_SENT);
       other = null;
     }
     if (other != null) {
       LOG.error(
-          "event=task_twice task={} machine={} other={}", t.task(), m.name, other.machine.name);
+          "event=task_twice task={} machine={} other={}",
+          status.task(),
+          machine.name,
+          other.machine.name);
       return Optional.empty();
     }
-    TaskAttempt adopted = new TaskAttempt(job, t.task(), t.attempt(), m, Stage.SENT, job.submitted);
-    adopted.token = r.token();
-    adopted.session = r.session();
+    TaskAttempt adopted =
+        new TaskAttempt(job, status.task(), status.attempt(), machine, Stage.SENT, job.submitted);
+    adopted.token = heartbeat.token();
+    adopted.session = heartbeat.session();
     inventory.add(adopted);
     records.recordTask(adopted);
     return Optional.of(adopted);
   }
 
   /** What is not in the report is gone only if no command for it can still be on its way. */
-  private void removeUnseen(Machine m, Heartbeat r, Set<TaskAttempt> seen) {
-    for (TaskAttempt p : List.copyOf(m.placements.values())) {
-      if (p.stage == Stage.PLANNED || seen.contains(p)) {
+  private void removeUnseen(Machine machine, Heartbeat heartbeat, Set<TaskAttempt> seen) {
+    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+      if (attempt.stage == Stage.PLANNED || seen.contains(attempt)) {
         continue;
       }
-      if (p.session < r.session()) {
-        inventory.remove(p, AbsenceProof.LATER_SESSION);
-      } else if (p.confirmed || p.token < r.token()) {
-        inventory.remove(p, AbsenceProof.NOT_REPORTED);
+      if (attempt.session < heartbeat.session()) {
+        inventory.remove(attempt, AbsenceProof.LATER_SESSION);
+      } else if (attempt.confirmed || attempt.token < heartbeat.token()) {
+        inventory.remove(attempt, AbsenceProof.NOT_REPORTED);
       }
     }
   }
 
-  private void progress(TaskAttempt p, Heartbeat.Stage stage) {
-    p.confirmed = true;
-    Stage before = p.stage;
-    p.stage =
+  private void progress(TaskAttempt attempt, Heartbeat.Stage stage) {
+    attempt.confirmed = true;
+    Stage before = attempt.stage;
+    attempt.stage =
         switch (stage) {
           case FETCHING -> Stage.FETCHING;
           case WAITING -> Stage.WAITING;
           case FLUSHING -> Stage.SAVING;
           default -> Stage.RUNNING;
         };
-    if (p.stage == Stage.RUNNING && before != Stage.RUNNING) {
+    if (attempt.stage == Stage.RUNNING && before != Stage.RUNNING) {
       LOG.debug(
           "event=running term={} machine={} task={} attempt={} since_submit_ms={} since_start_ms={}",
           leadership.term(),
-          p.machine.name,
-          p.task,
-          p.attempt,
-          Duration.between(p.job.submitted, clock.instant()).toMillis(),
-          Duration.between(p.since, clock.instant()).toMillis());
-      p.machine.noteImage(p.job.spec.image(), p.job.spec.imageGb());
+          attempt.machine.name,
+          attempt.task,
+          attempt.attempt,
+          Duration.between(attempt.job.submitted, clock.instant()).toMillis(),
+          Duration.between(attempt.since, clock.instant()).toMillis());
+      attempt.machine.noteImage(attempt.job.spec.image(), attempt.job.spec.imageGb());
       Instant now = clock.instant();
       if (before.compareTo(Stage.RUNNING) < 0) {
-        statistics.started(Duration.between(p.since, now));
+        statistics.started(Duration.between(attempt.since, now));
       }
-      p.since = now;
+      attempt.since = now;
     }
   }
 
-  private void ended(Machine m, Job job, TaskStatus t, TaskAttempt p) {
+  private void ended(Machine machine, Job job, TaskStatus status, TaskAttempt attempt) {
     if (job == null) {
       return;
     }
-    switch (t.cause()) {
+    switch (status.cause()) {
       case "done" -> {
-        failures.succeeded(m, job);
-        if (!job.spec.service() && !job.done.get(t.task().index())) {
-          completed(job, t.task().index());
+        failures.succeeded(machine, job);
+        if (!job.spec.service() && !job.done.get(status.task().index())) {
+          completed(job, status.task().index());
         }
       }
       case "error" -> {
-        if (p != null) {
-          failures.failed(m, job);
+        if (attempt != null) {
+          failures.failed(machine, job);
         }
       }
       case "stopped" -> {
         // As it was told.
       }
-      case "alone", "mates_gone" -> gangs.noteBroken(job, t.attempt());
+      case "alone", "mates_gone" -> gangs.noteBroken(job, status.attempt());
       default -> {
-        if (p != null) {
-          refused(m, job, t);
+        if (attempt != null) {
+          refused(machine, job, status);
         }
       }
     }
@@ -308,39 +318,39 @@
   }
 
   /** The worker would not start the task: what is known of the machine or the job is wrong. */
-  private void refused(Machine m, Job job, TaskStatus t) {
+  private void refused(Machine machine, Job job, TaskStatus status) {
     LOG.info(
         "event=start_refused term={} machine={} task={} attempt={} cause={}",
         leadership.term(),
-        m.name,
-        t.task(),
-        t.attempt(),
-        t.cause());
+        machine.name,
+        status.task(),
+        status.attempt(),
+        status.cause());
     Instant later = clock.instant().plus(REFUSAL_PAUSE);
-    if (t.cause().equals("no_such")) {
+    if (status.cause().equals("no_such")) {
       job.notBefore = later;
     } else {
-      m.avoidUntil = later;
+      machine.avoidUntil = later;
     }
   }
 
   /** A machine that will be taken: saves what can be saved and moves what can't finish. */
-  private void prepareForNotice(Machine m) {
+  private void prepareForNotice(Machine machine) {
     Instant now = clock.instant();
-    Duration left = Duration.between(now, m.takenAt.orElse(now));
-    for (TaskAttempt p : List.copyOf(m.placements.values())) {
-      if (p.stopping) {
+    Duration left = Duration.between(now, machine.takenAt.orElse(now));
+    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+      if (attempt.stopping) {
         continue;
       }
-      JobSpec s = p.job.spec;
-      boolean saves = !s.checkpoint().isZero();
-      Duration ran = Duration.between(p.since, now);
-      boolean running = p.stage == Stage.RUNNING;
-      Duration remaining = running ? s.estimate().minus(ran) : s.estimate();
-      if (saves ? left.compareTo(s.save().plusSeconds(4)) < 0 || !running : false) {
-        stops.stop(p);
-      } else if (s.service() || (!saves && remaining.compareTo(left.multipliedBy(2)) > 0)) {
-        stops.stop(p);
+      JobSpec spec = attempt.job.spec;
+      boolean saves = !spec.checkpoint().isZero();
+      Duration ran = Duration.between(attempt.since, now);
+      boolean running = attempt.stage == Stage.RUNNING;
+      Duration remaining = running ? spec.estimate().minus(ran) : spec.estimate();
+      if (saves ? left.compareTo(spec.save().plusSeconds(4)) < 0 || !running : false) {
+        stops.stop(attempt);
+      } else if (spec.service() || (!saves && remaining.compareTo(left.multipliedBy(2)) > 0)) {
+        stops.stop(attempt);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -74,14 +74,14 @@
     this.submitted = submitted;
   }
 
-  void add(TaskAttempt p) {
-    placed.put(p.task.index(), p);
-    byZone.merge(p.machine.zone, 1, Integer::sum);
+  void add(TaskAttempt attempt) {
+    placed.put(attempt.task.index(), attempt);
+    byZone.merge(attempt.machine.zone, 1, Integer::sum);
   }
 
-  void remove(TaskAttempt p) {
-    if (placed.remove(p.task.index(), p)) {
-      byZone.merge(p.machine.zone, -1, Integer::sum);
+  void remove(TaskAttempt attempt) {
+    if (placed.remove(attempt.task.index(), attempt)) {
+      byZone.merge(attempt.machine.zone, -1, Integer::sum);
     }
   }
 
@@ -113,8 +113,8 @@
 
   int running() {
     int n = 0;
-    for (TaskAttempt p : placed.values()) {
-      if (p.stage == TaskAttempt.Stage.RUNNING || p.stage == TaskAttempt.Stage.SAVING) {
+    for (TaskAttempt attempt : placed.values()) {
+      if (attempt.stage == TaskAttempt.Stage.RUNNING || attempt.stage == TaskAttempt.Stage.SAVING) {
         n++;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/JobClasses.java
@@ -57,7 +57,9 @@
     }
     return types.stream()
         .filter(spec::allowsSomewhere)
-        .map(t -> ScaleOutPlanner.bootTime(t).plus(t.fetchTime(spec.imageGb())).plus(MESSAGES))
+        .map(
+            type ->
+                ScaleOutPlanner.bootTime(type).plus(type.fetchTime(spec.imageGb())).plus(MESSAGES))
         .noneMatch(need -> need.compareTo(within.get()) <= 0);
   }
 
--- a/src/main/java/io/pearscale/scheduler/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/JobPartition.java
@@ -44,10 +44,10 @@
   /** Where its tasks are, or may be. */
   List<TaskAttempt> placements() {
     List<TaskAttempt> placements = new ArrayList<>();
-    for (TaskAttempt placement : job.placed.values()) {
-      int index = placement.task.index() - first;
+    for (TaskAttempt attempt : job.placed.values()) {
+      int index = attempt.task.index() - first;
       if (index >= 0 && index < tasks) {
-        placements.add(placement);
+        placements.add(attempt);
       }
     }
     return placements;
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -193,7 +193,8 @@
     machine.recorded = false;
     assignPlace(machine);
     boolean waits =
-        machine.placements.values().stream().anyMatch(p -> p.stage == TaskAttempt.Stage.PLANNED);
+        machine.placements.values().stream()
+            .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
     if (waits || (machine.life == Machine.Life.RETIRING && !machine.recordedRetiring)) {
       roster.due(machine);
     }
@@ -211,11 +212,11 @@
   // ---- What is to be written ----
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
-  void recordTask(TaskAttempt placement) {
-    JobPartition part = JobPartition.of(placement.job, placement.task.index(), layout);
-    assignPlace(placement.machine);
-    if (!placement.machine.recorded) {
-      roster.due(placement.machine);
+  void recordTask(TaskAttempt attempt) {
+    JobPartition part = JobPartition.of(attempt.job, attempt.task.index(), layout);
+    assignPlace(attempt.machine);
+    if (!attempt.machine.recorded) {
+      roster.due(attempt.machine);
     }
     marks.put(part, part.marksSize(layout));
     marks.due(part);
@@ -404,9 +405,9 @@
   private boolean writeMachinesOf(int value, LeaderTransaction transaction) {
     Set<Integer> missing = new LinkedHashSet<>();
     for (JobPartition part : marks.items(value).values()) {
-      for (TaskAttempt placement : part.placements()) {
-        if (!placement.machine.recorded) {
-          roster.home(placement.machine).ifPresent(home -> missing.add(home.shard()));
+      for (TaskAttempt attempt : part.placements()) {
+        if (!attempt.machine.recorded) {
+          roster.home(attempt.machine).ifPresent(home -> missing.add(home.shard()));
         }
       }
     }
@@ -440,7 +441,7 @@
 
   /** The transaction was applied. */
   void written(LeaderTransaction transaction) {
-    transaction.marked().forEach(p -> p.marked = true);
+    transaction.marked().forEach(attempt -> attempt.marked = true);
     transaction
         .done()
         .forEach(
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -114,7 +114,9 @@
 
   /** Notes when all machines that could hold what a former leader started have spoken. */
   void noteProgress() {
-    if (complete || inventory.all().stream().anyMatch(m -> !m.settled && !m.placements.isEmpty())) {
+    if (complete
+        || inventory.all().stream()
+            .anyMatch(machine -> !machine.settled && !machine.placements.isEmpty())) {
       return;
     }
     complete = true;
--- a/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
@@ -62,16 +62,16 @@
     int[] stages = new int[Stage.values().length];
     int stopping = 0;
     double free = 0;
-    for (Machine m : inventory.all()) {
-      if (usable.test(m)) {
+    for (Machine machine : inventory.all()) {
+      if (usable.test(machine)) {
         usableMachines++;
-        free += m.room().cpus;
+        free += machine.room().cpus;
       }
-      faulty += m.faulty ? 1 : 0;
-      avoided += now.isBefore(m.avoidUntil) ? 1 : 0;
-      for (TaskAttempt p : m.placements.values()) {
-        stages[p.stage.ordinal()]++;
-        stopping += p.stopping ? 1 : 0;
+      faulty += machine.faulty ? 1 : 0;
+      avoided += now.isBefore(machine.avoidUntil) ? 1 : 0;
+      for (TaskAttempt attempt : machine.placements.values()) {
+        stages[attempt.stage.ordinal()]++;
+        stopping += attempt.stopping ? 1 : 0;
       }
     }
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -149,12 +149,12 @@
   private PlacementRecordCodec.Part marksOf(JobPartition part, ToIntFunction<Machine> numberOf) {
     Job job = part.job();
     int[] hosts = new int[part.tasks()];
-    for (TaskAttempt placement : part.placements()) {
-      int number = numberOf.applyAsInt(placement.machine);
+    for (TaskAttempt attempt : part.placements()) {
+      int number = numberOf.applyAsInt(attempt.machine);
       if (number > 0) {
-        hosts[placement.task.index() - part.first()] = number;
-        if (!placement.marked) {
-          marked.add(placement);
+        hosts[attempt.task.index() - part.first()] = number;
+        if (!attempt.marked) {
+          marked.add(attempt);
         }
       }
     }
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -209,9 +209,9 @@
   /** How many images beside that one are fetched, or are to be, for tasks that are placed here. */
   int otherFetches(String image) {
     Set<String> others = new HashSet<>();
-    for (TaskAttempt placement : placements.values()) {
-      String other = placement.job.spec.image();
-      boolean fetches = placement.stage.compareTo(TaskAttempt.Stage.FETCHING) <= 0;
+    for (TaskAttempt attempt : placements.values()) {
+      String other = attempt.job.spec.image();
+      boolean fetches = attempt.stage.compareTo(TaskAttempt.Stage.FETCHING) <= 0;
       if (fetches && !other.equals(image) && !images.containsKey(other)) {
         others.add(other);
       }
@@ -219,13 +219,13 @@
     return others.size();
   }
 
-  void add(TaskAttempt p) {
-    placements.put(p.task, p);
+  void add(TaskAttempt attempt) {
+    placements.put(attempt.task, attempt);
     touch();
   }
 
-  void remove(TaskAttempt p) {
-    placements.remove(p.task, p);
+  void remove(TaskAttempt attempt) {
+    placements.remove(attempt.task, attempt);
     touch();
   }
 
@@ -248,9 +248,9 @@
       rooms = new Resources[Priority.values().length];
       for (Priority floor : Priority.values()) {
         Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-        for (TaskAttempt p : placements.values()) {
-          if (!p.stopping && p.job.spec.priority().compareTo(floor) >= 0) {
-            r.take(p.job);
+        for (TaskAttempt attempt : placements.values()) {
+          if (!attempt.stopping && attempt.job.spec.priority().compareTo(floor) >= 0) {
+            r.take(attempt.job);
           }
         }
         rooms[floor.ordinal()] = r;
@@ -262,9 +262,9 @@
   /** What is left now, counting all that may be on the machine. */
   Resources physicalRoom() {
     Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-    for (TaskAttempt p : placements.values()) {
-      if (p.stage != TaskAttempt.Stage.PLANNED) {
-        r.take(p.job);
+    for (TaskAttempt attempt : placements.values()) {
+      if (attempt.stage != TaskAttempt.Stage.PLANNED) {
+        r.take(attempt.job);
       }
     }
     return r;
@@ -278,8 +278,8 @@
   /** Tasks of services here. */
   int replicas() {
     int n = 0;
-    for (TaskAttempt p : placements.values()) {
-      if (p.job.spec.service()) {
+    for (TaskAttempt attempt : placements.values()) {
+      if (attempt.job.spec.service()) {
         n++;
       }
     }
@@ -317,35 +317,35 @@
       return new Resources(cpus, gpus, memoryGb);
     }
 
-    void take(Job j) {
-      cpus -= j.spec.cpus();
-      gpus -= j.spec.gpus();
-      memoryGb -= j.spec.memoryGb();
+    void take(Job job) {
+      cpus -= job.spec.cpus();
+      gpus -= job.spec.gpus();
+      memoryGb -= job.spec.memoryGb();
     }
 
-    void give(Job j) {
-      cpus += j.spec.cpus();
-      gpus += j.spec.gpus();
-      memoryGb += j.spec.memoryGb();
+    void give(Job job) {
+      cpus += job.spec.cpus();
+      gpus += job.spec.gpus();
+      memoryGb += job.spec.memoryGb();
     }
 
-    boolean fits(Job j) {
-      return cpus + SLACK >= j.spec.cpus()
-          && gpus + SLACK >= j.spec.gpus()
-          && memoryGb + SLACK >= j.spec.memoryGb();
+    boolean fits(Job job) {
+      return cpus + SLACK >= job.spec.cpus()
+          && gpus + SLACK >= job.spec.gpus()
+          && memoryGb + SLACK >= job.spec.memoryGb();
     }
 
     /** How many tasks like these fit. */
-    int count(Job j) {
+    int count(Job job) {
       double n = 100_000;
-      if (j.spec.cpus() > 0) {
-        n = Math.min(n, (cpus + SLACK) / j.spec.cpus());
+      if (job.spec.cpus() > 0) {
+        n = Math.min(n, (cpus + SLACK) / job.spec.cpus());
       }
-      if (j.spec.gpus() > 0) {
-        n = Math.min(n, (gpus + SLACK) / j.spec.gpus());
+      if (job.spec.gpus() > 0) {
+        n = Math.min(n, (gpus + SLACK) / job.spec.gpus());
       }
-      if (j.spec.memoryGb() > 0) {
-        n = Math.min(n, (memoryGb + SLACK) / j.spec.memoryGb());
+      if (job.spec.memoryGb() > 0) {
+        n = Math.min(n, (memoryGb + SLACK) / job.spec.memoryGb());
       }
       return (int) Math.max(0, n);
     }
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/MachineInventory.java
@@ -34,7 +34,7 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
   private final MachineTombstones removed = new MachineTombstones();
-  private Consumer<TaskAttempt> removedListener = placement -> {};
+  private Consumer<TaskAttempt> removedListener = attempt -> {};
   private final Set<Machine> withCommands = new LinkedHashSet<>();
 
   /** Makes an empty inventory. */
@@ -131,12 +131,12 @@
   // ---- Tasks on machines ----
 
   /** From now on the task may be on the machine. */
-  void add(TaskAttempt placement) {
-    placement.machine.add(placement);
-    placement.job.add(placement);
-    jobs.requeue(placement.job);
-    if (placement.stage == Stage.PLANNED) {
-      noteCommandDue(placement.machine);
+  void add(TaskAttempt attempt) {
+    attempt.machine.add(attempt);
+    attempt.job.add(attempt);
+    jobs.requeue(attempt.job);
+    if (attempt.stage == Stage.PLANNED) {
+      noteCommandDue(attempt.machine);
     }
   }
 
@@ -147,17 +147,17 @@
 
   /** It is proven that none of the machine's tasks is there any more. */
   void removeAll(Machine machine, AbsenceProof proof) {
-    List.copyOf(machine.placements.values()).forEach(placement -> remove(placement, proof));
+    List.copyOf(machine.placements.values()).forEach(attempt -> remove(attempt, proof));
   }
 
   /** It is proven that the task is not on the machine. */
-  void remove(TaskAttempt placement, AbsenceProof proof) {
-    Job job = placement.job;
-    decisions.gone(placement, proof);
-    removedListener.accept(placement);
-    placement.machine.remove(placement);
-    job.remove(placement);
-    if (placement.ranFor(clock.instant()).compareTo(Job.A_START) >= 0) {
+  void remove(TaskAttempt attempt, AbsenceProof proof) {
+    Job job = attempt.job;
+    decisions.gone(attempt, proof);
+    removedListener.accept(attempt);
+    attempt.machine.remove(attempt);
+    job.remove(attempt);
+    if (attempt.ranFor(clock.instant()).compareTo(Job.A_START) >= 0) {
       job.begun = true;
     }
     if (job.placed.isEmpty() && !jobs.contains(job)) {
@@ -168,28 +168,28 @@
   }
 
   /** Decides that a task must go from where it is. */
-  void stop(TaskAttempt placement) {
-    if (placement.stage == Stage.PLANNED) {
-      remove(placement, AbsenceProof.NOT_SENT);
+  void stop(TaskAttempt attempt) {
+    if (attempt.stage == Stage.PLANNED) {
+      remove(attempt, AbsenceProof.NOT_SENT);
       return;
     }
-    if (placement.stopping) {
+    if (attempt.stopping) {
       return;
     }
-    placement.stopping = true;
-    placement.machine.touch();
-    noteCommandDue(placement.machine);
-    if (!placement.confirmed && placement.attempt >= 0 && !placement.machine.calling) {
+    attempt.stopping = true;
+    attempt.machine.touch();
+    noteCommandDue(attempt.machine);
+    if (!attempt.confirmed && attempt.attempt >= 0 && !attempt.machine.calling) {
       // The start command may still be on its way; only a higher token can overtake it.
-      placement.machine.raiseToken();
+      attempt.machine.raiseToken();
     }
   }
 
   /** Takes back what was decided for a machine that turned bad before the start was sent. */
   void withdrawPlanned(Machine machine) {
-    for (TaskAttempt placement : List.copyOf(machine.placements.values())) {
-      if (placement.stage == Stage.PLANNED) {
-        remove(placement, AbsenceProof.NOT_SENT);
+    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+      if (attempt.stage == Stage.PLANNED) {
+        remove(attempt, AbsenceProof.NOT_SENT);
       }
     }
   }
@@ -201,8 +201,8 @@
       return use;
     }
     for (Machine machine : machines.values()) {
-      for (TaskAttempt placement : machine.placements.values()) {
-        use.charge(placement.job.spec, 1);
+      for (TaskAttempt attempt : machine.placements.values()) {
+        use.charge(attempt.job.spec, 1);
       }
     }
     return use;
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -136,19 +136,19 @@
     cloud.tell(new CloudActor.Hire(kind, count));
   }
 
-  private void move(TaskAttempt placement) {
-    if (drains.isPresent() && !drains.get().requestMove(placement)) {
+  private void move(TaskAttempt attempt) {
+    if (drains.isPresent() && !drains.get().requestMove(attempt)) {
       return;
     }
     LOG.info(
         "event=move term={} machine={} task={} attempt={}",
         leadership.term(),
-        placement.machine.name,
-        placement.task,
-        placement.attempt);
+        attempt.machine.name,
+        attempt.task,
+        attempt.attempt);
     if (drains.isEmpty()) {
-      inventory.stop(placement);
-      dispatcher.sendDue(placement.machine);
+      inventory.stop(attempt);
+      dispatcher.sendDue(attempt.machine);
     }
   }
 
@@ -180,10 +180,11 @@
     for (String name : event.names()) {
       boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
       if (isNew && type.isPresent()) {
-        Machine m = new Machine(name, kind.zone(), kind.spot(), type.get(), Life.BOOTING, now);
-        inventory.add(m);
-        records.assignPlace(m);
-        records.recordMachine(m, RECORD_WITHIN);
+        Machine machine =
+            new Machine(name, kind.zone(), kind.spot(), type.get(), Life.BOOTING, now);
+        inventory.add(machine);
+        records.assignPlace(machine);
+        records.recordMachine(machine, RECORD_WITHIN);
       }
     }
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/PassCapacity.java
@@ -26,8 +26,8 @@
   }
 
   /** Whether the pass has chosen the task to leave. */
-  boolean isVictim(TaskAttempt placement) {
-    return victims.contains(placement);
+  boolean isVictim(TaskAttempt attempt) {
+    return victims.contains(attempt);
   }
 
   /** Books a task's room, after that of its victims has become free. */
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -136,17 +136,17 @@
     return usable;
   }
 
-  private void place(Placer placer, Job j, Set<Machine> touched, Instant now) {
-    boolean pressing = QueueOrder.pressing(j, now);
+  private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
+    boolean pressing = QueueOrder.pressing(job, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
-    boolean one = QueueOrder.begins(j, now) || j.mistaken();
-    for (int i = j.nextPending(0); i >= 0; i = j.nextPending(i + 1)) {
-      Optional<Placer.Choice> choice = placer.place(j, pressing);
-      j.noRoom = choice.isEmpty();
+    boolean one = QueueOrder.begins(job, now) || job.mistaken();
+    for (int i = job.nextPending(0); i >= 0; i = job.nextPending(i + 1)) {
+      Optional<Placer.Choice> choice = placer.place(job, pressing);
+      job.noRoom = choice.isEmpty();
       if (choice.isEmpty()) {
         return;
       }
-      start(j, i, choice.get(), attempts.next(), touched, now);
+      start(job, i, choice.get(), attempts.next(), touched, now);
       if (one) {
         return;
       }
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -24,8 +24,8 @@
 
   /** Lowest first; among equals the youngest, which has the least to lose. */
   private static final Comparator<TaskAttempt> LOWEST_AND_YOUNGEST =
-      Comparator.comparing((TaskAttempt placement) -> placement.job.spec.priority())
-          .thenComparing(placement -> placement.since, Comparator.reverseOrder());
+      Comparator.comparing((TaskAttempt attempt) -> attempt.job.spec.priority())
+          .thenComparing(attempt -> attempt.since, Comparator.reverseOrder());
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
   private record Search(
@@ -144,23 +144,23 @@
   /** Who would have to leave the machine; nobody if that would not make room enough. */
   private List<TaskAttempt> victimsOn(Machine machine, Job job, boolean guaranteed) {
     List<TaskAttempt> candidates = new ArrayList<>();
-    for (TaskAttempt placement : machine.placements.values()) {
-      if (!placement.stopping
-          && !rooms.isVictim(placement)
-          && !isSheltered(placement)
-          && mayEvict(job, placement, guaranteed)) {
-        candidates.add(placement);
+    for (TaskAttempt attempt : machine.placements.values()) {
+      if (!attempt.stopping
+          && !rooms.isVictim(attempt)
+          && !isSheltered(attempt)
+          && mayEvict(job, attempt, guaranteed)) {
+        candidates.add(attempt);
       }
     }
     candidates.sort(LOWEST_AND_YOUNGEST);
     Resources trial = rooms.of(machine).copy();
     List<TaskAttempt> victims = new ArrayList<>();
-    for (TaskAttempt placement : candidates) {
+    for (TaskAttempt attempt : candidates) {
       if (trial.fits(job)) {
         break;
       }
-      trial.give(placement.job);
-      victims.add(placement);
+      trial.give(attempt.job);
+      victims.add(attempt);
     }
     return trial.fits(job) ? victims : List.of();
   }
@@ -169,14 +169,14 @@
    * Whether a task is the first of a batch job that has waited for long: stopped before it counts
    * as a start, the job would go on waiting, and the youngest are the first to be stopped.
    */
-  private boolean isSheltered(TaskAttempt placement) {
-    Job job = placement.job;
+  private boolean isSheltered(TaskAttempt attempt) {
+    Job job = attempt.job;
     return !job.spec.service()
         && !job.begun
         && job.done.isEmpty()
         && (job.spec.gang() || job.placed.size() == 1)
         && job.submitted.isBefore(input.now().minus(Job.LONG_WAIT))
-        && placement.ranFor(input.now()).compareTo(Job.A_START) < 0;
+        && attempt.ranFor(input.now()).compareTo(Job.A_START) < 0;
   }
 
   private boolean mayEvict(Job job, TaskAttempt victim, boolean guaranteed) {
--- a/src/main/java/io/pearscale/scheduler/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/QueueOrder.java
@@ -33,22 +33,23 @@
   }
 
   /** When a job should be over: its own deadline, or what its class is expected to keep. */
-  private Instant due(Job j) {
-    if (j.spec.deadline().isPresent()) {
-      return j.submitted.plus(j.spec.deadline().get());
+  private Instant due(Job job) {
+    if (job.spec.deadline().isPresent()) {
+      return job.submitted.plus(job.spec.deadline().get());
     }
-    Duration within = finishedWithin(j).orElse(NO_HURRY);
-    if (j.spec.gang()) {
+    Duration within = finishedWithin(job).orElse(NO_HURRY);
+    if (job.spec.gang()) {
       // It can't begin in part, so a time to start says when it would be over.
-      Duration ifStarted = classes.startWithin(j.spec).map(j.spec.estimate()::plus).orElse(within);
+      Duration ifStarted =
+          classes.startWithin(job.spec).map(job.spec.estimate()::plus).orElse(within);
       within = ifStarted.compareTo(within) < 0 ? ifStarted : within;
     }
-    return j.submitted.plus(within);
+    return job.submitted.plus(within);
   }
 
-  private Optional<Duration> finishedWithin(Job j) {
+  private Optional<Duration> finishedWithin(Job job) {
     return objectives.stream()
-        .filter(o -> o.kind().equals("finished") && o.jobClass().equals(j.spec.jobClass()))
+        .filter(o -> o.kind().equals("finished") && o.jobClass().equals(job.spec.jobClass()))
         .map(Objective::within)
         .findFirst();
   }
@@ -68,18 +69,18 @@
   /** The jobs' turns as of now, each worked out when it is first asked for. */
   Function<Job, Turn> turns(Instant now) {
     Map<Job, Turn> known = new HashMap<>();
-    return j -> known.computeIfAbsent(j, k -> turn(k, now));
+    return job -> known.computeIfAbsent(job, k -> turn(k, now));
   }
 
-  private Turn turn(Job j, Instant now) {
-    Instant due = due(j);
-    Instant end = now.plus(j.spec.estimate());
-    Duration allowed = Duration.between(j.submitted, due);
+  private Turn turn(Job job, Instant now) {
+    Instant due = due(job);
+    Instant end = now.plus(job.spec.estimate());
+    Duration allowed = Duration.between(job.submitted, due);
     int lateness =
-        j.spec.service() || !end.isAfter(due)
+        job.spec.service() || !end.isAfter(due)
             ? 0
-            : end.isAfter(j.submitted.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
-    return new Turn(lateness, j.spec.service() ? j.submitted : order(j, due));
+            : end.isAfter(job.submitted.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
+    return new Turn(lateness, job.spec.service() ? job.submitted : order(job, due));
   }
 
   /** Waiting jobs, in the order in which they are decided. */
@@ -107,12 +108,12 @@
   }
 
   /** Whether no task of a batch job has begun in a time in which its users expect that. */
-  static boolean begins(Job j, Instant now) {
-    return !j.spec.service()
-        && !j.begun
-        && j.done.isEmpty()
-        && now.isAfter(j.submitted.plus(Job.LONG_WAIT))
-        && j.placed.isEmpty();
+  static boolean begins(Job job, Instant now) {
+    return !job.spec.service()
+        && !job.begun
+        && job.done.isEmpty()
+        && now.isAfter(job.submitted.plus(Job.LONG_WAIT))
+        && job.placed.isEmpty();
   }
 
   /**
@@ -120,26 +121,28 @@
    * that does not depend on their size come the earlier the less is left of them: so more of them
    * are over in time than if each got a part. A large one comes later, but its turn comes.
    */
-  private Instant order(Job j, Instant due) {
-    if (j.spec.deadline().isPresent() || j.spec.service() || !classes.sized(j.spec.jobClass())) {
+  private Instant order(Job job, Instant due) {
+    if (job.spec.deadline().isPresent()
+        || job.spec.service()
+        || !classes.sized(job.spec.jobClass())) {
       return due;
     }
-    Duration allowed = Duration.between(j.submitted, due);
-    double left = j.spec.tasks() - j.done.cardinality();
-    double part = Math.min(1, 0.2 + left / Math.max(1, classes.largeJob(j.spec.jobClass())));
-    return j.submitted.plusMillis((long) (allowed.toMillis() * part));
+    Duration allowed = Duration.between(job.submitted, due);
+    double left = job.spec.tasks() - job.done.cardinality();
+    double part = Math.min(1, 0.2 + left / Math.max(1, classes.largeJob(job.spec.jobClass())));
+    return job.submitted.plusMillis((long) (allowed.toMillis() * part));
   }
 
   /**
    * Whether the job can't wait for room to become free by itself. Work with a deadline stops others
    * only when waiting longer would put the deadline at risk, since what it stops is done again.
    */
-  static boolean pressing(Job j, Instant now) {
-    if (j.spec.service() || j.spec.deadline().isEmpty()) {
+  static boolean pressing(Job job, Instant now) {
+    if (job.spec.service() || job.spec.deadline().isEmpty()) {
       return true;
     }
     // Estimates are often wrong by half, and an image may have to be fetched first.
-    Duration need = j.spec.estimate().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
-    return now.plus(need).isAfter(j.submitted.plus(j.spec.deadline().get()));
+    Duration need = job.spec.estimate().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
+    return now.plus(need).isAfter(job.submitted.plus(job.spec.deadline().get()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -51,9 +51,9 @@
     stored.tasks().forEach(this::noteRemains);
     stored.tasks().forEach(this::adopt);
     for (Job job : remains.values()) {
-      for (TaskAttempt placement : job.placed.values()) {
-        placement.stopping = true;
-        placement.stopsAtOnce = true;
+      for (TaskAttempt attempt : job.placed.values()) {
+        attempt.stopping = true;
+        attempt.stopsAtOnce = true;
       }
       if (job.placed.isEmpty()) {
         records.removeJob(job);
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -43,28 +43,28 @@
    * their room is taken.
    */
   boolean takesReplicasOf(Machine machine, Instant now) {
-    for (TaskAttempt p : machine.placements.values()) {
-      if (p.job.spec.service() && !(settled(p, now) && takes(p))) {
+    for (TaskAttempt attempt : machine.placements.values()) {
+      if (attempt.job.spec.service() && !(settled(attempt, now) && takes(attempt))) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean settled(TaskAttempt p, Instant now) {
-    return p.stage == TaskAttempt.Stage.RUNNING
-        && !p.since.isAfter(now.minus(ReplicaRelocation.SETTLED));
+  private static boolean settled(TaskAttempt attempt, Instant now) {
+    return attempt.stage == TaskAttempt.Stage.RUNNING
+        && !attempt.since.isAfter(now.minus(ReplicaRelocation.SETTLED));
   }
 
-  private boolean takes(TaskAttempt p) {
+  private boolean takes(TaskAttempt attempt) {
     for (Machine other : machines) {
       if (looksLeft <= 0) {
         return false;
       }
       looksLeft--;
-      if (ReplicaRelocation.mayMoveTo(p, other)
-          && rooms.computeIfAbsent(other, Machine::room).fits(p.job)) {
-        rooms.get(other).take(p.job);
+      if (ReplicaRelocation.mayMoveTo(attempt, other)
+          && rooms.computeIfAbsent(other, Machine::room).fits(attempt.job)) {
+        rooms.get(other).take(attempt.job);
         return true;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -102,14 +102,14 @@
       Instant now) {
     int most = Math.max(LEAST_AT_ONCE, fleet / 4);
     List<Bin> bins = new ArrayList<>();
-    for (Machine m : coming) {
-      bins.add(new Bin(m.type, m.zone, m.spot));
+    for (Machine machine : coming) {
+      bins.add(new Bin(machine.type, machine.zone, machine.spot));
     }
     asked.forEach(
         (kind, n) -> {
-          for (MachineType t : types) {
-            for (int i = 0; i < n && t.name().equals(kind.type()); i++) {
-              bins.add(new Bin(t, kind.zone(), kind.spot()));
+          for (MachineType type : types) {
+            for (int i = 0; i < n && type.name().equals(kind.type()); i++) {
+              bins.add(new Bin(type, kind.zone(), kind.spot()));
             }
           }
         });
@@ -155,18 +155,18 @@
       Instant now) {
     Bin best = null;
     double bestCost = Double.MAX_VALUE;
-    for (MachineType t : types) {
-      for (String zone : t.zones()) {
+    for (MachineType type : types) {
+      for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Kind kind = new Kind(t.name(), zone, spot);
+          Kind kind = new Kind(type.name(), zone, spot);
           Refusal r = refused.get(kind);
           if (silentZones.contains(zone)
               || (r != null && now.isBefore(r.until))
               || hires.getOrDefault(kind, 0) >= MOST_OF_A_KIND) {
             continue;
           }
-          Bin b = new Bin(t, zone, spot);
-          Bin trial = new Bin(t, zone, spot);
+          Bin b = new Bin(type, zone, spot);
+          Bin trial = new Bin(type, zone, spot);
           double used = trial.take(d, tasks) * size(d.job());
           if (used == 0) {
             continue;
@@ -174,7 +174,7 @@
           for (Demand other : later) {
             used += trial.take(other, other.tasks()) * size(other.job());
           }
-          double cost = t.price(spot) * (spot ? tuning.spotRisk() : 1) / used;
+          double cost = type.price(spot) * (spot ? tuning.spotRisk() : 1) / used;
           if (cost < bestCost) {
             bestCost = cost;
             best = b;
@@ -186,17 +186,17 @@
   }
 
   /** A measure of a task that is comparable between machine types. */
-  private static double size(Job j) {
-    return Math.max(1e-6, j.spec.cpus() + j.spec.gpus() + j.spec.memoryGb() * 1e-3);
+  private static double size(Job job) {
+    return Math.max(1e-6, job.spec.cpus() + job.spec.gpus() + job.spec.memoryGb() * 1e-3);
   }
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
-  static Duration bootTime(MachineType t) {
-    return t.boot().multipliedBy(3).dividedBy(2);
+  static Duration bootTime(MachineType type) {
+    return type.boot().multipliedBy(3).dividedBy(2);
   }
 
   /** How long a machine may boot before it no longer counts as coming. */
-  static Duration patience(MachineType t) {
-    return t.boot().multipliedBy(2).plusSeconds(5);
+  static Duration patience(MachineType type) {
+    return type.boot().multipliedBy(2).plusSeconds(5);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -221,8 +221,8 @@
     for (LiveJobs list : m.live) {
       Set<String> live = Set.copyOf(list.jobs());
       List.copyOf(jobs.all()).stream()
-          .filter(j -> j.stamp <= list.epoch() && !live.contains(j.spec.id()))
-          .forEach(j -> cancelled(j.spec.id()));
+          .filter(job -> job.stamp <= list.epoch() && !live.contains(job.spec.id()))
+          .forEach(job -> cancelled(job.spec.id()));
     }
     leadership.confirmedByPeers(m.evidence);
   }
@@ -240,14 +240,14 @@
     }
     records.close(job.get());
     parts.gangs.forget(job.get());
-    for (TaskAttempt p : List.copyOf(job.get().placed.values())) {
+    for (TaskAttempt attempt : List.copyOf(job.get().placed.values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
       // saves already, for whatever reason it was stopped, is told to end.
-      p.stopsAtOnce = true;
-      p.kills = 0;
-      inventory.stop(p);
-      inventory.noteCommandDue(p.machine);
-      parts.dispatcher.sendDue(p.machine);
+      attempt.stopsAtOnce = true;
+      attempt.kills = 0;
+      inventory.stop(attempt);
+      inventory.noteCommandDue(attempt.machine);
+      parts.dispatcher.sendDue(attempt.machine);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
@@ -66,8 +66,8 @@
    */
   private double mates(Job job, Machine machine) {
     int onMachine = 0;
-    for (TaskAttempt placement : machine.placements.values()) {
-      if (placement.job == job) {
+    for (TaskAttempt attempt : machine.placements.values()) {
+      if (attempt.job == job) {
         onMachine++;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -57,9 +57,9 @@
    *
    * @param isLive whether a job is not over
    */
-  static List<AgentCommand> forUnsettled(Heartbeat report, Predicate<String> isLive) {
+  static List<AgentCommand> forUnsettled(Heartbeat heartbeat, Predicate<String> isLive) {
     List<AgentCommand> stops = new ArrayList<>();
-    for (TaskStatus task : report.tasks()) {
+    for (TaskStatus task : heartbeat.tasks()) {
       if (task.stage() != Heartbeat.Stage.ENDED && !isLive.test(task.task().job())) {
         stops.add(AgentCommand.stop(task.task(), task.attempt(), Duration.ZERO));
       }
@@ -72,32 +72,33 @@
    */
   static boolean unsent(Machine machine) {
     return machine.foreign.containsValue(Instant.MIN)
-        || machine.placements.values().stream().anyMatch(p -> p.stopping && p.kills == 0);
+        || machine.placements.values().stream()
+            .anyMatch(attempt -> attempt.stopping && attempt.kills == 0);
   }
 
-  private static boolean isDue(TaskAttempt placement, boolean inAnswer, Instant now) {
-    if (!placement.stopping || placement.attempt < 0) {
+  private static boolean isDue(TaskAttempt attempt, boolean inAnswer, Instant now) {
+    if (!attempt.stopping || attempt.attempt < 0) {
       return false;
     }
-    if (placement.kills == 0 || (inAnswer && !isSaving(placement))) {
+    if (attempt.kills == 0 || (inAnswer && !isSaving(attempt))) {
       return true;
     }
-    Duration patience = isSaving(placement) ? REPEAT.plus(placement.job.spec.save()) : REPEAT;
-    return Duration.between(placement.killSent, now).compareTo(patience) >= 0;
+    Duration patience = isSaving(attempt) ? REPEAT.plus(attempt.job.spec.save()) : REPEAT;
+    return Duration.between(attempt.killSent, now).compareTo(patience) >= 0;
   }
 
   /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
-  private static boolean isSaving(TaskAttempt placement) {
-    return placement.stage == Stage.SAVING && !placement.stopsAtOnce;
+  private static boolean isSaving(TaskAttempt attempt) {
+    return attempt.stage == Stage.SAVING && !attempt.stopsAtOnce;
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
-  private static AgentCommand stop(TaskAttempt placement) {
+  private static AgentCommand stop(TaskAttempt attempt) {
     boolean mayStillSave =
-        !placement.stopsAtOnce
-            && !placement.job.spec.checkpoint().isZero()
-            && (placement.kills == 0 || placement.stage != Stage.SAVING);
-    Duration grace = mayStillSave ? placement.job.spec.save().plus(SAVING_MARGIN) : Duration.ZERO;
-    return AgentCommand.stop(placement.task, placement.attempt, grace);
+        !attempt.stopsAtOnce
+            && !attempt.job.spec.checkpoint().isZero()
+            && (attempt.kills == 0 || attempt.stage != Stage.SAVING);
+    Duration grace = mayStillSave ? attempt.job.spec.save().plus(SAVING_MARGIN) : Duration.ZERO;
+    return AgentCommand.stop(attempt.task, attempt.attempt, grace);
   }
 }
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -122,13 +122,13 @@
 
   @Test
   void readsWhatItKnowsAndPassesOverTheRest() throws Exception {
-    Settings s = SettingsReader.read(write(settings(1, 2, 3, 4)));
-    assertEquals("hive-0", s.host());
-    assertEquals(12.0, s.teams().get(0).cpusMax());
-    assertEquals(Duration.ofMillis(1500), s.objectives().get(0).within());
-    assertEquals(2048, s.stateLimits().valueBytes());
-    assertEquals(Duration.ofSeconds(14), s.hold());
-    assertTrue(s.peers().containsKey("hive-1"));
+    Settings settings = SettingsReader.read(write(settings(1, 2, 3, 4)));
+    assertEquals("hive-0", settings.host());
+    assertEquals(12.0, settings.teams().get(0).cpusMax());
+    assertEquals(Duration.ofMillis(1500), settings.objectives().get(0).within());
+    assertEquals(2048, settings.stateLimits().valueBytes());
+    assertEquals(Duration.ofSeconds(14), settings.hold());
+    assertTrue(settings.peers().containsKey("hive-1"));
   }
 
   @Test
--- a/src/test/java/io/pearscale/coordination/RelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/RelayActorTest.java
@@ -54,7 +54,7 @@
           },
           Duration.ofMillis(1500),
           SocketShares.of(SOCKETS).parkedReports(),
-          (report, answer) -> {});
+          (heartbeat, answer) -> {});
 
   RelayActorTest() {
     relay.tell(new LeaderIs(1, Optional.of("hive-1")));
--- a/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
@@ -26,7 +26,7 @@
             AgentCommand.forget(TASK, 3));
     var tree = MessagePack.map().put("baton", 50331649L);
     var list = tree.putArray("orders");
-    orders.forEach(order -> list.add(order.toNode()));
+    orders.forEach(command -> list.add(command.toNode()));
     byte[] bytes = new HeartbeatResponse(200, 50331649L, orders).encode();
     JsonNode read = MessagePack.decode(bytes).orElseThrow();
     assertEquals(MessagePack.decode(MessagePack.encode(tree)).orElseThrow(), read);
--- a/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
@@ -35,10 +35,10 @@
             AgentCommand.start(new TaskId("wk-1", 1), 2)),
         Carrier.COMMAND);
     log.sending(machine, List.of(AgentCommand.start(TASK, 3)), Carrier.ANSWER);
-    TaskAttempt placement =
+    TaskAttempt attempt =
         new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.SENT, Instant.EPOCH);
-    log.gone(placement, AbsenceProof.ENDED);
-    log.gone(placement, AbsenceProof.LEASE_OVER);
+    log.gone(attempt, AbsenceProof.ENDED);
+    log.gone(attempt, AbsenceProof.LEASE_OVER);
     assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] sessions=0", log.takeCounts());
     assertEquals("starts=[0,0] absences=[0,0,0,0,0,0,0] sessions=0", log.takeCounts());
   }
--- a/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
@@ -52,14 +52,19 @@
     Job job = new Job(replica(cpus, Priority.CRITICAL), 0, NOW, false);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      Machine m = new Machine("m-" + i, "a", false, BIG, Life.UP, NOW);
-      m.noteImage("img", 1);
-      TaskAttempt p =
+      Machine machine = new Machine("m-" + i, "a", false, BIG, Life.UP, NOW);
+      machine.noteImage("img", 1);
+      TaskAttempt attempt =
           new TaskAttempt(
-              job, new TaskId("wk-1", i), i, m, Stage.RUNNING, NOW.minus(Duration.ofHours(1)));
-      m.add(p);
-      job.add(p);
-      machines.add(m);
+              job,
+              new TaskId("wk-1", i),
+              i,
+              machine,
+              Stage.RUNNING,
+              NOW.minus(Duration.ofHours(1)));
+      machine.add(attempt);
+      job.add(attempt);
+      machines.add(machine);
     }
     return machines;
   }
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -213,7 +213,7 @@
         answer = Optional.empty();
         core.tell(new SchedulerActor.Reported(report(w), via, a -> answer = Optional.of(a)));
         settle(Duration.ofMillis(1));
-        answer.ifPresent(a -> a.orders().forEach(o -> note(o.toNode())));
+        answer.ifPresent(a -> a.orders().forEach(command -> note(command.toNode())));
       }
       case "via" -> via = w.get(1);
       case "reply" -> {
@@ -428,7 +428,7 @@
         answer
             .get()
             .orders()
-            .forEach(o -> got.addAll(names(World.map().putArray("x").add(o.toNode()))));
+            .forEach(command -> got.addAll(names(World.map().putArray("x").add(command.toNode()))));
         TreeSet<String> want = new TreeSet<>(w.subList(2, w.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("orders " + got);
       }
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -58,7 +58,7 @@
     } else if (path.equals("/catalog")) {
       ObjectNode n = World.map();
       var list = n.putArray("breeds");
-      types.values().forEach(t -> list.add(t.toNode()));
+      types.values().forEach(type -> list.add(type.toNode()));
       answer.accept(new Reply(200, n));
     } else if (path.equals("/hosts")) {
       hire(body, answer);
