--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -34,172 +34,176 @@
  * good renewal was <em>sent</em>.
  */
 public final class ElectionActor extends Actor<ElectionActor.Message> {
-  /** A leader whose links are refused writes more often than this, see {@link #BEAT}. */
-  private static final Duration SUSPICION = Duration.ofMillis(700);
+  /**
+   * A leader whose links are refused writes more often than this, see {@link
+   * #STORE_HEARTBEAT_INTERVAL}.
+   */
+  private static final Duration LEADER_PROBE_INTERVAL = Duration.ofMillis(700);
 
   /** A leader whose renewals stay out for so long asks its peers. */
-  private static final Duration DOUBT = Duration.ofMillis(1200);
+  private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(1200);
 
-  private static final Duration SETTLING = Duration.ofMillis(150);
+  private static final Duration SETTLE_DELAY = Duration.ofMillis(150);
 
   /** How often a leader shows that it lives, while a peer can't be reached. */
-  public static final Duration BEAT = Duration.ofMillis(200);
+  public static final Duration STORE_HEARTBEAT_INTERVAL = Duration.ofMillis(200);
 
   /** What the actor understands. */
   public sealed interface Message {}
 
   /** The replica was loaded. */
-  public record Loaded(Map<String, Entry> all) implements Message {}
+  public record Loaded(Map<String, Entry> entries) implements Message {}
 
   /** Keys changed. */
-  public record Changed(List<KeyChange> changes) implements Message {}
+  public record KeysChanged(List<KeyChange> changes) implements Message {}
 
   /** Somebody has seen a higher term: a worker's token, or a peer. */
-  public record HigherTerm(long term) implements Message {}
+  public record HigherTermSeen(long term) implements Message {}
 
   /**
    * A peer says who leads. Others take its word only while they can't ask the state service; a
    * leader learns from it whom its own election has reached.
    */
-  public record Heard(String peer, long term, String leader) implements Message {}
+  public record LeaderAnnounced(String peer, long term, String leader) implements Message {}
 
   /** A peer refuses connections: its process may have ended. */
-  public record PeerEnded(String peer) implements Message {}
+  public record PeerConnectionRefused(String peer) implements Message {}
 
-  /** A peer's word, see {@link #ask}. */
-  public record Vouched(
-      String peer, long nonce, long term, List<String> cancelled, Optional<LiveJobs> live)
+  /** A peer's word, see {@link #requestConfirmations}. */
+  public record PeerConfirmed(
+      String peer, long nonce, long term, List<String> cancelledJobs, Optional<LiveJobs> liveJobs)
       implements Message {}
 
   /** A record that a leader needs can't be read here. */
-  public record Unfit(String reason) implements Message {}
+  public record RecordUnreadable(String reason) implements Message {}
 
-  private record FirstLook(long term, String peer, Reply reply) implements Message {}
+  private record FirstTermProbe(long term, String peer, Reply reply) implements Message {}
 
-  private record SecondLook(long term, String peer, long stamp, Reply reply) implements Message {}
+  private record SecondTermProbe(long term, String peer, long revision, Reply reply)
+      implements Message {}
 
-  private record Renew(int round) implements Message {}
+  private record RenewalDue(int round) implements Message {}
 
-  private record Stand(int round) implements Message {}
+  private record CampaignDue(int round) implements Message {}
 
-  private record Granted(int round, Reply reply) implements Message {}
+  private record LeaseGranted(int round, Reply reply) implements Message {}
 
-  private record Elected(int round, Reply reply) implements Message {}
+  private record ElectionAnswered(int round, Reply reply) implements Message {}
 
-  private record Renewed(int round, Instant sent, Reply reply) implements Message {}
+  private record LeaseRenewalAnswered(int round, Instant sentAt, Reply reply) implements Message {}
 
-  private record Expire(int round) implements Message {}
+  private record ProofExpired(int round) implements Message {}
 
   /** Is told who leads. */
   public interface Listener {
     /** This controller leads from now on. */
-    void won(long term, long termStamp, Instant evidence);
+    void elected(long term, long termRevision, Instant provenAt);
 
     /** The state service has confirmed that this controller still led when it was asked. */
-    void confirmed(Instant evidence);
+    void leadershipProven(Instant provenAt);
 
     /**
      * All peers have confirmed the same. They named the jobs that they told as cancelled lately,
      * and those that have started since our copy ends say which jobs were live by then.
      */
-    void vouched(Instant evidence, Set<String> cancelled, List<LiveJobs> live);
+    void confirmedByPeers(Instant provenAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs);
 
     /**
      * All peers have said since the election that they know of it. Whoever says so leads in no
      * older term: it has stepped down before, or is a later life of a process that has ended.
      */
-    void acknowledged();
+    void electionAcknowledged();
 
     /** All peers are to be asked for their word. */
-    void ask(long nonce);
+    void requestConfirmations(long nonce);
 
     /** This controller does not lead any more. */
-    void lost(long term);
+    void leadershipLost(long term);
 
     /** The leader as far as known; empty while there is none. */
-    void leader(long term, Optional<String> name);
+    void leaderChanged(long term, Optional<String> name);
   }
 
-  private final KeyValueStoreClient state;
-  private final LeaderLeaseRenewer keeper;
+  private final KeyValueStoreClient store;
+  private final LeaderLeaseRenewer leaseRenewer;
   private final Settings settings;
   private final RandomGenerator random;
   private final List<Listener> listeners;
-  private final Supplier<Optional<String>> objection;
-  private final String nonce;
+  private final Supplier<Optional<String>> levelObjection;
+  private final String processNonce;
 
   /** Why this controller can't lead although its build supports the level in force. */
-  private Optional<String> unfit = Optional.empty();
+  private Optional<String> unreadableRecord = Optional.empty();
 
   /** The reason for staying out that was logged last. */
-  private Optional<String> loggedReason = Optional.empty();
+  private Optional<String> loggedExclusion = Optional.empty();
 
   private boolean loaded;
-  private Optional<Entry> leadEntry = Optional.empty();
+  private Optional<Entry> leaderEntry = Optional.empty();
   private Optional<Entry> termEntry = Optional.empty();
   private int round;
-  private boolean standing;
+  private boolean campaigning;
   private boolean leading;
-  private long grant;
+  private long leaseId;
   private long term;
-  private Instant evidence = Instant.MIN;
-  private long question;
-  private Instant asked = Instant.MIN;
-  private final Set<String> vouchers = new HashSet<>();
-  private final Set<String> cancelled = new HashSet<>();
-  private final List<LiveJobs> live = new ArrayList<>();
+  private Instant provenAt = Instant.MIN;
+  private long confirmationNonce;
+  private Instant confirmationRequestedAt = Instant.MIN;
+  private final Set<String> confirmedPeers = new HashSet<>();
+  private final Set<String> cancelledJobs = new HashSet<>();
+  private final List<LiveJobs> liveJobs = new ArrayList<>();
 
   /** The highest term that a peer has told us of. */
-  private long highestHeard;
+  private long highestAnnouncedTerm;
 
   /** Peers that have said that they know of our election. */
-  private final Set<String> aware = new HashSet<>();
+  private final Set<String> acknowledgedPeers = new HashSet<>();
 
   /**
    * Takes part in elections.
    *
-   * @param objection why this build must not take part under the stored level, if it must not
+   * @param levelObjection why this build must not take part under the stored level, if it must not
    * @param listeners are told of the outcome
    */
   public ElectionActor(
       EventLoop loop,
-      KeyValueStoreClient state,
-      LeaderLeaseRenewer keeper,
+      KeyValueStoreClient store,
+      LeaderLeaseRenewer leaseRenewer,
       Settings settings,
       RandomGenerator random,
-      Supplier<Optional<String>> objection,
+      Supplier<Optional<String>> levelObjection,
       List<Listener> listeners) {
     super(loop);
-    this.state = state;
-    this.keeper = keeper;
+    this.store = store;
+    this.leaseRenewer = leaseRenewer;
     this.settings = settings;
     this.random = random;
-    this.objection = objection;
+    this.levelObjection = levelObjection;
     this.listeners = listeners;
-    this.nonce = Long.toHexString(random.nextLong());
+    this.processNonce = Long.toHexString(random.nextLong());
     // An answer to a question of a former life must not pass for one to ours.
-    this.question = random.nextLong() >>> 1;
+    this.confirmationNonce = random.nextLong() >>> 1;
   }
 
   @Override
   protected void receive(Message message) {
     if (message instanceof Loaded m) {
       loaded = true;
-      unfit = Optional.empty();
-      leadEntry = Optional.ofNullable(m.all.get(Keys.LEADER));
-      termEntry = Optional.ofNullable(m.all.get(Keys.TERM));
-      look();
-    } else if (message instanceof Changed m) {
+      unreadableRecord = Optional.empty();
+      leaderEntry = Optional.ofNullable(m.entries.get(Keys.LEADER));
+      termEntry = Optional.ofNullable(m.entries.get(Keys.TERM));
+      evaluate();
+    } else if (message instanceof KeysChanged m) {
       boolean ours = false;
       for (KeyChange c : m.changes) {
-        if (Keys.isNeededToLead(c.key()) && unfit.isPresent()) {
+        if (Keys.isNeededToLead(c.key()) && unreadableRecord.isPresent()) {
           // Perhaps it can be read now; a new leader reads all anew in any case.
-          unfit = Optional.empty();
+          unreadableRecord = Optional.empty();
           ours = true;
         } else if (c.key().equals(Keys.LEVEL)) {
           ours = true;
         } else if (c.key().equals(Keys.LEADER)) {
-          leadEntry = c.entry();
+          leaderEntry = c.entry();
           ours = true;
         } else if (c.key().equals(Keys.TERM)) {
           termEntry = c.entry();
@@ -207,38 +211,38 @@
         }
       }
       if (ours) {
-        look();
+        evaluate();
       }
-    } else if (message instanceof HigherTerm m) {
+    } else if (message instanceof HigherTermSeen m) {
       if (leading && m.term > term) {
         log.warn("event=higher_term_seen term={} seen={}", term, m.term);
         stepDown("higher_term");
       }
-    } else if (message instanceof Unfit m) {
-      unfit = Optional.of(m.reason);
-      look();
-    } else if (message instanceof Heard m) {
-      heard(m);
-    } else if (message instanceof PeerEnded m) {
-      peerEnded(m.peer);
-    } else if (message instanceof Vouched m) {
-      vouched(m);
-    } else if (message instanceof FirstLook m) {
-      firstLook(m);
-    } else if (message instanceof SecondLook m) {
-      secondLook(m);
-    } else if (message instanceof Stand m && m.round == round) {
-      stand();
-    } else if (message instanceof Granted m && m.round == round) {
-      granted(m.reply);
-    } else if (message instanceof Elected m && m.round == round) {
-      elected(m.reply);
-    } else if (message instanceof Renew m && m.round == round && leading) {
-      renew();
-    } else if (message instanceof Renewed m && m.round == round && leading) {
-      renewed(m);
-    } else if (message instanceof Expire m && m.round == round && leading) {
-      expire();
+    } else if (message instanceof RecordUnreadable m) {
+      unreadableRecord = Optional.of(m.reason);
+      evaluate();
+    } else if (message instanceof LeaderAnnounced m) {
+      leaderAnnounced(m);
+    } else if (message instanceof PeerConnectionRefused m) {
+      peerConnectionRefused(m.peer);
+    } else if (message instanceof PeerConfirmed m) {
+      peerConfirmed(m);
+    } else if (message instanceof FirstTermProbe m) {
+      firstTermProbe(m);
+    } else if (message instanceof SecondTermProbe m) {
+      secondTermProbe(m);
+    } else if (message instanceof CampaignDue m && m.round == round) {
+      campaign();
+    } else if (message instanceof LeaseGranted m && m.round == round) {
+      leaseGranted(m.reply);
+    } else if (message instanceof ElectionAnswered m && m.round == round) {
+      electionAnswered(m.reply);
+    } else if (message instanceof RenewalDue m && m.round == round && leading) {
+      renewalDue();
+    } else if (message instanceof LeaseRenewalAnswered m && m.round == round && leading) {
+      leaseRenewalAnswered(m);
+    } else if (message instanceof ProofExpired m && m.round == round && leading) {
+      proofExpired();
     }
   }
 
@@ -247,8 +251,8 @@
   }
 
   /** Looks at what the state service holds and acts on it. */
-  private void look() {
-    if (staysOut()) {
+  private void evaluate() {
+    if (abstains()) {
       return;
     }
     if (leading) {
@@ -257,29 +261,30 @@
       }
       return;
     }
-    if (leadEntry.isEmpty()) {
-      listeners.forEach(l -> l.leader(knownTerm(), Optional.empty()));
-      if (!standing) {
-        planStand(Duration.ofMillis(random.nextInt(60)));
+    if (leaderEntry.isEmpty()) {
+      listeners.forEach(l -> l.leaderChanged(knownTerm(), Optional.empty()));
+      if (!campaigning) {
+        scheduleCampaign(Duration.ofMillis(random.nextInt(60)));
       }
       return;
     }
-    var value = leadEntry.get().value();
+    var value = leaderEntry.get().value();
     String name = value.path("node").asText();
     if (name.equals(settings.host())) {
-      if (value.path("nonce").asText().equals(nonce) && value.path("grant").asLong() == grant) {
+      if (value.path("nonce").asText().equals(processNonce)
+          && value.path("grant").asLong() == leaseId) {
         // Our transaction went through although its answer got lost.
-        win(value.path("term").asLong(), leadEntry.get().stamp());
-      } else if (!standing) {
+        beginLeading(value.path("term").asLong(), leaderEntry.get().stamp());
+      } else if (!campaigning) {
         // A former life of this process, or a try that was given up: nobody keeps that grant.
-        state.revoke(value.path("grant").asLong(), r -> {});
-        planStand(Duration.ofMillis(500));
+        store.revoke(value.path("grant").asLong(), r -> {});
+        scheduleCampaign(Duration.ofMillis(500));
       }
       return;
     }
     round++;
-    standing = false;
-    listeners.forEach(l -> l.leader(knownTerm(), Optional.of(name)));
+    campaigning = false;
+    listeners.forEach(l -> l.leaderChanged(knownTerm(), Optional.of(name)));
   }
 
   /**
@@ -287,184 +292,188 @@
    * or a record that a leader needs can't be read. It still learns who leads, so as to relay
    * reports.
    */
-  private boolean staysOut() {
-    Optional<String> reason = objection.get().or(() -> unfit);
-    if (!reason.equals(loggedReason)) {
-      loggedReason = reason;
+  private boolean abstains() {
+    Optional<String> reason = levelObjection.get().or(() -> unreadableRecord);
+    if (!reason.equals(loggedExclusion)) {
+      loggedExclusion = reason;
       log.warn("event=stays_out reason={}", reason.orElse("none any more"));
     }
     if (reason.isEmpty()) {
       return false;
     }
     if (leading) {
-      long given = grant;
+      long given = leaseId;
       stepDown("stays_out");
-      state.revoke(given, r -> {});
+      store.revoke(given, r -> {});
     }
     round++;
-    standing = false;
+    campaigning = false;
     Optional<String> other =
-        leadEntry
+        leaderEntry
             .map(e -> e.value().path("node").asText())
             .filter(name -> !name.equals(settings.host()));
-    listeners.forEach(l -> l.leader(knownTerm(), other));
+    listeners.forEach(l -> l.leaderChanged(knownTerm(), other));
     return true;
   }
 
-  private void heard(Heard m) {
-    highestHeard = Math.max(highestHeard, m.term);
+  private void leaderAnnounced(LeaderAnnounced m) {
+    highestAnnouncedTerm = Math.max(highestAnnouncedTerm, m.term);
     if (leading && m.term > term) {
       stepDown("peer_has_higher_term");
     } else if (leading) {
-      if (m.term == term && aware.add(m.peer) && aware.containsAll(settings.peers().keySet())) {
-        listeners.forEach(Listener::acknowledged);
+      if (m.term == term
+          && acknowledgedPeers.add(m.peer)
+          && acknowledgedPeers.containsAll(settings.peers().keySet())) {
+        listeners.forEach(Listener::electionAcknowledged);
       }
     } else if (m.term > knownTerm() && !m.leader.isEmpty()) {
-      listeners.forEach(l -> l.leader(m.term, Optional.of(m.leader)));
+      listeners.forEach(l -> l.leaderChanged(m.term, Optional.of(m.leader)));
     } else if (!loaded && m.term > 0 && !m.leader.isEmpty()) {
-      listeners.forEach(l -> l.leader(m.term, Optional.of(m.leader)));
+      listeners.forEach(l -> l.leaderChanged(m.term, Optional.of(m.leader)));
     }
   }
 
-  private boolean leads(String peer, long term) {
+  private boolean isLeader(String peer, long term) {
     return !leading
         && knownTerm() == term
-        && leadEntry.map(e -> e.value().path("node").asText().equals(peer)).orElse(false);
+        && leaderEntry.map(e -> e.value().path("node").asText().equals(peer)).orElse(false);
   }
 
   /**
    * A leader whose process has ended need not be waited for until its grant runs out. But a refused
    * connection proves nothing: there may be a packet filter in between. A living leader that can't
-   * reach a peer raises the stamp of the term's key again and again ({@link #BEAT}); only when two
-   * looks at it find the same stamp is its grant revoked.
+   * reach a peer raises the stamp of the term's key again and again ({@link
+   * #STORE_HEARTBEAT_INTERVAL}); only when two looks at it find the same stamp is its grant
+   * revoked.
    */
-  private void peerEnded(String peer) {
+  private void peerConnectionRefused(String peer) {
     long t = knownTerm();
-    if (leads(peer, t)) {
+    if (isLeader(peer, t)) {
       // What it wrote last may still be on its way.
-      loop.after(SETTLING, () -> state.read(Keys.TERM, r -> tell(new FirstLook(t, peer, r))));
+      loop.after(
+          SETTLE_DELAY, () -> store.read(Keys.TERM, r -> tell(new FirstTermProbe(t, peer, r))));
     }
   }
 
-  private void firstLook(FirstLook m) {
-    if (m.reply.ok() && leads(m.peer, m.term)) {
+  private void firstTermProbe(FirstTermProbe m) {
+    if (m.reply.ok() && isLeader(m.peer, m.term)) {
       long stamp = m.reply.body().path("stamp").asLong();
       loop.after(
-          SUSPICION,
-          () -> state.read(Keys.TERM, r -> tell(new SecondLook(m.term, m.peer, stamp, r))));
+          LEADER_PROBE_INTERVAL,
+          () -> store.read(Keys.TERM, r -> tell(new SecondTermProbe(m.term, m.peer, stamp, r))));
     }
   }
 
-  private void secondLook(SecondLook m) {
-    if (!m.reply.ok() || !leads(m.peer, m.term)) {
+  private void secondTermProbe(SecondTermProbe m) {
+    if (!m.reply.ok() || !isLeader(m.peer, m.term)) {
       return;
     }
-    if (m.reply.body().path("stamp").asLong() == m.stamp) {
+    if (m.reply.body().path("stamp").asLong() == m.revision) {
       log.info("event=leader_ended term={} host={}", m.term, m.peer);
-      state.revoke(leadEntry.get().value().path("grant").asLong(), r -> {});
+      store.revoke(leaderEntry.get().value().path("grant").asLong(), r -> {});
     } else {
       log.info("event=leader_only_refuses term={} host={}", m.term, m.peer);
     }
   }
 
-  private void planStand(Duration delay) {
-    standing = true;
+  private void scheduleCampaign(Duration delay) {
+    campaigning = true;
     int r = ++round;
-    loop.after(delay.plusMillis(1), () -> tell(new Stand(r)));
+    loop.after(delay.plusMillis(1), () -> tell(new CampaignDue(r)));
   }
 
-  private void stand() {
-    if (staysOut()) {
+  private void campaign() {
+    if (abstains()) {
       return;
     }
     int r = round;
-    if (leadEntry.isPresent()
-        && !leadEntry.get().value().path("node").asText().equals(settings.host())) {
-      standing = false;
+    if (leaderEntry.isPresent()
+        && !leaderEntry.get().value().path("node").asText().equals(settings.host())) {
+      campaigning = false;
       return;
     }
-    state.grant(settings.grantTime(), reply -> tell(new Granted(r, reply)));
+    store.grant(settings.grantTime(), reply -> tell(new LeaseGranted(r, reply)));
   }
 
-  private void granted(Reply reply) {
+  private void leaseGranted(Reply reply) {
     if (!reply.ok() || !reply.body().path("claim").isIntegralNumber()) {
-      planStand(retryDelay());
+      scheduleCampaign(retryDelay());
       return;
     }
-    grant = reply.body().path("claim").asLong();
+    leaseId = reply.body().path("claim").asLong();
     long next = knownTerm() + 1;
     ObjectNode lead =
         MessagePack.map()
             .put("node", settings.host())
             .put("term", next)
-            .put("grant", grant)
-            .put("nonce", nonce);
-    evidence = loop.clock().instant();
+            .put("grant", leaseId)
+            .put("nonce", processNonce);
+    provenAt = loop.clock().instant();
     int r = round;
-    state.commit(
+    store.commit(
         List.of(
             new Guard(Keys.LEADER, 0),
             new Guard(Keys.TERM, termEntry.map(Entry::stamp).orElse(0L))),
         List.of(
-            new Change(Keys.LEADER, Optional.of(lead), Optional.of(grant)),
-            Change.write(Keys.TERM, MessagePack.map().put("term", next).put("node", nonce))),
-        answer -> tell(new Elected(r, answer)));
+            new Change(Keys.LEADER, Optional.of(lead), Optional.of(leaseId)),
+            Change.write(Keys.TERM, MessagePack.map().put("term", next).put("node", processNonce))),
+        answer -> tell(new ElectionAnswered(r, answer)));
   }
 
-  private void elected(Reply reply) {
+  private void electionAnswered(Reply reply) {
     if (reply.ok()) {
-      win(knownTerm() + 1, reply.body().path("epoch").asLong());
+      beginLeading(knownTerm() + 1, reply.body().path("epoch").asLong());
       return;
     }
     // 409: somebody was first, and the watch will say who. No answer: the watch will say as well.
-    standing = false;
+    campaigning = false;
     log.info("event=election_not_won status={}", reply.status());
-    planStand(reply.status() == 409 ? Duration.ofMillis(400) : retryDelay());
+    scheduleCampaign(reply.status() == 409 ? Duration.ofMillis(400) : retryDelay());
   }
 
   private Duration retryDelay() {
     return Duration.ofMillis(300 + random.nextInt(400));
   }
 
-  private void win(long newTerm, long termStamp) {
-    if (staysOut()) {
-      state.revoke(grant, r -> {});
+  private void beginLeading(long newTerm, long termStamp) {
+    if (abstains()) {
+      store.revoke(leaseId, r -> {});
       return;
     }
-    if (newTerm < highestHeard) {
+    if (newTerm < highestAnnouncedTerm) {
       // The news of our election were long on their way, or we stood still meanwhile. We have said
       // that we know of a newer term, and its leader relies on it that nobody leads in an older
       // one.
-      log.info("event=won_too_late term={} heard={}", newTerm, highestHeard);
-      state.revoke(grant, r -> {});
-      grant = -1;
-      planStand(retryDelay());
+      log.info("event=won_too_late term={} heard={}", newTerm, highestAnnouncedTerm);
+      store.revoke(leaseId, r -> {});
+      leaseId = -1;
+      scheduleCampaign(retryDelay());
       return;
     }
     round++;
-    standing = false;
+    campaigning = false;
     leading = true;
     term = newTerm;
-    aware.clear();
+    acknowledgedPeers.clear();
     // What was read when the transaction was sent proves nothing before it was applied, and it was
     // applied after it was sent: the time of sending is a safe lower bound.
     log.info("event=elected term={} host={}", term, settings.host());
-    listeners.forEach(l -> l.leader(term, Optional.of(settings.host())));
-    listeners.forEach(l -> l.won(term, termStamp, evidence));
+    listeners.forEach(l -> l.leaderChanged(term, Optional.of(settings.host())));
+    listeners.forEach(l -> l.elected(term, termStamp, provenAt));
     int r = round;
-    keeper.keep(grant, (sent, reply) -> tell(new Renewed(r, sent, reply)));
-    loop.after(LeaderLeaseRenewer.INTERVAL, () -> tell(new Renew(r)));
-    planExpiry();
+    leaseRenewer.start(leaseId, (sent, reply) -> tell(new LeaseRenewalAnswered(r, sent, reply)));
+    loop.after(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
+    scheduleProofExpiry();
   }
 
   /** Shows that this loop goes on, and asks the peers when renewals stay out. */
-  private void renew() {
+  private void renewalDue() {
     int r = round;
     Instant now = loop.clock().instant();
-    keeper.progress();
-    loop.after(LeaderLeaseRenewer.INTERVAL, () -> tell(new Renew(r)));
-    if (Duration.between(evidence, now).compareTo(DOUBT) > 0) {
-      ask(now);
+    leaseRenewer.noteProgress();
+    loop.after(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
+    if (Duration.between(provenAt, now).compareTo(CONFIRMATION_TIMEOUT) > 0) {
+      requestConfirmations(now);
     }
   }
 
@@ -478,56 +487,57 @@
    * knows. Each word counts from when the question was sent, and extends a proof that still holds;
    * one that has run out can only be renewed by the state service.
    */
-  private void ask(Instant sent) {
-    asked = sent;
-    question++;
-    vouchers.clear();
-    cancelled.clear();
-    live.clear();
-    listeners.forEach(l -> l.ask(question));
+  private void requestConfirmations(Instant sent) {
+    confirmationRequestedAt = sent;
+    confirmationNonce++;
+    confirmedPeers.clear();
+    cancelledJobs.clear();
+    liveJobs.clear();
+    listeners.forEach(l -> l.requestConfirmations(confirmationNonce));
   }
 
-  private void vouched(Vouched m) {
-    if (!leading || m.nonce != question) {
+  private void peerConfirmed(PeerConfirmed m) {
+    if (!leading || m.nonce != confirmationNonce) {
       return;
     }
     if (m.term > term) {
       stepDown("peer_has_higher_term");
       return;
     }
-    vouchers.add(m.peer);
-    cancelled.addAll(m.cancelled);
-    m.live.ifPresent(live::add);
-    if (vouchers.size() > settings.peers().size() && asked.isAfter(evidence)) {
-      evidence = asked;
-      Set<String> jobs = Set.copyOf(cancelled);
-      List<LiveJobs> lists = List.copyOf(live);
-      listeners.forEach(l -> l.vouched(evidence, jobs, lists));
-      planExpiry();
+    confirmedPeers.add(m.peer);
+    cancelledJobs.addAll(m.cancelledJobs);
+    m.liveJobs.ifPresent(liveJobs::add);
+    if (confirmedPeers.size() > settings.peers().size()
+        && confirmationRequestedAt.isAfter(provenAt)) {
+      provenAt = confirmationRequestedAt;
+      Set<String> jobs = Set.copyOf(cancelledJobs);
+      List<LiveJobs> lists = List.copyOf(liveJobs);
+      listeners.forEach(l -> l.confirmedByPeers(provenAt, jobs, lists));
+      scheduleProofExpiry();
     }
   }
 
-  private void renewed(Renewed m) {
+  private void leaseRenewalAnswered(LeaseRenewalAnswered m) {
     if (m.reply.ok()) {
-      if (m.sent.isAfter(evidence)) {
-        evidence = m.sent;
+      if (m.sentAt.isAfter(provenAt)) {
+        provenAt = m.sentAt;
       }
-      listeners.forEach(l -> l.confirmed(evidence));
-      planExpiry();
+      listeners.forEach(l -> l.leadershipProven(provenAt));
+      scheduleProofExpiry();
     } else if (m.reply.status() == 404) {
       stepDown("grant_ended");
     }
   }
 
-  private void planExpiry() {
+  private void scheduleProofExpiry() {
     int r = round;
     Duration left =
-        Duration.between(loop.clock().instant(), evidence.plus(settings.hold())).plusMillis(5);
-    loop.after(left.isNegative() ? Duration.ofMillis(1) : left, () -> tell(new Expire(r)));
+        Duration.between(loop.clock().instant(), provenAt.plus(settings.hold())).plusMillis(5);
+    loop.after(left.isNegative() ? Duration.ofMillis(1) : left, () -> tell(new ProofExpired(r)));
   }
 
-  private void expire() {
-    if (!loop.clock().instant().isBefore(evidence.plus(settings.hold()))) {
+  private void proofExpired() {
+    if (!loop.clock().instant().isBefore(provenAt.plus(settings.hold()))) {
       stepDown("no_proof");
     }
   }
@@ -535,19 +545,19 @@
   private void stepDown(String reason) {
     log.info("event=leadership_lost term={} reason={}", term, reason);
     leading = false;
-    keeper.release();
+    leaseRenewer.stop();
     round++;
-    standing = false;
+    campaigning = false;
     long old = term;
-    listeners.forEach(l -> l.lost(old));
-    if (leadEntry
-        .filter(e -> e.value().path("nonce").asText().equals(nonce))
+    listeners.forEach(l -> l.leadershipLost(old));
+    if (leaderEntry
+        .filter(e -> e.value().path("nonce").asText().equals(processNonce))
         .filter(e -> e.value().path("term").asLong() == old)
         .isPresent()) {
       // The copy still shows ourselves: without it the next look would think that we had won.
-      grant = -1;
+      leaseId = -1;
     }
-    listeners.forEach(l -> l.leader(knownTerm(), Optional.empty()));
-    planStand(retryDelay());
+    listeners.forEach(l -> l.leaderChanged(knownTerm(), Optional.empty()));
+    scheduleCampaign(retryDelay());
   }
 }
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -17,62 +17,63 @@
  */
 public final class LeaderLeaseRenewer {
   /** How often a leader's grant is renewed: four times within the shortest one. */
-  static final Duration INTERVAL = Duration.ofMillis(550);
+  static final Duration RENEWAL_INTERVAL = Duration.ofMillis(550);
 
-  private final EventLoop own;
-  private final EventLoop home;
-  private final KeyValueStoreClient state;
-  private final Duration patience;
-  private volatile Instant progress = Instant.MIN;
-  private int round;
+  private final EventLoop renewalLoop;
+  private final EventLoop mainLoop;
+  private final KeyValueStoreClient store;
+  private final Duration stallTimeout;
+  private volatile Instant lastProgressAt = Instant.MIN;
+  private int generation;
 
   /**
    * Keeps grants.
    *
-   * @param own the loop that it runs on, and {@code state} with it
-   * @param home the loop of its caller, on which answers are handed back
-   * @param patience for how long the main loop may show no progress
+   * @param renewalLoop the loop that it runs on, and {@code state} with it
+   * @param mainLoop the loop of its caller, on which answers are handed back
+   * @param stallTimeout for how long the main loop may show no progress
    */
   public LeaderLeaseRenewer(
-      EventLoop own, EventLoop home, KeyValueStoreClient state, Duration patience) {
-    this.own = own;
-    this.home = home;
-    this.state = state;
-    this.patience = patience;
+      EventLoop renewalLoop, EventLoop mainLoop, KeyValueStoreClient store, Duration stallTimeout) {
+    this.renewalLoop = renewalLoop;
+    this.mainLoop = mainLoop;
+    this.store = store;
+    this.stallTimeout = stallTimeout;
   }
 
   /** Renews the grant from now on; each answer comes with the time at which it was asked for. */
-  public void keep(long grant, BiConsumer<Instant, Reply> answered) {
-    progress();
-    own.execute(
+  public void start(long leaseId, BiConsumer<Instant, Reply> answered) {
+    noteProgress();
+    renewalLoop.execute(
         () -> {
-          round++;
-          planRenewal(round, grant, answered);
+          generation++;
+          scheduleRenewal(generation, leaseId, answered);
         });
   }
 
   /** Renews no longer. */
-  public void release() {
-    own.execute(() -> round++);
+  public void stop() {
+    renewalLoop.execute(() -> generation++);
   }
 
   /** The main loop goes on. */
-  public void progress() {
-    progress = home.clock().instant();
+  public void noteProgress() {
+    lastProgressAt = mainLoop.clock().instant();
   }
 
-  private void planRenewal(int keeping, long grant, BiConsumer<Instant, Reply> answered) {
-    own.after(INTERVAL, () -> renew(keeping, grant, answered));
+  private void scheduleRenewal(
+      int renewalGeneration, long leaseId, BiConsumer<Instant, Reply> answered) {
+    renewalLoop.after(RENEWAL_INTERVAL, () -> renew(renewalGeneration, leaseId, answered));
   }
 
-  private void renew(int keeping, long grant, BiConsumer<Instant, Reply> answered) {
-    if (keeping != round) {
+  private void renew(int renewalGeneration, long leaseId, BiConsumer<Instant, Reply> answered) {
+    if (renewalGeneration != generation) {
       return;
     }
-    Instant sent = own.clock().instant();
-    if (sent.isBefore(progress.plus(patience))) {
-      state.extend(grant, reply -> home.execute(() -> answered.accept(sent, reply)));
+    Instant sentAt = renewalLoop.clock().instant();
+    if (sentAt.isBefore(lastProgressAt.plus(stallTimeout))) {
+      store.extend(leaseId, reply -> mainLoop.execute(() -> answered.accept(sentAt, reply)));
     }
-    planRenewal(keeping, grant, answered);
+    scheduleRenewal(renewalGeneration, leaseId, answered);
   }
 }
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -20,10 +20,10 @@
  */
 public final class SupportAnnouncer extends Actor<SupportAnnouncer.Message> {
   /** The grant is renewed so often within its time. */
-  private static final int RENEWALS = 3;
+  private static final int RENEWALS_PER_LEASE = 3;
 
   /** After a refusal it is tried again so much later. */
-  private static final Duration RETRY = Duration.ofSeconds(1);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
   /** What the actor understands. */
   public sealed interface Message {}
@@ -31,92 +31,92 @@
   /** Begins to announce. */
   public record Start() implements Message {}
 
-  private record Renew() implements Message {}
+  private record RenewalDue() implements Message {}
 
-  private record Granted(Reply reply) implements Message {}
+  private record LeaseGranted(Reply reply) implements Message {}
 
-  private record Extended(Reply reply) implements Message {}
+  private record LeaseExtended(Reply reply) implements Message {}
 
-  private record Written(Reply reply) implements Message {}
+  private record RecordWritten(Reply reply) implements Message {}
 
-  private record Found(Reply reply) implements Message {}
+  private record RecordRead(Reply reply) implements Message {}
 
-  private record Retry() implements Message {}
+  private record RetryDue() implements Message {}
 
-  private final KeyValueStoreClient state;
+  private final KeyValueStoreClient store;
   private final String host;
   private final MemberSupport support;
-  private final Duration grantTime;
-  private OptionalLong grant = OptionalLong.empty();
+  private final Duration leaseTtl;
+  private OptionalLong leaseId = OptionalLong.empty();
 
   /** Makes an announcer; it does nothing before {@link Start}. */
   public SupportAnnouncer(
       EventLoop loop,
-      KeyValueStoreClient state,
+      KeyValueStoreClient store,
       String host,
       MemberSupport support,
-      Duration grantTime) {
+      Duration leaseTtl) {
     super(loop);
-    this.state = state;
+    this.store = store;
     this.host = host;
     this.support = support;
-    this.grantTime = grantTime;
+    this.leaseTtl = leaseTtl;
   }
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof Start || message instanceof Renew) {
+    if (message instanceof Start || message instanceof RenewalDue) {
       renew();
-    } else if (message instanceof Granted m) {
-      granted(m.reply);
-    } else if (message instanceof Extended m) {
-      extended(m.reply);
-    } else if (message instanceof Found m) {
-      found(m.reply);
-    } else if (message instanceof Retry) {
+    } else if (message instanceof LeaseGranted m) {
+      leaseGranted(m.reply);
+    } else if (message instanceof LeaseExtended m) {
+      leaseExtended(m.reply);
+    } else if (message instanceof RecordRead m) {
+      recordRead(m.reply);
+    } else if (message instanceof RetryDue) {
       announce();
-    } else if (message instanceof Written m) {
-      written(m.reply);
+    } else if (message instanceof RecordWritten m) {
+      recordWritten(m.reply);
     }
   }
 
   private void renew() {
-    if (grant.isPresent()) {
-      state.extend(grant.getAsLong(), reply -> tell(new Extended(reply)));
+    if (leaseId.isPresent()) {
+      store.extend(leaseId.getAsLong(), reply -> tell(new LeaseExtended(reply)));
     } else {
       announce();
     }
-    loop.after(grantTime.dividedBy(RENEWALS), () -> tell(new Renew()));
+    loop.after(leaseTtl.dividedBy(RENEWALS_PER_LEASE), () -> tell(new RenewalDue()));
   }
 
   private void announce() {
-    if (grant.isEmpty()) {
-      state.grant(grantTime, reply -> tell(new Granted(reply)));
+    if (leaseId.isEmpty()) {
+      store.grant(leaseTtl, reply -> tell(new LeaseGranted(reply)));
     }
   }
 
-  private void granted(Reply reply) {
+  private void leaseGranted(Reply reply) {
     if (reply.ok()) {
-      grant = OptionalLong.of(reply.body().path("claim").asLong());
+      leaseId = OptionalLong.of(reply.body().path("claim").asLong());
       write();
     } else {
-      loop.after(RETRY, () -> tell(new Retry()));
+      loop.after(RETRY_DELAY, () -> tell(new RetryDue()));
     }
   }
 
   private void write() {
-    Optional<Long> claim = Optional.of(grant.getAsLong());
+    Optional<Long> claim = Optional.of(leaseId.getAsLong());
     Change change = new Change(Keys.member(host), Optional.of(support.toNode()), claim);
-    state.commit(List.of(), List.of(change), written -> tell(new Written(written)));
+    store.commit(List.of(), List.of(change), written -> tell(new RecordWritten(written)));
   }
 
   /** A grant that is gone has taken the record with it; without an answer nothing is known. */
-  private void extended(Reply reply) {
+  private void leaseExtended(Reply reply) {
     if (reply.status() == 404) {
-      grant = OptionalLong.empty();
+      leaseId = OptionalLong.empty();
       announce();
     } else if (reply.ok()) {
-      state.read(Keys.member(host), found -> tell(new Found(found)));
+      store.read(Keys.member(host), found -> tell(new RecordRead(found)));
     }
   }
 
@@ -124,25 +124,25 @@
    * A write of a former life, or one that got no answer, may have been carried out late: then the
    * record hangs on a grant that nobody renews, and goes with it.
    */
-  private void found(Reply reply) {
+  private void recordRead(Reply reply) {
     boolean gone = reply.status() == 404;
     boolean other =
         reply.ok()
-            && (reply.body().path("claim").asLong() != grant.orElse(-1)
+            && (reply.body().path("claim").asLong() != leaseId.orElse(-1)
                 || !reply.body().path("value").equals(support.toNode()));
-    if (grant.isPresent() && (gone || other)) {
+    if (leaseId.isPresent() && (gone || other)) {
       write();
     }
   }
 
   /** Whatever came of it, a record that may not be there is written under the next grant. */
-  private void written(Reply reply) {
+  private void recordWritten(Reply reply) {
     if (reply.ok()) {
       log.info("event=support_announced host={} levels={}", host, support.levels());
     } else {
       log.debug("event=support_not_announced host={} status={}", host, reply.status());
-      grant = OptionalLong.empty();
-      loop.after(RETRY, () -> tell(new Retry()));
+      leaseId = OptionalLong.empty();
+      loop.after(RETRY_DELAY, () -> tell(new RetryDue()));
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -1,8 +1,8 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.coordination.ElectionActor;
+import io.pearscale.coordination.HeartbeatRelayActor;
 import io.pearscale.coordination.LeaderLeaseRenewer;
-import io.pearscale.coordination.RelayActor;
 import io.pearscale.coordination.SupportAnnouncer;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatDecoder;
@@ -65,7 +65,7 @@
   private final KeyValueStoreClient state;
   private final StoreReplicaActor replica;
   private final ElectionActor election;
-  private final RelayActor relay;
+  private final HeartbeatRelayActor relay;
   private final SchedulerActor scheduler;
   private final ApiActor api;
   private final LevelGate level;
@@ -150,7 +150,7 @@
                 level,
                 new SchedulerListener()));
     this.relay =
-        new RelayActor(
+        new HeartbeatRelayActor(
             loop,
             settings.host(),
             links,
@@ -201,7 +201,7 @@
       copyEpoch = epoch;
       scheduler.tell(new SchedulerActor.Changed(changes, epoch));
       api.tell(new ApiActor.Changed(changes));
-      election.tell(new ElectionActor.Changed(changes));
+      election.tell(new ElectionActor.KeysChanged(changes));
     }
 
     @Override
@@ -216,27 +216,27 @@
 
   private final class ElectionListener implements ElectionActor.Listener {
     @Override
-    public void won(long newTerm, long termStamp, Instant evidence) {
+    public void elected(long newTerm, long termStamp, Instant evidence) {
       scheduler.tell(new SchedulerActor.Won(newTerm, termStamp, evidence));
     }
 
     @Override
-    public void confirmed(Instant evidence) {
+    public void leadershipProven(Instant evidence) {
       scheduler.tell(new SchedulerActor.Confirmed(evidence));
     }
 
     @Override
-    public void vouched(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
+    public void confirmedByPeers(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
       scheduler.tell(new SchedulerActor.Vouched(evidence, cancelled, live));
     }
 
     @Override
-    public void acknowledged() {
+    public void electionAcknowledged() {
       scheduler.tell(new SchedulerActor.Acknowledged(term));
     }
 
     @Override
-    public void ask(long nonce) {
+    public void requestConfirmations(long nonce) {
       sendAll(new PeerMessage.ConfirmationRequest(nonce, copyEpoch));
       // What this controller told itself counts as well: the watch may not have shown it yet.
       long known = term;
@@ -244,32 +244,32 @@
           new ApiActor.Recent(
               (cancelled, live) ->
                   tellElection(
-                      new ElectionActor.Vouched(
+                      new ElectionActor.PeerConfirmed(
                           settings.host(), nonce, known, cancelled, Optional.empty()))));
     }
 
     @Override
-    public void lost(long oldTerm) {
+    public void leadershipLost(long oldTerm) {
       scheduler.tell(new SchedulerActor.Lost(oldTerm));
     }
 
     @Override
-    public void leader(long newTerm, Optional<String> name) {
+    public void leaderChanged(long newTerm, Optional<String> name) {
       term = newTerm;
       leader = name;
-      relay.tell(new RelayActor.LeaderIs(newTerm, name));
+      relay.tell(new HeartbeatRelayActor.LeaderChanged(newTerm, name));
     }
   }
 
   private final class SchedulerListener implements SchedulerActor.Listener {
     @Override
     public void higherTerm(long newTerm) {
-      election.tell(new ElectionActor.HigherTerm(newTerm));
+      election.tell(new ElectionActor.HigherTermSeen(newTerm));
     }
 
     @Override
     public void unfit(String reason) {
-      election.tell(new ElectionActor.Unfit(reason));
+      election.tell(new ElectionActor.RecordUnreadable(reason));
     }
 
     @Override
@@ -313,7 +313,7 @@
     if (links.connected().size() < settings.peers().size()) {
       scheduler.tell(new SchedulerActor.Beat());
     }
-    loop.after(ElectionActor.BEAT, this::beat);
+    loop.after(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::beat);
   }
 
   private void heartbeat() {
@@ -341,13 +341,14 @@
     }
     if (message instanceof ControllerHeartbeat m) {
       peers.put(peer, new PeerState(loop.clock().instant(), m.storeOk()));
-      election.tell(new ElectionActor.Heard(peer, m.term(), m.leader()));
+      election.tell(new ElectionActor.LeaderAnnounced(peer, m.term(), m.leader()));
     } else if (message instanceof PeerMessage.ConfirmationRequest m) {
       if (loaded && level.objection().isEmpty()) {
         vouch(peer, m);
       }
     } else if (message instanceof PeerMessage.Confirmation m) {
-      election.tell(new ElectionActor.Vouched(peer, m.nonce(), m.term(), m.cancelled(), m.live()));
+      election.tell(
+          new ElectionActor.PeerConfirmed(peer, m.nonce(), m.term(), m.cancelled(), m.live()));
     } else if (message instanceof PeerMessage.Cancelled m) {
       api.tell(new ApiActor.Cancelled(m.job()));
       cancelled(m.job());
@@ -359,7 +360,7 @@
               links.send(
                   peer, PeerMessage.encode(new ForwardedHeartbeatResponse(m.exchange(), a))));
     } else if (message instanceof ForwardedHeartbeatResponse m) {
-      relay.tell(new RelayActor.Answered(m));
+      relay.tell(new HeartbeatRelayActor.LeaderResponded(m));
     } else if (message instanceof Counts m) {
       api.tell(new ApiActor.Counts(m.jobs()));
     }
@@ -390,7 +391,7 @@
   /** A peer refuses connections: its process may have ended. */
   public void peerEnded(String peer) {
     peers.remove(peer);
-    election.tell(new ElectionActor.PeerEnded(peer));
+    election.tell(new ElectionActor.PeerConnectionRefused(peer));
   }
 
   /**
@@ -450,7 +451,7 @@
     }
     boolean taken =
         relay.offer(
-            new RelayActor.Incoming(
+            new HeartbeatRelayActor.HeartbeatReceived(
                 heartbeat,
                 (answer, elsewhere) -> {
                   if (answer.status() == 200) {
--- a/src/test/java/io/pearscale/coordination/RelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pearscale.coordination.RelayActor.Incoming;
-import io.pearscale.coordination.RelayActor.LeaderIs;
+import io.pearscale.coordination.HeartbeatRelayActor.HeartbeatReceived;
+import io.pearscale.coordination.HeartbeatRelayActor.LeaderChanged;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MalformedMessageException;
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports on their way to the leader: each is answered once, and few timers watch over them. */
-class RelayActorTest {
-  private static final Heartbeat REPORT =
+class HeartbeatRelayActorTest {
+  private static final Heartbeat HEARTBEAT =
       new Heartbeat("m-1", "a:1", "small", "a", false, 1, 1, 0, Optional.empty(), List.of());
 
   /** Of a controller that is to serve 4,000 workers while it is the only one. */
@@ -32,8 +32,8 @@
   private final CountingLoop loop = new CountingLoop();
   private final List<ForwardedHeartbeat> sent = new ArrayList<>();
   private final List<Integer> answers = new ArrayList<>();
-  private final RelayActor relay =
-      new RelayActor(
+  private final HeartbeatRelayActor relay =
+      new HeartbeatRelayActor(
           loop,
           "hive-0",
           new PeerTransport() {
@@ -56,23 +56,24 @@
           SocketShares.of(SOCKETS).parkedReports(),
           (heartbeat, answer) -> {});
 
-  RelayActorTest() {
-    relay.tell(new LeaderIs(1, Optional.of("hive-1")));
+  HeartbeatRelayActorTest() {
+    relay.tell(new LeaderChanged(1, Optional.of("hive-1")));
   }
 
-  private void report() {
-    relay.tell(new Incoming(REPORT, (answer, elsewhere) -> answers.add(answer.status())));
+  private void sendHeartbeat() {
+    relay.tell(
+        new HeartbeatReceived(HEARTBEAT, (answer, elsewhere) -> answers.add(answer.status())));
   }
 
   @Test
   void aReportWithoutAnAnswerIsAnswered503InTime() {
-    report();
+    sendHeartbeat();
     loop.pass(Duration.ofMillis(1499));
     assertEquals(List.of(), answers);
     loop.pass(Duration.ofMillis(300));
     assertEquals(List.of(503), answers);
     relay.tell(
-        new RelayActor.Answered(
+        new HeartbeatRelayActor.LeaderResponded(
             new ForwardedHeartbeatResponse(
                 sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofSeconds(1));
@@ -82,14 +83,14 @@
   /** A refused worker asks again in a second, at a controller that knows no more. */
   @Test
   void aReportThatComesDuringAnElectionIsAnsweredByTheLeaderToCome() {
-    relay.tell(new LeaderIs(2, Optional.empty()));
-    report();
+    relay.tell(new LeaderChanged(2, Optional.empty()));
+    sendHeartbeat();
     loop.pass(Duration.ofMillis(900));
     assertEquals(List.of(), answers);
-    relay.tell(new LeaderIs(3, Optional.of("hive-1")));
+    relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
     loop.pass(Duration.ofMillis(10));
     relay.tell(
-        new RelayActor.Answered(
+        new HeartbeatRelayActor.LeaderResponded(
             new ForwardedHeartbeatResponse(
                 sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofMillis(10));
@@ -99,13 +100,13 @@
   /** Half a fleet that is turned away in a takeover comes back a second later, all at once. */
   @Test
   void aWholeFleetWaitsForAnElectionWhereSocketsAllowIt() {
-    relay.tell(new LeaderIs(2, Optional.empty()));
+    relay.tell(new LeaderChanged(2, Optional.empty()));
     for (int i = 0; i < 4000; i++) {
-      report();
+      sendHeartbeat();
     }
     loop.pass(Duration.ofMillis(900));
     assertEquals(0, answers.size());
-    relay.tell(new LeaderIs(3, Optional.of("hive-1")));
+    relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
     loop.pass(Duration.ofMillis(10));
     assertEquals(4000, sent.size());
   }
@@ -115,9 +116,9 @@
   void whatFindsNoRoomToWaitIsRefusedAtOnce() {
     int most = SocketShares.of(SOCKETS).parkedReports();
     assertTrue(most < SocketShares.of(SOCKETS).served());
-    relay.tell(new LeaderIs(2, Optional.empty()));
+    relay.tell(new LeaderChanged(2, Optional.empty()));
     for (int i = 0; i < most + 3; i++) {
-      report();
+      sendHeartbeat();
     }
     loop.pass(Duration.ofMillis(10));
     assertEquals(3, answers.size());
@@ -126,8 +127,8 @@
 
   @Test
   void aReportWithoutALeaderIsAnswered503InTime() {
-    relay.tell(new LeaderIs(2, Optional.empty()));
-    report();
+    relay.tell(new LeaderChanged(2, Optional.empty()));
+    sendHeartbeat();
     loop.pass(Duration.ofMillis(1800));
     assertEquals(List.of(503), answers);
     assertEquals(0, sent.size());
@@ -136,10 +137,10 @@
   @Test
   void aThousandReportsShareTimers() {
     for (int i = 0; i < 1000; i++) {
-      report();
+      sendHeartbeat();
       loop.pass(Duration.ofMillis(2));
       relay.tell(
-          new RelayActor.Answered(
+          new HeartbeatRelayActor.LeaderResponded(
               new ForwardedHeartbeatResponse(
                   sent.get(i).exchange(), new HeartbeatResponse(200, 1, List.of()))));
       loop.pass(Duration.ofMillis(2));
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -23,18 +23,18 @@
 
 /** The grant is renewed while the main loop is busy, and not for a main loop that stands still. */
 class LeaderLeaseRenewerTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(4);
+  private static final Duration STALL_TIMEOUT = Duration.ofSeconds(4);
 
-  private final CountingLoop own = new CountingLoop();
-  private final List<Runnable> mainLoop = new ArrayList<>();
+  private final CountingLoop renewalLoop = new CountingLoop();
+  private final List<Runnable> mainLoopTasks = new ArrayList<>();
   private final List<String> extended = new ArrayList<>();
-  private final List<Instant> told = new ArrayList<>();
+  private final List<Instant> answeredAt = new ArrayList<>();
 
-  private final EventLoop home =
+  private final EventLoop mainLoop =
       new EventLoop() {
         @Override
         public void execute(Runnable task) {
-          mainLoop.add(task);
+          mainLoopTasks.add(task);
         }
 
         @Override
@@ -44,11 +44,11 @@
 
         @Override
         public InstantSource clock() {
-          return own.clock();
+          return renewalLoop.clock();
         }
       };
 
-  private final HttpClient calls =
+  private final HttpClient httpClient =
       new HttpClient() {
         @Override
         public void call(
@@ -59,12 +59,16 @@
             Duration timeout,
             Consumer<Reply> answer) {
           extended.add(path);
-          own.execute(() -> answer.accept(new Reply(200, MessagePack.map())));
+          renewalLoop.execute(() -> answer.accept(new Reply(200, MessagePack.map())));
         }
       };
 
-  private final LeaderLeaseRenewer keeper =
-      new LeaderLeaseRenewer(own, home, new KeyValueStoreClient(own, calls, settings()), PATIENCE);
+  private final LeaderLeaseRenewer renewer =
+      new LeaderLeaseRenewer(
+          renewalLoop,
+          mainLoop,
+          new KeyValueStoreClient(renewalLoop, httpClient, settings()),
+          STALL_TIMEOUT);
 
   private static Settings settings() {
     InetSocketAddress address = InetSocketAddress.createUnresolved("a", 1);
@@ -91,35 +95,35 @@
 
   @Test
   void renewsWhileTheMainLoopIsBusyAndTellsItWhenItAsked() {
-    keeper.keep(7, (sent, reply) -> told.add(sent));
-    own.pass(Duration.ofSeconds(3));
+    renewer.start(7, (sent, reply) -> answeredAt.add(sent));
+    renewalLoop.pass(Duration.ofSeconds(3));
     assertTrue(extended.size() >= 5, "renewals: " + extended.size());
     assertEquals("/grants/7/extend", extended.get(0));
-    assertEquals(List.of(), told);
-    mainLoop.forEach(Runnable::run);
-    assertEquals(Instant.EPOCH.plusMillis(550), told.get(0));
+    assertEquals(List.of(), answeredAt);
+    mainLoopTasks.forEach(Runnable::run);
+    assertEquals(Instant.EPOCH.plusMillis(550), answeredAt.get(0));
   }
 
   @Test
   void renewsNothingForAMainLoopThatStandsStill() {
-    keeper.keep(7, (sent, reply) -> {});
-    own.pass(PATIENCE);
+    renewer.start(7, (sent, reply) -> {});
+    renewalLoop.pass(STALL_TIMEOUT);
     int renewals = extended.size();
-    own.pass(Duration.ofSeconds(20));
+    renewalLoop.pass(Duration.ofSeconds(20));
     assertEquals(renewals, extended.size());
-    keeper.progress();
-    own.pass(Duration.ofSeconds(1));
+    renewer.noteProgress();
+    renewalLoop.pass(Duration.ofSeconds(1));
     assertTrue(extended.size() > renewals);
   }
 
   @Test
   void renewsNoGrantThatWasReleasedOrFollowedByAnother() {
-    keeper.keep(7, (sent, reply) -> {});
-    keeper.keep(8, (sent, reply) -> {});
-    own.pass(Duration.ofSeconds(1));
+    renewer.start(7, (sent, reply) -> {});
+    renewer.start(8, (sent, reply) -> {});
+    renewalLoop.pass(Duration.ofSeconds(1));
     assertEquals(List.of("/grants/8/extend"), extended);
-    keeper.release();
-    own.pass(Duration.ofSeconds(3));
+    renewer.stop();
+    renewalLoop.pass(Duration.ofSeconds(3));
     assertEquals(1, extended.size());
   }
 }
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -61,12 +61,12 @@
     ElectionActor election = election();
     election.tell(new ElectionActor.Loaded(Map.of()));
     play(500);
-    election.tell(new ElectionActor.Heard("hive-1", 1, "hive-0"));
-    election.tell(new ElectionActor.Heard("hive-1", 1, "hive-0"));
-    election.tell(new ElectionActor.Heard("hive-2", 0, ""));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, "hive-0"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, "hive-0"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 0, ""));
     play(10);
     assertEquals(List.of("won 1"), told);
-    election.tell(new ElectionActor.Heard("hive-2", 1, "hive-0"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 1, "hive-0"));
     play(10);
     assertEquals(List.of("won 1", "acknowledged"), told);
   }
@@ -77,7 +77,7 @@
     holdCommits = true;
     election.tell(new ElectionActor.Loaded(Map.of()));
     play(500);
-    election.tell(new ElectionActor.Heard("hive-1", 2, "hive-1"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, "hive-1"));
     play(10);
     held.run();
     play(10);
@@ -97,7 +97,7 @@
 
   private void word(ElectionActor election, String peer, long question, String... cancelled) {
     election.tell(
-        new ElectionActor.Vouched(peer, question, 1, List.of(cancelled), Optional.empty()));
+        new ElectionActor.PeerConfirmed(peer, question, 1, List.of(cancelled), Optional.empty()));
     play(1);
   }
 
@@ -124,7 +124,8 @@
     long question = questions.get(questions.size() - 1);
     word(election, "hive-0", question);
     word(election, "hive-1", question);
-    election.tell(new ElectionActor.Vouched("hive-2", question, 2, List.of(), Optional.empty()));
+    election.tell(
+        new ElectionActor.PeerConfirmed("hive-2", question, 2, List.of(), Optional.empty()));
     play(1);
     assertEquals(List.of("lost 1"), told);
   }
@@ -148,33 +149,33 @@
   }
 
   @Override
-  public void won(long term, long termStamp, Instant evidence) {
+  public void elected(long term, long termStamp, Instant evidence) {
     told.add("won " + term);
   }
 
   @Override
-  public void confirmed(Instant evidence) {}
+  public void leadershipProven(Instant evidence) {}
 
   @Override
-  public void vouched(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
+  public void confirmedByPeers(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
     told.add("vouched " + new TreeSet<>(cancelled));
   }
 
   @Override
-  public void acknowledged() {
+  public void electionAcknowledged() {
     told.add("acknowledged");
   }
 
   @Override
-  public void ask(long nonce) {
+  public void requestConfirmations(long nonce) {
     questions.add(nonce);
   }
 
   @Override
-  public void lost(long term) {
+  public void leadershipLost(long term) {
     told.add("lost " + term);
   }
 
   @Override
-  public void leader(long term, Optional<String> name) {}
+  public void leaderChanged(long term, Optional<String> name) {}
 }
