--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -1,7 +1,7 @@
 package io.pearscale.cli;
 
+import io.pearscale.protocol.ConnectionLimits;
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.SocketShares;
 import io.pearscale.scheduler.Operations;
 import io.pearscale.scheduler.Tuning;
 import io.pearscale.upgrade.Release;
@@ -100,7 +100,7 @@
         files.tuning();
         files.operations();
         System.out.println("settings of " + settings.host() + " are good");
-        System.out.println(sockets(settings.maxConnections(), settings.sockets()));
+        System.out.println(sockets(settings.maxConnections(), settings.connectionLimits()));
         return 0;
       } catch (SettingsException e) {
         System.err.println("pearscale: " + e.getMessage());
@@ -110,9 +110,9 @@
   }
 
   /** What the sockets of the settings suffice for. */
-  static String sockets(int fdLimit, SocketShares shares) {
+  static String sockets(int fdLimit, ConnectionLimits shares) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
-        .formatted(fdLimit, shares.kept(), shares.called(), shares.parkedReports());
+        .formatted(fdLimit, shares.keptAlive(), shares.outbound(), shares.parkedHeartbeats());
   }
 
   static final class Version implements IVersionProvider {
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -226,7 +226,7 @@
         return 0;
       }
       List<Guard> absent = List.of(new Guard(Keys.drain(id), 0));
-      int largest = files.settings().stateLimits().valueBytes();
+      int largest = files.settings().storeLimits().maxValueBytes();
       return conclude(
           state.write(absent, request.changes(machines, largest)),
           "asked for drain %s of %d machines".formatted(id, machines.size()));
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -72,8 +72,8 @@
             settings.clientListen(),
             worker,
             buffers,
-            settings.sockets().served(),
-            settings.sockets().kept(),
+            settings.connectionLimits().inbound(),
+            settings.connectionLimits().keptAlive(),
             Controller.REPORTS::equals,
             controller::request);
     loop.after(SOCKETS_LOGGED, () -> logSockets(loop, calls));
@@ -98,9 +98,9 @@
         loop,
         worker.getIoThread(),
         buffers,
-        settings.sockets().called(),
-        settings.sockets().reserved(),
-        Set.copyOf(List.of(settings.state(), settings.cloud())));
+        settings.connectionLimits().outbound(),
+        settings.connectionLimits().reservedOutbound(),
+        Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())));
   }
 
   private TcpPeerTransport links(Settings settings, XnioEventLoop loop) {
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import io.pearscale.protocol.Fields;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -62,13 +62,13 @@
         checkedAddress(services, "state", "endpoints."),
         teams(facts),
         objectives(facts),
-        new Settings.Workers(
+        new Settings.AgentSettings(
             seconds(workers, "report_s", "facts.workers."),
             seconds(workers, "lease_s", "facts.workers."),
             seconds(workers, "cancel_s", "facts.workers."),
             gangTimes(workers)),
         stateLimits(state),
-        new Settings.Cloud(
+        new Settings.CloudLimits(
             number(cloud, "rps", "facts.cloud.", 0.01),
             seconds(cloud, "list_lag_s", "facts.cloud.")),
         (int) limit(facts, "fd_limit", LEAST_SOCKETS, USUAL_SOCKETS),
@@ -76,12 +76,12 @@
   }
 
   /** Both times, or none: a gang can't be served with one of them. */
-  private Optional<Settings.GangTimes> gangTimes(JsonNode workers) throws SettingsException {
+  private Optional<Settings.GangTimeouts> gangTimes(JsonNode workers) throws SettingsException {
     if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) {
       return Optional.empty();
     }
     return Optional.of(
-        new Settings.GangTimes(
+        new Settings.GangTimeouts(
             seconds(workers, "gang_wait_s", "facts.workers."),
             seconds(workers, "gang_peer_s", "facts.workers.")));
   }
@@ -90,9 +90,9 @@
    * The limits that hold at any time: those that the state service has, and those that it may have
    * from some moment on, without notice. What is larger than either would be refused some day.
    */
-  private Settings.State stateLimits(JsonNode state) throws SettingsException {
+  private Settings.StoreLimits stateLimits(JsonNode state) throws SettingsException {
     String now = "facts.state.";
-    Settings.State limits = limits(state, state, now);
+    Settings.StoreLimits limits = limits(state, state, now);
     if (!state.hasNonNull("next")) {
       return limits;
     }
@@ -101,9 +101,9 @@
   }
 
   /** Limits of a table; what it does not name is as in the other one. */
-  private Settings.State limits(JsonNode table, JsonNode otherwise, String where)
+  private Settings.StoreLimits limits(JsonNode table, JsonNode otherwise, String where)
       throws SettingsException {
-    return new Settings.State(
+    return new Settings.StoreLimits(
         number(having("rps", table, otherwise), "rps", where, 1),
         number(having("write_rps", table, otherwise), "write_rps", where, 1),
         (int) (number(having("value_kb", table, otherwise), "value_kb", where, 0.25) * 1024),
@@ -136,14 +136,14 @@
     return teams;
   }
 
-  private List<Settings.Objective> objectives(JsonNode facts) throws SettingsException {
-    List<Settings.Objective> objectives = new ArrayList<>();
+  private List<Settings.ServiceLevelObjective> objectives(JsonNode facts) throws SettingsException {
+    List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
     for (JsonNode o : facts.path("objectives")) {
       objectives.add(
-          new Settings.Objective(
+          new Settings.ServiceLevelObjective(
               text(o, "kind", "facts.objectives."),
               o.path("class").asText(""),
-              Fields.duration(Math.max(0, o.path("within_s").asDouble(0)))));
+              MessageFields.duration(Math.max(0, o.path("within_s").asDouble(0)))));
     }
     return objectives;
   }
@@ -181,7 +181,7 @@
   }
 
   private Duration seconds(JsonNode from, String key, String where) throws SettingsException {
-    return Fields.duration(number(from, key, where, 0));
+    return MessageFields.duration(number(from, key, where, 0));
   }
 
   private String checkedAddress(JsonNode from, String key, String where) throws SettingsException {
--- a/src/main/java/io/pearscale/cli/StateSession.java
+++ b/src/main/java/io/pearscale/cli/StateSession.java
@@ -61,7 +61,7 @@
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
             CONNECTIONS);
     client = new KeyValueStoreClient(loop, calls, settings, () -> levelStamp);
-    address = settings.state();
+    address = settings.storeAddress();
   }
 
   /** The key's value and stamp; empty if there is none. */
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -132,10 +132,11 @@
           String id = Keys.name(key);
           JsonNode spec = stored.value().path("spec");
           int tasks = Math.min(earlier.partTasks(), spec.path("pieces").asInt());
-          if (JobSpec.isGang(spec)) {
+          if (JobSpec.isStoredGang(spec)) {
             gangs.add(id);
           }
-          if (PlacementRecordCodec.size(id, tasks, earlier) > settings.stateLimits().valueBytes()) {
+          if (PlacementRecordCodec.size(id, tasks, earlier)
+              > settings.storeLimits().maxValueBytes()) {
             large.add(id);
           }
         });
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -392,7 +392,7 @@
       campaigning = false;
       return;
     }
-    store.grant(settings.grantTime(), reply -> tell(new LeaseGranted(r, reply)));
+    store.grant(settings.leaderLeaseTtl(), reply -> tell(new LeaseGranted(r, reply)));
   }
 
   private void leaseGranted(Reply reply) {
@@ -532,12 +532,13 @@
   private void scheduleProofExpiry() {
     int r = round;
     Duration left =
-        Duration.between(loop.clock().instant(), provenAt.plus(settings.hold())).plusMillis(5);
+        Duration.between(loop.clock().instant(), provenAt.plus(settings.renewalAuthorityTimeout()))
+            .plusMillis(5);
     loop.after(left.isNegative() ? Duration.ofMillis(1) : left, () -> tell(new ProofExpired(r)));
   }
 
   private void proofExpired() {
-    if (!loop.clock().instant().isBefore(provenAt.plus(settings.hold()))) {
+    if (!loop.clock().instant().isBefore(provenAt.plus(settings.renewalAuthorityTimeout()))) {
       stepDown("no_proof");
     }
   }
--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
@@ -44,7 +44,7 @@
   /** Decodes a value. */
   public static List<Disruption> decode(JsonNode value) throws MalformedMessageException {
     List<Disruption> disruptions = new ArrayList<>();
-    for (JsonNode n : Fields.list(Fields.map(value), LIST)) {
+    for (JsonNode n : MessageFields.list(MessageFields.requireMap(value), LIST)) {
       if (n.size() < FIELDS || !n.path(0).isTextual() || !n.path(3).isIntegralNumber()) {
         throw new MalformedMessageException("disruption " + n);
       }
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.storage.KeyValueStoreClient.Change;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.MessagePack;
@@ -68,16 +68,16 @@
 
   /** Reads the record. */
   public static DrainRequest parse(String id, JsonNode value) throws MalformedMessageException {
-    JsonNode map = Fields.map(value);
+    JsonNode map = MessageFields.requireMap(value);
     return new DrainRequest(
         id,
-        Fields.text(map, "selector"),
-        (int) Fields.integer(map, "atOnce", 1, Integer.MAX_VALUE),
-        constant(Afterwards.class, Fields.text(map, "afterwards")),
-        constant(Wish.class, Fields.text(map, "wish")),
-        Instant.ofEpochMilli(Fields.integer(map, "requestedMs", 0, Long.MAX_VALUE)),
-        Instant.ofEpochMilli(Fields.integer(map, "deadlineMs", 0, Long.MAX_VALUE)),
-        Fields.optText(map, "window"));
+        MessageFields.text(map, "selector"),
+        (int) MessageFields.integer(map, "atOnce", 1, Integer.MAX_VALUE),
+        constant(Afterwards.class, MessageFields.text(map, "afterwards")),
+        constant(Wish.class, MessageFields.text(map, "wish")),
+        Instant.ofEpochMilli(MessageFields.integer(map, "requestedMs", 0, Long.MAX_VALUE)),
+        Instant.ofEpochMilli(MessageFields.integer(map, "deadlineMs", 0, Long.MAX_VALUE)),
+        MessageFields.optionalText(map, "window"));
   }
 
   private static <E extends Enum<E>> E constant(Class<E> type, String text)
--- a/src/main/java/io/pearscale/protocol/AgentCommand.java
+++ b/src/main/java/io/pearscale/protocol/AgentCommand.java
@@ -7,7 +7,7 @@
 import org.msgpack.core.MessagePacker;
 
 /** A command to a worker. */
-public record AgentCommand(Verb verb, TaskId task, long attempt, Duration grace) {
+public record AgentCommand(Verb verb, TaskId task, long attempt, Duration gracePeriod) {
   /** What the worker is to do. */
   public enum Verb {
     START("run"),
@@ -27,8 +27,8 @@
   }
 
   /** Stops an attempt; it may save for as long as the grace. */
-  public static AgentCommand stop(TaskId task, long attempt, Duration grace) {
-    return new AgentCommand(Verb.STOP, task, attempt, grace);
+  public static AgentCommand stop(TaskId task, long attempt, Duration gracePeriod) {
+    return new AgentCommand(Verb.STOP, task, attempt, gracePeriod);
   }
 
   /** Removes an ended attempt from the reports. */
@@ -47,17 +47,17 @@
     out.packLong(attempt);
     if (verb == Verb.STOP) {
       out.packString("leewayS");
-      out.packDouble(Fields.seconds(grace));
+      out.packDouble(MessageFields.seconds(gracePeriod));
     }
   }
 
   /** As the worker reads it. */
   public ObjectNode toNode() {
-    ObjectNode n =
+    ObjectNode node =
         MessagePack.map().put("verb", verb.wire).put("piece", task.toString()).put("try", attempt);
     if (verb == Verb.STOP) {
-      n.put("leewayS", Fields.seconds(grace));
+      node.put("leewayS", MessageFields.seconds(gracePeriod));
     }
-    return n;
+    return node;
   }
 }
--- /dev/null
+++ b/src/main/java/io/pearscale/protocol/ConnectionLimits.java
@@ -0,0 +1,36 @@
+package io.pearscale.protocol;
+
+/**
+ * How a controller divides the sockets that its settings give it. Every bound on what is held open
+ * for workers and users follows from here, so that a larger fleet needs a larger setting and never
+ * another build.
+ *
+ * @param inbound connections accepted from workers and users
+ * @param keptAlive those of the served ones that may stay open between two reports; beyond them
+ *     each answer to a report closes its connection
+ * @param outbound connections opened to machines, the state service and the cloud
+ * @param reservedOutbound those of the called ones that machines can't take
+ * @param parkedHeartbeats reports that may wait for an election at the same time
+ * @param openUserRequests requests of users that may wait for the state service at the same time
+ */
+public record ConnectionLimits(
+    int inbound,
+    int keptAlive,
+    int outbound,
+    int reservedOutbound,
+    int parkedHeartbeats,
+    int openUserRequests) {
+  private static final int MIN_RESERVED_OUTBOUND = 2;
+
+  /** Divides the sockets; what is left over is for peers, the renewals and the process itself. */
+  public static ConnectionLimits of(int maxConnections) {
+    int inbound = maxConnections * 7 / 10;
+    int outbound = maxConnections / 5;
+    int reservedOutbound = Math.max(MIN_RESERVED_OUTBOUND, outbound / 10);
+    int keptAlive = inbound * 17 / 20;
+    // A parked report keeps its connection: some are left to those that ask meanwhile.
+    int parkedHeartbeats = keptAlive;
+    return new ConnectionLimits(
+        inbound, keptAlive, outbound, reservedOutbound, parkedHeartbeats, maxConnections / 2);
+  }
+}
--- a/src/main/java/io/pearscale/protocol/Heartbeat.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -10,20 +10,20 @@
 public record Heartbeat(
     String machine,
     String address,
-    String type,
+    String machineType,
     String zone,
     boolean spot,
-    long session,
+    long incarnation,
     long sequence,
-    long token,
-    Optional<Duration> notice,
+    long fencingToken,
+    Optional<Duration> preemptionNotice,
     List<TaskStatus> tasks) {
 
   /** What a task on the machine is at. */
   public enum Stage {
     FETCHING,
     RUNNING,
-    FLUSHING,
+    CHECKPOINTING,
     ENDED,
     /** Of a gang: it has its image, and waits for the others. */
     WAITING;
@@ -33,7 +33,7 @@
         case "fetching" -> FETCHING;
         case "waiting" -> WAITING;
         case "running" -> RUNNING;
-        case "flushing" -> FLUSHING;
+        case "flushing" -> CHECKPOINTING;
         case "ended" -> ENDED;
         default -> throw new MalformedMessageException("stage: unknown");
       };
@@ -45,33 +45,34 @@
 
   /** Reads a report. */
   public static Heartbeat parse(JsonNode body) throws MalformedMessageException {
-    JsonNode m = Fields.map(body);
+    JsonNode map = MessageFields.requireMap(body);
     List<TaskStatus> tasks = new ArrayList<>();
-    for (JsonNode t : Fields.list(m, "pieces")) {
-      Fields.map(t);
-      Stage stage = Stage.parse(Fields.text(t, "stage"));
+    for (JsonNode t : MessageFields.list(map, "pieces")) {
+      MessageFields.requireMap(t);
+      Stage stage = Stage.parse(MessageFields.text(t, "stage"));
       tasks.add(
           new TaskStatus(
-              TaskId.parse(Fields.text(t, "piece")),
-              Fields.integer(t, "try", 0, Long.MAX_VALUE),
+              TaskId.parse(MessageFields.text(t, "piece")),
+              MessageFields.integer(t, "try", 0, Long.MAX_VALUE),
               stage,
-              Fields.optText(t, "cause").orElse("")));
+              MessageFields.optionalText(t, "cause").orElse("")));
     }
     return new Heartbeat(
-        Fields.text(m, "hive"),
-        Fields.text(m, "address"),
-        Fields.text(m, "breed"),
-        Fields.text(m, "yard"),
-        Fields.flag(m, "windfall"),
-        Fields.integer(m, "stint", 0, Long.MAX_VALUE),
-        Fields.integer(m, "tally", 0, Long.MAX_VALUE),
-        Fields.integer(m, "baton", 0, Long.MAX_VALUE),
-        Fields.optAmount(m, "warningS").map(Fields::duration),
+        MessageFields.text(map, "hive"),
+        MessageFields.text(map, "address"),
+        MessageFields.text(map, "breed"),
+        MessageFields.text(map, "yard"),
+        MessageFields.truthValue(map, "windfall"),
+        MessageFields.integer(map, "stint", 0, Long.MAX_VALUE),
+        MessageFields.integer(map, "tally", 0, Long.MAX_VALUE),
+        MessageFields.integer(map, "baton", 0, Long.MAX_VALUE),
+        MessageFields.optionalAmount(map, "warningS").map(MessageFields::duration),
         tasks);
   }
 
   /** Whether this is the later one of two messages of the same worker. */
-  public boolean newerThan(long otherSession, long otherSequence) {
-    return session > otherSession || (session == otherSession && sequence > otherSequence);
+  public boolean isNewerThan(long otherIncarnation, long otherSequence) {
+    return incarnation > otherIncarnation
+        || (incarnation == otherIncarnation && sequence > otherSequence);
   }
 }
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -20,24 +20,24 @@
  * by nothing but its cost.
  */
 public final class HeartbeatDecoder {
-  private static final String ABSENT = "";
-  private static final long MISSING = -1;
+  private static final String MISSING_TEXT = "";
+  private static final long MISSING_NUMBER = -1;
 
   /** The library's own buffer for decoding is several times as large as a report. */
   private static final MessagePack.UnpackerConfig UNPACKER =
-      new MessagePack.UnpackerConfig().withStringDecoderBufferSize(Fields.LONGEST_TEXT);
+      new MessagePack.UnpackerConfig().withStringDecoderBufferSize(MessageFields.MAX_TEXT_LENGTH);
 
   private final MessageUnpacker in;
 
-  private String machine = ABSENT;
-  private String address = ABSENT;
-  private String type = ABSENT;
-  private String zone = ABSENT;
+  private String machine = MISSING_TEXT;
+  private String address = MISSING_TEXT;
+  private String machineType = MISSING_TEXT;
+  private String zone = MISSING_TEXT;
   private Optional<Boolean> spot = Optional.empty();
-  private long session = MISSING;
-  private long sequence = MISSING;
-  private long token = MISSING;
-  private Optional<Duration> notice = Optional.empty();
+  private long incarnation = MISSING_NUMBER;
+  private long sequence = MISSING_NUMBER;
+  private long fencingToken = MISSING_NUMBER;
+  private Optional<Duration> preemptionNotice = Optional.empty();
   private List<TaskStatus> tasks = List.of();
 
   private HeartbeatDecoder(byte[] body) {
@@ -45,33 +45,33 @@
   }
 
   /** Reads the report that the bytes begin with. */
-  public static Heartbeat read(byte[] body) throws MalformedMessageException {
+  public static Heartbeat decode(byte[] body) throws MalformedMessageException {
     try {
-      return new HeartbeatDecoder(body).report();
+      return new HeartbeatDecoder(body).decodeHeartbeat();
     } catch (IOException | MessagePackException e) {
       throw new MalformedMessageException("report: " + e.getMessage());
     }
   }
 
-  private Heartbeat report() throws IOException, MalformedMessageException {
+  private Heartbeat decodeHeartbeat() throws IOException, MalformedMessageException {
     int fields = mapHeader();
     for (int i = 0; i < fields; i++) {
-      field(fieldName());
+      decodeField(fieldName());
     }
     return new Heartbeat(
-        present("hive", machine),
-        present("address", address),
-        present("breed", type),
-        present("yard", zone),
+        required("hive", machine),
+        required("address", address),
+        required("breed", machineType),
+        required("yard", zone),
         spot.orElseThrow(() -> new MalformedMessageException("windfall: missing")),
-        present("stint", session),
-        present("tally", sequence),
-        present("baton", token),
-        notice,
+        required("stint", incarnation),
+        required("tally", sequence),
+        required("baton", fencingToken),
+        preemptionNotice,
         tasks);
   }
 
-  private void field(String name) throws IOException, MalformedMessageException {
+  private void decodeField(String name) throws IOException, MalformedMessageException {
     if (in.getNextFormat() == MessageFormat.NIL) {
       in.unpackNil();
       return;
@@ -79,32 +79,32 @@
     switch (name) {
       case "hive" -> machine = text(name);
       case "address" -> address = text(name);
-      case "breed" -> type = text(name);
+      case "breed" -> machineType = text(name);
       case "yard" -> zone = text(name);
       case "windfall" -> spot = Optional.of(in.unpackBoolean());
-      case "stint" -> session = whole(name);
-      case "tally" -> sequence = whole(name);
-      case "baton" -> token = whole(name);
-      case "warningS" -> notice = Optional.of(Fields.duration(amount(name)));
-      case "pieces" -> tasks = tasks();
+      case "stint" -> incarnation = wholeNumber(name);
+      case "tally" -> sequence = wholeNumber(name);
+      case "baton" -> fencingToken = wholeNumber(name);
+      case "warningS" -> preemptionNotice = Optional.of(MessageFields.duration(amount(name)));
+      case "pieces" -> tasks = decodeTasks();
       default -> in.skipValue();
     }
   }
 
-  private List<TaskStatus> tasks() throws IOException, MalformedMessageException {
+  private List<TaskStatus> decodeTasks() throws IOException, MalformedMessageException {
     int count = in.unpackArrayHeader();
     List<TaskStatus> list = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      list.add(task());
+      list.add(decodeTask());
     }
     return list;
   }
 
-  private TaskStatus task() throws IOException, MalformedMessageException {
-    String task = ABSENT;
-    String stage = ABSENT;
-    String cause = ABSENT;
-    long attempt = MISSING;
+  private TaskStatus decodeTask() throws IOException, MalformedMessageException {
+    String task = MISSING_TEXT;
+    String stage = MISSING_TEXT;
+    String cause = MISSING_TEXT;
+    long attempt = MISSING_NUMBER;
     int fields = mapHeader();
     for (int i = 0; i < fields; i++) {
       String name = fieldName();
@@ -114,15 +114,15 @@
       }
       switch (name) {
         case "piece" -> task = text(name);
-        case "try" -> attempt = whole(name);
+        case "try" -> attempt = wholeNumber(name);
         case "stage" -> stage = text(name);
         case "cause" -> cause = in.unpackString();
         default -> in.skipValue();
       }
     }
-    Stage parsed = Stage.parse(present("stage", stage));
+    Stage parsed = Stage.parse(required("stage", stage));
     return new TaskStatus(
-        TaskId.parse(present("piece", task)), present("try", attempt), parsed, cause);
+        TaskId.parse(required("piece", task)), required("try", attempt), parsed, cause);
   }
 
   private int mapHeader() throws IOException, MalformedMessageException {
@@ -138,18 +138,18 @@
       return in.unpackString();
     }
     in.skipValue();
-    return ABSENT;
+    return MISSING_TEXT;
   }
 
   private String text(String name) throws IOException, MalformedMessageException {
     String text = in.unpackString();
-    if (text.isEmpty() || text.length() > Fields.LONGEST_TEXT) {
+    if (text.isEmpty() || text.length() > MessageFields.MAX_TEXT_LENGTH) {
       throw new MalformedMessageException(name + ": 1 to 200 characters expected");
     }
     return text;
   }
 
-  private long whole(String name) throws IOException, MalformedMessageException {
+  private long wholeNumber(String name) throws IOException, MalformedMessageException {
     long value = in.unpackLong();
     if (value < 0) {
       throw new MalformedMessageException(name + ": a whole number of at least 0 expected");
@@ -160,21 +160,21 @@
   private double amount(String name) throws IOException, MalformedMessageException {
     boolean isWhole = in.getNextFormat().getValueType() == ValueType.INTEGER;
     double amount = isWhole ? in.unpackBigInteger().doubleValue() : in.unpackDouble();
-    if (!(amount >= 0 && amount <= Fields.MAX_AMOUNT)) {
+    if (!(amount >= 0 && amount <= MessageFields.MAX_AMOUNT)) {
       throw new MalformedMessageException(name + ": a number of at least 0 expected");
     }
     return amount;
   }
 
-  private static String present(String name, String text) throws MalformedMessageException {
+  private static String required(String name, String text) throws MalformedMessageException {
     if (text.isEmpty()) {
       throw new MalformedMessageException(name + ": missing");
     }
     return text;
   }
 
-  private static long present(String name, long value) throws MalformedMessageException {
-    if (value == MISSING) {
+  private static long required(String name, long value) throws MalformedMessageException {
+    if (value == MISSING_NUMBER) {
       throw new MalformedMessageException(name + ": missing");
     }
     return value;
--- a/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -10,7 +10,7 @@
  *
  * @param status 200 renews the worker's lease; anything else doesn't
  */
-public record HeartbeatResponse(int status, long token, List<AgentCommand> orders) {
+public record HeartbeatResponse(int status, long fencingToken, List<AgentCommand> commands) {
   /** The library's own buffer is many times as large as an answer. */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(128);
@@ -26,10 +26,10 @@
     try (MessageBufferPacker out = PACKER.newBufferPacker()) {
       out.packMapHeader(2);
       out.packString("baton");
-      out.packLong(token);
+      out.packLong(fencingToken);
       out.packString("orders");
-      out.packArrayHeader(orders.size());
-      for (AgentCommand command : orders) {
+      out.packArrayHeader(commands.size());
+      for (AgentCommand command : commands) {
         command.pack(out);
       }
       return out.toByteArray();
--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -12,7 +12,7 @@
     String id,
     String jobClass,
     String team,
-    Shape shape,
+    WorkloadType workloadType,
     Priority priority,
     int tasks,
     double cpus,
@@ -20,19 +20,19 @@
     double memoryGb,
     String image,
     double imageGb,
-    Optional<List<String>> types,
+    Optional<List<String>> machineTypes,
     Optional<String> zone,
-    boolean oneZone,
-    boolean spread,
-    boolean spot,
-    Duration estimate,
-    Duration checkpoint,
-    Duration save,
+    boolean singleZone,
+    boolean spreadAcrossZones,
+    boolean spotAllowed,
+    Duration estimatedDuration,
+    Duration checkpointInterval,
+    Duration checkpointDuration,
     Optional<Duration> deadline) {
 
-  private static final String SHAPE = "shape";
+  private static final String WORKLOAD_TYPE_FIELD = "shape";
   private static final String ID_PREFIX = "wk-";
-  private static final int LONGEST_ID = ID_PREFIX.length() + 64;
+  private static final int MAX_ID_LENGTH = ID_PREFIX.length() + 64;
 
   /**
    * Whether the text has the form of a job id: the prefix, then 1 to 64 letters and digits. Asked
@@ -41,7 +41,7 @@
   public static boolean isId(String id) {
     if (!id.startsWith(ID_PREFIX)
         || id.length() == ID_PREFIX.length()
-        || id.length() > LONGEST_ID) {
+        || id.length() > MAX_ID_LENGTH) {
       return false;
     }
     for (int i = ID_PREFIX.length(); i < id.length(); i++) {
@@ -55,95 +55,95 @@
 
   /** Reads a submission, or the same out of the state service. */
   public static JobSpec parse(JsonNode body) throws MalformedMessageException {
-    JsonNode m = Fields.map(body);
-    String id = Fields.text(m, "uid");
+    JsonNode map = MessageFields.requireMap(body);
+    String id = MessageFields.text(map, "uid");
     if (!isId(id)) {
       throw new MalformedMessageException("uid: an id like wk-000412 expected");
     }
-    Shape shape =
-        Shape.parse(Fields.text(m, SHAPE))
+    WorkloadType workloadType =
+        WorkloadType.parse(MessageFields.text(map, WORKLOAD_TYPE_FIELD))
             .orElseThrow(
                 () -> new MalformedMessageException("shape: batch, service or group expected"));
     Priority priority =
-        Priority.parse(Fields.text(m, "rank"))
+        Priority.parse(MessageFields.text(map, "rank"))
             .orElseThrow(
                 () ->
                     new MalformedMessageException("rank: critical, high, normal or idle expected"));
-    Optional<Double> due = Fields.optAmount(m, "dueS");
-    Optional<List<String>> types = Fields.texts(m, "breeds");
+    Optional<Double> due = MessageFields.optionalAmount(map, "dueS");
+    Optional<List<String>> machineTypes = MessageFields.texts(map, "breeds");
     return new JobSpec(
         id,
-        Fields.text(m, "lineup"),
-        Fields.text(m, "crew"),
-        shape,
+        MessageFields.text(map, "lineup"),
+        MessageFields.text(map, "crew"),
+        workloadType,
         priority,
-        (int) Fields.integer(m, "pieces", 1, 100_000),
-        Fields.amount(m, "vcpus"),
-        Fields.amount(m, "accelerators"),
-        Fields.amount(m, "memoryGb"),
-        Fields.text(m, "bundle"),
-        Fields.amount(m, "imageGb"),
-        types,
-        Fields.optText(m, "yard"),
-        Fields.flag(m, "oneZone"),
-        Fields.flag(m, "spread"),
-        Fields.flag(m, "windfall"),
-        Fields.seconds(m, "guessS"),
-        Fields.seconds(m, "bookmarkS"),
-        Fields.seconds(m, "stashS"),
-        due.map(Fields::duration));
+        (int) MessageFields.integer(map, "pieces", 1, 100_000),
+        MessageFields.amount(map, "vcpus"),
+        MessageFields.amount(map, "accelerators"),
+        MessageFields.amount(map, "memoryGb"),
+        MessageFields.text(map, "bundle"),
+        MessageFields.amount(map, "imageGb"),
+        machineTypes,
+        MessageFields.optionalText(map, "yard"),
+        MessageFields.truthValue(map, "oneZone"),
+        MessageFields.truthValue(map, "spread"),
+        MessageFields.truthValue(map, "windfall"),
+        MessageFields.seconds(map, "guessS"),
+        MessageFields.seconds(map, "bookmarkS"),
+        MessageFields.seconds(map, "stashS"),
+        due.map(MessageFields::duration));
   }
 
   /** Writes the job as it is kept. */
   public ObjectNode toNode() {
-    ObjectNode n =
+    ObjectNode node =
         MessagePack.map()
             .put("uid", id)
             .put("lineup", jobClass)
             .put("crew", team)
-            .put(SHAPE, shape.wire())
-            .put("rank", priority.wire())
+            .put(WORKLOAD_TYPE_FIELD, workloadType.wireName())
+            .put("rank", priority.wireName())
             .put("pieces", tasks)
             .put("vcpus", cpus)
             .put("accelerators", gpus)
             .put("memoryGb", memoryGb)
             .put("bundle", image)
             .put("imageGb", imageGb);
-    types.ifPresent(
+    machineTypes.ifPresent(
         t -> {
-          var list = n.putArray("breeds");
+          var list = node.putArray("breeds");
           t.forEach(list::add);
         });
-    zone.ifPresent(z -> n.put("yard", z));
-    n.put("oneZone", oneZone)
-        .put("spread", spread)
-        .put("windfall", spot)
-        .put("guessS", Fields.seconds(estimate))
-        .put("bookmarkS", Fields.seconds(checkpoint))
-        .put("stashS", Fields.seconds(save));
-    deadline.ifPresent(d -> n.put("dueS", Fields.seconds(d)));
-    return n;
+    zone.ifPresent(z -> node.put("yard", z));
+    node.put("oneZone", singleZone)
+        .put("spread", spreadAcrossZones)
+        .put("windfall", spotAllowed)
+        .put("guessS", MessageFields.seconds(estimatedDuration))
+        .put("bookmarkS", MessageFields.seconds(checkpointInterval))
+        .put("stashS", MessageFields.seconds(checkpointDuration));
+    deadline.ifPresent(d -> node.put("dueS", MessageFields.seconds(d)));
+    return node;
   }
 
   /** Whether its tasks are replicas, which run until the job is cancelled. */
-  public boolean service() {
-    return shape == Shape.SERVICE;
+  public boolean isService() {
+    return workloadType == WorkloadType.SERVICE;
   }
 
   /** Whether its tasks run all at the same time or not at all. */
-  public boolean gang() {
-    return shape == Shape.GANG;
+  public boolean isGang() {
+    return workloadType == WorkloadType.GANG;
   }
 
   /** Whether a stored job, which need not be readable otherwise, is a gang. */
-  public static boolean isGang(JsonNode stored) {
-    return stored.path(SHAPE).asText().equals(Shape.GANG.wire());
+  public static boolean isStoredGang(JsonNode stored) {
+    return stored.path(WORKLOAD_TYPE_FIELD).asText().equals(WorkloadType.GANG.wireName());
   }
 
   /** Whether a machine of this type, zone and kind may run the job's tasks at all. */
   public boolean allows(MachineType type, String inZone, boolean onSpot) {
-    return (spot || !onSpot)
-        && types.map(t -> t.contains(type.name())).orElse(true)
+    return (spotAllowed || !onSpot)
+        && machineTypes.map(t -> t.contains(type.name())).orElse(true)
         && zone.map(z -> z.equals(inZone)).orElse(true)
         && cpus <= type.cpus()
         && gpus <= type.gpus()
@@ -151,13 +151,13 @@
   }
 
   /** Whether machines of this type may run the job's tasks in some zone, ordinary or spot. */
-  public boolean allowsSomewhere(MachineType type) {
+  public boolean allowsInSomeZone(MachineType type) {
     return type.zones().stream()
         .anyMatch(z -> allows(type, z, /* onSpot= */ false) || allows(type, z, /* onSpot= */ true));
   }
 
   /** How many of the tasks one zone may hold. */
-  public int perZone() {
-    return spread ? (tasks + 1) / 2 : tasks;
+  public int maxTasksPerZone() {
+    return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -13,23 +13,23 @@
     double cpus,
     double gpus,
     double memoryGb,
-    double cacheGb,
+    double imageCacheGb,
     double fetchGbPerSecond,
-    double price,
+    double onDemandPrice,
     double spotPrice,
-    Duration boot,
+    Duration bootTime,
     List<String> zones) {
 
   /** How long such a machine takes to fetch an image of that size, if it fetches nothing else. */
-  public Duration fetchTime(double gb) {
-    return Fields.duration(gb / Math.max(1e-3, fetchGbPerSecond));
+  public Duration fetchTime(double imageGb) {
+    return MessageFields.duration(imageGb / Math.max(1e-3, fetchGbPerSecond));
   }
 
   /** Reads a catalogue; lines that break the protocol are left out. */
   public static List<MachineType> parseAll(JsonNode body) {
     List<MachineType> result = new ArrayList<>();
     try {
-      for (JsonNode n : Fields.list(Fields.map(body), "breeds")) {
+      for (JsonNode n : MessageFields.list(MessageFields.requireMap(body), "breeds")) {
         try {
           result.add(parse(n));
         } catch (MalformedMessageException e) {
@@ -42,41 +42,42 @@
     return result;
   }
 
-  private static MachineType parse(JsonNode n) throws MalformedMessageException {
-    Fields.map(n);
+  private static MachineType parse(JsonNode node) throws MalformedMessageException {
+    MessageFields.requireMap(node);
     return new MachineType(
-        Fields.text(n, "sku"),
-        Fields.amount(n, "vcpus"),
-        Fields.optAmount(n, "accelerators").orElse(0.0),
-        Fields.amount(n, "memoryGb"),
-        Fields.optAmount(n, "cacheGb").orElse(0.0),
-        Fields.optAmount(n, "fetchGbPerS").orElse(0.1),
-        Fields.amount(n, "rate"),
-        Fields.optAmount(n, "marketPrice").orElse(Fields.amount(n, "rate")),
-        Fields.seconds(n, "readyS"),
-        Fields.texts(n, "yards").orElse(List.of()));
+        MessageFields.text(node, "sku"),
+        MessageFields.amount(node, "vcpus"),
+        MessageFields.optionalAmount(node, "accelerators").orElse(0.0),
+        MessageFields.amount(node, "memoryGb"),
+        MessageFields.optionalAmount(node, "cacheGb").orElse(0.0),
+        MessageFields.optionalAmount(node, "fetchGbPerS").orElse(0.1),
+        MessageFields.amount(node, "rate"),
+        MessageFields.optionalAmount(node, "marketPrice")
+            .orElse(MessageFields.amount(node, "rate")),
+        MessageFields.seconds(node, "readyS"),
+        MessageFields.texts(node, "yards").orElse(List.of()));
   }
 
   /** Writes the line as the cloud would. */
   public ObjectNode toNode() {
-    ObjectNode n =
+    ObjectNode node =
         MessagePack.map()
             .put("sku", name)
             .put("vcpus", cpus)
             .put("accelerators", gpus)
             .put("memoryGb", memoryGb)
-            .put("cacheGb", cacheGb)
+            .put("cacheGb", imageCacheGb)
             .put("fetchGbPerS", fetchGbPerSecond)
-            .put("rate", price)
+            .put("rate", onDemandPrice)
             .put("marketPrice", spotPrice)
-            .put("readyS", Fields.seconds(boot));
-    var list = n.putArray("yards");
+            .put("readyS", MessageFields.seconds(bootTime));
+    var list = node.putArray("yards");
     zones.forEach(list::add);
-    return n;
+    return node;
   }
 
   /** The price of an hour on a machine of this kind. */
-  public double price(boolean spot) {
-    return spot ? spotPrice : price;
+  public double hourlyPrice(boolean spot) {
+    return spot ? spotPrice : onDemandPrice;
   }
 }
--- a/src/main/java/io/pearscale/protocol/MalformedMessageException.java
+++ b/src/main/java/io/pearscale/protocol/MalformedMessageException.java
@@ -5,7 +5,7 @@
   private static final long serialVersionUID = 1L;
 
   /** Says which field is wrong. */
-  public MalformedMessageException(String what) {
-    super(what, null, false, false);
+  public MalformedMessageException(String message) {
+    super(message, null, false, false);
   }
 }
--- a/src/main/java/io/pearscale/protocol/Fields.java
+++ b/src/main/java/io/pearscale/protocol/MessageFields.java
@@ -7,24 +7,24 @@
 import java.util.Optional;
 
 /** Checked access to the fields of a message. Null and absent are the same. */
-public final class Fields {
+public final class MessageFields {
   private static final double MAX_SECONDS = 1e9;
 
   /** The largest amount that a message may name. */
   static final double MAX_AMOUNT = 1e9;
 
   /** The longest text of a message that is kept. */
-  static final int LONGEST_TEXT = 200;
+  static final int MAX_TEXT_LENGTH = 200;
 
-  private Fields() {}
+  private MessageFields() {}
 
   private static Optional<JsonNode> get(JsonNode map, String name) {
-    JsonNode n = map.get(name);
-    return n == null || n.isNull() ? Optional.empty() : Optional.of(n);
+    JsonNode node = map.get(name);
+    return node == null || node.isNull() ? Optional.empty() : Optional.of(node);
   }
 
   /** The message must be a map. */
-  public static JsonNode map(JsonNode node) throws MalformedMessageException {
+  public static JsonNode requireMap(JsonNode node) throws MalformedMessageException {
     if (!node.isObject()) {
       throw new MalformedMessageException("not a map");
     }
@@ -32,42 +32,43 @@
   }
 
   /** A text that may be missing. */
-  public static Optional<String> optText(JsonNode map, String name)
+  public static Optional<String> optionalText(JsonNode map, String name)
       throws MalformedMessageException {
-    Optional<JsonNode> n = get(map, name);
-    if (n.isPresent() && !n.get().isTextual()) {
+    Optional<JsonNode> node = get(map, name);
+    if (node.isPresent() && !node.get().isTextual()) {
       throw new MalformedMessageException(name + ": text expected");
     }
-    return n.map(JsonNode::textValue);
+    return node.map(JsonNode::textValue);
   }
 
   /** A text of 1 to 200 characters. */
   public static String text(JsonNode map, String name) throws MalformedMessageException {
-    String s =
-        optText(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
-    if (s.isEmpty() || s.length() > LONGEST_TEXT) {
+    String text =
+        optionalText(map, name)
+            .orElseThrow(() -> new MalformedMessageException(name + ": missing"));
+    if (text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
       throw new MalformedMessageException(name + ": 1 to 200 characters expected");
     }
-    return s;
+    return text;
   }
 
   /** A finite amount that is not negative. */
-  public static Optional<Double> optAmount(JsonNode map, String name)
+  public static Optional<Double> optionalAmount(JsonNode map, String name)
       throws MalformedMessageException {
-    Optional<JsonNode> n = get(map, name);
-    if (n.isEmpty()) {
+    Optional<JsonNode> node = get(map, name);
+    if (node.isEmpty()) {
       return Optional.empty();
     }
-    double d = n.get().isNumber() ? n.get().doubleValue() : Double.NaN;
-    if (!(d >= 0 && d <= MAX_AMOUNT)) {
+    double value = node.get().isNumber() ? node.get().doubleValue() : Double.NaN;
+    if (!(value >= 0 && value <= MAX_AMOUNT)) {
       throw new MalformedMessageException(name + ": a number of at least 0 expected");
     }
-    return Optional.of(d);
+    return Optional.of(value);
   }
 
   /** A finite amount that is not negative, and must be there. */
   public static double amount(JsonNode map, String name) throws MalformedMessageException {
-    return optAmount(map, name)
+    return optionalAmount(map, name)
         .orElseThrow(() -> new MalformedMessageException(name + ": missing"));
   }
 
@@ -82,46 +83,46 @@
   }
 
   /** Seconds of a duration. */
-  public static double seconds(Duration d) {
-    return d.toNanos() / 1e9;
+  public static double seconds(Duration duration) {
+    return duration.toNanos() / 1e9;
   }
 
   /** A whole number within bounds. */
   public static long integer(JsonNode map, String name, long min, long max)
       throws MalformedMessageException {
-    JsonNode n =
+    JsonNode node =
         get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
-    if (!n.isIntegralNumber() || !n.canConvertToLong()) {
+    if (!node.isIntegralNumber() || !node.canConvertToLong()) {
       throw new MalformedMessageException(name + ": a whole number expected");
     }
-    long v = n.longValue();
-    if (v < min || v > max) {
+    long value = node.longValue();
+    if (value < min || value > max) {
       throw new MalformedMessageException(name + ": " + min + " to " + max + " expected");
     }
-    return v;
+    return value;
   }
 
   /** A truth value. */
-  public static boolean flag(JsonNode map, String name) throws MalformedMessageException {
-    JsonNode n =
+  public static boolean truthValue(JsonNode map, String name) throws MalformedMessageException {
+    JsonNode node =
         get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
-    if (!n.isBoolean()) {
+    if (!node.isBoolean()) {
       throw new MalformedMessageException(name + ": true or false expected");
     }
-    return n.booleanValue();
+    return node.booleanValue();
   }
 
   /** A list of maps or texts; empty when it is missing. */
   public static List<JsonNode> list(JsonNode map, String name) throws MalformedMessageException {
-    Optional<JsonNode> n = get(map, name);
-    if (n.isEmpty()) {
+    Optional<JsonNode> node = get(map, name);
+    if (node.isEmpty()) {
       return List.of();
     }
-    if (!n.get().isArray()) {
+    if (!node.get().isArray()) {
       throw new MalformedMessageException(name + ": a list expected");
     }
     List<JsonNode> result = new ArrayList<>();
-    n.get().forEach(result::add);
+    node.get().forEach(result::add);
     return result;
   }
 
@@ -133,7 +134,7 @@
     }
     List<String> result = new ArrayList<>();
     for (JsonNode n : list(map, name)) {
-      if (!n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > LONGEST_TEXT) {
+      if (!n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > MAX_TEXT_LENGTH) {
         throw new MalformedMessageException(name + ": texts expected");
       }
       result.add(n.textValue());
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -19,56 +19,58 @@
    * What the cause of a task says that fetches no image, but waits for the others of its gang. For
    * builds that know of no gangs it is one that fetches; a stage of its own they could not read.
    */
-  String WAITING = "waiting";
+  String WAITING_CAUSE = "waiting";
 
   /**
    * Sent all the time.
    *
    * @param term the highest term that the sender knows
    * @param leader who holds it, or empty
-   * @param storeOk whether the state service has answered the sender lately
+   * @param storeHealthy whether the state service has answered the sender lately
    */
-  record ControllerHeartbeat(long term, String leader, boolean storeOk) implements PeerMessage {}
+  record ControllerHeartbeat(long term, String leader, boolean storeHealthy)
+      implements PeerMessage {}
 
   /** A worker's report, on its way to the leader. */
-  record ForwardedHeartbeat(long exchange, Heartbeat report) implements PeerMessage {}
+  record ForwardedHeartbeat(long exchange, Heartbeat heartbeat) implements PeerMessage {}
 
   /** The leader's answer to a forwarded report. */
-  record ForwardedHeartbeatResponse(long exchange, HeartbeatResponse answer)
+  record ForwardedHeartbeatResponse(long exchange, HeartbeatResponse response)
       implements PeerMessage {}
 
   /**
    * The leader asks for a word that nothing has happened that it doesn't know.
    *
-   * @param epoch how new the leader's copy of the keys is
+   * @param storeRevision how new the leader's copy of the keys is
    */
-  record ConfirmationRequest(long nonce, long epoch) implements PeerMessage {}
+  record ConfirmationRequest(long nonce, long storeRevision) implements PeerMessage {}
 
   /**
    * The word of a peer, as of after the question.
    *
    * @param term the highest term that it knows
-   * @param cancelled the jobs of which it told somebody lately that they are cancelled
-   * @param live what was live when it was last told, from a peer that began to know later than the
-   *     leader's copy ends: what its former life told is in this alone
+   * @param cancelledJobs the jobs of which it told somebody lately that they are cancelled
+   * @param liveJobs what was live when it was last told, from a peer that began to know later than
+   *     the leader's copy ends: what its former life told is in this alone
    */
-  record Confirmation(long nonce, long term, List<String> cancelled, Optional<LiveJobs> live)
+  record Confirmation(
+      long nonce, long term, List<String> cancelledJobs, Optional<LiveJobs> liveJobs)
       implements PeerMessage {}
 
   /**
    * The jobs that were not over at a revision of the state service; of those submitted by then, all
    * others are.
    */
-  record LiveJobs(long epoch, List<String> jobs) {}
+  record LiveJobs(long storeRevision, List<String> jobs) {}
 
   /** Users are told, or about to be, that the job is cancelled. It is durable and stays so. */
-  record Cancelled(String job) implements PeerMessage {}
+  record JobCancelled(String job) implements PeerMessage {}
 
   /** Task counts of jobs, for display. */
-  record Counts(List<JobCount> jobs) implements PeerMessage {}
+  record TaskCounts(List<JobTaskCount> jobs) implements PeerMessage {}
 
   /** How many tasks of a job are done and run. */
-  record JobCount(String job, int done, int running) {}
+  record JobTaskCount(String job, int done, int running) {}
 
   /** Encodes a record. */
   static byte[] encode(PeerMessage message) {
@@ -78,27 +80,27 @@
         out.writeByte(1);
         out.writeLong(m.term);
         out.writeUTF(m.leader);
-        out.writeBoolean(m.storeOk);
+        out.writeBoolean(m.storeHealthy);
       } else if (message instanceof ForwardedHeartbeat m) {
         out.writeByte(2);
         out.writeLong(m.exchange);
-        write(out, m.report);
+        write(out, m.heartbeat);
       } else if (message instanceof ForwardedHeartbeatResponse m) {
         out.writeByte(3);
         out.writeLong(m.exchange);
-        out.writeShort(m.answer.status());
-        out.writeLong(m.answer.token());
-        out.writeInt(m.answer.orders().size());
-        for (AgentCommand command : m.answer.orders()) {
+        out.writeShort(m.response.status());
+        out.writeLong(m.response.fencingToken());
+        out.writeInt(m.response.commands().size());
+        for (AgentCommand command : m.response.commands()) {
           out.writeByte(command.verb().ordinal());
           write(out, command.task());
           out.writeLong(command.attempt());
-          out.writeLong(command.grace().toNanos());
+          out.writeLong(command.gracePeriod().toNanos());
         }
-      } else if (message instanceof Counts m) {
+      } else if (message instanceof TaskCounts m) {
         out.writeByte(4);
         out.writeInt(m.jobs.size());
-        for (JobCount c : m.jobs) {
+        for (JobTaskCount c : m.jobs) {
           out.writeUTF(c.job);
           out.writeInt(c.done);
           out.writeInt(c.running);
@@ -106,18 +108,18 @@
       } else if (message instanceof ConfirmationRequest m) {
         out.writeByte(5);
         out.writeLong(m.nonce);
-        out.writeLong(m.epoch);
+        out.writeLong(m.storeRevision);
       } else if (message instanceof Confirmation m) {
         out.writeByte(6);
         out.writeLong(m.nonce);
         out.writeLong(m.term);
-        write(out, m.cancelled);
-        out.writeBoolean(m.live.isPresent());
-        if (m.live.isPresent()) {
-          out.writeLong(m.live.get().epoch);
-          write(out, m.live.get().jobs);
+        write(out, m.cancelledJobs);
+        out.writeBoolean(m.liveJobs.isPresent());
+        if (m.liveJobs.isPresent()) {
+          out.writeLong(m.liveJobs.get().storeRevision);
+          write(out, m.liveJobs.get().jobs);
         }
-      } else if (message instanceof Cancelled m) {
+      } else if (message instanceof JobCancelled m) {
         out.writeByte(7);
         out.writeUTF(m.job);
       }
@@ -133,16 +135,16 @@
       PeerMessage message =
           switch (in.readByte()) {
             case 1 -> new ControllerHeartbeat(in.readLong(), in.readUTF(), in.readBoolean());
-            case 2 -> new ForwardedHeartbeat(in.readLong(), readReport(in));
+            case 2 -> new ForwardedHeartbeat(in.readLong(), readHeartbeat(in));
             case 3 -> {
               long exchange = in.readLong();
               int status = in.readShort();
               long token = in.readLong();
               List<AgentCommand> orders = new ArrayList<>();
-              for (int n = count(in); n > 0; n--) {
+              for (int n = readCount(in); n > 0; n--) {
                 orders.add(
                     new AgentCommand(
-                        pick(AgentCommand.Verb.values(), in.readByte()),
+                        enumValue(AgentCommand.Verb.values(), in.readByte()),
                         readTask(in),
                         in.readLong(),
                         Duration.ofNanos(in.readLong())));
@@ -151,11 +153,11 @@
                   exchange, new HeartbeatResponse(status, token, orders));
             }
             case 4 -> {
-              List<JobCount> jobs = new ArrayList<>();
-              for (int n = count(in); n > 0; n--) {
-                jobs.add(new JobCount(in.readUTF(), in.readInt(), in.readInt()));
+              List<JobTaskCount> jobs = new ArrayList<>();
+              for (int n = readCount(in); n > 0; n--) {
+                jobs.add(new JobTaskCount(in.readUTF(), in.readInt(), in.readInt()));
               }
-              yield new Counts(jobs);
+              yield new TaskCounts(jobs);
             }
             case 5 -> new ConfirmationRequest(in.readLong(), in.readLong());
             case 6 ->
@@ -166,7 +168,7 @@
                     in.readBoolean()
                         ? Optional.of(new LiveJobs(in.readLong(), readTexts(in)))
                         : Optional.empty());
-            case 7 -> new Cancelled(in.readUTF());
+            case 7 -> new JobCancelled(in.readUTF());
             default -> throw new MalformedMessageException("peer record of unknown kind");
           };
       if (in.read() >= 0) {
@@ -178,20 +180,20 @@
     }
   }
 
-  private static int count(DataInputStream in) throws IOException, MalformedMessageException {
-    int n = in.readInt();
+  private static int readCount(DataInputStream in) throws IOException, MalformedMessageException {
+    int count = in.readInt();
     // Each entry takes at least one byte: a larger count is garbage and must not reserve memory.
-    if (n < 0 || n > in.available()) {
+    if (count < 0 || count > in.available()) {
       throw new MalformedMessageException("peer record with an impossible count");
     }
-    return n;
+    return count;
   }
 
-  private static <T> T pick(T[] values, int i) throws MalformedMessageException {
-    if (i < 0 || i >= values.length) {
+  private static <T> T enumValue(T[] values, int ordinal) throws MalformedMessageException {
+    if (ordinal < 0 || ordinal >= values.length) {
       throw new MalformedMessageException("peer record with an unknown value");
     }
-    return values[i];
+    return values[ordinal];
   }
 
   private static void write(DataOutputStream out, List<String> texts) throws IOException {
@@ -204,15 +206,15 @@
   private static List<String> readTexts(DataInputStream in)
       throws IOException, MalformedMessageException {
     List<String> texts = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       texts.add(in.readUTF());
     }
     return texts;
   }
 
-  private static void write(DataOutputStream out, TaskId t) throws IOException {
-    out.writeUTF(t.job());
-    out.writeInt(t.index());
+  private static void write(DataOutputStream out, TaskId task) throws IOException {
+    out.writeUTF(task.job());
+    out.writeInt(task.index());
   }
 
   private static TaskId readTask(DataInputStream in) throws IOException {
@@ -222,48 +224,48 @@
   private static void write(DataOutputStream out, Heartbeat heartbeat) throws IOException {
     out.writeUTF(heartbeat.machine());
     out.writeUTF(heartbeat.address());
-    out.writeUTF(heartbeat.type());
+    out.writeUTF(heartbeat.machineType());
     out.writeUTF(heartbeat.zone());
     out.writeBoolean(heartbeat.spot());
-    out.writeLong(heartbeat.session());
+    out.writeLong(heartbeat.incarnation());
     out.writeLong(heartbeat.sequence());
-    out.writeLong(heartbeat.token());
-    out.writeLong(heartbeat.notice().map(Duration::toNanos).orElse(-1L));
+    out.writeLong(heartbeat.fencingToken());
+    out.writeLong(heartbeat.preemptionNotice().map(Duration::toNanos).orElse(-1L));
     out.writeInt(heartbeat.tasks().size());
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
       write(out, status.task());
       out.writeLong(status.attempt());
       boolean waiting = status.stage() == Heartbeat.Stage.WAITING;
       out.writeByte(waiting ? Heartbeat.Stage.FETCHING.ordinal() : status.stage().ordinal());
-      out.writeUTF(waiting ? WAITING : status.cause());
+      out.writeUTF(waiting ? WAITING_CAUSE : status.cause());
     }
   }
 
-  private static Heartbeat.TaskStatus readTaskReport(DataInputStream in)
+  private static Heartbeat.TaskStatus readTaskStatus(DataInputStream in)
       throws IOException, MalformedMessageException {
     TaskId task = readTask(in);
     long attempt = in.readLong();
-    Heartbeat.Stage stage = pick(Heartbeat.Stage.values(), in.readByte());
+    Heartbeat.Stage stage = enumValue(Heartbeat.Stage.values(), in.readByte());
     String cause = in.readUTF();
-    return stage == Heartbeat.Stage.FETCHING && cause.equals(WAITING)
+    return stage == Heartbeat.Stage.FETCHING && cause.equals(WAITING_CAUSE)
         ? new Heartbeat.TaskStatus(task, attempt, Heartbeat.Stage.WAITING, "")
         : new Heartbeat.TaskStatus(task, attempt, stage, cause);
   }
 
-  private static Heartbeat readReport(DataInputStream in)
+  private static Heartbeat readHeartbeat(DataInputStream in)
       throws IOException, MalformedMessageException {
     String machine = in.readUTF();
     String address = in.readUTF();
     String type = in.readUTF();
     String zone = in.readUTF();
     boolean spot = in.readBoolean();
-    long session = in.readLong();
+    long incarnation = in.readLong();
     long sequence = in.readLong();
-    long token = in.readLong();
-    long notice = in.readLong();
+    long fencingToken = in.readLong();
+    long preemptionNotice = in.readLong();
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
-      tasks.add(readTaskReport(in));
+    for (int n = readCount(in); n > 0; n--) {
+      tasks.add(readTaskStatus(in));
     }
     return new Heartbeat(
         machine,
@@ -271,10 +273,10 @@
         type,
         zone,
         spot,
-        session,
+        incarnation,
         sequence,
-        token,
-        notice < 0 ? Optional.empty() : Optional.of(Duration.ofNanos(notice)),
+        fencingToken,
+        preemptionNotice < 0 ? Optional.empty() : Optional.of(Duration.ofNanos(preemptionNotice)),
         tasks);
   }
 }
--- a/src/main/java/io/pearscale/protocol/Priority.java
+++ b/src/main/java/io/pearscale/protocol/Priority.java
@@ -10,15 +10,15 @@
   CRITICAL;
 
   /** The name on the wire. */
-  public String wire() {
+  public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
   /** Finds a priority by its name on the wire. */
   public static Optional<Priority> parse(String name) {
-    for (Priority p : values()) {
-      if (p.wire().equals(name)) {
-        return Optional.of(p);
+    for (Priority priority : values()) {
+      if (priority.wireName().equals(name)) {
+        return Optional.of(priority);
       }
     }
     return Optional.empty();
--- a/src/main/java/io/pearscale/protocol/Settings.java
+++ b/src/main/java/io/pearscale/protocol/Settings.java
@@ -15,78 +15,87 @@
     InetSocketAddress clientListen,
     InetSocketAddress peerListen,
     Map<String, InetSocketAddress> peers,
-    String cloud,
-    String state,
+    String cloudAddress,
+    String storeAddress,
     List<Team> teams,
-    List<Objective> objectives,
-    Workers workers,
-    State stateLimits,
-    Cloud cloudLimits,
+    List<ServiceLevelObjective> serviceLevelObjectives,
+    AgentSettings agents,
+    StoreLimits storeLimits,
+    CloudLimits cloudLimits,
     int maxConnections,
     double cpuShare) {
 
   /** How long a leader on a whole or half core may be silent before another is elected. */
-  private static final Duration SHORTEST_GRANT = Duration.ofMillis(2200);
+  private static final Duration MIN_LEADER_LEASE_TTL = Duration.ofMillis(2200);
 
-  private static final Duration LONGEST_GRANT = Duration.ofSeconds(6);
-  private static final Duration LONGEST_RELAY = Duration.ofMillis(3200);
+  private static final Duration MAX_LEADER_LEASE_TTL = Duration.ofSeconds(6);
+  private static final Duration MAX_RELAY_TIMEOUT = Duration.ofMillis(3200);
   private static final double HALF_CORE = 0.5;
 
   /** A team's guarantee and limit; an amount of 0 means that there is none. */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
+  public record Team(
+      String name, double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
     /** Whether it has any guarantee or limit, so that its use must be counted. */
-    public boolean bounded() {
-      return cpus > 0 || gpus > 0 || limited();
+    public boolean hasQuota() {
+      return guaranteedCpus > 0 || guaranteedGpus > 0 || hasQuotaLimit();
     }
 
     /** Whether its tasks may use only so much at any time. */
-    public boolean limited() {
-      return cpusMax > 0 || gpusMax > 0;
+    public boolean hasQuotaLimit() {
+      return cpuLimit > 0 || gpuLimit > 0;
     }
   }
 
   /** What is expected of a class of jobs. */
-  public record Objective(String kind, String jobClass, Duration within) {}
+  public record ServiceLevelObjective(String kind, String jobClass, Duration target) {}
 
   /**
    * The workers' times.
    *
    * @param gangs those of gang jobs; empty where the platform names none, and no gang is served
    */
-  public record Workers(
-      Duration report, Duration lease, Duration cancel, Optional<GangTimes> gangs) {}
+  public record AgentSettings(
+      Duration heartbeatInterval,
+      Duration leaseTtl,
+      Duration cancellationTimeout,
+      Optional<GangTimeouts> gangs) {}
 
   /**
    * The workers' times for gang jobs.
    *
-   * @param forming how long a task waits for the others of its attempt
-   * @param peerLoss in which time the loss of one is noticed, and all have to be told to stop
+   * @param formationTimeout how long a task waits for the others of its attempt
+   * @param peerLossTimeout in which time the loss of one is noticed, and all have to be told to
+   *     stop
    */
-  public record GangTimes(Duration forming, Duration peerLoss) {}
+  public record GangTimeouts(Duration formationTimeout, Duration peerLossTimeout) {}
 
   /** The limits of the state service. */
-  public record State(double rps, double writeRps, int valueBytes, int txnOps) {
+  public record StoreLimits(
+      double requestsPerSecond,
+      double writesPerSecond,
+      int maxValueBytes,
+      int maxTransactionOperations) {
     /** The smaller of both in each respect. */
-    public State smallerOf(State other) {
-      return new State(
-          Math.min(rps, other.rps),
-          Math.min(writeRps, other.writeRps),
-          Math.min(valueBytes, other.valueBytes),
-          Math.min(txnOps, other.txnOps));
+    public StoreLimits smallerOf(StoreLimits other) {
+      return new StoreLimits(
+          Math.min(requestsPerSecond, other.requestsPerSecond),
+          Math.min(writesPerSecond, other.writesPerSecond),
+          Math.min(maxValueBytes, other.maxValueBytes),
+          Math.min(maxTransactionOperations, other.maxTransactionOperations));
     }
   }
 
   /** The limits of the cloud. */
-  public record Cloud(double rps, Duration listLag) {}
+  public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 
   /**
    * How long a leader may go on renewing leases after the last proof that it leads. After that, and
    * a lease, every machine that it could have kept alive is empty; both together stay below the
    * time that a cancelled task has, less a margin for delays.
    */
-  public Duration hold() {
-    Duration room = workers.cancel().minus(workers.lease()).minusSeconds(6);
-    return room.compareTo(Duration.ofSeconds(1)) < 0 ? Duration.ofSeconds(1) : room;
+  public Duration renewalAuthorityTimeout() {
+    Duration timeout = agents.cancellationTimeout().minus(agents.leaseTtl()).minusSeconds(6);
+    return timeout.compareTo(Duration.ofSeconds(1)) < 0 ? Duration.ofSeconds(1) : timeout;
   }
 
   /**
@@ -96,13 +105,13 @@
    * slowness, though not all of it: the square root is between a grant that is always short and one
    * that lets a leader which is cut off keep others waiting for tens of seconds.
    */
-  public Duration grantTime() {
+  public Duration leaderLeaseTtl() {
     double slowness = Math.sqrt(HALF_CORE / Math.max(1e-3, cpuShare));
-    Duration time = Duration.ofMillis((long) (SHORTEST_GRANT.toMillis() * slowness));
-    if (time.compareTo(SHORTEST_GRANT) < 0) {
-      return SHORTEST_GRANT;
+    Duration ttl = Duration.ofMillis((long) (MIN_LEADER_LEASE_TTL.toMillis() * slowness));
+    if (ttl.compareTo(MIN_LEADER_LEASE_TTL) < 0) {
+      return MIN_LEADER_LEASE_TTL;
     }
-    return time.compareTo(LONGEST_GRANT) > 0 ? LONGEST_GRANT : time;
+    return ttl.compareTo(MAX_LEADER_LEASE_TTL) > 0 ? MAX_LEADER_LEASE_TTL : ttl;
   }
 
   /** All controllers. */
@@ -113,8 +122,8 @@
   }
 
   /** How the sockets are divided. */
-  public SocketShares sockets() {
-    return SocketShares.of(maxConnections);
+  public ConnectionLimits connectionLimits() {
+    return ConnectionLimits.of(maxConnections);
   }
 
   /**
@@ -122,8 +131,8 @@
    * so a leader that is slow for a while is waited for almost as long; with a quick one, the sooner
    * a worker learns that there is no answer, the sooner it asks elsewhere.
    */
-  public Duration relayPatience() {
-    Duration patience = grantTime().multipliedBy(2).dividedBy(3);
-    return patience.compareTo(LONGEST_RELAY) > 0 ? LONGEST_RELAY : patience;
+  public Duration relayTimeout() {
+    Duration timeout = leaderLeaseTtl().multipliedBy(2).dividedBy(3);
+    return timeout.compareTo(MAX_RELAY_TIMEOUT) > 0 ? MAX_RELAY_TIMEOUT : timeout;
   }
 }
--- a/src/main/java/io/pearscale/protocol/Shape.java
+++ b/src/main/java/io/pearscale/protocol/WorkloadType.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** How the tasks of a job belong together. */
-public enum Shape {
+public enum WorkloadType {
   /** Independent tasks, each of which runs to completion. */
   BATCH("batch"),
 
@@ -14,19 +14,19 @@
   /** Tasks that run all at the same time, or none does, and complete together. */
   GANG("group");
 
-  private final String wire;
+  private final String wireName;
 
-  Shape(String wire) {
-    this.wire = wire;
+  WorkloadType(String wire) {
+    this.wireName = wire;
   }
 
   /** Its name in messages and in stored jobs. */
-  public String wire() {
-    return wire;
+  public String wireName() {
+    return wireName;
   }
 
   /** The shape of that name; empty if there is none. */
-  public static Optional<Shape> parse(String text) {
-    return Arrays.stream(values()).filter(shape -> shape.wire.equals(text)).findFirst();
+  public static Optional<WorkloadType> parse(String text) {
+    return Arrays.stream(values()).filter(shape -> shape.wireName.equals(text)).findFirst();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.MalformedMessageException;
-import io.pearscale.protocol.PeerMessage.JobCount;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.KeyValueStoreClient;
@@ -75,7 +75,7 @@
   public record Cancelled(String job) implements Message {}
 
   /** The leader's counts, for display. */
-  public record Counts(List<JobCount> jobs) implements Message {}
+  public record Counts(List<JobTaskCount> jobs) implements Message {}
 
   private record Created(JobSpec spec, Consumer<Response> answer, Reply reply) implements Message {}
 
@@ -108,7 +108,7 @@
   private final LevelGate level;
   private final Consumer<String> cancelled;
   private final Map<String, Team> teams = new HashMap<>();
-  private final Map<String, JobCount> counts = new HashMap<>();
+  private final Map<String, JobTaskCount> counts = new HashMap<>();
   private final Set<String> live = new HashSet<>();
   private List<MachineType> types = List.of();
   private boolean loaded;
@@ -216,7 +216,7 @@
       spec =
           JobSpec.parse(
               body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-      if (spec.toNode().toString().length() + 100 > settings.stateLimits().valueBytes()) {
+      if (spec.toNode().toString().length() + 100 > settings.storeLimits().maxValueBytes()) {
         throw new MalformedMessageException("too long");
       }
     } catch (MalformedMessageException e) {
@@ -228,7 +228,7 @@
       answer.accept(Response.of(200, stage(spec.id(), known.stage)));
       return;
     }
-    if (!loaded || open > settings.sockets().openQuestions()) {
+    if (!loaded || open > settings.connectionLimits().openUserRequests()) {
       answer.accept(Response.later(SOON, loaded ? "busy" : "starting"));
       return;
     }
@@ -262,25 +262,27 @@
     if (t == null) {
       return refuse("unknown team");
     }
-    if (spec.gang()) {
+    if (spec.isGang()) {
       Optional<Response> refusal = judgeGang();
       if (refusal.isPresent()) {
         return refusal;
       }
     }
-    int n = spec.service() || spec.gang() ? spec.tasks() : 1;
-    if ((t.cpusMax() > 0 && n * spec.cpus() > t.cpusMax() + 1e-6)
-        || (t.gpusMax() > 0 && n * spec.gpus() > t.gpusMax() + 1e-6)) {
+    int n = spec.isService() || spec.isGang() ? spec.tasks() : 1;
+    if ((t.cpuLimit() > 0 && n * spec.cpus() > t.cpuLimit() + 1e-6)
+        || (t.gpuLimit() > 0 && n * spec.gpus() > t.gpuLimit() + 1e-6)) {
       return refuse("beyond the team's limit");
     }
-    if (spec.spread() && spec.tasks() > 1 && (spec.oneZone() || spec.zone().isPresent())) {
+    if (spec.spreadAcrossZones()
+        && spec.tasks() > 1
+        && (spec.singleZone() || spec.zone().isPresent())) {
       return refuse("tasks must spread over zones and stay in one");
     }
     Optional<Response> unrecordable = judgeSize(spec);
     if (unrecordable.isPresent()) {
       return unrecordable;
     }
-    if (types.stream().anyMatch(spec::allowsSomewhere)) {
+    if (types.stream().anyMatch(spec::allowsInSomeZone)) {
       return Optional.empty();
     }
     return refuse("no allowed machine type is large enough");
@@ -291,7 +293,7 @@
    * smaller parts of jobs, it is only a matter of time.
    */
   private Optional<Response> judgeSize(JobSpec spec) {
-    int longest = settings.stateLimits().valueBytes();
+    int longest = settings.storeLimits().maxValueBytes();
     if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().written())) <= longest) {
       return Optional.empty();
     }
@@ -304,7 +306,7 @@
   private int longestRecord(JobSpec spec, RecordLayout layout) {
     Team team = teams.get(spec.team());
     int claim =
-        team != null && team.limited()
+        team != null && team.hasQuotaLimit()
             ? new PlacementRecordCodec.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
                 .size()
             : 0;
@@ -314,7 +316,7 @@
 
   /** What stands against any gang job. */
   private Optional<Response> judgeGang() {
-    if (settings.workers().gangs().isEmpty()) {
+    if (settings.agents().gangs().isEmpty()) {
       return refuse("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
     }
     return level.isOn(Feature.GANG_JOBS)
@@ -360,7 +362,7 @@
       then.accept(new Over(known));
       return;
     }
-    if (open > settings.sockets().openQuestions() || !JobSpec.isId(id)) {
+    if (open > settings.connectionLimits().openUserRequests() || !JobSpec.isId(id)) {
       then.accept(JobSpec.isId(id) ? new Unknown() : new Nothing());
       return;
     }
@@ -409,13 +411,14 @@
 
   /** What a leader may not know although it has a proof: that is never older than hold. */
   private List<String> recent() {
-    Instant limit = loop.clock().instant().minus(settings.hold().multipliedBy(2));
+    Instant limit =
+        loop.clock().instant().minus(settings.renewalAuthorityTimeout().multipliedBy(2));
     withdrawn.values().removeIf(t -> t.isBefore(limit));
     return List.copyOf(withdrawn.keySet());
   }
 
   private String liveStage(String id) {
-    JobCount c = counts.get(id);
+    JobTaskCount c = counts.get(id);
     return c != null && c.running() > 0 ? "running" : "pending";
   }
 
@@ -425,7 +428,7 @@
 
   private Response show(String id, Lookup l) {
     if (l instanceof Live) {
-      JobCount c = counts.getOrDefault(id, new JobCount(id, 0, 0));
+      JobTaskCount c = counts.getOrDefault(id, new JobTaskCount(id, 0, 0));
       return Response.of(
           200, stage(id, liveStage(id)).put("done", c.done()).put("running", c.running()));
     } else if (l instanceof Over o) {
--- a/src/main/java/io/pearscale/scheduler/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/Autoscaler.java
@@ -110,17 +110,17 @@
     for (Job job : v.waiting) {
       // What the team's limit keeps waiting would wait on rented machines as well.
       int tasks = Math.min(job.pending(), v.use.leftWithinLimit(job.spec));
-      if (tasks == 0 || (job.spec.gang() && tasks < job.pending())) {
+      if (tasks == 0 || (job.spec.isGang() && tasks < job.pending())) {
         continue;
       }
       v.use.charge(job.spec, tasks);
-      if (job.spec.gang() && job.spec.oneZone()) {
+      if (job.spec.isGang() && job.spec.singleZone()) {
         demandInOneZone(demands, job, tasks, usable);
-      } else if (job.spec.spread()) {
+      } else if (job.spec.spreadAcrossZones()) {
         // Each zone may take its part only.
         int left = tasks;
         for (String zone : zones(v)) {
-          int n = Math.min(left, job.spec.perZone() - job.inZone(zone));
+          int n = Math.min(left, job.spec.maxTasksPerZone() - job.inZone(zone));
           if (n > 0) {
             demand(demands, job, n, Optional.of(zone));
             left -= n;
@@ -210,7 +210,7 @@
     double used = 0;
     for (Machine m : usable) {
       double mine = m.type.cpus() - m.roomAbove(Priority.IDLE).cpus;
-      double price = m.type.price(m.spot) / Math.max(1e-9, m.type.cpus());
+      double price = m.type.hourlyPrice(m.spot) / Math.max(1e-9, m.type.cpus());
       candidates.add(new Candidate(m, m.replicas(), price, mine));
       used += mine;
       free += m.type.cpus() - mine;
@@ -279,7 +279,7 @@
       return;
     }
     for (TaskAttempt attempt : machine.placements.values()) {
-      if (attempt.job.spec.service() && !attempt.stopping) {
+      if (attempt.job.spec.isService() && !attempt.stopping) {
         moves--;
         plan.moves.add(attempt);
         return;
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -109,7 +109,7 @@
     this.settings = settings;
     this.events = events;
     // A little under the limit: a former leader may have used some of the burst.
-    this.budget = new TokenBucket(loop, settings.cloudLimits().rps() * 0.9);
+    this.budget = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * 0.9);
   }
 
   @Override
@@ -173,7 +173,7 @@
     busy = true;
     int r = round;
     calls.call(
-        settings.cloud(),
+        settings.cloudAddress(),
         method,
         path,
         body,
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.AgentCommand;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.DecisionLog.Carrier;
 import io.pearscale.scheduler.Machine.Ended;
@@ -270,7 +270,8 @@
     unprobed.addAll(inventory.all());
     Duration asking = PROBE_COST.multipliedBy(inventory.size());
     boolean soonerThanReports =
-        Fields.seconds(asking) / settings.cpuShare() < Fields.seconds(settings.workers().report());
+        MessageFields.seconds(asking) / settings.cpuShare()
+            < MessageFields.seconds(settings.agents().heartbeatInterval());
     probesFrom = soonerThanReports ? clock.instant() : clock.instant().plus(times.reportDue());
     probeMore();
     if (!soonerThanReports) {
@@ -369,8 +370,8 @@
       if (!heartbeat.machine().equals(machine.name)) {
         throw new MalformedMessageException("answer of another machine");
       }
-      if (leadership.isOfLaterTerm(heartbeat.token())) {
-        higherTerm.accept(Leadership.termOf(heartbeat.token()));
+      if (leadership.isOfLaterTerm(heartbeat.fencingToken())) {
+        higherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
         return true;
       }
       if (refused) {
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -10,10 +10,10 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage;
 import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
-import io.pearscale.protocol.PeerMessage.Counts;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
+import io.pearscale.protocol.PeerMessage.TaskCounts;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
@@ -118,7 +118,7 @@
             timeOfDay,
             level,
             job -> {
-              sendAll(new PeerMessage.Cancelled(job));
+              sendAll(new PeerMessage.JobCancelled(job));
               cancelled(job);
             });
     LeaderLeaseRenewer keeper =
@@ -126,7 +126,7 @@
             renewals.loop,
             loop,
             new KeyValueStoreClient(renewals.loop, renewals.calls, settings),
-            settings.grantTime().multipliedBy(2));
+            settings.leaderLeaseTtl().multipliedBy(2));
     this.election =
         new ElectionActor(
             loop,
@@ -154,8 +154,8 @@
             loop,
             settings.host(),
             links,
-            settings.relayPatience(),
-            settings.sockets().parkedReports(),
+            settings.relayTimeout(),
+            settings.connectionLimits().parkedHeartbeats(),
             (heartbeat, answer) -> local(heartbeat, settings.host(), answer));
     this.announcer =
         options
@@ -273,9 +273,9 @@
     }
 
     @Override
-    public void counts(List<PeerMessage.JobCount> jobs) {
+    public void counts(List<PeerMessage.JobTaskCount> jobs) {
       api.tell(new ApiActor.Counts(jobs));
-      sendAll(new Counts(jobs));
+      sendAll(new TaskCounts(jobs));
     }
   }
 
@@ -305,7 +305,7 @@
    */
   public boolean ready() {
     Duration running = Duration.between(started, loop.clock().instant());
-    return loaded || running.compareTo(settings.grantTime()) > 0;
+    return loaded || running.compareTo(settings.leaderLeaseTtl()) > 0;
   }
 
   /** While a peer can't be reached, the leader shows by writes that it lives. */
@@ -340,7 +340,7 @@
       return;
     }
     if (message instanceof ControllerHeartbeat m) {
-      peers.put(peer, new PeerState(loop.clock().instant(), m.storeOk()));
+      peers.put(peer, new PeerState(loop.clock().instant(), m.storeHealthy()));
       election.tell(new ElectionActor.LeaderAnnounced(peer, m.term(), m.leader()));
     } else if (message instanceof PeerMessage.ConfirmationRequest m) {
       if (loaded && level.objection().isEmpty()) {
@@ -348,20 +348,21 @@
       }
     } else if (message instanceof PeerMessage.Confirmation m) {
       election.tell(
-          new ElectionActor.PeerConfirmed(peer, m.nonce(), m.term(), m.cancelled(), m.live()));
-    } else if (message instanceof PeerMessage.Cancelled m) {
+          new ElectionActor.PeerConfirmed(
+              peer, m.nonce(), m.term(), m.cancelledJobs(), m.liveJobs()));
+    } else if (message instanceof PeerMessage.JobCancelled m) {
       api.tell(new ApiActor.Cancelled(m.job()));
       cancelled(m.job());
     } else if (message instanceof ForwardedHeartbeat m) {
       local(
-          m.report(),
+          m.heartbeat(),
           peer,
           a ->
               links.send(
                   peer, PeerMessage.encode(new ForwardedHeartbeatResponse(m.exchange(), a))));
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       relay.tell(new HeartbeatRelayActor.LeaderResponded(m));
-    } else if (message instanceof Counts m) {
+    } else if (message instanceof TaskCounts m) {
       api.tell(new ApiActor.Counts(m.jobs()));
     }
   }
@@ -374,7 +375,7 @@
   private void vouch(String peer, PeerMessage.ConfirmationRequest q) {
     long known = term;
     long epoch = copyEpoch;
-    boolean older = q.epoch() < loadEpoch;
+    boolean older = q.storeRevision() < loadEpoch;
     api.tell(
         new ApiActor.Recent(
             (cancelled, live) ->
@@ -443,7 +444,7 @@
   private void checkin(Body body, Consumer<Response> respond) {
     Heartbeat heartbeat;
     try {
-      heartbeat = HeartbeatDecoder.read(body.bytes());
+      heartbeat = HeartbeatDecoder.decode(body.bytes());
     } catch (MalformedMessageException e) {
       LOG.warn("event=report_malformed reason={}", e.getMessage());
       respond.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -68,7 +68,7 @@
         leadership.term(),
         machine.name,
         formerSession,
-        message.token(),
+        message.fencingToken(),
         lease(machine));
   }
 
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -49,7 +49,7 @@
     }
     return Optional.of(
         "no other machine in service has room for it"
-            + (job.spec.oneZone() ? " in zone " + attempt.machine.zone : ""));
+            + (job.spec.singleZone() ? " in zone " + attempt.machine.zone : ""));
   }
 
   private Machine.Resources roomOf(Machine machine) {
@@ -62,8 +62,9 @@
     boolean sameZone = machine.zone.equals(attempt.machine.zone);
     boolean zoneFree =
         sameZone
-            || ((!job.spec.oneZone() || alone)
-                && (!job.spec.spread() || job.inZone(machine.zone) < job.spec.perZone()));
+            || ((!job.spec.singleZone() || alone)
+                && (!job.spec.spreadAcrossZones()
+                    || job.inZone(machine.zone) < job.spec.maxTasksPerZone()));
     return machine != attempt.machine
         && zoneFree
         && job.spec.allows(machine.type, machine.zone, machine.spot);
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -310,7 +310,7 @@
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
   private static List<TaskId> matesOf(TaskAttempt attempt) {
-    if (!attempt.job.spec.gang()) {
+    if (!attempt.job.spec.isGang()) {
       return List.of();
     }
     return attempt.job.placed.values().stream()
@@ -326,7 +326,7 @@
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
   private void noteRemoved(TaskAttempt attempt) {
     boolean wasUp = attempt.stage == Stage.RUNNING || attempt.stage == Stage.SAVING;
-    if (wasUp && jobs.contains(attempt.job) && !attempt.job.spec.service()) {
+    if (wasUp && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
       ledger.note(disruption(attempt, /* voluntary= */ false));
     }
   }
@@ -394,7 +394,7 @@
       up += runsOn(attempt, now) && !disrupted ? 1 : 0;
       ending += attempt.stopping && !disrupted ? 1 : 0;
     }
-    if (job.spec.service()) {
+    if (job.spec.isService()) {
       return new Load(job.spec.tasks(), job.spec.tasks() - up, Duration.ZERO);
     }
     return new Load(up + ending + open, ending + open, Duration.ZERO);
@@ -416,7 +416,7 @@
   }
 
   private TaskView view(TaskAttempt attempt, Instant now) {
-    boolean saves = !attempt.job.spec.checkpoint().isZero();
+    boolean saves = !attempt.job.spec.checkpointInterval().isZero();
     Duration ran = attempt.ranFor(now);
     return new TaskView(
         attempt.task,
@@ -424,10 +424,10 @@
         attempt.job.spec.jobClass(),
         runsOn(attempt, now),
         attempt.stopping,
-        attempt.job.spec.service() || attempt.job.spec.estimate().minus(ran).isNegative()
+        attempt.job.spec.isService() || attempt.job.spec.estimatedDuration().minus(ran).isNegative()
             ? Optional.empty()
-            : Optional.of(attempt.job.spec.estimate().minus(ran)),
-        attempt.job.spec.service() || saves ? Duration.ZERO : ran,
+            : Optional.of(attempt.job.spec.estimatedDuration().minus(ran)),
+        attempt.job.spec.isService() || saves ? Duration.ZERO : ran,
         matesOf(attempt));
   }
 
--- a/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
@@ -21,8 +21,8 @@
         spec.cpus(),
         spec.gpus(),
         spec.memoryGb(),
-        spec.types(),
+        spec.machineTypes(),
         spec.zone(),
-        spec.spot());
+        spec.spotAllowed());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -198,7 +198,7 @@
   }
 
   private static boolean neverCame(Machine machine, Instant now) {
-    Duration patience = machine.type.boot().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
+    Duration patience = machine.type.bootTime().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
     return machine.life == Life.BOOTING && now.isAfter(machine.rented.plus(patience));
   }
 
--- a/src/main/java/io/pearscale/scheduler/GangPlacement.java
+++ b/src/main/java/io/pearscale/scheduler/GangPlacement.java
@@ -84,7 +84,7 @@
 
   /** The parts of the fleet of which one has to take all tasks. */
   private List<Predicate<Machine>> parts(Job job) {
-    if (!job.spec.oneZone() || job.spec.zone().isPresent()) {
+    if (!job.spec.singleZone() || job.spec.zone().isPresent()) {
       return List.of(machine -> true);
     }
     List<Predicate<Machine>> parts = new ArrayList<>();
@@ -186,7 +186,7 @@
 
     boolean allows(String zone) {
       long here = planned.stream().filter(zone::equals).count();
-      return !job.spec.spread() || job.inZone(zone) + here < job.spec.perZone();
+      return !job.spec.spreadAcrossZones() || job.inZone(zone) + here < job.spec.maxTasksPerZone();
     }
 
     void add(String zone) {
--- a/src/main/java/io/pearscale/scheduler/Gangs.java
+++ b/src/main/java/io/pearscale/scheduler/Gangs.java
@@ -143,7 +143,7 @@
 
   /** The work since the last checkpoint, of all tasks, as far as this leader saw them run. */
   private static Duration lostWork(Job job, Duration ran) {
-    long step = job.spec.checkpoint().toMillis();
+    long step = job.spec.checkpointInterval().toMillis();
     long sinceCheckpoint = step == 0 ? ran.toMillis() : ran.toMillis() % step;
     return Duration.ofMillis(sinceCheckpoint * job.spec.tasks());
   }
@@ -200,7 +200,7 @@
    * and all marks are durable, so that none is started in vain and a successor knows of each.
    */
   static boolean mayStart(Job job) {
-    if (!job.spec.gang()) {
+    if (!job.spec.isGang()) {
       return true;
     }
     return job.placed.size() == job.spec.tasks()
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -45,7 +45,7 @@
    * @param atOnce whether what is to start instead can't wait until it has saved
    */
   void stop(TaskAttempt attempt, boolean atOnce) {
-    if (attempt.job.spec.gang() && gangs.phase(attempt.job) == Phase.RUNNING) {
+    if (attempt.job.spec.isGang() && gangs.phase(attempt.job) == Phase.RUNNING) {
       stopGang(attempt.job, atOnce);
     } else {
       attempt.stopsAtOnce |= atOnce;
@@ -74,8 +74,8 @@
     }
     boolean saves =
         !atOnce
-            && !job.spec.checkpoint().isZero()
-            && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.save());
+            && !job.spec.checkpointInterval().isZero()
+            && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.checkpointDuration());
     gangs.noteEnding(job, saves);
     for (TaskAttempt attempt : List.copyOf(job.placed.values())) {
       attempt.stopsAtOnce |= !saves;
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -51,12 +51,12 @@
     if (!leadership.ready() || !leadership.mayRenew()) {
       return HeartbeatResponse.UNAVAILABLE;
     }
-    if (leadership.isOfLaterTerm(heartbeat.token())) {
+    if (leadership.isOfLaterTerm(heartbeat.fencingToken())) {
       LOG.warn(
           "event=report_of_higher_term machine={} token={}",
           heartbeat.machine(),
-          heartbeat.token());
-      higherTerm.accept(Leadership.termOf(heartbeat.token()));
+          heartbeat.fencingToken());
+      higherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
       return HeartbeatResponse.UNAVAILABLE;
     }
     Machine machine = machineOf(heartbeat);
@@ -76,7 +76,7 @@
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
   private List<AgentCommand> ordersInAnswer(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.token() > machine.token) {
+    if (heartbeat.fencingToken() > machine.token) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
     }
@@ -92,7 +92,7 @@
    * although it was answered, as workers do when no answer comes. A higher token makes sure.
    */
   private boolean gotLastAnswer(Machine machine, Heartbeat heartbeat, String via) {
-    if (heartbeat.token() < machine.answered) {
+    if (heartbeat.fencingToken() < machine.answered) {
       machine.unheard++;
       return false;
     }
@@ -100,7 +100,7 @@
     if (machine.via.isEmpty() || machine.via.equals(via)) {
       return true;
     }
-    if (machine.token <= heartbeat.token()) {
+    if (machine.token <= heartbeat.fencingToken()) {
       machine.raiseToken();
     }
     return false;
@@ -112,7 +112,7 @@
       if (inventory.isRemoved(heartbeat.machine())) {
         return null;
       }
-      MachineType type = inventory.catalogue().typeOf(heartbeat.type());
+      MachineType type = inventory.catalogue().typeOf(heartbeat.machineType());
       machine =
           new Machine(
               heartbeat.machine(),
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -66,7 +66,7 @@
   void absorb(Machine machine, Heartbeat heartbeat, boolean received) {
     noteReported(machine, heartbeat);
     if (!machine.settled) {
-      if (!leadership.isOfThisTerm(heartbeat.token())) {
+      if (!leadership.isOfThisTerm(heartbeat.fencingToken())) {
         // It has not heard of this term, or is a late copy: it says nothing of what an old command
         // may yet do, nor that the machine is alive.
         return;
@@ -100,7 +100,7 @@
   private void noteReported(Machine machine, Heartbeat heartbeat) {
     Instant now = clock.instant();
     noteSession(machine, heartbeat, now);
-    machine.seenToken = Math.max(machine.seenToken, heartbeat.token());
+    machine.seenToken = Math.max(machine.seenToken, heartbeat.fencingToken());
     machine.address = heartbeat.address();
     if (machine.life == Life.BOOTING) {
       machine.life = Life.UP;
@@ -126,7 +126,7 @@
   private void noteSession(Machine machine, Heartbeat heartbeat, Instant now) {
     long former = machine.lease.session();
     boolean isNew = machine.lease.shown(heartbeat, now);
-    if (isNew && (machine.lost || (former > 0 && heartbeat.session() > former))) {
+    if (isNew && (machine.lost || (former > 0 && heartbeat.incarnation() > former))) {
       decisions.sessionBegan(machine, heartbeat, former);
     }
   }
@@ -142,14 +142,14 @@
       }
     }
     machine.lost = false;
-    if (heartbeat.notice().isPresent() && machine.takenAt.isEmpty()) {
+    if (heartbeat.preemptionNotice().isPresent() && machine.takenAt.isEmpty()) {
       LOG.info(
           "event=spot_notice term={} machine={} left={}",
           leadership.term(),
           machine.name,
-          heartbeat.notice().get());
+          heartbeat.preemptionNotice().get());
     }
-    machine.takenAt = heartbeat.notice().map(now::plus);
+    machine.takenAt = heartbeat.preemptionNotice().map(now::plus);
   }
 
   /** The job of a reported task; empty when it is over or has no such task. */
@@ -164,8 +164,8 @@
     TaskAttempt attempt = machine.placements.get(status.task());
     if (attempt != null && attempt.attempt < 0) {
       attempt.attempt = status.attempt();
-      attempt.token = heartbeat.token();
-      attempt.session = heartbeat.session();
+      attempt.token = heartbeat.fencingToken();
+      attempt.session = heartbeat.incarnation();
     }
     return Optional.ofNullable(attempt).filter(known -> known.attempt == status.attempt());
   }
@@ -218,8 +218,8 @@
     }
     TaskAttempt adopted =
         new TaskAttempt(job, status.task(), status.attempt(), machine, Stage.SENT, job.submitted);
-    adopted.token = heartbeat.token();
-    adopted.session = heartbeat.session();
+    adopted.token = heartbeat.fencingToken();
+    adopted.session = heartbeat.incarnation();
     inventory.add(adopted);
     records.recordTask(adopted);
     return Optional.of(adopted);
@@ -231,9 +231,9 @@
       if (attempt.stage == Stage.PLANNED || seen.contains(attempt)) {
         continue;
       }
-      if (attempt.session < heartbeat.session()) {
+      if (attempt.session < heartbeat.incarnation()) {
         inventory.remove(attempt, AbsenceProof.LATER_SESSION);
-      } else if (attempt.confirmed || attempt.token < heartbeat.token()) {
+      } else if (attempt.confirmed || attempt.token < heartbeat.fencingToken()) {
         inventory.remove(attempt, AbsenceProof.NOT_REPORTED);
       }
     }
@@ -246,7 +246,7 @@
         switch (stage) {
           case FETCHING -> Stage.FETCHING;
           case WAITING -> Stage.WAITING;
-          case FLUSHING -> Stage.SAVING;
+          case CHECKPOINTING -> Stage.SAVING;
           default -> Stage.RUNNING;
         };
     if (attempt.stage == Stage.RUNNING && before != Stage.RUNNING) {
@@ -274,7 +274,7 @@
     switch (status.cause()) {
       case "done" -> {
         failures.succeeded(machine, job);
-        if (!job.spec.service() && !job.done.get(status.task().index())) {
+        if (!job.spec.isService() && !job.done.get(status.task().index())) {
           completed(job, status.task().index());
         }
       }
@@ -297,7 +297,7 @@
 
   /** A task is done, for the first time as far as known here. */
   private void completed(Job job, int index) {
-    if (job.spec.gang()) {
+    if (job.spec.isGang()) {
       // Its tasks complete together: whoever shows it first decides for all.
       job.done.set(0, job.spec.tasks());
       jobs.requeue(job);
@@ -343,13 +343,15 @@
         continue;
       }
       JobSpec spec = attempt.job.spec;
-      boolean saves = !spec.checkpoint().isZero();
+      boolean saves = !spec.checkpointInterval().isZero();
       Duration ran = Duration.between(attempt.since, now);
       boolean running = attempt.stage == Stage.RUNNING;
-      Duration remaining = running ? spec.estimate().minus(ran) : spec.estimate();
-      if (saves ? left.compareTo(spec.save().plusSeconds(4)) < 0 || !running : false) {
+      Duration remaining = running ? spec.estimatedDuration().minus(ran) : spec.estimatedDuration();
+      if (saves
+          ? left.compareTo(spec.checkpointDuration().plusSeconds(4)) < 0 || !running
+          : false) {
         stops.stop(attempt);
-      } else if (spec.service() || (!saves && remaining.compareTo(left.multipliedBy(2)) > 0)) {
+      } else if (spec.isService() || (!saves && remaining.compareTo(left.multipliedBy(2)) > 0)) {
         stops.stop(attempt);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/IncarnationLease.java
@@ -59,8 +59,8 @@
   /** Whether the message is later than all that were taken in, and of a session to be believed. */
   boolean isNews(Heartbeat message) {
     return shownSession == NONE
-        ? message.session() >= leastSession
-        : message.newerThan(shownSession, shownSequence);
+        ? message.incarnation() >= leastSession
+        : message.isNewerThan(shownSession, shownSequence);
   }
 
   /**
@@ -69,8 +69,8 @@
    * @return whether it shows a session that was not seen before, which counts its lease from now
    */
   boolean shown(Heartbeat message, Instant now) {
-    boolean sessionIsNew = shownSession == NONE || message.session() > shownSession;
-    shownSession = message.session();
+    boolean sessionIsNew = shownSession == NONE || message.incarnation() > shownSession;
+    shownSession = message.incarnation();
     shownSequence = message.sequence();
     if (sessionIsNew && now.isAfter(from)) {
       from = now;
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
-import io.pearscale.protocol.Shape;
+import io.pearscale.protocol.WorkloadType;
 import io.pearscale.storage.PlacementRecordCodec;
 import java.time.Duration;
 import java.time.Instant;
@@ -59,7 +59,7 @@
 
   /** Whether it is known that its tasks can run: one was done, or a replica ran for a while. */
   boolean works() {
-    return succeeded || (spec.service() && begun);
+    return succeeded || (spec.isService() && begun);
   }
 
   /** Whether it seems to have been submitted with a mistake: it failed wherever it was tried. */
@@ -98,7 +98,7 @@
   }
 
   boolean complete() {
-    return !spec.service() && done.cardinality() >= spec.tasks();
+    return !spec.isService() && done.cardinality() >= spec.tasks();
   }
 
   /** The next task that waits for a machine, from {@code from} on, or -1. */
@@ -148,7 +148,7 @@
             p.job(),
             "",
             claim.team(),
-            Shape.SERVICE,
+            WorkloadType.SERVICE,
             Priority.IDLE,
             p.first() + p.hosts().length,
             claim.cpus(),
--- a/src/main/java/io/pearscale/scheduler/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/JobClasses.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.Settings.Objective;
+import io.pearscale.protocol.Settings.ServiceLevelObjective;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -22,7 +22,7 @@
    */
   private static final Duration MESSAGES = Duration.ofSeconds(2);
 
-  private final List<Objective> objectives;
+  private final List<ServiceLevelObjective> objectives;
   private final Collection<MachineType> types;
   private final Map<String, Job> samples = new HashMap<>();
   private final Map<String, ArrayDeque<Integer>> sizes = new HashMap<>();
@@ -32,7 +32,7 @@
    *
    * @param types the machine types as they are known at any time
    */
-  JobClasses(List<Objective> objectives, Collection<MachineType> types) {
+  JobClasses(List<ServiceLevelObjective> objectives, Collection<MachineType> types) {
     this.objectives = objectives;
     this.types = types;
   }
@@ -41,7 +41,7 @@
   Optional<Duration> startWithin(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
-        .map(Objective::within)
+        .map(ServiceLevelObjective::target)
         .min(Comparator.naturalOrder());
   }
 
@@ -56,7 +56,7 @@
       return false;
     }
     return types.stream()
-        .filter(spec::allowsSomewhere)
+        .filter(spec::allowsInSomeZone)
         .map(
             type ->
                 ScaleOutPlanner.bootTime(type).plus(type.fetchTime(spec.imageGb())).plus(MESSAGES))
@@ -65,7 +65,7 @@
 
   /** Whether a start on a machine of the type would be late if it waited for the victim to save. */
   boolean tooLateIfSaved(JobSpec spec, JobSpec victim, MachineType type) {
-    Duration need = victim.save().plus(type.fetchTime(spec.imageGb())).plus(MESSAGES);
+    Duration need = victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGES);
     return startWithin(spec).filter(w -> w.compareTo(need) < 0).isPresent();
   }
 
@@ -105,7 +105,7 @@
     if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
       return;
     }
-    if (!spec.service()) {
+    if (!spec.isService()) {
       ArrayDeque<Integer> last = sizes.computeIfAbsent(spec.jobClass(), c -> new ArrayDeque<>());
       last.add(spec.tasks());
       if (last.size() > REMEMBERED) {
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -104,7 +104,7 @@
   void add(String key, Entry entry) {
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
-      if (spec.gang() && !level.knows(Feature.GANG_JOBS)) {
+      if (spec.isGang() && !level.knows(Feature.GANG_JOBS)) {
         throw new MalformedMessageException("a gang job, which this build must not serve");
       }
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
@@ -113,11 +113,11 @@
       Instant submitted = Instant.ofEpochMilli(entry.value().path("at").asLong());
       Duration age = Duration.between(submitted, timeOfDay.instant());
       Team team = teams.get(spec.team());
-      boolean limited = team != null && team.limited();
+      boolean limited = team != null && team.hasQuotaLimit();
       Instant since = clock.instant().minus(age.isNegative() ? Duration.ZERO : age);
       Job job = new Job(spec, entry.stamp(), since, limited);
       jobs.put(spec.id(), job);
-      if (spec.gang()) {
+      if (spec.isGang()) {
         gangs.add(job);
       }
       added.accept(job);
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.Settings.GangTimes;
+import io.pearscale.protocol.Settings.GangTimeouts;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
@@ -44,10 +44,10 @@
     Settings settings = env.settings();
     Listener listener = env.listener();
     Map<String, Team> teams = teams(settings);
-    WorkerTimes times = WorkerTimes.of(settings.workers());
+    WorkerTimes times = WorkerTimes.of(settings.agents());
     MachineCatalogue catalogue = new MachineCatalogue();
-    JobClasses classes = new JobClasses(settings.objectives(), catalogue.types());
-    QueueOrder order = new QueueOrder(settings.objectives(), classes);
+    JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
+    QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
     LeaderState shared = state(env, teams, classes, catalogue);
     leadership = shared.leadership();
     records = shared.records();
@@ -100,13 +100,14 @@
     Settings settings = env.settings();
     InstantSource clock = env.loop().clock();
     Runnable requestPass = this::requestPass;
-    Leadership term = new Leadership(clock, settings.hold());
+    Leadership term = new Leadership(clock, settings.renewalAuthorityTimeout());
     LeaderRecords stored =
-        new LeaderRecords(settings.stateLimits(), env.level(), clock, this::requestCommit);
+        new LeaderRecords(settings.storeLimits(), env.level(), clock, this::requestCommit);
     JobTable table =
         new JobTable(teams, term, clock, env.timeOfDay(), env.level(), classes::note, requestPass);
     DecisionLog decisions = new DecisionLog(term, clock);
-    Duration forming = settings.workers().gangs().map(GangTimes::forming).orElse(Duration.ZERO);
+    Duration forming =
+        settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
     MachineInventory machines =
         new MachineInventory(catalogue, teams, term, table, stored, clock, requestPass, decisions);
     Gangs attempts = new Gangs(term, clock, forming);
@@ -125,7 +126,7 @@
                     times,
                     stops,
                     env.level(),
-                    env.settings().stateLimits().valueBytes(),
+                    env.settings().storeLimits().maxValueBytes(),
                     env.timeOfDay(),
                     dispatcher,
                     retirement));
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.MalformedMessageException;
-import io.pearscale.protocol.Settings.State;
+import io.pearscale.protocol.Settings.StoreLimits;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -57,13 +57,13 @@
    * @param gate says in the forms of which level records are written
    * @param requestCommit asks for a transaction
    */
-  LeaderRecords(State limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
+  LeaderRecords(StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
     this.gate = gate;
-    this.valueSize = Math.min(SHARED_VALUE, limits.valueBytes() * 3 / 4);
-    this.largestValue = limits.valueBytes();
+    this.valueSize = Math.min(SHARED_VALUE, limits.maxValueBytes() * 3 / 4);
+    this.largestValue = limits.maxValueBytes();
     this.clock = clock;
     this.requestCommit = requestCommit;
-    this.migration = new RecordMigration(gate, limits.txnOps(), former);
+    this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), former);
     clear();
   }
 
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -196,7 +196,7 @@
       sum += d;
     }
     var it = images.entrySet().iterator();
-    while (sum > type.cacheGb() && it.hasNext()) {
+    while (sum > type.imageCacheGb() && it.hasNext()) {
       var oldest = it.next();
       if (oldest.getKey().equals(image)) {
         break;
@@ -279,7 +279,7 @@
   int replicas() {
     int n = 0;
     for (TaskAttempt attempt : placements.values()) {
-      if (attempt.job.spec.service()) {
+      if (attempt.job.spec.isService()) {
         n++;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/MachineInventory.java
@@ -197,7 +197,7 @@
   /** What each team has in use, counting all that may be on a machine. */
   TeamUse use() {
     TeamUse use = new TeamUse(teams);
-    if (teams.values().stream().noneMatch(Team::bounded)) {
+    if (teams.values().stream().noneMatch(Team::hasQuota)) {
       return use;
     }
     for (Machine machine : machines.values()) {
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -99,7 +99,7 @@
       GangPlacement ofGangs = new GangPlacement(placer, usable);
       Set<Machine> touched = new LinkedHashSet<>();
       for (Job job : waiting) {
-        if (job.spec.gang()) {
+        if (job.spec.isGang()) {
           placeGang(ofGangs, job, touched, now);
         } else {
           place(placer, job, touched, now);
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -20,7 +20,7 @@
   /** Tasks that are alike for feasibility and score. */
   private record TaskClass(EquivalenceClass shape, String team, boolean service, String image) {
     static TaskClass of(JobSpec spec) {
-      return new TaskClass(EquivalenceClass.of(spec), spec.team(), spec.service(), spec.image());
+      return new TaskClass(EquivalenceClass.of(spec), spec.team(), spec.isService(), spec.image());
     }
   }
 
@@ -130,8 +130,8 @@
     Optional<Choice> choice = victims.evict(job, allowed).or(() -> moves.makeWay(job));
     if (choice.isEmpty()) {
       // Like tasks are decided as a class: what found nobody to evict need not look again.
-      visit.noVictims = !job.spec.spread() && !job.spec.oneZone();
-      if (!job.spec.oneZone()) {
+      visit.noVictims = !job.spec.spreadAcrossZones() && !job.spec.singleZone();
+      if (!job.spec.singleZone()) {
         victims.noteInVain(job);
       }
     }
@@ -225,9 +225,9 @@
     if (urgent && machine.maintenance.stage() == Maintenance.Stage.PROBATION) {
       return false;
     }
-    if (job.spec.spread() && job.inZone(machine.zone) >= job.spec.perZone()) {
+    if (job.spec.spreadAcrossZones() && job.inZone(machine.zone) >= job.spec.maxTasksPerZone()) {
       return false;
     }
-    return !job.spec.oneZone() || job.onlyIn(machine.zone);
+    return !job.spec.singleZone() || job.onlyIn(machine.zone);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -55,7 +55,7 @@
   private Search search(Job job, Optional<String> image) {
     JobSpec spec = job.spec;
     return new Search(
-        EquivalenceClass.of(spec), spec.team(), spec.service(), zones.left(job), image);
+        EquivalenceClass.of(spec), spec.team(), spec.isService(), zones.left(job), image);
   }
 
   /** Whether such tasks were found to have no victims anywhere. */
@@ -171,10 +171,10 @@
    */
   private boolean isSheltered(TaskAttempt attempt) {
     Job job = attempt.job;
-    return !job.spec.service()
+    return !job.spec.isService()
         && !job.begun
         && job.done.isEmpty()
-        && (job.spec.gang() || job.placed.size() == 1)
+        && (job.spec.isGang() || job.placed.size() == 1)
         && job.submitted.isBefore(input.now().minus(Job.LONG_WAIT))
         && attempt.ranFor(input.now()).compareTo(Job.A_START) < 0;
   }
@@ -220,7 +220,7 @@
     int losses = 0;
     for (TaskAttempt victim : victims) {
       boolean ofRunningGang =
-          victim.job.spec.gang() && victim.stage.compareTo(TaskAttempt.Stage.RUNNING) >= 0;
+          victim.job.spec.isGang() && victim.stage.compareTo(TaskAttempt.Stage.RUNNING) >= 0;
       losses += ofRunningGang ? victim.job.placed.size() : 1;
     }
     return losses;
--- a/src/main/java/io/pearscale/scheduler/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/QueueOrder.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.protocol.Priority;
-import io.pearscale.protocol.Settings.Objective;
+import io.pearscale.protocol.Settings.ServiceLevelObjective;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -24,10 +24,10 @@
   /** A job of which nothing is expected comes after those that are due within this time. */
   private static final Duration NO_HURRY = Duration.ofHours(1);
 
-  private final List<Objective> objectives;
+  private final List<ServiceLevelObjective> objectives;
   private final JobClasses classes;
 
-  QueueOrder(List<Objective> objectives, JobClasses classes) {
+  QueueOrder(List<ServiceLevelObjective> objectives, JobClasses classes) {
     this.objectives = objectives;
     this.classes = classes;
   }
@@ -38,10 +38,10 @@
       return job.submitted.plus(job.spec.deadline().get());
     }
     Duration within = finishedWithin(job).orElse(NO_HURRY);
-    if (job.spec.gang()) {
+    if (job.spec.isGang()) {
       // It can't begin in part, so a time to start says when it would be over.
       Duration ifStarted =
-          classes.startWithin(job.spec).map(job.spec.estimate()::plus).orElse(within);
+          classes.startWithin(job.spec).map(job.spec.estimatedDuration()::plus).orElse(within);
       within = ifStarted.compareTo(within) < 0 ? ifStarted : within;
     }
     return job.submitted.plus(within);
@@ -50,7 +50,7 @@
   private Optional<Duration> finishedWithin(Job job) {
     return objectives.stream()
         .filter(o -> o.kind().equals("finished") && o.jobClass().equals(job.spec.jobClass()))
-        .map(Objective::within)
+        .map(ServiceLevelObjective::target)
         .findFirst();
   }
 
@@ -74,13 +74,13 @@
 
   private Turn turn(Job job, Instant now) {
     Instant due = due(job);
-    Instant end = now.plus(job.spec.estimate());
+    Instant end = now.plus(job.spec.estimatedDuration());
     Duration allowed = Duration.between(job.submitted, due);
     int lateness =
-        job.spec.service() || !end.isAfter(due)
+        job.spec.isService() || !end.isAfter(due)
             ? 0
             : end.isAfter(job.submitted.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
-    return new Turn(lateness, job.spec.service() ? job.submitted : order(job, due));
+    return new Turn(lateness, job.spec.isService() ? job.submitted : order(job, due));
   }
 
   /** Waiting jobs, in the order in which they are decided. */
@@ -109,7 +109,7 @@
 
   /** Whether no task of a batch job has begun in a time in which its users expect that. */
   static boolean begins(Job job, Instant now) {
-    return !job.spec.service()
+    return !job.spec.isService()
         && !job.begun
         && job.done.isEmpty()
         && now.isAfter(job.submitted.plus(Job.LONG_WAIT))
@@ -123,7 +123,7 @@
    */
   private Instant order(Job job, Instant due) {
     if (job.spec.deadline().isPresent()
-        || job.spec.service()
+        || job.spec.isService()
         || !classes.sized(job.spec.jobClass())) {
       return due;
     }
@@ -138,11 +138,11 @@
    * only when waiting longer would put the deadline at risk, since what it stops is done again.
    */
   static boolean pressing(Job job, Instant now) {
-    if (job.spec.service() || job.spec.deadline().isEmpty()) {
+    if (job.spec.isService() || job.spec.deadline().isEmpty()) {
       return true;
     }
     // Estimates are often wrong by half, and an image may have to be fetched first.
-    Duration need = job.spec.estimate().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
+    Duration need = job.spec.estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
     return now.plus(need).isAfter(job.submitted.plus(job.spec.deadline().get()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -132,7 +132,7 @@
         .filter(task -> task < job.spec.tasks())
         .forEach(job.done::set);
     job.noteDurable(first, part.done());
-    if (job.spec.gang() && !job.done.isEmpty()) {
+    if (job.spec.isGang() && !job.done.isEmpty()) {
       // Its tasks complete together, also those of parts that were not written again.
       job.done.set(0, job.spec.tasks());
     }
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.protocol.Fields;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.LeaderTransaction.StoredMachine;
 import io.pearscale.scheduler.SchedulerActor.Environment;
@@ -49,7 +49,7 @@
   private final LeaderRecords records;
   private final Gangs gangs;
   private final InstantSource clock;
-  private final Settings.State limits;
+  private final Settings.StoreLimits limits;
   private final KeyValueStoreClient state;
   private final List<TransactionSource> sources;
   private final TermExecutor executor;
@@ -83,7 +83,7 @@
     this.records = shared.records();
     this.clock = shared.clock();
     this.gangs = shared.gangs();
-    this.limits = env.settings().stateLimits();
+    this.limits = env.settings().storeLimits();
     this.state = env.state();
     this.random = env.random();
     this.level = env.level();
@@ -134,8 +134,8 @@
     if (lastCommit.equals(Instant.MIN)) {
       return Duration.ZERO;
     }
-    double rate = LEADERS_SHARE * limits.writeRps();
-    Duration pause = Fields.duration(lastChanges / rate);
+    double rate = LEADERS_SHARE * limits.writesPerSecond();
+    Duration pause = MessageFields.duration(lastChanges / rate);
     if (pause.compareTo(COMMIT_SPACING) < 0) {
       pause = COMMIT_SPACING;
     }
@@ -150,7 +150,7 @@
     }
     LeaderTransaction transaction =
         new LeaderTransaction(
-            limits.txnOps(),
+            limits.maxTransactionOperations(),
             leadership.term(),
             leadership.termStamp(),
             ++commits,
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -44,7 +44,7 @@
    */
   boolean takesReplicasOf(Machine machine, Instant now) {
     for (TaskAttempt attempt : machine.placements.values()) {
-      if (attempt.job.spec.service() && !(settled(attempt, now) && takes(attempt))) {
+      if (attempt.job.spec.isService() && !(settled(attempt, now) && takes(attempt))) {
         return false;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
@@ -30,7 +30,7 @@
 
   /** Books the room of a replica that moves on. */
   Optional<Choice> makeWay(Job job) {
-    if (!job.spec.service()) {
+    if (!job.spec.isService()) {
       return Optional.empty();
     }
     RandomizedMachineScan machines = order.get();
@@ -63,8 +63,8 @@
     trial.give(replica.job);
     return !replica.stopping
         && replica.stage == TaskAttempt.Stage.RUNNING
-        && spec.service()
-        && !spec.oneZone()
+        && spec.isService()
+        && !spec.singleZone()
         && spec.priority() == job.spec.priority()
         && spec.team().equals(job.spec.team())
         && replica.since.isBefore(input.now().minus(SETTLED))
@@ -86,8 +86,9 @@
     JobSpec spec = replica.job.spec;
     boolean zoneFree =
         machine.zone.equals(replica.machine.zone)
-            || (!spec.oneZone()
-                && (!spec.spread() || replica.job.inZone(machine.zone) < spec.perZone()));
+            || (!spec.singleZone()
+                && (!spec.spreadAcrossZones()
+                    || replica.job.inZone(machine.zone) < spec.maxTasksPerZone()));
     return machine != replica.machine
         && zoneFree
         && spec.allows(machine.type, machine.zone, machine.spot)
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -174,7 +174,7 @@
           for (Demand other : later) {
             used += trial.take(other, other.tasks()) * size(other.job());
           }
-          double cost = type.price(spot) * (spot ? tuning.spotRisk() : 1) / used;
+          double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRisk() : 1) / used;
           if (cost < bestCost) {
             bestCost = cost;
             best = b;
@@ -192,11 +192,11 @@
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
   static Duration bootTime(MachineType type) {
-    return type.boot().multipliedBy(3).dividedBy(2);
+    return type.bootTime().multipliedBy(3).dividedBy(2);
   }
 
   /** How long a machine may boot before it no longer counts as coming. */
   static Duration patience(MachineType type) {
-    return type.boot().multipliedBy(2).plusSeconds(5);
+    return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.protocol.PeerMessage.JobCount;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
@@ -92,7 +92,7 @@
     void unfit(String reason);
 
     /** Counts of tasks have changed. */
-    void counts(List<JobCount> counts);
+    void counts(List<JobTaskCount> counts);
   }
 
   /**
@@ -221,7 +221,7 @@
     for (LiveJobs list : m.live) {
       Set<String> live = Set.copyOf(list.jobs());
       List.copyOf(jobs.all()).stream()
-          .filter(job -> job.stamp <= list.epoch() && !live.contains(job.spec.id()))
+          .filter(job -> job.stamp <= list.storeRevision() && !live.contains(job.spec.id()))
           .forEach(job -> cancelled(job.spec.id()));
     }
     leadership.confirmedByPeers(m.evidence);
--- a/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.JobSpec;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.scheduler.Machine.Resources;
 import java.util.Map;
 
@@ -31,7 +31,7 @@
         + tuning.sameZoneWeight() * job.inZone(machine.zone) / Math.max(1, spec.tasks())
         + tuning.zoneBalanceWeight() * crowding.getOrDefault(machine.zone, 1.0)
         + tuning.imageWeight() * fetchShare(job, machine) * fetchesInTheWay(spec.image(), machine)
-        + (spec.spot() && !machine.spot ? tuning.ordinaryWeight() : 0)
+        + (spec.spotAllowed() && !machine.spot ? tuning.ordinaryWeight() : 0)
         // A machine that just missed a direct command gets its starts by report only, which is
         // slow.
         + (input.now().isBefore(machine.directAfter) ? tuning.imageWeight() : 0);
@@ -42,7 +42,7 @@
    * is the room that is left after them.
    */
   private int coming(Job job, Machine machine) {
-    return job.spec.service()
+    return job.spec.isService()
         ? 1
         : Math.max(1, Math.min(rooms.of(machine).count(job), job.pending()));
   }
@@ -71,7 +71,7 @@
         onMachine++;
       }
     }
-    return job.spec.service()
+    return job.spec.isService()
         ? tuning.sameMachineWeight() * onMachine
         : -tuning.togetherWeight() * (onMachine + coming(job, machine));
   }
@@ -82,10 +82,10 @@
    * vain.
    */
   private double fetchShare(Job job, Machine machine) {
-    double fetch = Fields.seconds(machine.type.fetchTime(job.spec.imageGb()));
-    double run = job.spec.service() ? 1 : Fields.seconds(job.spec.estimate());
-    if (job.spec.gang()) {
-      run = input.startWithin().apply(job.spec).map(Fields::seconds).orElse(run);
+    double fetch = MessageFields.seconds(machine.type.fetchTime(job.spec.imageGb()));
+    double run = job.spec.isService() ? 1 : MessageFields.seconds(job.spec.estimatedDuration());
+    if (job.spec.isGang()) {
+      run = input.startWithin().apply(job.spec).map(MessageFields::seconds).orElse(run);
     }
     return fetch / Math.max(SHORTEST_TIME, fetch + run);
   }
--- a/src/main/java/io/pearscale/scheduler/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/StatusPublisher.java
@@ -102,15 +102,15 @@
     if (job.mistaken()) {
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
-    if (job.spec.gang() && gangs.isHeldUp(job)) {
+    if (job.spec.isGang() && gangs.isHeldUp(job)) {
       return gangs.whatHoldsUp(job);
     }
     if (!job.noRoom) {
       return "for the next pass";
     }
-    return job.spec.gang()
+    return job.spec.isGang()
         ? "the last pass found no room for all %d tasks of its gang at once%s, within its team's limit"
-            .formatted(job.spec.tasks(), job.spec.oneZone() ? " in one zone" : "")
+            .formatted(job.spec.tasks(), job.spec.singleZone() ? " in one zone" : "")
         : "the last pass found no machine with room for one of its tasks, within its team's limit";
   }
 }
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -83,7 +83,8 @@
     if (attempt.kills == 0 || (inAnswer && !isSaving(attempt))) {
       return true;
     }
-    Duration patience = isSaving(attempt) ? REPEAT.plus(attempt.job.spec.save()) : REPEAT;
+    Duration patience =
+        isSaving(attempt) ? REPEAT.plus(attempt.job.spec.checkpointDuration()) : REPEAT;
     return Duration.between(attempt.killSent, now).compareTo(patience) >= 0;
   }
 
@@ -96,9 +97,10 @@
   private static AgentCommand stop(TaskAttempt attempt) {
     boolean mayStillSave =
         !attempt.stopsAtOnce
-            && !attempt.job.spec.checkpoint().isZero()
+            && !attempt.job.spec.checkpointInterval().isZero()
             && (attempt.kills == 0 || attempt.stage != Stage.SAVING);
-    Duration grace = mayStillSave ? attempt.job.spec.save().plus(SAVING_MARGIN) : Duration.ZERO;
+    Duration grace =
+        mayStillSave ? attempt.job.spec.checkpointDuration().plus(SAVING_MARGIN) : Duration.ZERO;
     return AgentCommand.stop(attempt.task, attempt.attempt, grace);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/TaskCounts.java
+++ b/src/main/java/io/pearscale/scheduler/TaskCounts.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.protocol.PeerMessage.JobCount;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,11 +15,11 @@
   private static final int MOST_FORMER = 1000;
 
   private final JobTable jobs;
-  private final Consumer<List<JobCount>> listener;
-  private final Map<String, JobCount> known = new HashMap<>();
+  private final Consumer<List<JobTaskCount>> listener;
+  private final Map<String, JobTaskCount> known = new HashMap<>();
 
   /** The listener is told of counts that changed. */
-  TaskCounts(JobTable jobs, Consumer<List<JobCount>> listener) {
+  TaskCounts(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
     this.jobs = jobs;
     this.listener = listener;
   }
@@ -31,13 +31,13 @@
 
   /** Tells what has changed since the last time. */
   void tellChanges() {
-    List<JobCount> changed = new ArrayList<>();
+    List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
       int done = job.done.cardinality();
       int running = job.running();
-      JobCount before = known.get(job.spec.id());
+      JobTaskCount before = known.get(job.spec.id());
       if (before == null || before.done() != done || before.running() != running) {
-        JobCount count = new JobCount(job.spec.id(), done, running);
+        JobTaskCount count = new JobTaskCount(job.spec.id(), done, running);
         known.put(job.spec.id(), count);
         changed.add(count);
       }
--- a/src/main/java/io/pearscale/scheduler/TeamUse.java
+++ b/src/main/java/io/pearscale/scheduler/TeamUse.java
@@ -42,8 +42,8 @@
       return 0;
     }
     Use use = of(spec.team());
-    double byCpus = left(team.cpusMax(), use.cpus, spec.cpus());
-    double byGpus = left(team.gpusMax(), use.gpus, spec.gpus());
+    double byCpus = left(team.cpuLimit(), use.cpus, spec.cpus());
+    double byGpus = left(team.gpuLimit(), use.gpus, spec.gpus());
     return (int) Math.max(0, Math.min(Math.min(byCpus, byGpus), spec.tasks()));
   }
 
@@ -67,10 +67,11 @@
 
   private boolean isBeyondGuarantee(String name, double cpus, double gpus) {
     Team team = teams.get(name);
-    if (team == null || (team.cpus() <= 0 && team.gpus() <= 0)) {
+    if (team == null || (team.guaranteedCpus() <= 0 && team.guaranteedGpus() <= 0)) {
       return true;
     }
     Use use = of(name);
-    return use.cpus + cpus > team.cpus() + SLACK || use.gpus + gpus > team.gpus() + SLACK;
+    return use.cpus + cpus > team.guaranteedCpus() + SLACK
+        || use.gpus + gpus > team.guaranteedGpus() + SLACK;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/WorkerTimes.java
+++ b/src/main/java/io/pearscale/scheduler/WorkerTimes.java
@@ -28,9 +28,9 @@
     Duration abandoned) {
 
   /** Works them out. */
-  static WorkerTimes of(Settings.Workers workers) {
-    Duration report = workers.report();
-    Duration lease = workers.lease();
+  static WorkerTimes of(Settings.AgentSettings workers) {
+    Duration report = workers.heartbeatInterval();
+    Duration lease = workers.leaseTtl();
     return new WorkerTimes(
         lease,
         lease.dividedBy(2),
--- a/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
@@ -30,11 +30,11 @@
 
   /** The zones in which a job that must spread may have another task; none for any other job. */
   List<String> left(Job job) {
-    if (!job.spec.spread()) {
+    if (!job.spec.spreadAcrossZones()) {
       return List.of();
     }
     return of(job).keySet().stream()
-        .filter(zone -> job.inZone(zone) < job.spec.perZone())
+        .filter(zone -> job.inZone(zone) < job.spec.maxTasksPerZone())
         .sorted()
         .toList();
   }
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -51,10 +51,10 @@
     this.levelStamp = levelStamp;
     this.loop = loop;
     this.calls = calls;
-    this.address = settings.state();
+    this.address = settings.storeAddress();
     // Load is uneven: one controller may take half of all, which leaves room for the two others.
-    this.requests = new TokenBucket(loop, settings.stateLimits().rps() * 0.5);
-    this.writes = new TokenBucket(loop, settings.stateLimits().writeRps() * 0.6);
+    this.requests = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
+    this.writes = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
   }
 
   /** Part of a transaction. */
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.Feature;
 import java.util.ArrayList;
@@ -94,7 +94,7 @@
    */
   public static List<Entry> decode(JsonNode value) throws MalformedMessageException {
     List<Entry> entries = new ArrayList<>();
-    for (JsonNode n : Fields.list(Fields.map(value), "m")) {
+    for (JsonNode n : MessageFields.list(MessageFields.requireMap(value), "m")) {
       boolean complete =
           n.path(0).isIntegralNumber()
               && n.path(1).isTextual()
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.transport.MessagePack;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -128,7 +128,7 @@
    */
   public static List<Part> decode(JsonNode value) throws MalformedMessageException {
     List<Part> parts = new ArrayList<>();
-    for (var fields = Fields.map(value).fields(); fields.hasNext(); ) {
+    for (var fields = MessageFields.requireMap(value).fields(); fields.hasNext(); ) {
       var field = fields.next();
       try {
         parts.add(decode(field.getKey(), field.getValue().asText()));
--- a/src/main/java/io/pearscale/upgrade/ClusterLevel.java
+++ b/src/main/java/io/pearscale/upgrade/ClusterLevel.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.transport.MessagePack;
 import java.util.Optional;
 
@@ -37,9 +37,9 @@
 
   /** Reads the record; fields that a later release may add are passed over. */
   public static ClusterLevel parse(JsonNode value) throws MalformedMessageException {
-    JsonNode map = Fields.map(value);
-    int level = (int) Fields.integer(map, LEVEL, 0, Integer.MAX_VALUE);
-    int written = map.has(WRITTEN) ? (int) Fields.integer(map, WRITTEN, 0, level) : level;
+    JsonNode map = MessageFields.requireMap(value);
+    int level = (int) MessageFields.integer(map, LEVEL, 0, Integer.MAX_VALUE);
+    int written = map.has(WRITTEN) ? (int) MessageFields.integer(map, WRITTEN, 0, level) : level;
     boolean migrated = map.has(MIGRATED) ? map.path(MIGRATED).asBoolean() : level == 0;
     return new ClusterLevel(level, written, migrated, map.path(HELD).asBoolean());
   }
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/MemberSupport.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.protocol.Fields;
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.protocol.MessageFields;
 import io.pearscale.transport.MessagePack;
 
 /**
@@ -16,9 +16,9 @@
 public record MemberSupport(SupportedLevels levels, long incarnation, String release) {
   /** Reads the record. */
   public static MemberSupport parse(JsonNode value) throws MalformedMessageException {
-    JsonNode map = Fields.map(value);
-    int lowest = (int) Fields.integer(map, "lowest", 0, Integer.MAX_VALUE);
-    int highest = (int) Fields.integer(map, "highest", lowest, Integer.MAX_VALUE);
+    JsonNode map = MessageFields.requireMap(value);
+    int lowest = (int) MessageFields.integer(map, "lowest", 0, Integer.MAX_VALUE);
+    int highest = (int) MessageFields.integer(map, "highest", lowest, Integer.MAX_VALUE);
     return new MemberSupport(
         new SupportedLevels(lowest, highest),
         map.path("incarnation").asLong(),
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -124,10 +124,10 @@
   void readsWhatItKnowsAndPassesOverTheRest() throws Exception {
     Settings settings = SettingsReader.read(write(settings(1, 2, 3, 4)));
     assertEquals("hive-0", settings.host());
-    assertEquals(12.0, settings.teams().get(0).cpusMax());
-    assertEquals(Duration.ofMillis(1500), settings.objectives().get(0).within());
-    assertEquals(2048, settings.stateLimits().valueBytes());
-    assertEquals(Duration.ofSeconds(14), settings.hold());
+    assertEquals(12.0, settings.teams().get(0).cpuLimit());
+    assertEquals(Duration.ofMillis(1500), settings.serviceLevelObjectives().get(0).target());
+    assertEquals(2048, settings.storeLimits().maxValueBytes());
+    assertEquals(Duration.ofSeconds(14), settings.renewalAuthorityTimeout());
     assertTrue(settings.peers().containsKey("hive-1"));
   }
 
--- a/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -5,13 +5,13 @@
 
 import io.pearscale.coordination.HeartbeatRelayActor.HeartbeatReceived;
 import io.pearscale.coordination.HeartbeatRelayActor.LeaderChanged;
+import io.pearscale.protocol.ConnectionLimits;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
-import io.pearscale.protocol.SocketShares;
 import io.pearscale.transport.CountingLoop;
 import io.pearscale.transport.PeerTransport;
 import java.time.Duration;
@@ -53,7 +53,7 @@
             }
           },
           Duration.ofMillis(1500),
-          SocketShares.of(SOCKETS).parkedReports(),
+          ConnectionLimits.of(SOCKETS).parkedHeartbeats(),
           (heartbeat, answer) -> {});
 
   HeartbeatRelayActorTest() {
@@ -114,8 +114,8 @@
   /** Waiting reports hold connections, of which those that ask meanwhile need some too. */
   @Test
   void whatFindsNoRoomToWaitIsRefusedAtOnce() {
-    int most = SocketShares.of(SOCKETS).parkedReports();
-    assertTrue(most < SocketShares.of(SOCKETS).served());
+    int most = ConnectionLimits.of(SOCKETS).parkedHeartbeats();
+    assertTrue(most < ConnectionLimits.of(SOCKETS).inbound());
     relay.tell(new LeaderChanged(2, Optional.empty()));
     for (int i = 0; i < most + 3; i++) {
       sendHeartbeat();
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -82,13 +82,13 @@
         "state",
         List.of(),
         List.of(),
-        new Settings.Workers(
+        new Settings.AgentSettings(
             Duration.ofSeconds(2),
             Duration.ofSeconds(16),
             Duration.ofSeconds(36),
             Optional.empty()),
-        new Settings.State(100, 60, 8192, 24),
-        new Settings.Cloud(4, Duration.ofSeconds(10)),
+        new Settings.StoreLimits(100, 60, 8192, 24),
+        new Settings.CloudLimits(4, Duration.ofSeconds(10)),
         1000,
         1);
   }
--- a/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
@@ -16,14 +16,14 @@
 
 /** Reports read from their bytes, against the same reports read as trees. */
 class HeartbeatDecoderTest {
-  private static final int REPORTS = 2000;
+  private static final int HEARTBEATS = 2000;
 
   /** The tree of such a report takes 5.9 kB, reading it from its bytes 3.1 kB. */
   private static final long MOST_BYTES = 4000;
 
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
 
-  private static ObjectNode report(int tasks) {
+  private static ObjectNode heartbeat(int tasks) {
     ObjectNode report =
         MessagePack.map()
             .put("hive", "m-000231")
@@ -54,7 +54,7 @@
 
   private static Optional<Heartbeat> asBytes(byte[] body) {
     try {
-      return Optional.of(HeartbeatDecoder.read(body));
+      return Optional.of(HeartbeatDecoder.decode(body));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
@@ -83,8 +83,8 @@
   @Test
   void whatIsAcceptedAndReadIsTheSameAsFromATree() {
     int accepted = 0;
-    for (int i = 0; i < REPORTS; i++) {
-      ObjectNode report = report(random.nextInt(4));
+    for (int i = 0; i < HEARTBEATS; i++) {
+      ObjectNode report = heartbeat(random.nextInt(4));
       for (int n = random.nextInt(3); n > 0; n--) {
         JsonNode task = report.path("pieces").path(0);
         change(task.isObject() && random.nextBoolean() ? (ObjectNode) task : report);
@@ -93,13 +93,13 @@
       assertEquals(asTree(body), asBytes(body), report.toString());
       accepted += asBytes(body).isPresent() ? 1 : 0;
     }
-    assertTrue(accepted > REPORTS / 10 && accepted < REPORTS, "accepted: " + accepted);
+    assertTrue(accepted > HEARTBEATS / 10 && accepted < HEARTBEATS, "accepted: " + accepted);
   }
 
   @Test
   void garbageIsMalformedAndNothingElse() {
-    for (int i = 0; i < REPORTS; i++) {
-      byte[] body = MessagePack.encode(report(2));
+    for (int i = 0; i < HEARTBEATS; i++) {
+      byte[] body = MessagePack.encode(heartbeat(2));
       for (int n = 1 + random.nextInt(4); n > 0; n--) {
         body[random.nextInt(body.length)] = (byte) random.nextInt();
       }
@@ -107,20 +107,20 @@
       asBytes(body);
       asBytes(cut);
     }
-    assertThrows(MalformedMessageException.class, () -> HeartbeatDecoder.read(new byte[0]));
+    assertThrows(MalformedMessageException.class, () -> HeartbeatDecoder.decode(new byte[0]));
     assertThrows(
         MalformedMessageException.class,
-        () -> HeartbeatDecoder.read(MessagePack.encode(MessagePack.map())));
+        () -> HeartbeatDecoder.decode(MessagePack.encode(MessagePack.map())));
   }
 
   @Test
   void aReportPaysForNoTree() throws MalformedMessageException {
-    byte[] body = MessagePack.encode(report(3));
+    byte[] body = MessagePack.encode(heartbeat(3));
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    HeartbeatDecoder.read(body);
+    HeartbeatDecoder.decode(body);
     long before = threads.getCurrentThreadAllocatedBytes();
     for (int i = 0; i < 100; i++) {
-      HeartbeatDecoder.read(body);
+      HeartbeatDecoder.decode(body);
     }
     long each = (threads.getCurrentThreadAllocatedBytes() - before) / 100;
     assertTrue(each < MOST_BYTES, "allocated: " + each);
--- a/src/test/java/io/pearscale/protocol/PeerMessageTest.java
+++ b/src/test/java/io/pearscale/protocol/PeerMessageTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.pearscale.protocol.PeerMessage.Cancelled;
 import io.pearscale.protocol.PeerMessage.Confirmation;
 import io.pearscale.protocol.PeerMessage.ConfirmationRequest;
 import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
-import io.pearscale.protocol.PeerMessage.Counts;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
 import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
-import io.pearscale.protocol.PeerMessage.JobCount;
+import io.pearscale.protocol.PeerMessage.JobCancelled;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
+import io.pearscale.protocol.PeerMessage.TaskCounts;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
@@ -49,11 +49,11 @@
                       AgentCommand.start(TASK, 8),
                       AgentCommand.stop(TASK, 7, Duration.ofSeconds(4)),
                       AgentCommand.forget(TASK, 6)))),
-          new Counts(List.of(new JobCount("wk-7", 1, 2))),
+          new TaskCounts(List.of(new JobTaskCount("wk-7", 1, 2))),
           new ConfirmationRequest(12, 431),
           new Confirmation(12, 9, List.of("wk-3", "wk-5"), Optional.empty()),
           new Confirmation(12, 9, List.of(), Optional.of(new LiveJobs(430, List.of("wk-8")))),
-          new Cancelled("wk-3"));
+          new JobCancelled("wk-3"));
 
   @Test
   void recordsComeOutAsTheyWentIn() throws MalformedMessageException {
--- a/src/test/java/io/pearscale/scheduler/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/CloudActorTest.java
@@ -96,9 +96,9 @@
         "state",
         List.of(),
         List.of(),
-        new Settings.Workers(second, second, second, Optional.empty()),
-        new Settings.State(100, 50, 8192, 24),
-        new Settings.Cloud(RATE, Duration.ofSeconds(12)),
+        new Settings.AgentSettings(second, second, second, Optional.empty()),
+        new Settings.StoreLimits(100, 50, 8192, 24),
+        new Settings.CloudLimits(RATE, Duration.ofSeconds(12)),
         1000,
         1);
   }
--- a/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
@@ -6,8 +6,8 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.protocol.Shape;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.protocol.WorkloadType;
 import io.pearscale.scheduler.Machine.Life;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
@@ -28,7 +28,7 @@
         "wk-1",
         "web",
         "t",
-        Shape.SERVICE,
+        WorkloadType.SERVICE,
         priority,
         100_000,
         cpus,
--- a/src/test/java/io/pearscale/sim/DisruptionChecker.java
+++ b/src/test/java/io/pearscale/sim/DisruptionChecker.java
@@ -84,7 +84,7 @@
       lost += old && !stopped.contains(task) && covers(budget, task) && !isOver(task) ? 1 : 0;
     }
     for (SimUser user : world.users.values()) {
-      boolean counts = user.spec.service() && user.accepted && user.cancelledAt == null;
+      boolean counts = user.spec.isService() && user.accepted && user.cancelledAt == null;
       total += counts && covers(budget, user.spec) ? user.spec.tasks() : 0;
     }
     int down = voluntary + lost;
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -45,7 +45,7 @@
             this,
             this,
             new KeyValueStoreClient(this, this, settings),
-            settings.grantTime().multipliedBy(2)),
+            settings.leaderLeaseTtl().multipliedBy(2)),
         settings,
         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
         Optional::empty,
--- a/src/test/java/io/pearscale/sim/GangChecker.java
+++ b/src/test/java/io/pearscale/sim/GangChecker.java
@@ -68,7 +68,7 @@
     }
     present.forEach(
         (other, run) -> {
-          if (spec.oneZone() && other.job().equals(job) && !run.zone.equals(zone)) {
+          if (spec.singleZone() && other.job().equals(job) && !run.zone.equals(zone)) {
             breaks(
                 "gang_in_two_zones", job, other + " in " + run.zone + ", " + task + " in " + zone);
           }
--- a/src/test/java/io/pearscale/sim/GangCheckerTest.java
+++ b/src/test/java/io/pearscale/sim/GangCheckerTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.protocol.Shape;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.protocol.WorkloadType;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 class GangCheckerTest {
   private static final Instant START = Instant.EPOCH;
   private static final JobSpec PAIR =
-      Scenario.job("wk-1", Shape.GANG, Map.of("tasks", "2", "one-zone", ""));
+      Scenario.job("wk-1", WorkloadType.GANG, Map.of("tasks", "2", "one-zone", ""));
   private static final TaskId FIRST = new TaskId("wk-1", 0);
   private static final TaskId SECOND = new TaskId("wk-1", 1);
 
--- a/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
+++ b/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
@@ -75,7 +75,7 @@
 
   private boolean allDone() {
     return drill.world.users.values().stream()
-        .allMatch(user -> user.spec.service() || user.stage.equals("done"));
+        .allMatch(user -> user.spec.isService() || user.stage.equals("done"));
   }
 
   @Test
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -7,10 +7,10 @@
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MalformedMessageException;
-import io.pearscale.protocol.PeerMessage.JobCount;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.Shape;
+import io.pearscale.protocol.WorkloadType;
 import io.pearscale.scheduler.Operations;
 import io.pearscale.scheduler.SchedulerActor;
 import io.pearscale.scheduler.Tuning;
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void counts(List<JobCount> counts) {}
+  public void counts(List<JobTaskCount> counts) {}
 
   /** Plays the script; empty when all came as written. */
   static Optional<String> play(String text) throws MalformedMessageException {
@@ -213,7 +213,7 @@
         answer = Optional.empty();
         core.tell(new SchedulerActor.Reported(report(w), via, a -> answer = Optional.of(a)));
         settle(Duration.ofMillis(1));
-        answer.ifPresent(a -> a.orders().forEach(command -> note(command.toNode())));
+        answer.ifPresent(a -> a.commands().forEach(command -> note(command.toNode())));
       }
       case "via" -> via = w.get(1);
       case "reply" -> {
@@ -262,7 +262,7 @@
   private Optional<PlacementRecordCodec.Claim> claim(String job) {
     JsonNode spec = keys.get("c/live/" + job).value().path("spec");
     String team = spec.path("crew").asText();
-    return world.teams.stream().anyMatch(t -> t.name().equals(team) && t.limited())
+    return world.teams.stream().anyMatch(t -> t.name().equals(team) && t.hasQuotaLimit())
         ? Optional.of(
             new PlacementRecordCodec.Claim(
                 team,
@@ -320,7 +320,8 @@
     Map<String, String> o = new HashMap<>();
     w.subList(3, w.size())
         .forEach(x -> o.put(x.split("=")[0], x.contains("=") ? x.split("=")[1] : "true"));
-    JobSpec spec = Scenario.job(w.get(1), Shape.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
+    JobSpec spec =
+        Scenario.job(w.get(1), WorkloadType.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
     ObjectNode v = World.map().put("at", world.now.toEpochMilli());
     v.set("spec", spec.toNode());
     changed("c/live/" + w.get(1), Optional.of(v));
@@ -427,7 +428,7 @@
         TreeSet<String> got = new TreeSet<>();
         answer
             .get()
-            .orders()
+            .commands()
             .forEach(command -> got.addAll(names(World.map().putArray("x").add(command.toNode()))));
         TreeSet<String> want = new TreeSet<>(w.subList(2, w.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("orders " + got);
@@ -446,7 +447,7 @@
             : Optional.of("leeway " + got);
       }
       case "token" -> {
-        long got = answer.map(HeartbeatResponse::token).orElse(-1L) - (term << 24) - 1;
+        long got = answer.map(HeartbeatResponse::fencingToken).orElse(-1L) - (term << 24) - 1;
         return got == Long.parseLong(w.get(1)) ? Optional.empty() : Optional.of("token +" + got);
       }
       case "stored" -> {
--- a/src/test/java/io/pearscale/sim/LoopbackWorld.java
+++ b/src/test/java/io/pearscale/sim/LoopbackWorld.java
@@ -155,7 +155,7 @@
         o ->
             s.append("[[facts.objectives]]\nkind = \"%s\"\n".formatted(o.kind()))
                 .append("class = \"%s\"\n".formatted(o.jobClass()))
-                .append("within_s = %s\n".formatted(o.within().toMillis() / 1000.0)));
+                .append("within_s = %s\n".formatted(o.target().toMillis() / 1000.0)));
     return s.append("[facts.workers]\nreport_s = %s\n".formatted(world.report.toMillis() / 1000.0))
         .append("lease_s = %s\n".formatted(world.lease.toMillis() / 1000.0))
         .append("cancel_s = %s\n".formatted(world.cancel.toMillis() / 1000.0))
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -8,8 +8,8 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.Shape;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.protocol.WorkloadType;
 import io.pearscale.scheduler.Operations;
 import io.pearscale.upgrade.SupportedLevels;
 import java.time.Duration;
@@ -89,8 +89,8 @@
     return options;
   }
 
-  private static Settings.State limits(Map<String, String> o) {
-    return new Settings.State(
+  private static Settings.StoreLimits limits(Map<String, String> o) {
+    return new Settings.StoreLimits(
         number(o, "rps", 100),
         number(o, "writes", 60),
         (int) number(o, "value", 8192),
@@ -150,7 +150,8 @@
           world.teams.add(
               new Settings.Team(w.get(1), number(o, "cpus", 0), number(o, "cpus_max", 0), 0, 0));
       case "class" ->
-          world.objectives.add(new Settings.Objective(w.get(2), w.get(1), seconds(w.get(3))));
+          world.objectives.add(
+              new Settings.ServiceLevelObjective(w.get(2), w.get(1), seconds(w.get(3))));
       case "faulty" -> world.cloud.faulty.addAll(w.subList(1, w.size()));
       case "never-boot" -> world.cloud.neverBoot = Integer.parseInt(w.get(1));
       case "until" -> until = seconds(w.get(1));
@@ -192,13 +193,14 @@
         zones);
   }
 
-  static JobSpec job(String id, Shape shape, Map<String, String> o) {
+  static JobSpec job(String id, WorkloadType shape, Map<String, String> o) {
     return new JobSpec(
         id,
         o.getOrDefault("class", "any"),
         o.getOrDefault("team", "t"),
         shape,
-        Priority.parse(o.getOrDefault("priority", shape == Shape.SERVICE ? "critical" : "normal"))
+        Priority.parse(
+                o.getOrDefault("priority", shape == WorkloadType.SERVICE ? "critical" : "normal"))
             .orElseThrow(),
         (int) number(o, "tasks", 1),
         number(o, "cpus", 1),
@@ -321,10 +323,10 @@
         world.note("level " + level + " is taken back");
       }
       case "limits" -> {
-        Settings.State limits = limits(options(w.subList(1, w.size())));
-        world.state.valueBytes = limits.valueBytes();
-        world.state.txnOps = limits.txnOps();
-        world.state.writeRate = Optional.of(limits.writeRps());
+        Settings.StoreLimits limits = limits(options(w.subList(1, w.size())));
+        world.state.valueBytes = limits.maxValueBytes();
+        world.state.txnOps = limits.maxTransactionOperations();
+        world.state.writeRate = Optional.of(limits.writesPerSecond());
       }
       case "at-commit" -> world.state.troubleAtCommit(Integer.parseInt(w.get(1)), w.get(2));
       case "damage" -> world.state.damage(w.get(1));
@@ -412,12 +414,12 @@
   /** A user submits a job, as the words of a scenario's line say. */
   static void submit(World world, List<String> w) {
     Map<String, String> o = options(w.subList(3, w.size()));
-    JobSpec spec = job(w.get(1), Shape.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
+    JobSpec spec = job(w.get(1), WorkloadType.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
     SimUser user =
         new SimUser(
             world,
             spec,
-            spec.estimate(),
+            spec.estimatedDuration(),
             seconds(o.getOrDefault("apart", "0")),
             o.containsKey("mistake"));
     world.submitted.put(spec.id(), spec);
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -106,7 +106,7 @@
               b.path("breed").asText(),
               b.path("yard").asText(),
               b.path("windfall").asBoolean(),
-              types.get(b.path("breed").asText()).boot()));
+              types.get(b.path("breed").asText()).bootTime()));
     }
     answers.put(request, names);
     answer.accept(names(names));
--- a/src/test/java/io/pearscale/sim/SimGangs.java
+++ b/src/test/java/io/pearscale/sim/SimGangs.java
@@ -154,7 +154,7 @@
     broken++;
     JobSpec spec = world.submitted.get(attempt.job);
     Duration done = doneBy(attempt, state, world.now);
-    Duration step = spec.checkpoint();
+    Duration step = spec.checkpointInterval();
     if (!step.isZero()) {
       progress.put(attempt.job, step.multipliedBy(done.toMillis() / step.toMillis()));
     }
@@ -183,7 +183,7 @@
       world.after(world.gangPeerLoss.plusMillis(1), () -> timeIsOver(attempt, state, spec));
     }
     if (state.told.size() == spec.tasks()) {
-      world.after(spec.save(), () -> saved(attempt, state));
+      world.after(spec.checkpointDuration(), () -> saved(attempt, state));
     }
   }
 
--- a/src/test/java/io/pearscale/sim/SimWorker.java
+++ b/src/test/java/io/pearscale/sim/SimWorker.java
@@ -132,7 +132,7 @@
   }
 
   private boolean isGang(Key key) {
-    return world.submitted.get(key.task.job()).gang();
+    return world.submitted.get(key.task.job()).isGang();
   }
 
   /** A task of a gang, as the others see it. Two of them are the same if their task is. */
@@ -409,16 +409,19 @@
     if (t.started && t.stage.equals("running")) {
       world.disruptions.stopped(key.task);
     }
-    boolean hasTime = leeway > 0 && leeway >= spec.save().toMillis() / 1000.0;
-    if (spec.gang() && t.stage.equals("running") && !spec.checkpoint().isZero() && hasTime) {
+    boolean hasTime = leeway > 0 && leeway >= spec.checkpointDuration().toMillis() / 1000.0;
+    if (spec.isGang()
+        && t.stage.equals("running")
+        && !spec.checkpointInterval().isZero()
+        && hasTime) {
       world.gangs.told(key.task, key.attempt);
       return;
     }
-    if (t.stage.equals("running") && !spec.checkpoint().isZero() && hasTime) {
+    if (t.stage.equals("running") && !spec.checkpointInterval().isZero() && hasTime) {
       t.stage = "flushing";
       Duration ran = Duration.between(t.runsSince, world.now);
       world.after(
-          spec.save(),
+          spec.checkpointDuration(),
           () ->
               alive(
                   () -> {
@@ -467,7 +470,7 @@
                     return;
                   }
                   t.started = true;
-                  if (spec.gang()) {
+                  if (spec.isGang()) {
                     t.stage = "waiting";
                     world.taskStarts(this, key.task, key.attempt);
                     reportSoon();
@@ -485,7 +488,7 @@
                   if (faulty || world.users.get(spec.id()).mistake()) {
                     world.after(
                         Duration.ofMillis(300), () -> alive(() -> endIfRunning(key, t, "error")));
-                  } else if (!spec.service()) {
+                  } else if (!spec.isService()) {
                     Duration whole = world.users.get(spec.id()).run(key.task);
                     Duration left = whole.minus(world.progressOf(key.task));
                     world.after(left, () -> alive(() -> endIfRunning(key, t, "done")));
--- a/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
@@ -78,7 +78,7 @@
   }
 
   private boolean hasItsEnd(SimUser user) {
-    return user.spec.service()
+    return user.spec.isService()
         ? user.stage.equals("running")
             && drill.world.starts.get(user.spec.id()) == user.spec.tasks()
         : user.stage.equals("done");
--- a/src/test/java/io/pearscale/sim/World.java
+++ b/src/test/java/io/pearscale/sim/World.java
@@ -91,7 +91,7 @@
   int valueBytes = 8192;
 
   /** The limits that the settings say the state service will have some day. */
-  Optional<Settings.State> nextLimits = Optional.empty();
+  Optional<Settings.StoreLimits> nextLimits = Optional.empty();
 
   /** The part of a core that the settings give each controller. */
   double cpuShare = 1;
@@ -113,7 +113,7 @@
   Operations operations = Operations.off();
 
   final List<Settings.Team> teams = new ArrayList<>();
-  final List<Settings.Objective> objectives = new ArrayList<>();
+  final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
 
   // Faults of the network.
   boolean linksRefused;
@@ -336,17 +336,20 @@
         "state",
         teams,
         objectives,
-        new Settings.Workers(
-            report, lease, cancel, Optional.of(new Settings.GangTimes(gangForming, gangPeerLoss))),
+        new Settings.AgentSettings(
+            report,
+            lease,
+            cancel,
+            Optional.of(new Settings.GangTimeouts(gangForming, gangPeerLoss))),
         stateLimits(host),
-        new Settings.Cloud(SimCloud.RATE, cloud.lag),
+        new Settings.CloudLimits(SimCloud.RATE, cloud.lag),
         1000,
         cpuShare);
   }
 
   /** Builds from before level 2 know nothing of what the limits will be. */
-  private Settings.State stateLimits(String host) {
-    Settings.State now = new Settings.State(100, 60, valueBytes, TXN_OPS);
+  private Settings.StoreLimits stateLimits(String host) {
+    Settings.StoreLimits now = new Settings.StoreLimits(100, 60, valueBytes, TXN_OPS);
     boolean knowsNext = nodes.get(host).supported.contains(Feature.SMALL_VALUES.level());
     return knowsNext ? nextLimits.map(now::smallerOf).orElse(now) : now;
   }
@@ -385,7 +388,7 @@
       if (p.task.job().equals(task.job())) {
         if (p.worker.zone.equals(w.zone)) {
           inZone++;
-        } else if (spec.oneZone()) {
+        } else if (spec.singleZone()) {
           breaks("wrong_place", task + " in " + w.zone + ", mates in " + p.worker.zone);
         }
       }
@@ -393,11 +396,11 @@
         cpus += other.cpus();
       }
     }
-    if (spec.spread() && inZone + 1 > (spec.tasks() + 1) / 2) {
+    if (spec.spreadAcrossZones() && inZone + 1 > (spec.tasks() + 1) / 2) {
       breaks("wrong_place", task + " crowds zone " + w.zone);
     }
     for (Settings.Team t : teams) {
-      if (t.name().equals(spec.team()) && t.cpusMax() > 0 && cpus > t.cpusMax() + 1e-6) {
+      if (t.name().equals(spec.team()) && t.cpuLimit() > 0 && cpus > t.cpuLimit() + 1e-6) {
         breaks("quota", t.name() + " uses " + cpus);
       }
     }
@@ -409,7 +412,7 @@
       breaks("started_cancelled", task + " on " + w.name);
     }
     starts.merge(task.job(), 1, Integer::sum);
-    if (spec.gang()) {
+    if (spec.isGang()) {
       gangChecker().arrives(spec, task, attempt, w.name, w.zone, now);
     } else {
       begun.putIfAbsent(task.job(), now);
@@ -424,12 +427,12 @@
    * answer or a command that what is held up on its way counts no more.
    */
   private Duration lateStart() {
-    return settings("hive-0").hold().dividedBy(2).plusSeconds(5);
+    return settings("hive-0").renewalAuthorityTimeout().dividedBy(2).plusSeconds(5);
   }
 
   void taskGone(SimWorker w, TaskId task, long attempt) {
     present.removeIf(p -> p.worker == w && p.task.equals(task) && p.attempt == attempt);
-    if (submitted.get(task.job()).gang()) {
+    if (submitted.get(task.job()).isGang()) {
       gangChecker().leaves(task, w.name, now);
     }
     disruptions.gone(task);
@@ -482,13 +485,13 @@
 
   /** Whether a task of the job could run, or all of them at once if they are a gang. */
   private boolean hasRoom(JobSpec spec) {
-    if (!spec.gang()) {
+    if (!spec.isGang()) {
       return workers.values().stream().anyMatch(w -> w.placesFor(spec) > 0);
     }
     Map<String, Integer> places = new HashMap<>();
     workers.values().forEach(w -> places.merge(w.zone, w.placesFor(spec), Integer::sum));
     int together =
-        spec.oneZone()
+        spec.singleZone()
             ? places.values().stream().mapToInt(n -> n).max().orElse(0)
             : places.values().stream().mapToInt(n -> n).sum();
     return together >= spec.tasks();
@@ -528,7 +531,7 @@
     double use = used;
     return teams.stream()
         .noneMatch(
-            t -> t.name().equals(spec.team()) && t.cpusMax() > 0 && use > t.cpusMax() + 1e-6);
+            t -> t.name().equals(spec.team()) && t.cpuLimit() > 0 && use > t.cpuLimit() + 1e-6);
   }
 
   /** Called every second. */
