--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -12,8 +12,8 @@
 import io.pearscale.drain.MachineSelector;
 import io.pearscale.drain.MachineSelector.MachineFacts;
 import io.pearscale.protocol.MalformedMessageException;
-import io.pearscale.storage.KeyValueStoreClient.Change;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.upgrade.ClusterLevel;
@@ -139,10 +139,10 @@
         MachineSelector selector = selection.selector();
         List<String> machines = new ArrayList<>();
         Set<String> drained = new TreeSet<>();
-        for (MachineRecordCodec.Entry entry : StoredMachineRecords.read(state)) {
+        for (MachineRecordCodec.MachineRecord entry : StoredMachineRecords.read(state)) {
           if (!entry.retiring() && selector.matches(facts(entry))) {
             machines.add(entry.machine());
-            if (!entry.maintenance().isNone()) {
+            if (!entry.maintenance().isInService()) {
               drained.add(entry.machine() + " (" + entry.maintenance().drain() + ")");
             }
           }
@@ -184,7 +184,7 @@
       return (machines * percent + 99) / 100;
     }
 
-    private static MachineFacts facts(MachineRecordCodec.Entry entry) {
+    private static MachineFacts facts(MachineRecordCodec.MachineRecord entry) {
       return new MachineFacts(entry.machine(), entry.zone(), entry.type(), entry.address());
     }
 
@@ -225,7 +225,7 @@
                 + String.join(" ", machines));
         return 0;
       }
-      List<Guard> absent = List.of(new Guard(Keys.drain(id), 0));
+      List<Precondition> absent = List.of(new Precondition(Keys.drain(id), 0));
       int largest = files.settings().storeLimits().maxValueBytes();
       return conclude(
           state.write(absent, request.changes(machines, largest)),
@@ -250,7 +250,7 @@
     int run(StateSession state) throws IOException {
       ArrayNode all = new ObjectMapper().createArrayNode();
       for (Map.Entry<String, Stored> request : state.list(Keys.DRAINS).entrySet()) {
-        String name = Keys.name(request.getKey());
+        String name = Keys.lastSegment(request.getKey());
         if (id.isEmpty() || id.get().equals(name)) {
           all.add(describe(state, name, request.getValue().value()));
         }
@@ -314,9 +314,9 @@
       if (stored.isEmpty()) {
         return fail("no drain is called " + id, Main.EXIT_SETTINGS);
       }
-      Change change =
-          Change.write(Keys.drain(id), DrainRequest.withWish(stored.get().value(), wish()));
-      List<Guard> guards = List.of(new Guard(Keys.drain(id), stored.get().stamp()));
+      Mutation change =
+          Mutation.put(Keys.drain(id), DrainRequest.withWish(stored.get().value(), wish()));
+      List<Precondition> guards = List.of(new Precondition(Keys.drain(id), stored.get().stamp()));
       return conclude(state.write(guards, List.of(change)), id + ": " + wish());
     }
   }
@@ -378,7 +378,7 @@
       List<String> held = new ArrayList<>();
       try {
         StoredMachineRecords.read(state).stream()
-            .filter(entry -> !entry.maintenance().takesTasks())
+            .filter(entry -> !entry.maintenance().isSchedulable())
             .filter(entry -> entry.maintenance().drain().equals(id))
             .forEach(entry -> held.add(entry.machine()));
       } catch (MalformedMessageException e) {
@@ -387,11 +387,11 @@
       if (!held.isEmpty()) {
         return refuse("it holds machines: " + String.join(", ", held));
       }
-      List<Change> changes = new ArrayList<>();
-      changes.add(Change.drop(Keys.drain(id)));
-      changes.add(Change.drop(Keys.drainStatus(id)));
-      state.list(Keys.drainMachines(id)).keySet().forEach(key -> changes.add(Change.drop(key)));
-      List<Guard> guards = List.of(new Guard(Keys.drain(id), stored.get().stamp()));
+      List<Mutation> changes = new ArrayList<>();
+      changes.add(Mutation.delete(Keys.drain(id)));
+      changes.add(Mutation.delete(Keys.drainStatus(id)));
+      state.list(Keys.drainMachines(id)).keySet().forEach(key -> changes.add(Mutation.delete(key)));
+      List<Precondition> guards = List.of(new Precondition(Keys.drain(id), stored.get().stamp()));
       return conclude(state.write(guards, changes), "forgot drain " + id);
     }
   }
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -127,12 +127,12 @@
 
     private int ofJob(StateSession state, JsonNode status)
         throws IOException, MalformedMessageException {
-      Optional<Stored> past = state.read(Keys.past(name));
+      Optional<Stored> past = state.read(Keys.finishedJob(name));
       if (past.isPresent()) {
         say(name + " is over: " + past.get().value().path("stage").asText());
         return 0;
       }
-      Optional<Stored> live = state.read(Keys.live(name));
+      Optional<Stored> live = state.read(Keys.liveJob(name));
       if (live.isEmpty()) {
         return fail("no job is called " + name, Main.EXIT_SETTINGS);
       }
@@ -152,11 +152,12 @@
       BitSet placed = new BitSet();
       for (RecordLayout layout : StoredMachineRecords.layouts(state)) {
         BitSet toldHere = new BitSet();
-        for (Stored marks : state.list(layout.marksPrefix()).values()) {
-          for (PlacementRecordCodec.Part part : PlacementRecordCodec.decode(marks.value())) {
+        for (Stored marks : state.list(layout.placementPrefix()).values()) {
+          for (PlacementRecordCodec.PartitionRecord part :
+              PlacementRecordCodec.decode(marks.value())) {
             if (part.job().equals(name)) {
               notePlaced(part, told, placed);
-              toldHere.set(part.first(), part.first() + layout.partTasks());
+              toldHere.set(part.firstTask(), part.firstTask() + layout.tasksPerPartition());
             }
           }
         }
@@ -165,17 +166,18 @@
       return placed.cardinality();
     }
 
-    private static void notePlaced(PlacementRecordCodec.Part part, BitSet told, BitSet placed) {
-      for (int i = 0; i < part.hosts().length; i++) {
-        int task = part.first() + i;
-        if (part.hosts()[i] > 0 && !told.get(task)) {
+    private static void notePlaced(
+        PlacementRecordCodec.PartitionRecord part, BitSet told, BitSet placed) {
+      for (int i = 0; i < part.machineReferences().length; i++) {
+        int task = part.firstTask() + i;
+        if (part.machineReferences()[i] > 0 && !told.get(task)) {
           placed.set(task);
         }
       }
     }
 
     private int ofMachine(StateSession state) throws IOException, MalformedMessageException {
-      for (MachineRecordCodec.Entry entry : StoredMachineRecords.read(state)) {
+      for (MachineRecordCodec.MachineRecord entry : StoredMachineRecords.read(state)) {
         if (entry.machine().equals(name)) {
           say(describe(entry));
           return 0;
@@ -184,10 +186,10 @@
       return fail("no record names " + name + ": it is not used, or gone", Main.EXIT_SETTINGS);
     }
 
-    private String describe(MachineRecordCodec.Entry entry) {
+    private String describe(MachineRecordCodec.MachineRecord entry) {
       String use =
           switch (entry.maintenance().stage()) {
-            case NONE -> "in service";
+            case IN_SERVICE -> "in service";
             case CORDONED -> "cordoned for drain " + entry.maintenance().drain();
             case DRAINED -> "out of service for drain " + entry.maintenance().drain();
             case PROBATION -> "back in service on probation";
--- a/src/main/java/io/pearscale/cli/StateSession.java
+++ b/src/main/java/io/pearscale/cli/StateSession.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.storage.KeyValueStoreClient.Change;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.UndertowHttpClient;
@@ -66,7 +66,7 @@
 
   /** The key's value and stamp; empty if there is none. */
   Optional<Stored> read(String key) throws IOException {
-    Reply reply = ask(answer -> client.read(key, answer));
+    Reply reply = ask(answer -> client.get(key, answer));
     if (reply.status() != 404 && !reply.ok()) {
       throw failure(reply);
     }
@@ -103,8 +103,8 @@
   }
 
   /** Writes, if nothing has changed that the guards name, nor the level that was read. */
-  Written write(List<Guard> guards, List<Change> changes) throws IOException {
-    Reply reply = ask(answer -> client.commit(guards, changes, answer));
+  Written write(List<Precondition> guards, List<Mutation> changes) throws IOException {
+    Reply reply = ask(answer -> client.compareAndSwap(guards, changes, answer));
     if (reply.ok()) {
       return Written.DONE;
     }
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -19,13 +19,13 @@
   private StoredMachineRecords() {}
 
   /** All entries of the roster, one a machine. */
-  static Collection<MachineRecordCodec.Entry> read(StateSession state)
+  static Collection<MachineRecordCodec.MachineRecord> read(StateSession state)
       throws IOException, MalformedMessageException {
-    Map<String, MachineRecordCodec.Entry> byMachine = new LinkedHashMap<>();
+    Map<String, MachineRecordCodec.MachineRecord> byMachine = new LinkedHashMap<>();
     // What is written now is newer than what the other layout says of the same machine.
     for (RecordLayout layout : layouts(state)) {
-      for (Stored value : state.list(layout.rosterPrefix()).values()) {
-        for (MachineRecordCodec.Entry entry : MachineRecordCodec.decode(value.value())) {
+      for (Stored value : state.list(layout.machinePrefix()).values()) {
+        for (MachineRecordCodec.MachineRecord entry : MachineRecordCodec.decode(value.value())) {
           byMachine.putIfAbsent(entry.machine(), entry);
         }
       }
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.Keys;
 import io.pearscale.upgrade.SupportedLevels;
 import io.pearscale.upgrade.UpgradePlan;
@@ -67,7 +67,7 @@
         absent.forEach(vouched::add);
       }
       return conclude(
-          state.write(view.guards(), List.of(Change.write(Keys.LEVEL, record))), "done: " + record);
+          state.write(view.guards(), List.of(Mutation.put(Keys.LEVEL, record))), "done: " + record);
     }
   }
 
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -7,7 +7,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -63,8 +63,8 @@
         .forEach((key, stored) -> members.put(key.substring(Keys.MEMBERS.length()), stored));
     Map<String, Stored> records = new TreeMap<>();
     for (RecordLayout layout : RecordLayout.values()) {
-      records.putAll(state.list(layout.rosterPrefix()));
-      records.putAll(state.list(layout.marksPrefix()));
+      records.putAll(state.list(layout.machinePrefix()));
+      records.putAll(state.list(layout.placementPrefix()));
     }
     Map<Feature, List<String>> unsayable = new EnumMap<>(Feature.class);
     unsayable.put(Feature.MACHINE_MAINTENANCE, inMaintenance(records));
@@ -110,32 +110,33 @@
     for (Map.Entry<String, Stored> record : records.entrySet()) {
       String key = record.getKey();
       boolean inPlace =
-          layout.has(key) && (Keys.isMarks(key) || hasFormOf(record.getValue().value(), written));
+          layout.containsKey(key)
+              && (Keys.isPlacementRecords(key) || hasFormOf(record.getValue().value(), written));
       pending += inPlace ? 0 : 1;
     }
     return pending;
   }
 
   private static boolean hasFormOf(JsonNode roster, int written) {
-    return RecordLayout.ofLevel(written) == RecordLayout.BY_NUMBER
+    return RecordLayout.ofLevel(written) == RecordLayout.INDEXED
         || MachineRecordCodec.levelOf(roster).orElse(written) == written;
   }
 
   /** Jobs that an earlier level can't hold: gangs, and such as need larger values. */
   private static Map<Feature, List<String>> jobsOfLaterLevels(
       Map<String, Stored> jobs, Settings settings) {
-    RecordLayout earlier = RecordLayout.BY_PLACE;
+    RecordLayout earlier = RecordLayout.POSITIONAL;
     List<String> gangs = new ArrayList<>();
     List<String> large = new ArrayList<>();
     jobs.forEach(
         (key, stored) -> {
-          String id = Keys.name(key);
+          String id = Keys.lastSegment(key);
           JsonNode spec = stored.value().path("spec");
-          int tasks = Math.min(earlier.partTasks(), spec.path("pieces").asInt());
+          int tasks = Math.min(earlier.tasksPerPartition(), spec.path("pieces").asInt());
           if (JobSpec.isStoredGang(spec)) {
             gangs.add(id);
           }
-          if (PlacementRecordCodec.size(id, tasks, earlier)
+          if (PlacementRecordCodec.maximumSize(id, tasks, earlier)
               > settings.storeLimits().maxValueBytes()) {
             large.add(id);
           }
@@ -146,12 +147,12 @@
   private static List<String> inMaintenance(Map<String, Stored> records) {
     Set<String> names = new TreeSet<>();
     for (Map.Entry<String, Stored> record : records.entrySet()) {
-      if (!Keys.isRoster(record.getKey())) {
+      if (!Keys.isMachineRecords(record.getKey())) {
         continue;
       }
       try {
         MachineRecordCodec.decode(record.getValue().value()).stream()
-            .filter(entry -> !entry.maintenance().isNone())
+            .filter(entry -> !entry.maintenance().isInService())
             .forEach(entry -> names.add(entry.machine()));
       } catch (MalformedMessageException e) {
         names.add("(unreadable: " + e.getMessage() + ")");
@@ -161,11 +162,11 @@
   }
 
   /** What a step is held to: none of the records of controllers that it rests on has changed. */
-  List<Guard> guards() {
-    List<Guard> guards = new ArrayList<>();
+  List<Precondition> guards() {
+    List<Precondition> guards = new ArrayList<>();
     for (String host : hosts) {
       long stamp = members.containsKey(host) ? members.get(host).stamp() : 0;
-      guards.add(new Guard(Keys.member(host), stamp));
+      guards.add(new Precondition(Keys.member(host), stamp));
     }
     return guards;
   }
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -4,8 +4,8 @@
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.storage.KeyValueStoreClient.Change;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -196,7 +196,7 @@
     } else if (message instanceof KeysChanged m) {
       boolean ours = false;
       for (KeyChange c : m.changes) {
-        if (Keys.isNeededToLead(c.key()) && unreadableRecord.isPresent()) {
+        if (Keys.isRequiredToLead(c.key()) && unreadableRecord.isPresent()) {
           // Perhaps it can be read now; a new leader reads all anew in any case.
           unreadableRecord = Optional.empty();
           ours = true;
@@ -274,10 +274,10 @@
       if (value.path("nonce").asText().equals(processNonce)
           && value.path("grant").asLong() == leaseId) {
         // Our transaction went through although its answer got lost.
-        beginLeading(value.path("term").asLong(), leaderEntry.get().stamp());
+        beginLeading(value.path("term").asLong(), leaderEntry.get().revision());
       } else if (!campaigning) {
         // A former life of this process, or a try that was given up: nobody keeps that grant.
-        store.revoke(value.path("grant").asLong(), r -> {});
+        store.revokeLease(value.path("grant").asLong(), r -> {});
         scheduleCampaign(Duration.ofMillis(500));
       }
       return;
@@ -304,7 +304,7 @@
     if (leading) {
       long given = leaseId;
       stepDown("stays_out");
-      store.revoke(given, r -> {});
+      store.revokeLease(given, r -> {});
     }
     round++;
     campaigning = false;
@@ -351,7 +351,7 @@
     if (isLeader(peer, t)) {
       // What it wrote last may still be on its way.
       loop.after(
-          SETTLE_DELAY, () -> store.read(Keys.TERM, r -> tell(new FirstTermProbe(t, peer, r))));
+          SETTLE_DELAY, () -> store.get(Keys.TERM, r -> tell(new FirstTermProbe(t, peer, r))));
     }
   }
 
@@ -360,7 +360,7 @@
       long stamp = m.reply.body().path("stamp").asLong();
       loop.after(
           LEADER_PROBE_INTERVAL,
-          () -> store.read(Keys.TERM, r -> tell(new SecondTermProbe(m.term, m.peer, stamp, r))));
+          () -> store.get(Keys.TERM, r -> tell(new SecondTermProbe(m.term, m.peer, stamp, r))));
     }
   }
 
@@ -370,7 +370,7 @@
     }
     if (m.reply.body().path("stamp").asLong() == m.revision) {
       log.info("event=leader_ended term={} host={}", m.term, m.peer);
-      store.revoke(leaderEntry.get().value().path("grant").asLong(), r -> {});
+      store.revokeLease(leaderEntry.get().value().path("grant").asLong(), r -> {});
     } else {
       log.info("event=leader_only_refuses term={} host={}", m.term, m.peer);
     }
@@ -392,7 +392,7 @@
       campaigning = false;
       return;
     }
-    store.grant(settings.leaderLeaseTtl(), reply -> tell(new LeaseGranted(r, reply)));
+    store.grantLease(settings.leaderLeaseTtl(), reply -> tell(new LeaseGranted(r, reply)));
   }
 
   private void leaseGranted(Reply reply) {
@@ -410,13 +410,13 @@
             .put("nonce", processNonce);
     provenAt = loop.clock().instant();
     int r = round;
-    store.commit(
+    store.compareAndSwap(
         List.of(
-            new Guard(Keys.LEADER, 0),
-            new Guard(Keys.TERM, termEntry.map(Entry::stamp).orElse(0L))),
+            new Precondition(Keys.LEADER, 0),
+            new Precondition(Keys.TERM, termEntry.map(Entry::revision).orElse(0L))),
         List.of(
-            new Change(Keys.LEADER, Optional.of(lead), Optional.of(leaseId)),
-            Change.write(Keys.TERM, MessagePack.map().put("term", next).put("node", processNonce))),
+            new Mutation(Keys.LEADER, Optional.of(lead), Optional.of(leaseId)),
+            Mutation.put(Keys.TERM, MessagePack.map().put("term", next).put("node", processNonce))),
         answer -> tell(new ElectionAnswered(r, answer)));
   }
 
@@ -437,7 +437,7 @@
 
   private void beginLeading(long newTerm, long termStamp) {
     if (abstains()) {
-      store.revoke(leaseId, r -> {});
+      store.revokeLease(leaseId, r -> {});
       return;
     }
     if (newTerm < highestAnnouncedTerm) {
@@ -445,7 +445,7 @@
       // that we know of a newer term, and its leader relies on it that nobody leads in an older
       // one.
       log.info("event=won_too_late term={} heard={}", newTerm, highestAnnouncedTerm);
-      store.revoke(leaseId, r -> {});
+      store.revokeLease(leaseId, r -> {});
       leaseId = -1;
       scheduleCampaign(retryDelay());
       return;
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -72,7 +72,7 @@
     }
     Instant sentAt = renewalLoop.clock().instant();
     if (sentAt.isBefore(lastProgressAt.plus(stallTimeout))) {
-      store.extend(leaseId, reply -> mainLoop.execute(() -> answered.accept(sentAt, reply)));
+      store.renewLease(leaseId, reply -> mainLoop.execute(() -> answered.accept(sentAt, reply)));
     }
     scheduleRenewal(renewalGeneration, leaseId, answered);
   }
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -1,7 +1,7 @@
 package io.pearscale.coordination;
 
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
@@ -82,7 +82,7 @@
 
   private void renew() {
     if (leaseId.isPresent()) {
-      store.extend(leaseId.getAsLong(), reply -> tell(new LeaseExtended(reply)));
+      store.renewLease(leaseId.getAsLong(), reply -> tell(new LeaseExtended(reply)));
     } else {
       announce();
     }
@@ -91,7 +91,7 @@
 
   private void announce() {
     if (leaseId.isEmpty()) {
-      store.grant(leaseTtl, reply -> tell(new LeaseGranted(reply)));
+      store.grantLease(leaseTtl, reply -> tell(new LeaseGranted(reply)));
     }
   }
 
@@ -106,8 +106,8 @@
 
   private void write() {
     Optional<Long> claim = Optional.of(leaseId.getAsLong());
-    Change change = new Change(Keys.member(host), Optional.of(support.toNode()), claim);
-    store.commit(List.of(), List.of(change), written -> tell(new RecordWritten(written)));
+    Mutation change = new Mutation(Keys.member(host), Optional.of(support.toNode()), claim);
+    store.compareAndSwap(List.of(), List.of(change), written -> tell(new RecordWritten(written)));
   }
 
   /** A grant that is gone has taken the record with it; without an answer nothing is known. */
@@ -116,7 +116,7 @@
       leaseId = OptionalLong.empty();
       announce();
     } else if (reply.ok()) {
-      store.read(Keys.member(host), found -> tell(new RecordRead(found)));
+      store.get(Keys.member(host), found -> tell(new RecordRead(found)));
     }
   }
 
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -258,7 +258,7 @@
 
     private void decideOnCordoned(MachineView machine) {
       if (isCancelled() || isLate()) {
-        plan.changes.put(machine.name, Maintenance.NONE);
+        plan.changes.put(machine.name, Maintenance.IN_SERVICE);
         waiting++;
       } else if (machine.recorded && machine.tasks.isEmpty()) {
         decideOnEmpty(machine);
@@ -309,7 +309,7 @@
         if (cordoned >= request.atOnce()) {
           return;
         }
-        if (plan.changes.containsKey(machine.name) || !machine.maintenance.isNone()) {
+        if (plan.changes.containsKey(machine.name) || !machine.maintenance.isInService()) {
           reasons.add("machine " + machine.name + " is in another drain's hands");
         } else if (!machine.reachable) {
           reasons.add("machine " + machine.name + " is silent or not up");
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.MessageFields;
-import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.MessagePack;
 import java.time.Instant;
@@ -112,16 +112,16 @@
    * What is written when a drain is asked for: the record, and the names of the machines in as many
    * values as they need.
    */
-  public List<Change> changes(List<String> machines, int largestValue) {
-    List<Change> changes = new ArrayList<>();
-    changes.add(Change.write(Keys.drain(id), toNode()));
+  public List<Mutation> changes(List<String> machines, int largestValue) {
+    List<Mutation> changes = new ArrayList<>();
+    changes.add(Mutation.put(Keys.drain(id), toNode()));
     int room = largestValue * FILLED / 100;
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray("m");
     int size = 0;
     for (String name : machines) {
       if (size + name.length() + NAME_PUNCTUATION > room) {
-        changes.add(Change.write(Keys.drainMachines(id) + (changes.size() - 1), value));
+        changes.add(Mutation.put(Keys.drainMachines(id) + (changes.size() - 1), value));
         value = MessagePack.map();
         list = value.putArray("m");
         size = 0;
@@ -129,7 +129,7 @@
       list.add(name);
       size += name.length() + NAME_PUNCTUATION;
     }
-    changes.add(Change.write(Keys.drainMachines(id) + (changes.size() - 1), value));
+    changes.add(Mutation.put(Keys.drainMachines(id) + (changes.size() - 1), value));
     return changes;
   }
 
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -9,8 +9,8 @@
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.KeyValueStoreClient;
-import io.pearscale.storage.KeyValueStoreClient.Change;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
@@ -195,8 +195,8 @@
   }
 
   private void changed(KeyChange c) {
-    if (Keys.isLive(c.key())) {
-      String id = Keys.name(c.key());
+    if (Keys.isLiveJob(c.key())) {
+      String id = Keys.lastSegment(c.key());
       if (c.entry().isPresent()) {
         live.add(id);
       } else {
@@ -244,9 +244,11 @@
     }
     ObjectNode value = MessagePack.map().put("at", timeOfDay.instant().toEpochMilli());
     value.set("spec", spec.toNode());
-    state.commit(
-        List.of(new Guard(Keys.live(spec.id()), 0), new Guard(Keys.past(spec.id()), 0)),
-        List.of(Change.write(Keys.live(spec.id()), value)),
+    state.compareAndSwap(
+        List.of(
+            new Precondition(Keys.liveJob(spec.id()), 0),
+            new Precondition(Keys.finishedJob(spec.id()), 0)),
+        List.of(Mutation.put(Keys.liveJob(spec.id()), value)),
         reply -> tell(new Created(spec, answer, reply)));
   }
 
@@ -297,8 +299,7 @@
     if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().written())) <= longest) {
       return Optional.empty();
     }
-    return longestRecord(spec, RecordLayout.BY_NUMBER) <= longest
-            && level.knows(Feature.SMALL_VALUES)
+    return longestRecord(spec, RecordLayout.INDEXED) <= longest && level.knows(Feature.SMALL_VALUES)
         ? Optional.of(Response.later(UPGRADED_LATER, "not all controllers take so many tasks yet"))
         : refuse("its tasks can't be recorded in values of " + longest + " bytes");
   }
@@ -307,10 +308,12 @@
     Team team = teams.get(spec.team());
     int claim =
         team != null && team.hasQuotaLimit()
-            ? new PlacementRecordCodec.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
-                .size()
+            ? new PlacementRecordCodec.QuotaClaim(
+                    spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
+                .maximumSize()
             : 0;
-    return PlacementRecordCodec.size(spec.id(), Math.min(spec.tasks(), layout.partTasks()), layout)
+    return PlacementRecordCodec.maximumSize(
+            spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
         + claim;
   }
 
@@ -366,7 +369,9 @@
       then.accept(JobSpec.isId(id) ? new Unknown() : new Nothing());
       return;
     }
-    replica.tell(new StoreReplicaActor.Ask(Keys.live(id), e -> tell(new Found(id, e, then))));
+    replica.tell(
+        new StoreReplicaActor.LinearizableRead(
+            Keys.liveJob(id), e -> tell(new Found(id, e, then))));
   }
 
   private void found(Found m) {
@@ -380,7 +385,7 @@
       m.then.accept(new Live(m.entry.get().get()));
     } else {
       // Not live at a time after the question: over by then, or never accepted by then.
-      state.read(Keys.past(m.id), r -> tell(new PastRead(m.id, r, m.then)));
+      state.get(Keys.finishedJob(m.id), r -> tell(new PastRead(m.id, r, m.then)));
     }
   }
 
@@ -448,12 +453,14 @@
         l -> {
           if (l instanceof Live x) {
             int pieces = x.entry.value().path("spec").path("pieces").asInt();
-            state.commit(
-                List.of(new Guard(Keys.live(id), x.entry.stamp()), new Guard(Keys.past(id), 0)),
+            state.compareAndSwap(
                 List.of(
-                    Change.drop(Keys.live(id)),
-                    Change.write(
-                        Keys.past(id),
+                    new Precondition(Keys.liveJob(id), x.entry.revision()),
+                    new Precondition(Keys.finishedJob(id), 0)),
+                List.of(
+                    Mutation.delete(Keys.liveJob(id)),
+                    Mutation.put(
+                        Keys.finishedJob(id),
                         MessagePack.map().put("stage", "withdrawn").put("pieces", pieces))),
                 reply -> tell(new Withdrawn(id, pieces, tries, answer, reply)));
           } else if (l instanceof Over o) {
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -144,21 +144,21 @@
 
   private void step() {
     Instant now = loop.clock().instant();
-    if (busy || now.isBefore(quietUntil) || !budget.available(1)) {
+    if (busy || now.isBefore(quietUntil) || !budget.canAcquire(1)) {
       return;
     }
     if (!haveCatalogue || (queue.isEmpty() && now.isAfter(nextCatalogue))) {
-      budget.take(1);
+      budget.tryAcquire(1);
       catalogue();
     } else if (listing.isPresent() && (queue.isEmpty() || !listing.get().yields)) {
-      budget.take(1);
+      budget.tryAcquire(1);
       nextPage(listing.get());
     } else if (listing.isEmpty() && now.isAfter(nextList)) {
-      budget.take(1);
+      budget.tryAcquire(1);
       listing = Optional.of(new Listing(now));
       nextPage(listing.get());
     } else if (!queue.isEmpty()) {
-      budget.take(1);
+      budget.tryAcquire(1);
       listing.ifPresent(l -> l.yields = false);
       Job job = queue.poll();
       if (job.message instanceof Hire h) {
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -163,7 +163,7 @@
             .announceSupport()
             .map(
                 time -> announcer(supported.upTo(options.operations.highestLevel()), time, random));
-    replica.listen(new ReplicaListener());
+    replica.addListener(new ReplicaListener());
   }
 
   private SupportAnnouncer announcer(
@@ -184,7 +184,7 @@
 
   private final class ReplicaListener implements StoreReplicaActor.Listener {
     @Override
-    public void loaded(Map<String, Entry> all, long epoch) {
+    public void onSnapshotLoaded(Map<String, Entry> all, long epoch) {
       // First of all: what the others do with the keys depends on it.
       updateLevel(Optional.ofNullable(all.get(Keys.LEVEL)));
       loadEpoch = loaded ? loadEpoch : epoch;
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void changed(List<KeyChange> changes, long epoch) {
+    public void onKeysChanged(List<KeyChange> changes, long epoch) {
       changes.stream().filter(c -> c.key().equals(Keys.LEVEL)).forEach(c -> updateLevel(c.entry()));
       copyEpoch = epoch;
       scheduler.tell(new SchedulerActor.Changed(changes, epoch));
@@ -205,13 +205,13 @@
     }
 
     @Override
-    public void fresh(Instant asOf) {
+    public void onUpToDate(Instant asOf) {
       scheduler.tell(new SchedulerActor.Fresh(asOf));
     }
   }
 
   private void updateLevel(Optional<Entry> stored) {
-    level.update(stored.map(Entry::value), stored.map(Entry::stamp).orElse(0L));
+    level.update(stored.map(Entry::value), stored.map(Entry::revision).orElse(0L));
   }
 
   private final class ElectionListener implements ElectionActor.Listener {
@@ -325,7 +325,7 @@
     return loaded
         && level.objection().isEmpty()
         && state
-            .lastGood()
+            .lastSuccess()
             .map(t -> Duration.between(t, loop.clock().instant()).compareTo(STORE_SILENT) < 0)
             .orElse(false);
   }
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -64,7 +64,7 @@
     for (Map.Entry<String, JsonNode> value : stored.entrySet()) {
       try {
         for (Disruption disruption : Disruption.decode(value.getValue())) {
-          shards.adopt(disruption, disruption.size(), Keys.number(value.getKey()));
+          shards.adopt(disruption, disruption.size(), Keys.valueNumber(value.getKey()));
           all.add(disruption);
         }
       } catch (MalformedMessageException e) {
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -20,7 +20,7 @@
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
       boolean heard = !now.isAfter(machine.heard.plus(times.silent()));
-      if (machine.maintenance.isNone()
+      if (machine.maintenance.isInService()
           && machine.life == Machine.Life.UP
           && machine.settled
           && !machine.lost
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -143,7 +143,7 @@
     }
     next = now.plus(SPACING);
     recordAllMachines();
-    published.withdraw(key -> Keys.isDrainStatus(key) && !requests.isKnown(Keys.name(key)));
+    published.withdraw(key -> Keys.isDrainStatus(key) && !requests.isKnown(Keys.lastSegment(key)));
     closeWhatIsOver(now);
     ledger.update(loads(now));
     if (level.isOn(Feature.MACHINE_MAINTENANCE)) {
@@ -216,7 +216,7 @@
     if (maintenance.stage() == Maintenance.Stage.PROBATION) {
       machine.images.clear();
     }
-    if (!maintenance.takesTasks()) {
+    if (!maintenance.isSchedulable()) {
       inventory.withdrawPlanned(machine);
     }
     records.assignPlace(machine);
@@ -227,7 +227,7 @@
   private void releaseOrphans() {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphan =
-          !machine.maintenance.takesTasks() && !requests.isKnown(machine.maintenance.drain());
+          !machine.maintenance.isSchedulable() && !requests.isKnown(machine.maintenance.drain());
       if (orphan) {
         change(machine.name, new Maintenance(Maintenance.Stage.PROBATION, ""));
       }
@@ -237,8 +237,8 @@
   /** Below level 1 no record can say that a machine is in maintenance: none is. */
   private void releaseAll() {
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (!machine.maintenance.isNone()) {
-        change(machine.name, Maintenance.NONE);
+      if (!machine.maintenance.isInService()) {
+        change(machine.name, Maintenance.IN_SERVICE);
       }
     }
   }
@@ -257,7 +257,7 @@
       }
       Instant proven = since.plus(times.lease().multipliedBy(LEASES_OF_PROBATION));
       if (heard && (!machine.images.isEmpty() || now.isAfter(proven))) {
-        change(machine.name, Maintenance.NONE);
+        change(machine.name, Maintenance.IN_SERVICE);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/DrainRequests.java
@@ -47,7 +47,7 @@
   List<Drain> all() {
     List<Drain> drains = new ArrayList<>();
     for (Map.Entry<String, JsonNode> request : requests.entrySet()) {
-      String id = Keys.name(request.getKey());
+      String id = Keys.lastSegment(request.getKey());
       try {
         drains.add(new Drain(DrainRequest.parse(id, request.getValue()), namesOf(id)));
       } catch (MalformedMessageException e) {
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -66,7 +66,7 @@
         && !machine.lost
         && !machine.faulty
         && machine.takenAt.isEmpty()
-        && machine.maintenance.takesTasks()
+        && machine.maintenance.isSchedulable()
         && machine.everReported
         && machine.unheard == 0
         && !mute(machine, now)
@@ -127,7 +127,7 @@
     machine.foreign.clear();
     inventory.removeAll(machine, AbsenceProof.LEASE_OVER);
     machine.lease.end();
-    if (machine.life == Life.UP && machine.maintenance.isNone()) {
+    if (machine.life == Life.UP && machine.maintenance.isInService()) {
       // A successor need not wait for it again. Before its next start it is recorded anew.
       records.removeMachine(machine);
     }
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -131,10 +131,11 @@
   }
 
   /** What its tasks take of their team's limit. */
-  Optional<PlacementRecordCodec.Claim> claim() {
+  Optional<PlacementRecordCodec.QuotaClaim> claim() {
     return limited
         ? Optional.of(
-            new PlacementRecordCodec.Claim(spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb()))
+            new PlacementRecordCodec.QuotaClaim(
+                spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb()))
         : Optional.empty();
   }
 
@@ -142,7 +143,8 @@
    * What a former leader started of a job that is over by now. Nothing is known of it but the marks
    * of one part; its tasks count for their team's limit until they are known to be gone.
    */
-  static Job remains(PlacementRecordCodec.Part p, PlacementRecordCodec.Claim claim, Instant now) {
+  static Job remains(
+      PlacementRecordCodec.PartitionRecord p, PlacementRecordCodec.QuotaClaim claim, Instant now) {
     JobSpec spec =
         new JobSpec(
             p.job(),
@@ -150,7 +152,7 @@
             claim.team(),
             WorkloadType.SERVICE,
             Priority.IDLE,
-            p.first() + p.hosts().length,
+            p.firstTask() + p.machineReferences().length,
             claim.cpus(),
             claim.gpus(),
             claim.memoryGb(),
--- a/src/main/java/io/pearscale/scheduler/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/JobPartition.java
@@ -16,8 +16,9 @@
 record JobPartition(Job job, int first, int tasks) {
   /** The part that a task belongs to. */
   static JobPartition of(Job job, int task, RecordLayout layout) {
-    int first = task - task % layout.partTasks();
-    return new JobPartition(job, first, Math.min(layout.partTasks(), job.spec.tasks() - first));
+    int first = task - task % layout.tasksPerPartition();
+    return new JobPartition(
+        job, first, Math.min(layout.tasksPerPartition(), job.spec.tasks() - first));
   }
 
   /** All parts of a job. */
@@ -29,7 +30,9 @@
   static List<JobPartition> covering(Job job, int from, int to, RecordLayout layout) {
     List<JobPartition> parts = new ArrayList<>();
     int end = Math.min(to, job.spec.tasks());
-    for (int task = from - from % layout.partTasks(); task < end; task += layout.partTasks()) {
+    for (int task = from - from % layout.tasksPerPartition();
+        task < end;
+        task += layout.tasksPerPartition()) {
       parts.add(of(job, task, layout));
     }
     return parts;
@@ -37,8 +40,8 @@
 
   /** How large the marks of this part may become. */
   int marksSize(RecordLayout layout) {
-    return PlacementRecordCodec.size(job.spec.id(), tasks, layout)
-        + job.claim().map(PlacementRecordCodec.Claim::size).orElse(0);
+    return PlacementRecordCodec.maximumSize(job.spec.id(), tasks, layout)
+        + job.claim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
   /** Where its tasks are, or may be. */
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -115,7 +115,7 @@
       Team team = teams.get(spec.team());
       boolean limited = team != null && team.hasQuotaLimit();
       Instant since = clock.instant().minus(age.isNegative() ? Duration.ZERO : age);
-      Job job = new Job(spec, entry.stamp(), since, limited);
+      Job job = new Job(spec, entry.revision(), since, limited);
       jobs.put(spec.id(), job);
       if (spec.isGang()) {
         gangs.add(job);
@@ -165,7 +165,7 @@
   List<String> missingIn(Set<String> keys) {
     List<String> missing = new ArrayList<>();
     for (String id : jobs.keySet()) {
-      if (!keys.contains(Keys.live(id))) {
+      if (!keys.contains(Keys.liveJob(id))) {
         missing.add(id);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -108,26 +108,26 @@
       former.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
       return;
     }
-    MachineRecordCodec.Entry entry = stored.entry();
-    if (layout == RecordLayout.BY_NUMBER) {
-      machine.number = entry.number();
-      roster.adopt(machine, MachineRecordCodec.size(entry), stored.value());
+    MachineRecordCodec.MachineRecord entry = stored.entry();
+    if (layout == RecordLayout.INDEXED) {
+      machine.number = entry.index();
+      roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value());
     } else {
-      roster.adopt(machine, MachineRecordCodec.size(entry), stored.value(), entry.number());
+      roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value(), entry.index());
     }
     machine.recorded = true;
   }
 
   /** The number of a stored machine is taken. */
   void noteNumber(StoredRecords.StoredMachine stored) {
-    if (stored.layout() == RecordLayout.BY_NUMBER) {
-      numbers.note(stored.entry().number());
+    if (stored.layout() == RecordLayout.INDEXED) {
+      numbers.note(stored.entry().index());
     }
   }
 
   /** Takes over the records of tasks of a job; those of the former layout are to be copied. */
   void adoptPart(Job job, StoredRecords.StoredPart stored) {
-    int first = stored.part().first();
+    int first = stored.part().firstTask();
     if (stored.layout() == layout) {
       JobPartition part = JobPartition.of(job, first, layout);
       marks.adopt(part, part.marksSize(layout), stored.value());
@@ -135,7 +135,7 @@
       return;
     }
     List<JobPartition> parts =
-        JobPartition.covering(job, first, first + stored.layout().partTasks(), layout);
+        JobPartition.covering(job, first, first + stored.layout().tasksPerPartition(), layout);
     parts.removeIf(found::contains);
     parts.forEach(part -> marks.put(part, part.marksSize(layout)));
     former.add(stored.key(), parts);
@@ -169,15 +169,15 @@
     refused.clear();
     emptyShards();
     for (String key : storedValues.roster().keySet()) {
-      if (RecordLayout.ofRoster(key).orElseThrow() == before) {
-        Collection<Machine> machines = formerRoster.items(Keys.number(key)).values();
+      if (RecordLayout.ofMachineKey(key).orElseThrow() == before) {
+        Collection<Machine> machines = formerRoster.items(Keys.valueNumber(key)).values();
         former.add(key, machines);
       }
     }
     formerRoster.all().forEach(this::copyMachine);
     for (String key : storedValues.marks().keySet()) {
-      if (RecordLayout.ofMarks(key).orElseThrow() == before) {
-        former.add(key, inLayout(formerMarks.items(Keys.number(key)).values()));
+      if (RecordLayout.ofPlacementKey(key).orElseThrow() == before) {
+        former.add(key, inLayout(formerMarks.items(Keys.valueNumber(key)).values()));
       }
     }
     Set<JobPartition> urgent = inLayout(formerMarks.itemsOf(formerMarks.urgent()));
@@ -243,10 +243,10 @@
 
   /** Gives the machine a place in the roster, unless it has one. */
   void assignPlace(Machine machine) {
-    if (layout == RecordLayout.BY_NUMBER && machine.number == 0) {
+    if (layout == RecordLayout.INDEXED && machine.number == 0) {
       machine.number = numbers.next();
     }
-    roster.put(machine, MachineRecordCodec.size(machine.rosterEntry(0)));
+    roster.put(machine, MachineRecordCodec.maximumSize(machine.rosterEntry(0)));
   }
 
   /** The machine's record is to be written within that time. */
@@ -312,8 +312,9 @@
 
   /** Whether nothing is left of a value of the layout that is written. */
   private boolean isUnused(String key) {
-    int value = Keys.number(key);
-    return layout.has(key) && (Keys.isMarks(key) ? marks.isEmpty(value) : roster.isEmpty(value));
+    int value = Keys.valueNumber(key);
+    return layout.containsKey(key)
+        && (Keys.isPlacementRecords(key) ? marks.isEmpty(value) : roster.isEmpty(value));
   }
 
   /** Whether something waits to be written now. */
@@ -351,7 +352,7 @@
     Instant now = clock.instant();
     writeRosters(roster.overdue(now), transaction);
     writeMarks(marks.overdue(now), transaction);
-    unused.fill(transaction, key -> !layout.has(key) || isUnused(key));
+    unused.fill(transaction, key -> !layout.containsKey(key) || isUnused(key));
     if (migration.isDue(now)) {
       migrate(transaction, now);
     }
@@ -380,18 +381,18 @@
 
   private void writeRosters(Collection<Integer> values, LeaderTransaction transaction) {
     for (int value : values) {
-      if (transaction.hasRoom() && refused.mayWrite(layout.rosterKey(value))) {
+      if (transaction.hasRoom() && refused.mayWrite(layout.machineKey(value))) {
         transaction.addRoster(layout, value, roster);
-        unused.remove(layout.rosterKey(value));
+        unused.remove(layout.machineKey(value));
       }
     }
   }
 
   private void writeMarks(Collection<Integer> values, LeaderTransaction transaction) {
     for (int value : values) {
-      if (refused.mayWrite(layout.marksKey(value)) && writeMachinesOf(value, transaction)) {
+      if (refused.mayWrite(layout.placementKey(value)) && writeMachinesOf(value, transaction)) {
         transaction.addMarks(layout, value, marks, this::numberOf);
-        unused.remove(layout.marksKey(value));
+        unused.remove(layout.placementKey(value));
       }
     }
   }
@@ -422,9 +423,9 @@
     if (home.isEmpty()) {
       return 0;
     }
-    return layout == RecordLayout.BY_NUMBER
+    return layout == RecordLayout.INDEXED
         ? machine.number
-        : PlacementRecordCodec.numberOfPlace(
+        : PlacementRecordCodec.positionalReference(
             home.get().shard(), home.get().place(), RecordPacker.PLACES);
   }
 
@@ -468,10 +469,10 @@
   /** Whether that is the machine's place in the roster. */
   boolean hasPlace(Machine machine, LeaderTransaction.StoredMachine stored) {
     Optional<RecordPacker.Home> home = roster.home(machine);
-    int number = stored.entry().number();
+    int number = stored.entry().index();
     return home.isPresent()
         && home.get().shard() == stored.value()
-        && number == (layout == RecordLayout.BY_NUMBER ? machine.number : home.get().place());
+        && number == (layout == RecordLayout.INDEXED ? machine.number : home.get().place());
   }
 
   /** Whether the roster has a place for the machine. */
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -75,7 +75,7 @@
         jobs.size(),
         inventory.size(),
         jobs.all().stream().mapToInt(job -> job.placed.size()).sum(),
-        inventory.all().stream().filter(machine -> !machine.maintenance.takesTasks()).count());
+        inventory.all().stream().filter(machine -> !machine.maintenance.isSchedulable()).count());
     return true;
   }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.storage.KeyValueStoreClient.Change;
-import io.pearscale.storage.KeyValueStoreClient.Guard;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
+import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -29,7 +29,7 @@
   private static final int LARGEST_BODY = 40 * 1024;
 
   /** A machine that a value of the roster names. */
-  record StoredMachine(int value, MachineRecordCodec.Entry entry) {}
+  record StoredMachine(int value, MachineRecordCodec.MachineRecord entry) {}
 
   /** What the term, its guard and the frame take. */
   private static final int FRAME_SIZE = 512;
@@ -43,8 +43,8 @@
   private static final int CHANGES_OF_AN_END = 2;
 
   private final int mostChanges;
-  private final List<Guard> guards = new ArrayList<>();
-  private final List<Change> changes = new ArrayList<>();
+  private final List<Precondition> guards = new ArrayList<>();
+  private final List<Mutation> changes = new ArrayList<>();
   private final int level;
   private int size = FRAME_SIZE;
 
@@ -69,8 +69,8 @@
   LeaderTransaction(int mostChanges, long term, long termStamp, long number, int level) {
     this.mostChanges = mostChanges;
     this.level = level;
-    guards.add(new Guard(Keys.TERM, termStamp));
-    changes.add(Change.write(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
+    guards.add(new Precondition(Keys.TERM, termStamp));
+    changes.add(Mutation.put(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
   }
 
   /** Whether another value can go along. */
@@ -101,15 +101,15 @@
     types.forEach(type -> list.add(type.toNode()));
     int length = body.toString().length();
     if (length < longest) {
-      changes.add(Change.write(Keys.CATALOGUE, body));
+      changes.add(Mutation.put(Keys.CATALOGUE, body));
       size += length;
     }
   }
 
   /** Adds a value of the roster. */
   void addRoster(RecordLayout layout, int number, RecordPacker<Machine> roster) {
-    boolean byNumber = layout == RecordLayout.BY_NUMBER;
-    List<MachineRecordCodec.Entry> entries = new ArrayList<>();
+    boolean byNumber = layout == RecordLayout.INDEXED;
+    List<MachineRecordCodec.MachineRecord> entries = new ArrayList<>();
     roster
         .items(number)
         .forEach(
@@ -118,7 +118,7 @@
     rosters.add(number);
     entries.forEach(entry -> machines.add(new StoredMachine(number, entry)));
     JsonNode value = MachineRecordCodec.encode(entries, level);
-    addRecord(layout.rosterKey(number), value, MachineRecordCodec.length(value));
+    addRecord(layout.machineKey(number), value, MachineRecordCodec.jsonLength(value));
     roster.sent(number);
   }
 
@@ -132,11 +132,11 @@
       int number,
       RecordPacker<JobPartition> parts,
       ToIntFunction<Machine> numberOf) {
-    List<PlacementRecordCodec.Part> encoded = new ArrayList<>();
+    List<PlacementRecordCodec.PartitionRecord> encoded = new ArrayList<>();
     parts.items(number).values().forEach(part -> encoded.add(marksOf(part, numberOf)));
     marks.add(number);
     JsonNode value = PlacementRecordCodec.encode(encoded, layout);
-    addRecord(layout.marksKey(number), value, PlacementRecordCodec.length(value));
+    addRecord(layout.placementKey(number), value, PlacementRecordCodec.jsonLength(value));
     parts.sent(number);
   }
 
@@ -146,7 +146,8 @@
     size += length;
   }
 
-  private PlacementRecordCodec.Part marksOf(JobPartition part, ToIntFunction<Machine> numberOf) {
+  private PlacementRecordCodec.PartitionRecord marksOf(
+      JobPartition part, ToIntFunction<Machine> numberOf) {
     Job job = part.job();
     int[] hosts = new int[part.tasks()];
     for (TaskAttempt attempt : part.placements()) {
@@ -160,18 +161,19 @@
     }
     BitSet doneTasks = part.done();
     done.put(part, doneTasks);
-    return new PlacementRecordCodec.Part(
+    return new PlacementRecordCodec.PartitionRecord(
         job.spec.id(), part.first(), doneTasks, hosts, job.claim());
   }
 
   /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
   void addEnd(Job job) {
     String id = job.spec.id();
-    guards.add(new Guard(Keys.live(id), job.stamp));
-    changes.add(Change.drop(Keys.live(id)));
+    guards.add(new Precondition(Keys.liveJob(id), job.stamp));
+    changes.add(Mutation.delete(Keys.liveJob(id)));
     changes.add(
-        Change.write(
-            Keys.past(id), MessagePack.map().put("stage", "done").put("pieces", job.spec.tasks())));
+        Mutation.put(
+            Keys.finishedJob(id),
+            MessagePack.map().put("stage", "done").put("pieces", job.spec.tasks())));
     finished.add(job);
     size += END_SIZE;
   }
@@ -184,12 +186,12 @@
 
   /** Holds the transaction to a key that it rests on. */
   void addGuard(String key, long stamp) {
-    guards.add(new Guard(key, stamp));
+    guards.add(new Precondition(key, stamp));
   }
 
   /** Adds the record of the level. */
   void addLevel(JsonNode record) {
-    changes.add(Change.write(Keys.LEVEL, record));
+    changes.add(Mutation.put(Keys.LEVEL, record));
     size += KEY_SIZE;
   }
 
@@ -200,20 +202,20 @@
 
   /** Adds the removal of a value in which nothing lives any more. */
   void addRemoval(String key) {
-    changes.add(Change.drop(key));
+    changes.add(Mutation.delete(key));
     dropped.add(key);
   }
 
   private void write(String key, JsonNode value) {
-    changes.add(Change.write(key, value));
+    changes.add(Mutation.put(key, value));
     size += KEY_SIZE;
   }
 
-  List<Guard> guards() {
+  List<Precondition> guards() {
     return guards;
   }
 
-  List<Change> changes() {
+  List<Mutation> changes() {
     return changes;
   }
 
--- a/src/main/java/io/pearscale/scheduler/LevelRaiser.java
+++ b/src/main/java/io/pearscale/scheduler/LevelRaiser.java
@@ -55,14 +55,14 @@
 
   /** The word of a controller has changed; one that can't be read says nothing. */
   void storedChanged(KeyChange change) {
-    String host = Keys.name(change.key());
+    String host = Keys.lastSegment(change.key());
     words.remove(host);
     change.entry().flatMap(LevelRaiser::wordOf).ifPresent(word -> words.put(host, word));
   }
 
   private static Optional<Word> wordOf(Entry entry) {
     try {
-      return Optional.of(new Word(MemberSupport.parse(entry.value()), entry.stamp()));
+      return Optional.of(new Word(MemberSupport.parse(entry.value()), entry.revision()));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -92,9 +92,9 @@
   boolean deleteSent;
 
   /** Whether it is in maintenance, and what of that is durably recorded. */
-  Maintenance maintenance = Maintenance.NONE;
+  Maintenance maintenance = Maintenance.IN_SERVICE;
 
-  Maintenance recordedMaintenance = Maintenance.NONE;
+  Maintenance recordedMaintenance = Maintenance.IN_SERVICE;
   Instant heard = Instant.MIN;
 
   /** When it first answered a command since its last report; only reports renew its lease. */
@@ -143,8 +143,8 @@
   }
 
   /** What the roster is to say of the machine, with the number by which marks name it. */
-  MachineRecordCodec.Entry rosterEntry(int byNumber) {
-    return new MachineRecordCodec.Entry(
+  MachineRecordCodec.MachineRecord rosterEntry(int byNumber) {
+    return new MachineRecordCodec.MachineRecord(
         byNumber,
         name,
         address,
--- a/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
@@ -74,10 +74,10 @@
   /** Tells of the values that may be removed now. */
   void removable(Consumer<String> take) {
     boolean marksLeft =
-        waiting.keySet().stream().anyMatch(k -> RecordLayout.ofMarks(k).isPresent());
+        waiting.keySet().stream().anyMatch(k -> RecordLayout.ofPlacementKey(k).isPresent());
     waiting.forEach(
         (key, items) -> {
-          boolean isRoster = RecordLayout.ofRoster(key).isPresent();
+          boolean isRoster = RecordLayout.ofMachineKey(key).isPresent();
           if (items.isEmpty() && !(isRoster && marksLeft)) {
             take.accept(key);
           }
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -62,7 +62,7 @@
   }
 
   private void adopt(StoredMachine stored) {
-    MachineRecordCodec.Entry entry = stored.entry();
+    MachineRecordCodec.MachineRecord entry = stored.entry();
     Machine machine = inventory.get(entry.machine());
     if (machine == null) {
       machine = machineOf(entry);
@@ -76,7 +76,7 @@
     records.adoptMachine(machine, stored);
   }
 
-  private Machine machineOf(MachineRecordCodec.Entry entry) {
+  private Machine machineOf(MachineRecordCodec.MachineRecord entry) {
     MachineType type = inventory.catalogue().typeOf(entry.type());
     boolean seen = !entry.address().isEmpty();
     Life life = entry.retiring() ? Life.RETIRING : seen ? Life.UP : Life.BOOTING;
@@ -88,29 +88,29 @@
     machine.maintenance = entry.maintenance();
     machine.recordedMaintenance = entry.maintenance();
     machine.everReported = seen;
-    machine.lease.recorded(entry.session());
+    machine.lease.recorded(entry.incarnation());
     return machine;
   }
 
   /** Finds how many tasks a job had that is over, but may still be somewhere. */
   private void noteRemains(StoredPart stored) {
-    PlacementRecordCodec.Part part = stored.part();
-    if (jobs.get(part.job()) == null && part.claim().isPresent()) {
+    PlacementRecordCodec.PartitionRecord part = stored.part();
+    if (jobs.get(part.job()) == null && part.quotaClaim().isPresent()) {
       Instant now = clock.instant();
       remains.merge(
           part.job(),
-          Job.remains(part, part.claim().get(), now),
+          Job.remains(part, part.quotaClaim().get(), now),
           (a, b) -> a.spec.tasks() >= b.spec.tasks() ? a : b);
     }
   }
 
   private void adopt(StoredPart stored) {
-    PlacementRecordCodec.Part part = stored.part();
+    PlacementRecordCodec.PartitionRecord part = stored.part();
     Job job = jobs.get(part.job());
     if (job == null) {
       job = remains.get(part.job());
     }
-    if (job != null && part.first() >= 0 && part.first() < job.spec.tasks()) {
+    if (job != null && part.firstTask() >= 0 && part.firstTask() < job.spec.tasks()) {
       adopt(job, stored);
     } else {
       records.noteUnused(stored);
@@ -123,22 +123,22 @@
    * only when the task is known to be gone from there. So it waits for that machine alone.
    */
   private void adopt(Job job, StoredPart stored) {
-    PlacementRecordCodec.Part part = stored.part();
+    PlacementRecordCodec.PartitionRecord part = stored.part();
     BitSet known = told.computeIfAbsent(job.spec.id(), id -> new BitSet());
     boolean written = records.isWritten(stored.layout());
-    int first = part.first();
-    part.done().stream()
+    int first = part.firstTask();
+    part.completed().stream()
         .map(i -> first + i)
         .filter(task -> task < job.spec.tasks())
         .forEach(job.done::set);
-    job.noteDurable(first, part.done());
+    job.noteDurable(first, part.completed());
     if (job.spec.isGang() && !job.done.isEmpty()) {
       // Its tasks complete together, also those of parts that were not written again.
       job.done.set(0, job.spec.tasks());
     }
     records.adoptPart(job, stored);
-    for (int i = 0; i < part.hosts().length && first + i < job.spec.tasks(); i++) {
-      Machine machine = numbered.get(stored.layout()).get(part.hosts()[i]);
+    for (int i = 0; i < part.machineReferences().length && first + i < job.spec.tasks(); i++) {
+      Machine machine = numbered.get(stored.layout()).get(part.machineReferences()[i]);
       if (machine != null && !job.done.get(first + i) && !known.get(first + i)) {
         TaskAttempt assumed =
             new TaskAttempt(
@@ -153,7 +153,7 @@
       }
     }
     if (written) {
-      known.set(first, first + stored.layout().partTasks());
+      known.set(first, first + stored.layout().tasksPerPartition());
     }
     if (job.complete()) {
       records.adoptEnd(job);
--- a/src/main/java/io/pearscale/scheduler/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/RecordMigration.java
@@ -63,24 +63,24 @@
     next = Instant.MIN;
     roster.forEach(
         (key, value) -> {
-          if (key.startsWith(RecordLayout.BY_PLACE.rosterPrefix())) {
+          if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
             MachineRecordCodec.levelOf(value)
-                .ifPresent(level -> levels.put(Keys.number(key), level));
+                .ifPresent(level -> levels.put(Keys.valueNumber(key), level));
           }
         });
   }
 
   /** The value was written in the form of the level. */
   void written(int value, int level) {
-    if (RecordLayout.ofLevel(level) == RecordLayout.BY_PLACE) {
+    if (RecordLayout.ofLevel(level) == RecordLayout.POSITIONAL) {
       levels.put(value, level);
     }
   }
 
   /** The key was removed. */
   void removed(String key) {
-    if (key.startsWith(RecordLayout.BY_PLACE.rosterPrefix())) {
-      levels.remove(Keys.number(key));
+    if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
+      levels.remove(Keys.valueNumber(key));
     }
   }
 
@@ -98,7 +98,7 @@
     next = now.plus(SPACING);
     Batch batch = new Batch(new LinkedHashSet<>(), new LinkedHashSet<>());
     former.offer(item -> take(batch, homeOfCopy.apply(item)));
-    if (RecordLayout.ofLevel(gate.inForce().written()) == RecordLayout.BY_PLACE) {
+    if (RecordLayout.ofLevel(gate.inForce().written()) == RecordLayout.POSITIONAL) {
       for (Map.Entry<Integer, Integer> value : levels.entrySet()) {
         if (value.getValue() != gate.inForce().written() && batch.size() < most) {
           batch.rosters.add(value.getKey());
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -164,7 +164,7 @@
     committing = true;
     lastCommit = clock.instant();
     lastChanges = transaction.changes().size();
-    state.commit(
+    state.compareAndSwap(
         transaction.guards(),
         transaction.changes(),
         executor.callback(reply -> committed(transaction, reply)));
@@ -181,7 +181,7 @@
     records.writeAgain(transaction);
     sources.forEach(source -> source.writeAgain(transaction));
     List<String> failed =
-        reply.status() == 409 ? KeyValueStoreClient.failedGuards(reply) : List.of();
+        reply.status() == 409 ? KeyValueStoreClient.failedPreconditions(reply) : List.of();
     if (reply.status() == 0 || failed.contains(Keys.TERM)) {
       executor.after(reply.status() == 0 ? READ_PAUSE : AT_ONCE, this::readTerm);
     } else if (failed.contains(Keys.LEVEL)) {
@@ -193,7 +193,7 @@
       // Somebody was faster with these jobs, by cancelling them; the watch brings the news.
       committing = false;
       transaction.finished().stream()
-          .filter(job -> failed.contains(Keys.live(job.spec.id())))
+          .filter(job -> failed.contains(Keys.liveJob(job.spec.id())))
           .forEach(records::withdrawEnd);
       plan();
     } else {
@@ -212,7 +212,7 @@
   }
 
   private void readTerm() {
-    state.read(Keys.TERM, executor.callback(this::termRead));
+    state.get(Keys.TERM, executor.callback(this::termRead));
   }
 
   /** After a transaction of unknown outcome: is the term still ours, and at which stamp? */
@@ -247,7 +247,7 @@
    * marks name machines by their places.
    */
   private void recorded(StoredMachine stored) {
-    MachineRecordCodec.Entry entry = stored.entry();
+    MachineRecordCodec.MachineRecord entry = stored.entry();
     Machine machine = inventory.get(entry.machine());
     if (machine != null && records.hasPlace(machine, stored)) {
       machine.recorded = true;
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -193,14 +193,14 @@
 
   private void changed(KeyChange change) {
     String key = change.key();
-    if (Keys.isLive(key)) {
+    if (Keys.isLiveJob(key)) {
       if (change.entry().isPresent()) {
         jobs.add(key, change.entry().get());
       } else {
         jobs.forgetUnreadable(key);
-        jobOver(Keys.name(key));
+        jobOver(Keys.lastSegment(key));
       }
-    } else if (Keys.isMarks(key) || Keys.isRoster(key)) {
+    } else if (Keys.isPlacementRecords(key) || Keys.isMachineRecords(key)) {
       records.storedValues().changed(change);
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       parts.drains.ifPresent(drains -> drains.storedChanged(change));
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/StoredRecords.java
@@ -23,25 +23,25 @@
  */
 record StoredRecords(List<StoredMachine> machines, List<StoredPart> tasks) {
   /** A machine, as one value says. */
-  record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.Entry entry) {
+  record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.MachineRecord entry) {
     /** The key of the value. */
     String key() {
-      return layout.rosterKey(value);
+      return layout.machineKey(value);
     }
 
     /** The number by which marks of the same layout name it. */
     int number() {
-      return layout == RecordLayout.BY_NUMBER
-          ? entry.number()
-          : PlacementRecordCodec.numberOfPlace(value, entry.number(), RecordPacker.PLACES);
+      return layout == RecordLayout.INDEXED
+          ? entry.index()
+          : PlacementRecordCodec.positionalReference(value, entry.index(), RecordPacker.PLACES);
     }
   }
 
   /** A part of a job, as one value says. */
-  record StoredPart(RecordLayout layout, int value, PlacementRecordCodec.Part part) {
+  record StoredPart(RecordLayout layout, int value, PlacementRecordCodec.PartitionRecord part) {
     /** The key of the value. */
     String key() {
-      return layout.marksKey(value);
+      return layout.placementKey(value);
     }
   }
 
@@ -66,13 +66,13 @@
     List<StoredMachine> machines =
         decode(
             roster,
-            key -> RecordLayout.ofRoster(key).orElseThrow(),
+            key -> RecordLayout.ofMachineKey(key).orElseThrow(),
             MachineRecordCodec::decode,
             StoredMachine::new);
     List<StoredPart> tasks =
         decode(
             marks,
-            key -> RecordLayout.ofMarks(key).orElseThrow(),
+            key -> RecordLayout.ofPlacementKey(key).orElseThrow(),
             PlacementRecordCodec::decode,
             StoredPart::new);
     machines.sort(Comparator.comparing(machine -> machine.layout() != written));
@@ -92,7 +92,7 @@
       try {
         RecordLayout layout = layoutOf.apply(key);
         for (T decoded : decoder.decode(value.getValue())) {
-          entries.add(maker.make(layout, Keys.number(key), decoded));
+          entries.add(maker.make(layout, Keys.valueNumber(key), decoded));
         }
       } catch (MalformedMessageException | NumberFormatException e) {
         throw new MalformedMessageException(key + ": " + e.getMessage());
--- a/src/main/java/io/pearscale/scheduler/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/StoredValues.java
@@ -25,7 +25,7 @@
 
   /** A value of marks or of the roster has changed. */
   void changed(KeyChange change) {
-    Map<String, JsonNode> stored = Keys.isMarks(change.key()) ? marks : roster;
+    Map<String, JsonNode> stored = Keys.isPlacementRecords(change.key()) ? marks : roster;
     change
         .entry()
         .ifPresentOrElse(
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -21,140 +21,161 @@
  * answered 429 here, at once, so that three controllers together never flood the service.
  */
 public final class KeyValueStoreClient {
-  private static final Duration QUICK = Duration.ofMillis(1500);
-  private static final Reply LIMITED = new Reply(429, MessagePack.MISSING);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
+  private static final Reply RATE_LIMITED = new Reply(429, MessagePack.MISSING);
 
   /** What a write is answered that this build must not make; it was not sent. */
-  private static final Reply NOT_ALLOWED = new Reply(503, MessagePack.MISSING);
+  private static final Reply WRITE_NOT_PERMITTED = new Reply(503, MessagePack.MISSING);
 
   private final EventLoop loop;
-  private final HttpClient calls;
+  private final HttpClient httpClient;
   private final String address;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final Supplier<OptionalLong> levelStamp;
-  private Optional<Instant> lastGood = Optional.empty();
+  private final TokenBucket requestBucket;
+  private final TokenBucket writeBucket;
+  private final Supplier<OptionalLong> levelRevision;
+  private Optional<Instant> lastSuccess = Optional.empty();
 
   /** Uses the service named in the settings, for writes only where no level was ever stored. */
-  public KeyValueStoreClient(EventLoop loop, HttpClient calls, Settings settings) {
-    this(loop, calls, settings, () -> OptionalLong.of(0));
+  public KeyValueStoreClient(EventLoop loop, HttpClient httpClient, Settings settings) {
+    this(loop, httpClient, settings, () -> OptionalLong.of(0));
   }
 
   /**
    * Uses the service named in the settings.
    *
-   * @param levelStamp the stamp of {@link Keys#LEVEL} as far as known, which guards each write;
+   * @param levelRevision the stamp of {@link Keys#LEVEL} as far as known, which guards each write;
    *     empty while this build must not write
    */
   public KeyValueStoreClient(
-      EventLoop loop, HttpClient calls, Settings settings, Supplier<OptionalLong> levelStamp) {
-    this.levelStamp = levelStamp;
+      EventLoop loop,
+      HttpClient httpClient,
+      Settings settings,
+      Supplier<OptionalLong> levelRevision) {
+    this.levelRevision = levelRevision;
     this.loop = loop;
-    this.calls = calls;
+    this.httpClient = httpClient;
     this.address = settings.storeAddress();
     // Load is uneven: one controller may take half of all, which leaves room for the two others.
-    this.requests = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
-    this.writes = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
+    this.requestBucket = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
+    this.writeBucket = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
   }
 
   /** Part of a transaction. */
-  public record Guard(String key, long stamp) {}
+  public record Precondition(String key, long revision) {}
 
   /** A change: a value to write, or none to drop the key; the grant it hangs on, if any. */
-  public record Change(String key, Optional<JsonNode> value, Optional<Long> grant) {
+  public record Mutation(String key, Optional<JsonNode> value, Optional<Long> leaseId) {
     /** Writes a value. */
-    public static Change write(String key, JsonNode value) {
-      return new Change(key, Optional.of(value), Optional.empty());
+    public static Mutation put(String key, JsonNode value) {
+      return new Mutation(key, Optional.of(value), Optional.empty());
     }
 
     /** Removes a key. */
-    public static Change drop(String key) {
-      return new Change(key, Optional.empty(), Optional.empty());
+    public static Mutation delete(String key) {
+      return new Mutation(key, Optional.empty(), Optional.empty());
     }
   }
 
   /** When the service last answered as it should. */
-  public Optional<Instant> lastGood() {
-    return lastGood;
+  public Optional<Instant> lastSuccess() {
+    return lastSuccess;
   }
 
   /** Whether so many changes could be sent now. */
-  public boolean canWrite(int changes) {
-    return writes.available(changes);
+  public boolean canWrite(int mutations) {
+    return writeBucket.canAcquire(mutations);
   }
 
   /**
    * Carries out the changes if every guard holds, and if the level of stored forms is still the one
    * that this controller knows: whoever missed a switch must not write in the old form.
    */
-  public void commit(List<Guard> guards, List<Change> changes, Consumer<Reply> answer) {
-    OptionalLong stamp = levelStamp.get();
-    if (stamp.isEmpty()) {
-      loop.execute(() -> answer.accept(NOT_ALLOWED));
+  public void compareAndSwap(
+      List<Precondition> preconditions, List<Mutation> mutations, Consumer<Reply> callback) {
+    OptionalLong revision = levelRevision.get();
+    if (revision.isEmpty()) {
+      loop.execute(() -> callback.accept(WRITE_NOT_PERMITTED));
       return;
     }
-    if (!writes.take(changes.size())) {
-      loop.execute(() -> answer.accept(LIMITED));
+    if (!writeBucket.tryAcquire(mutations.size())) {
+      loop.execute(() -> callback.accept(RATE_LIMITED));
       return;
     }
     ObjectNode body = MessagePack.map();
-    var g = body.putArray("guards");
-    guards.forEach(x -> g.addObject().put("key", x.key()).put("stamp", x.stamp()));
-    g.addObject().put("key", Keys.LEVEL).put("stamp", stamp.getAsLong());
-    var t = body.putArray("then");
-    for (Change c : changes) {
-      ObjectNode n = t.addObject();
-      if (c.value().isPresent()) {
-        n.put("write", c.key());
-        n.set("value", c.value().get());
-        c.grant().ifPresent(x -> n.put("claim", x));
+    var guardList = body.putArray("guards");
+    preconditions.forEach(
+        precondition ->
+            guardList
+                .addObject()
+                .put("key", precondition.key())
+                .put("stamp", precondition.revision()));
+    guardList.addObject().put("key", Keys.LEVEL).put("stamp", revision.getAsLong());
+    var mutationList = body.putArray("then");
+    for (Mutation mutation : mutations) {
+      ObjectNode node = mutationList.addObject();
+      if (mutation.value().isPresent()) {
+        node.put("write", mutation.key());
+        node.set("value", mutation.value().get());
+        mutation.leaseId().ifPresent(precondition -> node.put("claim", precondition));
       } else {
-        n.put("drop", c.key());
+        node.put("drop", mutation.key());
       }
     }
-    send("POST", "/commit", body, QUICK, answer);
+    send("POST", "/commit", body, REQUEST_TIMEOUT, callback);
   }
 
   /** Reads one key. */
-  public void read(String key, Consumer<Reply> answer) {
-    send("GET", "/keys/" + key, MessagePack.MISSING, QUICK, answer);
+  public void get(String key, Consumer<Reply> callback) {
+    send("GET", "/keys/" + key, MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
   /** Reads a page of the keys with a prefix. */
-  public void list(String prefix, Optional<String> since, int limit, Consumer<Reply> answer) {
+  public void list(String prefix, Optional<String> afterKey, int limit, Consumer<Reply> callback) {
     String path =
-        "/keys?prefix=" + prefix + since.map(s -> "&since=" + s).orElse("") + "&limit=" + limit;
-    send("GET", path, MessagePack.MISSING, Duration.ofSeconds(4), answer);
+        "/keys?prefix=" + prefix + afterKey.map(s -> "&since=" + s).orElse("") + "&limit=" + limit;
+    send("GET", path, MessagePack.MISSING, Duration.ofSeconds(4), callback);
   }
 
   /** Waits for changes. */
-  public void watch(String prefix, long since, Duration block, Consumer<Reply> answer) {
-    String path = "/watch?prefix=" + prefix + "&since=" + since + "&blockMs=" + block.toMillis();
-    send("GET", path, MessagePack.MISSING, block.plus(Duration.ofSeconds(2)), answer);
+  public void watch(
+      String prefix, long sinceRevision, Duration pollTimeout, Consumer<Reply> callback) {
+    String path =
+        "/watch?prefix="
+            + prefix
+            + "&since="
+            + sinceRevision
+            + "&blockMs="
+            + pollTimeout.toMillis();
+    send("GET", path, MessagePack.MISSING, pollTimeout.plus(Duration.ofSeconds(2)), callback);
   }
 
   /** Asks for a grant. */
-  public void grant(Duration ttl, Consumer<Reply> answer) {
-    send("POST", "/grants", MessagePack.map().put("ttlMs", ttl.toMillis()), QUICK, answer);
+  public void grantLease(Duration ttl, Consumer<Reply> callback) {
+    send(
+        "POST",
+        "/grants",
+        MessagePack.map().put("ttlMs", ttl.toMillis()),
+        REQUEST_TIMEOUT,
+        callback);
   }
 
   /** Renews a grant. */
-  public void extend(long grant, Consumer<Reply> answer) {
-    send("POST", "/grants/" + grant + "/extend", MessagePack.MISSING, QUICK, answer);
+  public void renewLease(long leaseId, Consumer<Reply> callback) {
+    send("POST", "/grants/" + leaseId + "/extend", MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
   /** Ends a grant. */
-  public void revoke(long grant, Consumer<Reply> answer) {
-    send("DELETE", "/grants/" + grant, MessagePack.MISSING, QUICK, answer);
+  public void revokeLease(long leaseId, Consumer<Reply> callback) {
+    send("DELETE", "/grants/" + leaseId, MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
   private void send(
-      String method, String path, JsonNode body, Duration timeout, Consumer<Reply> answer) {
-    if (!requests.take(1)) {
-      loop.execute(() -> answer.accept(LIMITED));
+      String method, String path, JsonNode body, Duration timeout, Consumer<Reply> callback) {
+    if (!requestBucket.tryAcquire(1)) {
+      loop.execute(() -> callback.accept(RATE_LIMITED));
       return;
     }
-    calls.call(
+    httpClient.call(
         address,
         method,
         path,
@@ -162,14 +183,14 @@
         timeout,
         reply -> {
           if (reply.status() == 200 || reply.status() == 409 || reply.status() == 404) {
-            lastGood = Optional.of(loop.clock().instant());
+            lastSuccess = Optional.of(loop.clock().instant());
           }
-          answer.accept(reply);
+          callback.accept(reply);
         });
   }
 
   /** The keys that an answer of 409 names. */
-  public static List<String> failedGuards(Reply reply) {
+  public static List<String> failedPreconditions(Reply reply) {
     List<String> keys = new ArrayList<>();
     reply.body().path("failed").forEach(n -> keys.add(n.asText()));
     return keys;
--- a/src/main/java/io/pearscale/storage/Keys.java
+++ b/src/main/java/io/pearscale/storage/Keys.java
@@ -2,12 +2,12 @@
 
 /**
  * The keys of the state service. All that a controller must hold in memory stands below {@link
- * #CURRENT}, one prefix and so one watch; jobs that are over stand apart and are read when asked
- * for, so that a restart stays cheap after months of finished jobs.
+ * #WATCHED_PREFIX}, one prefix and so one watch; jobs that are over stand apart and are read when
+ * asked for, so that a restart stays cheap after months of finished jobs.
  */
 public final class Keys {
   /** The watched prefix. */
-  public static final String CURRENT = "c/";
+  public static final String WATCHED_PREFIX = "c/";
 
   /** Who leads, attached to the leader's grant. */
   public static final String LEADER = "c/lead";
@@ -37,18 +37,18 @@
   /** All jobs that are not over. */
   public static final String LIVE_JOBS = "c/live/";
 
-  private static final String PAST = "p/";
+  private static final String FINISHED_JOBS = "p/";
 
   private Keys() {}
 
   /** A job that is not over. */
-  public static String live(String job) {
+  public static String liveJob(String job) {
     return LIVE_JOBS + job;
   }
 
   /** How a job ended. */
-  public static String past(String job) {
-    return PAST + job;
+  public static String finishedJob(String job) {
+    return FINISHED_JOBS + job;
   }
 
   /** What a controller says of its build. */
@@ -102,32 +102,32 @@
   }
 
   /** Whether the key is a job that is not over. */
-  public static boolean isLive(String key) {
+  public static boolean isLiveJob(String key) {
     return key.startsWith(LIVE_JOBS);
   }
 
   /** Whether the key holds marks, in the layout of any level. */
-  public static boolean isMarks(String key) {
-    return RecordLayout.ofMarks(key).isPresent();
+  public static boolean isPlacementRecords(String key) {
+    return RecordLayout.ofPlacementKey(key).isPresent();
   }
 
   /** Whether the key is a value of the roster, in the layout of any level. */
-  public static boolean isRoster(String key) {
-    return RecordLayout.ofRoster(key).isPresent();
+  public static boolean isMachineRecords(String key) {
+    return RecordLayout.ofMachineKey(key).isPresent();
   }
 
   /** Whether the key holds a record that a new leader must be able to read. */
-  public static boolean isNeededToLead(String key) {
-    return isLive(key) || isMarks(key) || isRoster(key);
+  public static boolean isRequiredToLead(String key) {
+    return isLiveJob(key) || isPlacementRecords(key) || isMachineRecords(key);
   }
 
   /** The job in the key of a job. */
-  public static String name(String key) {
+  public static String lastSegment(String key) {
     return key.substring(key.lastIndexOf('/') + 1);
   }
 
   /** The number in the key of marks or roster. */
-  public static int number(String key) {
+  public static int valueNumber(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
 }
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -20,59 +20,59 @@
   /**
    * A machine of the roster.
    *
-   * @param number by which marks of tasks name it: in the layout by place where it stands in its
+   * @param index by which marks of tasks name it: in the layout by place where it stands in its
    *     value, else a number of its own
    * @param address empty until the machine has reported
    * @param retiring whether it may be under deletion and must never be used again
    * @param maintenance whether it is in maintenance; not stored below level 1
    */
-  public record Entry(
-      int number,
+  public record MachineRecord(
+      int index,
       String machine,
       String address,
       String type,
       String zone,
       boolean spot,
-      long session,
+      long incarnation,
       boolean retiring,
       Maintenance maintenance) {}
 
   /** So many fields has an entry at level 0; another one from level 1 on. */
-  private static final int FIELDS_OF_LEVEL_0 = 8;
+  private static final int FIELDS_AT_LEVEL_0 = 8;
 
   private MachineRecordCodec() {}
 
   /** How large an entry may become. */
-  public static int size(Entry e) {
+  public static int maximumSize(MachineRecord record) {
     return 64
-        + e.machine.length()
-        + Math.max(24, e.address.length())
-        + e.type.length()
-        + e.zone.length();
+        + record.machine.length()
+        + Math.max(24, record.address.length())
+        + record.type.length()
+        + record.zone.length();
   }
 
   /** How long an encoded value is as JSON. */
-  public static int length(JsonNode value) {
+  public static int jsonLength(JsonNode value) {
     return value.toString().length();
   }
 
   /** Encodes a value in the form of the level. */
-  public static JsonNode encode(Collection<Entry> entries, int level) {
+  public static JsonNode encode(Collection<MachineRecord> records, int level) {
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray("m");
-    for (Entry e : entries) {
+    for (MachineRecord record : records) {
       ArrayNode fields = list.addArray();
       fields
-          .add(e.number)
-          .add(e.machine)
-          .add(e.address)
-          .add(e.type)
-          .add(e.zone)
-          .add(e.spot)
-          .add(e.session)
-          .add(e.retiring);
+          .add(record.index)
+          .add(record.machine)
+          .add(record.address)
+          .add(record.type)
+          .add(record.zone)
+          .add(record.spot)
+          .add(record.incarnation)
+          .add(record.retiring);
       if (level >= Feature.MACHINE_MAINTENANCE.level()) {
-        fields.add(e.maintenance.text());
+        fields.add(record.maintenance.encode());
       }
     }
     return value;
@@ -85,41 +85,42 @@
     JsonNode first = value.path("m").path(0);
     return first.isMissingNode()
         ? OptionalInt.empty()
-        : OptionalInt.of(first.size() > FIELDS_OF_LEVEL_0 ? 1 : 0);
+        : OptionalInt.of(first.size() > FIELDS_AT_LEVEL_0 ? 1 : 0);
   }
 
   /**
    * Decodes a value. An entry that can't be read is not taken for absent, as in {@link
    * PlacementRecordCodec}.
    */
-  public static List<Entry> decode(JsonNode value) throws MalformedMessageException {
-    List<Entry> entries = new ArrayList<>();
-    for (JsonNode n : MessageFields.list(MessageFields.requireMap(value), "m")) {
+  public static List<MachineRecord> decode(JsonNode value) throws MalformedMessageException {
+    List<MachineRecord> records = new ArrayList<>();
+    for (JsonNode fields : MessageFields.list(MessageFields.requireMap(value), "m")) {
       boolean complete =
-          n.path(0).isIntegralNumber()
-              && n.path(1).isTextual()
-              && n.path(2).isTextual()
-              && n.path(3).isTextual()
-              && n.path(4).isTextual()
-              && n.path(5).isBoolean()
-              && n.path(6).isIntegralNumber()
-              && n.path(7).isBoolean()
-              && (n.size() <= FIELDS_OF_LEVEL_0 || n.path(8).isTextual());
+          fields.path(0).isIntegralNumber()
+              && fields.path(1).isTextual()
+              && fields.path(2).isTextual()
+              && fields.path(3).isTextual()
+              && fields.path(4).isTextual()
+              && fields.path(5).isBoolean()
+              && fields.path(6).isIntegralNumber()
+              && fields.path(7).isBoolean()
+              && (fields.size() <= FIELDS_AT_LEVEL_0 || fields.path(8).isTextual());
       if (!complete) {
-        throw new MalformedMessageException("roster entry " + n.path(1).asText("without a name"));
+        throw new MalformedMessageException(
+            "roster entry " + fields.path(1).asText("without a name"));
       }
-      entries.add(
-          new Entry(
-              n.path(0).intValue(),
-              n.path(1).textValue(),
-              n.path(2).textValue(),
-              n.path(3).textValue(),
-              n.path(4).textValue(),
-              n.path(5).booleanValue(),
-              n.path(6).longValue(),
-              n.path(7).booleanValue(),
-              Maintenance.parse(n.path(8).asText(""))));
+      records.add(
+          new MachineRecord(
+              fields.path(0).intValue(),
+              fields.path(1).textValue(),
+              fields.path(2).textValue(),
+              fields.path(3).textValue(),
+              fields.path(4).textValue(),
+              fields.path(5).booleanValue(),
+              fields.path(6).longValue(),
+              fields.path(7).booleanValue(),
+              Maintenance.parse(fields.path(8).asText(""))));
     }
-    return entries;
+    return records;
   }
 }
--- a/src/main/java/io/pearscale/storage/Maintenance.java
+++ b/src/main/java/io/pearscale/storage/Maintenance.java
@@ -12,7 +12,7 @@
   /** How far a machine is on its way out of service and back. */
   public enum Stage {
     /** In service. */
-    NONE(""),
+    IN_SERVICE(""),
     /** Gets no new tasks, while those that it has are moved as budgets allow. */
     CORDONED("c"),
     /** Empty and out of service. */
@@ -28,33 +28,33 @@
   }
 
   /** In service. */
-  public static final Maintenance NONE = new Maintenance(Stage.NONE, "");
+  public static final Maintenance IN_SERVICE = new Maintenance(Stage.IN_SERVICE, "");
 
   private static final char SEPARATOR = ':';
 
   /** Whether there is anything to say. */
-  public boolean isNone() {
-    return stage == Stage.NONE;
+  public boolean isInService() {
+    return stage == Stage.IN_SERVICE;
   }
 
   /** Whether the machine may get tasks at all. */
-  public boolean takesTasks() {
-    return stage == Stage.NONE || stage == Stage.PROBATION;
+  public boolean isSchedulable() {
+    return stage == Stage.IN_SERVICE || stage == Stage.PROBATION;
   }
 
   /** The form in which it is stored. */
-  String text() {
-    return isNone() ? "" : stage.code + SEPARATOR + drain;
+  String encode() {
+    return isInService() ? "" : stage.code + SEPARATOR + drain;
   }
 
   /** Reads the stored form. */
   static Maintenance parse(String text) throws MalformedMessageException {
     if (text.isEmpty()) {
-      return NONE;
+      return IN_SERVICE;
     }
     int separator = text.indexOf(SEPARATOR);
     for (Stage stage : Stage.values()) {
-      if (stage != Stage.NONE && separator > 0 && text.startsWith(stage.code + SEPARATOR)) {
+      if (stage != Stage.IN_SERVICE && separator > 0 && text.startsWith(stage.code + SEPARATOR)) {
         return new Maintenance(stage, text.substring(separator + 1));
       }
     }
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -18,41 +18,46 @@
  * sent, so that a new leader need hold a task back for that one machine alone.
  */
 public final class PlacementRecordCodec {
-  private static final int MOST_BY_PLACE = 0xffff;
+  private static final int MAX_POSITIONAL_REFERENCE = 0xffff;
 
   /** Done tasks, hosts, three amounts and a team. */
-  private static final int TEXTS_WITH_CLAIM = 6;
+  private static final int FIELDS_WITH_QUOTA_CLAIM = 6;
 
   /** Quotes, colon and comma of an entry. */
-  private static final int JSON_PUNCTUATION = 6;
+  private static final int JSON_PUNCTUATION_LENGTH = 6;
 
   /** Between a job and the number of its part, where machines are named by place. */
-  private static final char PART = '/';
+  private static final char PARTITION_NUMBER_SEPARATOR = '/';
 
   /** Between a job and its part's first task, where machines are named by number. */
-  private static final char FIRST = ':';
+  private static final char FIRST_TASK_SEPARATOR = ':';
 
   /**
    * One part of a job.
    *
-   * @param first the part's first task
-   * @param done tasks that are done, numbered from the first
-   * @param hosts for each task the number of the machine that it may be on, or 0
-   * @param claim what each task takes of its team's limit, if there is one: a job that is cancelled
-   *     is described nowhere else, while its tasks still count
+   * @param firstTask the part's first task
+   * @param completed tasks that are done, numbered from the first
+   * @param machineReferences for each task the number of the machine that it may be on, or 0
+   * @param quotaClaim what each task takes of its team's limit, if there is one: a job that is
+   *     cancelled is described nowhere else, while its tasks still count
    */
-  public record Part(String job, int first, BitSet done, int[] hosts, Optional<Claim> claim) {}
+  public record PartitionRecord(
+      String job,
+      int firstTask,
+      BitSet completed,
+      int[] machineReferences,
+      Optional<QuotaClaim> quotaClaim) {}
 
   /** What a task takes, and of which team's limit. */
-  public record Claim(String team, double cpus, double gpus, double memoryGb) {
-    private static final int NUMBER = 24;
+  public record QuotaClaim(String team, double cpus, double gpus, double memoryGb) {
+    private static final int MAX_NUMBER_LENGTH = 24;
 
     /** How much longer a part's entry becomes by it. */
-    public int size() {
-      return team.length() + 3 * NUMBER + 4;
+    public int maximumSize() {
+      return team.length() + 3 * MAX_NUMBER_LENGTH + 4;
     }
 
-    private String text() {
+    private String encode() {
       return "|" + cpus + "|" + gpus + "|" + memoryGb + "|" + team;
     }
   }
@@ -60,64 +65,71 @@
   private PlacementRecordCodec() {}
 
   /** The number by which marks name the machine at a place of the roster. */
-  public static int numberOfPlace(int value, int place, int places) {
-    int number = value * places + place + 1;
-    if (number > MOST_BY_PLACE) {
+  public static int positionalReference(int value, int position, int slotsPerValue) {
+    int reference = value * slotsPerValue + position + 1;
+    if (reference > MAX_POSITIONAL_REFERENCE) {
       throw new IllegalArgumentException("the roster is full");
     }
-    return number;
+    return reference;
   }
 
   /** How large the entry of a part with so many tasks may become. */
-  public static int size(String job, int tasks, RecordLayout layout) {
-    return job.length() + 24 + base64(tasks / 8 + 1) + base64(layout.numberBytes() * tasks);
+  public static int maximumSize(String job, int taskCount, RecordLayout layout) {
+    return job.length()
+        + 24
+        + base64Length(taskCount / 8 + 1)
+        + base64Length(layout.machineReferenceBytes() * taskCount);
   }
 
-  private static int base64(int bytes) {
+  private static int base64Length(int bytes) {
     return (bytes + 2) / 3 * 4;
   }
 
   /** Encodes a value in the form of the layout. */
-  public static JsonNode encode(Collection<Part> parts, RecordLayout layout) {
+  public static JsonNode encode(Collection<PartitionRecord> partitions, RecordLayout layout) {
     ObjectNode value = MessagePack.map();
-    Base64.Encoder text = Base64.getEncoder().withoutPadding();
-    for (Part part : parts) {
+    Base64.Encoder base64 = Base64.getEncoder().withoutPadding();
+    for (PartitionRecord partition : partitions) {
       value.put(
-          name(part, layout),
-          text.encodeToString(part.done.toByteArray())
+          fieldName(partition, layout),
+          base64.encodeToString(partition.completed.toByteArray())
               + "|"
-              + text.encodeToString(numbers(part.hosts, layout.numberBytes()))
-              + part.claim.map(Claim::text).orElse(""));
+              + base64.encodeToString(
+                  encodeReferences(partition.machineReferences, layout.machineReferenceBytes()))
+              + partition.quotaClaim.map(QuotaClaim::encode).orElse(""));
     }
     return value;
   }
 
-  private static String name(Part part, RecordLayout layout) {
-    return layout == RecordLayout.BY_PLACE
-        ? part.job + PART + part.first / layout.partTasks()
-        : part.job + FIRST + part.first;
+  private static String fieldName(PartitionRecord partition, RecordLayout layout) {
+    return layout == RecordLayout.POSITIONAL
+        ? partition.job
+            + PARTITION_NUMBER_SEPARATOR
+            + partition.firstTask / layout.tasksPerPartition()
+        : partition.job + FIRST_TASK_SEPARATOR + partition.firstTask;
   }
 
   /** The numbers, the highest byte first, up to the last one that is not 0. */
-  private static byte[] numbers(int[] hosts, int width) {
+  private static byte[] encodeReferences(int[] references, int width) {
     int count = 0;
-    for (int i = 0; i < hosts.length; i++) {
-      count = hosts[i] > 0 ? i + 1 : count;
+    for (int i = 0; i < references.length; i++) {
+      count = references[i] > 0 ? i + 1 : count;
     }
     byte[] bytes = new byte[width * count];
     for (int i = 0; i < bytes.length; i++) {
       int shift = 8 * (width - 1 - i % width);
-      bytes[i] = (byte) (hosts[i / width] >> shift);
+      bytes[i] = (byte) (references[i / width] >> shift);
     }
     return bytes;
   }
 
   /** How long an encoded value is as JSON, without writing it out for that. */
-  public static int length(JsonNode value) {
+  public static int jsonLength(JsonNode value) {
     int length = 2;
-    for (var it = value.fields(); it.hasNext(); ) {
-      var entry = it.next();
-      length += entry.getKey().length() + entry.getValue().textValue().length() + JSON_PUNCTUATION;
+    for (var fields = value.fields(); fields.hasNext(); ) {
+      var entry = fields.next();
+      length +=
+          entry.getKey().length() + entry.getValue().textValue().length() + JSON_PUNCTUATION_LENGTH;
     }
     return length;
   }
@@ -126,50 +138,51 @@
    * Decodes a value. An entry that can't be read is not taken for absent: its tasks may run
    * somewhere, so whoever can't read it must not lead.
    */
-  public static List<Part> decode(JsonNode value) throws MalformedMessageException {
-    List<Part> parts = new ArrayList<>();
+  public static List<PartitionRecord> decode(JsonNode value) throws MalformedMessageException {
+    List<PartitionRecord> partitions = new ArrayList<>();
     for (var fields = MessageFields.requireMap(value).fields(); fields.hasNext(); ) {
       var field = fields.next();
       try {
-        parts.add(decode(field.getKey(), field.getValue().asText()));
+        partitions.add(decode(field.getKey(), field.getValue().asText()));
       } catch (IllegalArgumentException | IndexOutOfBoundsException | ArithmeticException e) {
         throw new MalformedMessageException("marks of " + field.getKey());
       }
     }
-    return parts;
+    return partitions;
   }
 
-  private static Part decode(String name, String entry) {
-    boolean byPlace = name.indexOf(PART) >= 0;
-    RecordLayout layout = byPlace ? RecordLayout.BY_PLACE : RecordLayout.BY_NUMBER;
-    int separator = name.lastIndexOf(byPlace ? PART : FIRST);
+  private static PartitionRecord decode(String name, String entry) {
+    boolean positional = name.indexOf(PARTITION_NUMBER_SEPARATOR) >= 0;
+    RecordLayout layout = positional ? RecordLayout.POSITIONAL : RecordLayout.INDEXED;
+    int separator =
+        name.lastIndexOf(positional ? PARTITION_NUMBER_SEPARATOR : FIRST_TASK_SEPARATOR);
     int number = Integer.parseInt(name.substring(separator + 1));
-    String[] text = entry.split("\\|", TEXTS_WITH_CLAIM);
+    String[] text = entry.split("\\|", FIELDS_WITH_QUOTA_CLAIM);
     byte[] bytes = Base64.getDecoder().decode(text[1]);
-    return new Part(
+    return new PartitionRecord(
         name.substring(0, separator),
-        byPlace ? Math.multiplyExact(number, layout.partTasks()) : number,
+        positional ? Math.multiplyExact(number, layout.tasksPerPartition()) : number,
         BitSet.valueOf(Base64.getDecoder().decode(text[0])),
-        hosts(bytes, layout.numberBytes()),
-        claim(text));
+        decodeReferences(bytes, layout.machineReferenceBytes()),
+        decodeQuotaClaim(text));
   }
 
-  private static int[] hosts(byte[] bytes, int width) {
-    int[] hosts = new int[bytes.length / width];
-    for (int i = 0; i < hosts.length * width; i++) {
-      hosts[i / width] = hosts[i / width] << 8 | bytes[i] & 0xff;
+  private static int[] decodeReferences(byte[] bytes, int width) {
+    int[] references = new int[bytes.length / width];
+    for (int i = 0; i < references.length * width; i++) {
+      references[i / width] = references[i / width] << 8 | bytes[i] & 0xff;
     }
-    return hosts;
+    return references;
   }
 
-  private static Optional<Claim> claim(String[] text) {
-    return text.length < TEXTS_WITH_CLAIM
+  private static Optional<QuotaClaim> decodeQuotaClaim(String[] fields) {
+    return fields.length < FIELDS_WITH_QUOTA_CLAIM
         ? Optional.empty()
         : Optional.of(
-            new Claim(
-                text[5],
-                Double.parseDouble(text[2]),
-                Double.parseDouble(text[3]),
-                Double.parseDouble(text[4])));
+            new QuotaClaim(
+                fields[5],
+                Double.parseDouble(fields[2]),
+                Double.parseDouble(fields[3]),
+                Double.parseDouble(fields[4])));
   }
 }
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -13,80 +13,80 @@
    * Below level 2. Marks name a machine by its place in the roster, so a machine stays where it is;
    * parts of jobs have up to 1,024 tasks.
    */
-  BY_PLACE("c/marks/", "c/roster/", 1024, 2),
+  POSITIONAL("c/marks/", "c/roster/", 1024, 2),
 
   /**
    * From level 2 on. Each machine has a number of its own, by which marks name it, so machines can
    * be recorded anywhere; parts of jobs are small enough for values of 2 KiB.
    */
-  BY_NUMBER("c/placements/", "c/machines/", 256, 3);
+  INDEXED("c/placements/", "c/machines/", 256, 3);
 
-  private static final int FIRST_LEVEL_BY_NUMBER = 2;
+  private static final int FIRST_INDEXED_LEVEL = 2;
 
-  private final String marksPrefix;
-  private final String rosterPrefix;
-  private final int partTasks;
-  private final int numberBytes;
+  private final String placementPrefix;
+  private final String machinePrefix;
+  private final int tasksPerPartition;
+  private final int machineReferenceBytes;
 
   RecordLayout(String marksPrefix, String rosterPrefix, int partTasks, int numberBytes) {
-    this.marksPrefix = marksPrefix;
-    this.rosterPrefix = rosterPrefix;
-    this.partTasks = partTasks;
-    this.numberBytes = numberBytes;
+    this.placementPrefix = marksPrefix;
+    this.machinePrefix = rosterPrefix;
+    this.tasksPerPartition = partTasks;
+    this.machineReferenceBytes = numberBytes;
   }
 
   /** The layout that is written at a level. */
   public static RecordLayout ofLevel(int level) {
-    return level < FIRST_LEVEL_BY_NUMBER ? BY_PLACE : BY_NUMBER;
+    return level < FIRST_INDEXED_LEVEL ? POSITIONAL : INDEXED;
   }
 
   /** The layout whose marks the key holds; empty for another key. */
-  public static Optional<RecordLayout> ofMarks(String key) {
-    return Arrays.stream(values()).filter(l -> key.startsWith(l.marksPrefix)).findFirst();
+  public static Optional<RecordLayout> ofPlacementKey(String key) {
+    return Arrays.stream(values()).filter(l -> key.startsWith(l.placementPrefix)).findFirst();
   }
 
   /** The layout whose roster the key belongs to; empty for another key. */
-  public static Optional<RecordLayout> ofRoster(String key) {
-    return Arrays.stream(values()).filter(l -> key.startsWith(l.rosterPrefix)).findFirst();
+  public static Optional<RecordLayout> ofMachineKey(String key) {
+    return Arrays.stream(values()).filter(l -> key.startsWith(l.machinePrefix)).findFirst();
   }
 
   /** Whether the key belongs to this layout. */
-  public boolean has(String key) {
-    return key.startsWith(marksPrefix) || key.startsWith(rosterPrefix);
+  public boolean containsKey(String key) {
+    return key.startsWith(placementPrefix) || key.startsWith(machinePrefix);
   }
 
   /** What the keys of all marks begin with. */
-  public String marksPrefix() {
-    return marksPrefix;
+  public String placementPrefix() {
+    return placementPrefix;
   }
 
   /** What the keys of the whole roster begin with. */
-  public String rosterPrefix() {
-    return rosterPrefix;
+  public String machinePrefix() {
+    return machinePrefix;
   }
 
   /** The key of a value of marks. */
-  public String marksKey(int number) {
-    return marksPrefix + number;
+  public String placementKey(int number) {
+    return placementPrefix + number;
   }
 
   /** The key of a value of the roster. */
-  public String rosterKey(int number) {
-    return rosterPrefix + number;
+  public String machineKey(int number) {
+    return machinePrefix + number;
   }
 
   /** The most tasks of one part of a job. */
-  public int partTasks() {
-    return partTasks;
+  public int tasksPerPartition() {
+    return tasksPerPartition;
   }
 
   /** How many bytes the number of a machine takes in marks. */
-  int numberBytes() {
-    return numberBytes;
+  int machineReferenceBytes() {
+    return machineReferenceBytes;
   }
 
   /** The other layout. */
   public RecordLayout other() {
-    return this == BY_PLACE ? BY_NUMBER : BY_PLACE;
+    return this == POSITIONAL ? INDEXED : POSITIONAL;
   }
 }
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -20,14 +20,14 @@
  * question. Both may overlap: what is not newer than the copy is passed over.
  */
 public final class StoreReplicaActor extends Actor<StoreReplicaActor.Message> {
-  private static final Duration BLOCK = Duration.ofSeconds(2);
-  private static final Duration REOPEN = Duration.ofMillis(50);
-  private static final Duration RETRY = Duration.ofMillis(500);
-  private static final Duration BARRIER_SPACING = Duration.ofMillis(150);
-  private static final int PAGE = 500;
+  private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration WATCH_REOPEN_DELAY = Duration.ofMillis(50);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(500);
+  private static final Duration BARRIER_INTERVAL = Duration.ofMillis(150);
+  private static final int PAGE_SIZE = 500;
 
   /** A key's value and revision. */
-  public record Entry(JsonNode value, long stamp) {}
+  public record Entry(JsonNode value, long revision) {}
 
   /** One changed key; no entry when it was dropped. */
   public record KeyChange(String key, Optional<Entry> entry) {}
@@ -42,13 +42,15 @@
    * Asks for a key as it is now or later than now; the answer is empty when the state service could
    * not tell.
    */
-  public record Ask(String key, Consumer<Optional<Optional<Entry>>> answer) implements Message {}
+  public record LinearizableRead(String key, Consumer<Optional<Optional<Entry>>> callback)
+      implements Message {}
 
-  private record Page(int generation, Reply reply) implements Message {}
+  private record PageReceived(int generation, Reply reply) implements Message {}
 
-  private record Watched(int generation, Instant sent, Reply reply) implements Message {}
+  private record WatchReceived(int generation, Instant sentAt, Reply reply) implements Message {}
 
-  private record Caught(int generation, Instant sent, List<Ask> asks, Reply reply)
+  private record BarrierReceived(
+      int generation, Instant sentAt, List<LinearizableRead> reads, Reply reply)
       implements Message {}
 
   private record SendBarrier() implements Message {}
@@ -56,206 +58,219 @@
   /** Takes what changed: first everything, then each batch of changes. */
   public interface Listener {
     /** The copy was loaded anew. */
-    void loaded(Map<String, Entry> all, long epoch);
+    void onSnapshotLoaded(Map<String, Entry> all, long storeRevision);
 
     /** Keys changed, in order. */
-    void changed(List<KeyChange> changes, long epoch);
+    void onKeysChanged(List<KeyChange> changes, long storeRevision);
 
     /** All that had changed by then has been told. */
-    void fresh(Instant asOf);
+    void onUpToDate(Instant asOf);
   }
 
-  private final KeyValueStoreClient state;
+  private final KeyValueStoreClient store;
   private final RandomGenerator random;
   private final List<Listener> listeners = new ArrayList<>();
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private List<Ask> waiting = new ArrayList<>();
-  private boolean barrierPlanned;
+  private List<LinearizableRead> pendingReads = new ArrayList<>();
+  private boolean barrierScheduled;
   private boolean loaded;
   private int generation;
-  private long epoch;
-  private long loadEpoch = -1;
-  private TreeMap<String, Entry> loading = new TreeMap<>();
+  private long storeRevision;
+  private long snapshotRevision = -1;
+  private TreeMap<String, Entry> snapshot = new TreeMap<>();
 
   /** Reads from the given service. */
-  public StoreReplicaActor(EventLoop loop, KeyValueStoreClient state, RandomGenerator random) {
+  public StoreReplicaActor(EventLoop loop, KeyValueStoreClient store, RandomGenerator random) {
     super(loop);
-    this.state = state;
+    this.store = store;
     this.random = random;
   }
 
   /** Adds one who is told of changes; before the start only. */
-  public void listen(Listener listener) {
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
   @Override
   protected void receive(Message message) {
     if (message instanceof Start) {
-      load();
-    } else if (message instanceof Page m && m.generation == generation) {
-      page(m.reply);
-    } else if (message instanceof Watched m && m.generation == generation) {
-      watched(m);
-    } else if (message instanceof Ask m) {
-      ask(m);
+      loadSnapshot();
+    } else if (message instanceof PageReceived received && received.generation == generation) {
+      onPage(received.reply);
+    } else if (message instanceof WatchReceived received && received.generation == generation) {
+      onWatchReply(received);
+    } else if (message instanceof LinearizableRead received) {
+      enqueueRead(received);
     } else if (message instanceof SendBarrier) {
       sendBarrier();
-    } else if (message instanceof Caught m) {
-      caught(m);
+    } else if (message instanceof BarrierReceived received) {
+      onBarrierReply(received);
     }
   }
 
-  private void load() {
+  private void loadSnapshot() {
     generation++;
     loaded = false;
-    loadEpoch = -1;
-    loading = new TreeMap<>();
-    nextPage();
+    snapshotRevision = -1;
+    snapshot = new TreeMap<>();
+    requestNextPage();
   }
 
-  private void nextPage() {
-    int g = generation;
-    state.list(
-        Keys.CURRENT,
-        loading.isEmpty() ? Optional.empty() : Optional.of(loading.lastKey()),
-        PAGE,
-        r -> tell(new Page(g, r)));
+  private void requestNextPage() {
+    int requestedGeneration = generation;
+    store.list(
+        Keys.WATCHED_PREFIX,
+        snapshot.isEmpty() ? Optional.empty() : Optional.of(snapshot.lastKey()),
+        PAGE_SIZE,
+        reply -> tell(new PageReceived(requestedGeneration, reply)));
   }
 
-  private void page(Reply reply) {
+  private void onPage(Reply reply) {
     if (!reply.ok() || !reply.body().path("pairs").isArray()) {
-      loop.after(jitter(RETRY), () -> tell(new Start()));
+      loop.after(withJitter(RETRY_DELAY), () -> tell(new Start()));
       return;
     }
-    if (loadEpoch < 0) {
+    if (snapshotRevision < 0) {
       // Changes since the first page are watched for; they mend what later pages saw too early.
-      loadEpoch = reply.body().path("epoch").asLong();
+      snapshotRevision = reply.body().path("epoch").asLong();
     }
-    int before = loading.size();
-    for (JsonNode n : reply.body().path("pairs")) {
-      loading.put(n.path("key").asText(), new Entry(n.path("value"), n.path("stamp").asLong()));
+    int sizeBefore = snapshot.size();
+    for (JsonNode pair : reply.body().path("pairs")) {
+      snapshot.put(
+          pair.path("key").asText(), new Entry(pair.path("value"), pair.path("stamp").asLong()));
     }
-    if (reply.body().path("more").asBoolean() && loading.size() > before) {
-      nextPage();
+    if (reply.body().path("more").asBoolean() && snapshot.size() > sizeBefore) {
+      requestNextPage();
       return;
     }
     entries.clear();
-    entries.putAll(loading);
-    loading = new TreeMap<>();
-    epoch = loadEpoch;
-    int g = generation;
-    watch(g, Duration.ZERO);
+    entries.putAll(snapshot);
+    snapshot = new TreeMap<>();
+    storeRevision = snapshotRevision;
+    int requestedGeneration = generation;
+    openWatch(requestedGeneration, Duration.ZERO);
   }
 
-  private void watch(int g, Duration block) {
-    Instant sent = loop.clock().instant();
-    state.watch(Keys.CURRENT, epoch, block, r -> tell(new Watched(g, sent, r)));
+  private void openWatch(int requestedGeneration, Duration pollTimeout) {
+    Instant sentAt = loop.clock().instant();
+    store.watch(
+        Keys.WATCHED_PREFIX,
+        storeRevision,
+        pollTimeout,
+        reply -> tell(new WatchReceived(requestedGeneration, sentAt, reply)));
   }
 
-  private void watched(Watched m) {
-    Reply reply = m.reply;
+  private void onWatchReply(WatchReceived received) {
+    Reply reply = received.reply;
     if (reply.status() == 410) {
-      load();
+      loadSnapshot();
       return;
     }
-    boolean good = reply.ok() && apply(reply);
-    if (good && !loaded) {
+    boolean valid = reply.ok() && applyWatchReply(reply);
+    if (valid && !loaded) {
       loaded = true;
-      log.info("event=replica_loaded keys={} epoch={}", entries.size(), epoch);
-      Map<String, Entry> all = new TreeMap<>(entries);
-      listeners.forEach(l -> l.loaded(all, epoch));
-      if (!waiting.isEmpty()) {
-        planBarrier();
+      log.info("event=replica_loaded keys={} epoch={}", entries.size(), storeRevision);
+      Map<String, Entry> snapshotEntries = new TreeMap<>(entries);
+      listeners.forEach(l -> l.onSnapshotLoaded(snapshotEntries, storeRevision));
+      if (!pendingReads.isEmpty()) {
+        scheduleBarrier();
       }
     }
-    if (good) {
-      listeners.forEach(l -> l.fresh(m.sent));
+    if (valid) {
+      listeners.forEach(l -> l.onUpToDate(received.sentAt));
     }
-    int g = generation;
+    int requestedGeneration = generation;
     loop.after(
-        good ? REOPEN : jitter(RETRY),
+        valid ? WATCH_REOPEN_DELAY : withJitter(RETRY_DELAY),
         () -> {
-          if (g == generation) {
-            watch(g, loaded ? BLOCK : Duration.ZERO);
+          if (requestedGeneration == generation) {
+            openWatch(requestedGeneration, loaded ? LONG_POLL_TIMEOUT : Duration.ZERO);
           }
         });
   }
 
   /** Applies a watch's answer; false when it is not one. */
-  private boolean apply(Reply reply) {
+  private boolean applyWatchReply(Reply reply) {
     JsonNode body = reply.body();
     if (!body.path("epoch").isIntegralNumber() || !body.path("events").isArray()) {
       return false;
     }
     List<KeyChange> changes = new ArrayList<>();
-    for (JsonNode e : body.path("events")) {
-      long stamp = e.path("stamp").asLong();
-      if (stamp <= epoch) {
+    for (JsonNode event : body.path("events")) {
+      long revision = event.path("stamp").asLong();
+      if (revision <= storeRevision) {
         continue;
       }
-      if (e.hasNonNull("write")) {
-        String key = e.path("write").asText();
-        Entry entry = new Entry(e.path("value"), stamp);
+      if (event.hasNonNull("write")) {
+        String key = event.path("write").asText();
+        Entry entry = new Entry(event.path("value"), revision);
         entries.put(key, entry);
         changes.add(new KeyChange(key, Optional.of(entry)));
-      } else if (e.hasNonNull("drop")) {
-        String key = e.path("drop").asText();
+      } else if (event.hasNonNull("drop")) {
+        String key = event.path("drop").asText();
         entries.remove(key);
         changes.add(new KeyChange(key, Optional.empty()));
       }
     }
-    epoch = Math.max(epoch, body.path("epoch").asLong());
+    storeRevision = Math.max(storeRevision, body.path("epoch").asLong());
     if (loaded && !changes.isEmpty()) {
-      listeners.forEach(l -> l.changed(changes, epoch));
+      listeners.forEach(l -> l.onKeysChanged(changes, storeRevision));
     }
     return true;
   }
 
-  private void ask(Ask ask) {
+  private void enqueueRead(LinearizableRead read) {
     if (!loaded) {
-      ask.answer.accept(Optional.empty());
+      read.callback.accept(Optional.empty());
       return;
     }
-    waiting.add(ask);
-    planBarrier();
+    pendingReads.add(read);
+    scheduleBarrier();
   }
 
-  private void planBarrier() {
-    if (!barrierPlanned) {
-      barrierPlanned = true;
+  private void scheduleBarrier() {
+    if (!barrierScheduled) {
+      barrierScheduled = true;
       loop.after(Duration.ofMillis(2), () -> tell(new SendBarrier()));
     }
   }
 
   private void sendBarrier() {
-    List<Ask> asks = waiting;
-    waiting = new ArrayList<>();
-    int g = generation;
-    Instant sent = loop.clock().instant();
-    state.watch(Keys.CURRENT, epoch, Duration.ZERO, r -> tell(new Caught(g, sent, asks, r)));
+    List<LinearizableRead> reads = pendingReads;
+    pendingReads = new ArrayList<>();
+    int requestedGeneration = generation;
+    Instant sentAt = loop.clock().instant();
+    store.watch(
+        Keys.WATCHED_PREFIX,
+        storeRevision,
+        Duration.ZERO,
+        reply -> tell(new BarrierReceived(requestedGeneration, sentAt, reads, reply)));
     loop.after(
-        BARRIER_SPACING,
+        BARRIER_INTERVAL,
         () -> {
-          barrierPlanned = false;
-          if (!waiting.isEmpty()) {
-            planBarrier();
+          barrierScheduled = false;
+          if (!pendingReads.isEmpty()) {
+            scheduleBarrier();
           }
         });
   }
 
-  private void caught(Caught m) {
-    boolean good = loaded && m.generation == generation && m.reply.ok() && apply(m.reply);
-    if (good) {
-      listeners.forEach(l -> l.fresh(m.sent));
+  private void onBarrierReply(BarrierReceived received) {
+    boolean valid =
+        loaded
+            && received.generation == generation
+            && received.reply.ok()
+            && applyWatchReply(received.reply);
+    if (valid) {
+      listeners.forEach(l -> l.onUpToDate(received.sentAt));
     }
-    for (Ask a : m.asks) {
-      a.answer.accept(
-          good ? Optional.of(Optional.ofNullable(entries.get(a.key))) : Optional.empty());
+    for (LinearizableRead read : received.reads) {
+      read.callback.accept(
+          valid ? Optional.of(Optional.ofNullable(entries.get(read.key))) : Optional.empty());
     }
   }
 
-  private Duration jitter(Duration d) {
-    return d.plusMillis(random.nextInt((int) d.toMillis()));
+  private Duration withJitter(Duration delay) {
+    return delay.plusMillis(random.nextInt((int) delay.toMillis()));
   }
 }
--- a/src/main/java/io/pearscale/storage/TokenBucket.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -7,38 +7,38 @@
 /** A rate with a burst of one second's worth. */
 public final class TokenBucket {
   private final EventLoop loop;
-  private final double perSecond;
+  private final double ratePerSecond;
   private double tokens;
-  private Instant filled;
+  private Instant lastRefill;
 
   /** Allows so many a second. */
   public TokenBucket(EventLoop loop, double perSecond) {
     this.loop = loop;
-    this.perSecond = perSecond;
+    this.ratePerSecond = perSecond;
     this.tokens = Math.max(1, perSecond);
-    this.filled = loop.clock().instant();
+    this.lastRefill = loop.clock().instant();
   }
 
-  private void fill() {
+  private void refill() {
     Instant now = loop.clock().instant();
-    double passed = Duration.between(filled, now).toNanos() / 1e9;
-    tokens = Math.min(Math.max(1, perSecond), tokens + passed * perSecond);
-    filled = now;
+    double elapsedSeconds = Duration.between(lastRefill, now).toNanos() / 1e9;
+    tokens = Math.min(Math.max(1, ratePerSecond), tokens + elapsedSeconds * ratePerSecond);
+    lastRefill = now;
   }
 
   /** Whether so many are left. */
-  public boolean available(int n) {
-    fill();
-    return tokens >= n;
+  public boolean canAcquire(int count) {
+    refill();
+    return tokens >= count;
   }
 
   /** Takes so many, or none. A batch over the burst is allowed from a full budget. */
-  public boolean take(int n) {
-    fill();
-    if (tokens < n && tokens < Math.max(1, perSecond) - 0.001) {
+  public boolean tryAcquire(int count) {
+    refill();
+    if (tokens < count && tokens < Math.max(1, ratePerSecond) - 0.001) {
       return false;
     }
-    tokens -= n;
+    tokens -= count;
     return true;
   }
 }
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -169,9 +169,9 @@
 
   @Test
   void machinesAreCordonedEmptiestFirstAndOnlySoManyAtOnce() {
-    machine("m-1", Maintenance.NONE, 3);
-    machine("m-2", Maintenance.NONE, 0);
-    machine("m-3", Maintenance.NONE, 1);
+    machine("m-1", Maintenance.IN_SERVICE, 3);
+    machine("m-2", Maintenance.IN_SERVICE, 0);
+    machine("m-3", Maintenance.IN_SERVICE, 1);
     drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1", "m-2", "m-3", "m-gone");
     Plan plan = plan(ledger(Kind.MOST_DOWN, 5), NOW);
     assertEquals(Map.of("m-2", cordoned("d1"), "m-3", cordoned("d1")), plan.changes());
@@ -198,13 +198,13 @@
     drain("d1", Afterwards.HOLD, Wish.CANCEL, Optional.empty(), "m-1", "m-2");
     Plan cancelled = plan(ledger(Kind.MOST_DOWN, 5), NOW);
     assertEquals(
-        Map.of("m-1", Maintenance.NONE, "m-2", new Maintenance(Stage.PROBATION, "d1")),
+        Map.of("m-1", Maintenance.IN_SERVICE, "m-2", new Maintenance(Stage.PROBATION, "d1")),
         cancelled.changes());
     assertEquals(List.of(), cancelled.stops());
     drains.clear();
     drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1", "m-2");
     Plan late = plan(ledger(Kind.MOST_DOWN, 5), NOW.plusSeconds(61));
-    assertEquals(Map.of("m-1", Maintenance.NONE), late.changes());
+    assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), late.changes());
     assertEquals(DrainStatus.State.FAILED, late.statuses().get("d1").state());
     assertTrue(late.statuses().get("d1").reasons().contains("its time was over"));
   }
@@ -212,7 +212,7 @@
   @Test
   void outsideOfItsWindowADrainHoldsStill() {
     machine("m-1", cordoned("d1"), 2);
-    machine("m-2", Maintenance.NONE, 0);
+    machine("m-2", Maintenance.IN_SERVICE, 0);
     windows.put(
         "night",
         new MaintenanceWindow(
--- a/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
@@ -9,7 +9,7 @@
 import io.pearscale.drain.Disruption;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.storage.KeyValueStoreClient.Change;
+import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import io.pearscale.transport.MessagePack;
@@ -35,7 +35,7 @@
   }
 
   private static JsonNode valueIn(LeaderTransaction transaction) {
-    Change last = transaction.changes().get(transaction.changes().size() - 1);
+    Mutation last = transaction.changes().get(transaction.changes().size() - 1);
     assertEquals("c/disrupted/0", last.key());
     return last.value().orElseThrow();
   }
--- a/src/test/java/io/pearscale/scheduler/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/ProbationTest.java
@@ -31,7 +31,7 @@
       machine.maintenance = new Maintenance(Stage.PROBATION, "d1");
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
       assertEquals(!urgent, Placer.allowedNow(job(priority), machine), "" + priority);
-      machine.maintenance = Maintenance.NONE;
+      machine.maintenance = Maintenance.IN_SERVICE;
       assertEquals(true, Placer.allowedNow(job(priority), machine), "" + priority);
     }
   }
--- a/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
@@ -33,8 +33,9 @@
   }
 
   private static JsonNode value(int level) {
-    MachineRecordCodec.Entry entry =
-        new MachineRecordCodec.Entry(0, "m", "a:1", "t", "z", false, 1, false, Maintenance.NONE);
+    MachineRecordCodec.MachineRecord entry =
+        new MachineRecordCodec.MachineRecord(
+            0, "m", "a:1", "t", "z", false, 1, false, Maintenance.IN_SERVICE);
     return MachineRecordCodec.encode(List.of(entry), level);
   }
 
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -60,7 +60,7 @@
   /** Places in a value of the roster, as the leader counts them. */
   private static final int PLACES = 64;
 
-  private final List<MachineRecordCodec.Entry> hosts = new ArrayList<>();
+  private final List<MachineRecordCodec.MachineRecord> hosts = new ArrayList<>();
   private int marked;
   private String via = "hive-0";
   private boolean holdCommits;
@@ -145,7 +145,7 @@
       case "host" -> {
         String m = w.get(1);
         hosts.add(
-            new MachineRecordCodec.Entry(
+            new MachineRecordCodec.MachineRecord(
                 hosts.size(),
                 m,
                 m,
@@ -154,7 +154,7 @@
                 false,
                 1,
                 w.get(2).equals("retiring"),
-                Maintenance.NONE));
+                Maintenance.IN_SERVICE));
         changed("c/roster/0", Optional.of(MachineRecordCodec.encode(hosts, 0)));
       }
       case "damaged" -> changed(w.get(1), Optional.of(World.map().put("wk-1/0", "?")));
@@ -245,26 +245,26 @@
       if (word.endsWith("=done")) {
         done.set(task);
       } else {
-        MachineRecordCodec.Entry e =
+        MachineRecordCodec.MachineRecord e =
             hosts.stream().filter(h -> h.machine().equals(parts[1])).findFirst().orElseThrow();
-        on[task] = PlacementRecordCodec.numberOfPlace(0, e.number(), PLACES);
+        on[task] = PlacementRecordCodec.positionalReference(0, e.index(), PLACES);
       }
     }
     changed(
         "c/marks/" + marked++,
         Optional.of(
             PlacementRecordCodec.encode(
-                List.of(new PlacementRecordCodec.Part(job, 0, done, on, claim(job))),
-                RecordLayout.BY_PLACE)));
+                List.of(new PlacementRecordCodec.PartitionRecord(job, 0, done, on, claim(job))),
+                RecordLayout.POSITIONAL)));
   }
 
   /** As a leader writes it: what the tasks of a job take of their team's limit. */
-  private Optional<PlacementRecordCodec.Claim> claim(String job) {
+  private Optional<PlacementRecordCodec.QuotaClaim> claim(String job) {
     JsonNode spec = keys.get("c/live/" + job).value().path("spec");
     String team = spec.path("crew").asText();
     return world.teams.stream().anyMatch(t -> t.name().equals(team) && t.hasQuotaLimit())
         ? Optional.of(
-            new PlacementRecordCodec.Claim(
+            new PlacementRecordCodec.QuotaClaim(
                 team,
                 spec.path("vcpus").asDouble(),
                 spec.path("accelerators").asDouble(),
@@ -283,17 +283,17 @@
     int index = Integer.parseInt(task.split("/")[1]);
     Map<Integer, String> names = new HashMap<>();
     for (Map.Entry<String, JsonNode> value : world.state.under("c/roster/").entrySet()) {
-      int number = Keys.number(value.getKey());
-      for (MachineRecordCodec.Entry e : MachineRecordCodec.decode(value.getValue())) {
-        names.put(PlacementRecordCodec.numberOfPlace(number, e.number(), PLACES), e.machine());
+      int number = Keys.valueNumber(value.getKey());
+      for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value.getValue())) {
+        names.put(PlacementRecordCodec.positionalReference(number, e.index(), PLACES), e.machine());
       }
     }
     for (JsonNode value : world.state.under("c/marks/").values()) {
-      for (PlacementRecordCodec.Part p : PlacementRecordCodec.decode(value)) {
-        if (p.job().equals(job) && p.done().get(index)) {
+      for (PlacementRecordCodec.PartitionRecord p : PlacementRecordCodec.decode(value)) {
+        if (p.job().equals(job) && p.completed().get(index)) {
           return "done";
-        } else if (p.job().equals(job) && index < p.hosts().length) {
-          return names.getOrDefault(p.hosts()[index], "none");
+        } else if (p.job().equals(job) && index < p.machineReferences().length) {
+          return names.getOrDefault(p.machineReferences()[index], "none");
         }
       }
     }
@@ -303,7 +303,7 @@
   /** What the roster says of a machine. */
   private String rosterOf(String machine) throws MalformedMessageException {
     for (JsonNode value : world.state.under("c/roster/").values()) {
-      for (MachineRecordCodec.Entry e : MachineRecordCodec.decode(value)) {
+      for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value)) {
         if (e.machine().equals(machine)) {
           return e.retiring() ? "retiring" : "usable";
         }
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -284,16 +284,17 @@
   private void checkNumbers(JsonNode body) {
     try {
       for (JsonNode change : body.path("then")) {
-        if (change.path("write").asText().startsWith(RecordLayout.BY_NUMBER.rosterPrefix())) {
+        if (change.path("write").asText().startsWith(RecordLayout.INDEXED.machinePrefix())) {
           MachineRecordCodec.decode(change.path("value"))
-              .forEach(entry -> numbers.add(entry.number()));
+              .forEach(entry -> numbers.add(entry.index()));
         }
       }
       for (JsonNode change : body.path("then")) {
         String key = change.path("write").asText();
-        if (key.startsWith(RecordLayout.BY_NUMBER.marksPrefix())) {
-          for (PlacementRecordCodec.Part part : PlacementRecordCodec.decode(change.path("value"))) {
-            for (int host : part.hosts()) {
+        if (key.startsWith(RecordLayout.INDEXED.placementPrefix())) {
+          for (PlacementRecordCodec.PartitionRecord part :
+              PlacementRecordCodec.decode(change.path("value"))) {
+            for (int host : part.machineReferences()) {
               if (host > 0 && !numbers.contains(host)) {
                 world.breaks("mark_without_machine", key + " names " + host + " for " + part.job());
               }
@@ -311,9 +312,10 @@
     ClusterLevel level = level();
     boolean byNumberOnly = level.migrated() && level.level() >= 2;
     for (RecordLayout layout : RecordLayout.values()) {
-      boolean mayStand = layout == RecordLayout.BY_PLACE ? !byNumberOnly : level.level() >= 2;
+      boolean mayStand = layout == RecordLayout.POSITIONAL ? !byNumberOnly : level.level() >= 2;
       if (!mayStand
-          && !(under(layout.marksPrefix()).isEmpty() && under(layout.rosterPrefix()).isEmpty())) {
+          && !(under(layout.placementPrefix()).isEmpty()
+              && under(layout.machinePrefix()).isEmpty())) {
         world.breaks("form_of_other_level", layout + " at " + level);
       }
     }
