--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -16,8 +16,8 @@
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
-import io.pearscale.upgrade.ClusterLevel;
 import io.pearscale.upgrade.Feature;
+import io.pearscale.upgrade.SchemaLevel;
 import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
@@ -192,8 +192,8 @@
         StateSession state, MachineSelector selector, List<String> machines, Set<String> drained)
         throws IOException, SettingsException, MalformedMessageException {
       Optional<Stored> level = state.read(Keys.LEVEL);
-      ClusterLevel inForce = ClusterLevel.ofStored(level.map(Stored::value));
-      if (!Feature.MACHINE_MAINTENANCE.isOn(inForce)) {
+      SchemaLevel inForce = SchemaLevel.fromStored(level.map(Stored::value));
+      if (!Feature.MACHINE_MAINTENANCE.isEnabledAt(inForce)) {
         return refuse("level 1 of the stored state is needed: pearscale upgrade finalise");
       }
       if (machines.isEmpty()) {
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -5,7 +5,7 @@
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.RecordLayout;
-import io.pearscale.upgrade.ClusterLevel;
+import io.pearscale.upgrade.SchemaLevel;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -37,8 +37,8 @@
   static List<RecordLayout> layouts(StateSession state)
       throws IOException, MalformedMessageException {
     Optional<Stored> level = state.read(Keys.LEVEL);
-    ClusterLevel inForce = ClusterLevel.ofStored(level.map(Stored::value));
-    RecordLayout written = RecordLayout.ofLevel(inForce.written());
+    SchemaLevel inForce = SchemaLevel.fromStored(level.map(Stored::value));
+    RecordLayout written = RecordLayout.ofLevel(inForce.writtenLevel());
     List<RecordLayout> layouts = new ArrayList<>();
     layouts.add(written);
     layouts.add(written.other());
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -54,14 +54,14 @@
     /** Says what would come of a step, or takes it. */
     int carryOut(StateSession state, UpgradeView view, Outcome outcome, Set<String> absent)
         throws IOException {
-      if (outcome instanceof UpgradePlan.Nothing nothing) {
-        say("nothing to do: " + nothing.why());
+      if (outcome instanceof UpgradePlan.NoChange nothing) {
+        say("nothing to do: " + nothing.reason());
         return 0;
       }
       if (outcome instanceof UpgradePlan.Refusal refusal) {
         return refuse(String.join("; ", refusal.reasons()));
       }
-      ObjectNode record = ((UpgradePlan.Change) outcome).next().toNode(view.storedLevel());
+      ObjectNode record = ((UpgradePlan.LevelChange) outcome).next().toNode(view.storedLevel());
       if (!absent.isEmpty()) {
         ArrayNode vouched = record.putArray("absent");
         absent.forEach(vouched::add);
@@ -109,10 +109,10 @@
         return OperatorCommand.EXIT_REFUSED;
       }
       say(
-          outcome instanceof UpgradePlan.Change change
+          outcome instanceof UpgradePlan.LevelChange change
               ? "finalise would raise level %d to %d"
                   .formatted(view.plan().get().inForce().level(), change.next().level())
-              : "nothing to do: " + ((UpgradePlan.Nothing) outcome).why());
+              : "nothing to do: " + ((UpgradePlan.NoChange) outcome).reason());
       return 0;
     }
   }
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -13,10 +13,10 @@
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.upgrade.ClusterLevel;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
 import io.pearscale.upgrade.MemberSupport;
+import io.pearscale.upgrade.SchemaLevel;
 import io.pearscale.upgrade.SupportedLevels;
 import io.pearscale.upgrade.UpgradePlan;
 import java.io.IOException;
@@ -69,22 +69,22 @@
     Map<Feature, List<String>> unsayable = new EnumMap<>(Feature.class);
     unsayable.put(Feature.MACHINE_MAINTENANCE, inMaintenance(records));
     unsayable.putAll(jobsOfLaterLevels(state.list(Keys.LIVE_JOBS), settings));
-    Optional<ClusterLevel> inForce = parse(level);
+    Optional<SchemaLevel> inForce = parse(level);
     return new UpgradeView(
         level,
         build,
         gate.objection(),
         hosts,
         members,
-        inForce.map(l -> pendingValues(records, l.written())).orElse(0),
+        inForce.map(l -> pendingValues(records, l.writtenLevel())).orElse(0),
         inForce.map(l -> new UpgradePlan(l, hosts, supports(members), unsayable)),
         state.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
         state.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
   }
 
-  private static Optional<ClusterLevel> parse(Optional<Stored> level) {
+  private static Optional<SchemaLevel> parse(Optional<Stored> level) {
     try {
-      return Optional.of(ClusterLevel.ofStored(level.map(Stored::value)));
+      return Optional.of(SchemaLevel.fromStored(level.map(Stored::value)));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
@@ -181,7 +181,7 @@
   }
 
   private String written() {
-    return plan.map(p -> Integer.toString(p.inForce().written())).orElse("unknown");
+    return plan.map(p -> Integer.toString(p.inForce().writtenLevel())).orElse("unknown");
   }
 
   private String migration() {
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -296,10 +296,11 @@
    */
   private Optional<Response> judgeSize(JobSpec spec) {
     int longest = settings.storeLimits().maxValueBytes();
-    if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().written())) <= longest) {
+    if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().writtenLevel())) <= longest) {
       return Optional.empty();
     }
-    return longestRecord(spec, RecordLayout.INDEXED) <= longest && level.knows(Feature.SMALL_VALUES)
+    return longestRecord(spec, RecordLayout.INDEXED) <= longest
+            && level.supports(Feature.SMALL_VALUES)
         ? Optional.of(Response.later(UPGRADED_LATER, "not all controllers take so many tasks yet"))
         : refuse("its tasks can't be recorded in values of " + longest + " bytes");
   }
@@ -322,7 +323,7 @@
     if (settings.agents().gangs().isEmpty()) {
       return refuse("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
     }
-    return level.isOn(Feature.GANG_JOBS)
+    return level.isEnabled(Feature.GANG_JOBS)
         ? Optional.empty()
         : Optional.of(Response.later(UPGRADED_LATER, "not all controllers serve gangs yet"));
   }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -107,7 +107,7 @@
     this.settings = settings;
     this.links = links;
     this.level = new LevelGate(supported.upTo(options.operations.highestLevel()));
-    this.state = new KeyValueStoreClient(loop, calls, settings, level::writeStamp);
+    this.state = new KeyValueStoreClient(loop, calls, settings, level::writeRevision);
     this.replica = new StoreReplicaActor(loop, state, random);
     this.api =
         new ApiActor(
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -146,7 +146,7 @@
     published.withdraw(key -> Keys.isDrainStatus(key) && !requests.isKnown(Keys.lastSegment(key)));
     closeWhatIsOver(now);
     ledger.update(loads(now));
-    if (level.isOn(Feature.MACHINE_MAINTENANCE)) {
+    if (level.isEnabled(Feature.MACHINE_MAINTENANCE)) {
       endProbations(now);
       releaseOrphans();
       carryOut(decide(now));
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -104,7 +104,7 @@
   void add(String key, Entry entry) {
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
-      if (spec.isGang() && !level.knows(Feature.GANG_JOBS)) {
+      if (spec.isGang() && !level.supports(Feature.GANG_JOBS)) {
         throw new MalformedMessageException("a gang job, which this build must not serve");
       }
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -80,7 +80,7 @@
   }
 
   private RecordLayout layoutInForce() {
-    return RecordLayout.ofLevel(gate.inForce().written());
+    return RecordLayout.ofLevel(gate.inForce().writtenLevel());
   }
 
   private void emptyShards() {
--- a/src/main/java/io/pearscale/scheduler/LevelRaiser.java
+++ b/src/main/java/io/pearscale/scheduler/LevelRaiser.java
@@ -68,11 +68,11 @@
     }
   }
 
-  private Optional<UpgradePlan.Change> step() {
+  private Optional<UpgradePlan.LevelChange> step() {
     Map<String, MemberSupport> members = new TreeMap<>();
     words.forEach((host, word) -> members.put(host, word.support));
     UpgradePlan plan = new UpgradePlan(gate.inForce(), hosts, members, Map.of());
-    return plan.automatic(gate.supported()) instanceof UpgradePlan.Change change
+    return plan.automaticUpgrade(gate.supported()) instanceof UpgradePlan.LevelChange change
         ? Optional.of(change)
         : Optional.empty();
   }
@@ -84,7 +84,7 @@
 
   @Override
   public void fill(LeaderTransaction transaction) {
-    Optional<UpgradePlan.Change> step = isDue() ? step() : Optional.empty();
+    Optional<UpgradePlan.LevelChange> step = isDue() ? step() : Optional.empty();
     if (step.isPresent() && transaction.hasRoom()) {
       next = clock.instant().plus(SPACING);
       JsonNode record = step.get().next().toNode(gate.stored());
--- a/src/main/java/io/pearscale/scheduler/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/RecordMigration.java
@@ -98,9 +98,9 @@
     next = now.plus(SPACING);
     Batch batch = new Batch(new LinkedHashSet<>(), new LinkedHashSet<>());
     former.offer(item -> take(batch, homeOfCopy.apply(item)));
-    if (RecordLayout.ofLevel(gate.inForce().written()) == RecordLayout.POSITIONAL) {
+    if (RecordLayout.ofLevel(gate.inForce().writtenLevel()) == RecordLayout.POSITIONAL) {
       for (Map.Entry<Integer, Integer> value : levels.entrySet()) {
-        if (value.getValue() != gate.inForce().written() && batch.size() < most) {
+        if (value.getValue() != gate.inForce().writtenLevel() && batch.size() < most) {
           batch.rosters.add(value.getKey());
         }
       }
@@ -120,6 +120,6 @@
 
   /** The record of the level, now that no batch is left. */
   JsonNode completedLevel() {
-    return gate.completed();
+    return gate.migrationCompletedRecord();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -154,7 +154,7 @@
             leadership.term(),
             leadership.termStamp(),
             ++commits,
-            level.inForce().written());
+            level.inForce().writtenLevel());
     records.fill(transaction, inventory.catalogue().types());
     sources.forEach(source -> source.fill(transaction));
     if (transaction.isEmpty() && !heartbeatDue) {
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -71,7 +71,7 @@
           .add(record.spot)
           .add(record.incarnation)
           .add(record.retiring);
-      if (level >= Feature.MACHINE_MAINTENANCE.level()) {
+      if (level >= Feature.MACHINE_MAINTENANCE.requiredLevel()) {
         fields.add(record.maintenance.encode());
       }
     }
--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -13,26 +13,26 @@
   /** Jobs of any size are recorded in values of 2 KiB. */
   SMALL_VALUES(2, "can't record the tasks of these jobs in a value: ");
 
-  private final int level;
-  private final String lacking;
+  private final int requiredLevel;
+  private final String limitation;
 
   Feature(int level, String lacking) {
-    this.level = level;
-    this.lacking = lacking;
+    this.requiredLevel = level;
+    this.limitation = lacking;
   }
 
   /** The level that it needs. */
-  public int level() {
-    return level;
+  public int requiredLevel() {
+    return requiredLevel;
   }
 
   /** What a level below lacks, to be followed by names. */
-  String lacking() {
-    return lacking;
+  String limitation() {
+    return limitation;
   }
 
   /** Whether it may be used under the level. */
-  public boolean isOn(ClusterLevel inForce) {
-    return inForce.written() >= level;
+  public boolean isEnabledAt(SchemaLevel inForce) {
+    return inForce.writtenLevel() >= requiredLevel;
   }
 }
--- a/src/main/java/io/pearscale/upgrade/LevelGate.java
+++ b/src/main/java/io/pearscale/upgrade/LevelGate.java
@@ -17,25 +17,25 @@
  */
 public final class LevelGate {
   /** The stamp of a key that does not exist. */
-  private static final long ABSENT = 0;
+  private static final long ABSENT_REVISION = 0;
 
   private final SupportedLevels supported;
-  private long stamp = ABSENT;
-  private ClusterLevel inForce = ClusterLevel.UNVERSIONED;
+  private long revision = ABSENT_REVISION;
+  private SchemaLevel inForce = SchemaLevel.UNVERSIONED;
   private JsonNode stored = MessagePack.MISSING;
   private Optional<String> objection;
 
   /** A gate for a build that supports those levels; until told otherwise level 0 is in force. */
   public LevelGate(SupportedLevels supported) {
     this.supported = supported;
-    this.objection = objectionTo(ClusterLevel.UNVERSIONED);
+    this.objection = objectionTo(SchemaLevel.UNVERSIONED);
   }
 
   /** The stored level has changed; empty when there is none. */
-  public void update(Optional<JsonNode> value, long newStamp) {
-    stamp = value.isPresent() ? newStamp : ABSENT;
+  public void update(Optional<JsonNode> value, long newRevision) {
+    revision = value.isPresent() ? newRevision : ABSENT_REVISION;
     stored = value.orElse(MessagePack.MISSING);
-    objection = judge(value);
+    objection = evaluate(value);
   }
 
   /**
@@ -43,8 +43,8 @@
    * written under it. A write that was decided before a switch and is sent after it must neither go
    * out with the old stamp, nor, since it has the old form, with the new one.
    */
-  public OptionalLong writeStamp() {
-    return objection.isEmpty() ? OptionalLong.of(stamp) : OptionalLong.empty();
+  public OptionalLong writeRevision() {
+    return objection.isEmpty() ? OptionalLong.of(revision) : OptionalLong.empty();
   }
 
   /** Why this controller must stay out; empty when it may take part. */
@@ -53,7 +53,7 @@
   }
 
   /** The level in force; without a meaning while there is an objection. */
-  public ClusterLevel inForce() {
+  public SchemaLevel inForce() {
     return inForce;
   }
 
@@ -63,13 +63,13 @@
   }
 
   /** Whether the build knows the feature, whichever level is in force. */
-  public boolean knows(Feature feature) {
-    return supported.contains(feature.level());
+  public boolean supports(Feature feature) {
+    return supported.contains(feature.requiredLevel());
   }
 
   /** Whether the feature may be used. */
-  public boolean isOn(Feature feature) {
-    return feature.isOn(inForce);
+  public boolean isEnabled(Feature feature) {
+    return feature.isEnabledAt(inForce);
   }
 
   /** The record of the level as it is stored; missing if there is none. */
@@ -78,20 +78,20 @@
   }
 
   /** The record of the level once all records have the form that is written. */
-  public ObjectNode completed() {
-    return inForce.completed().toNode(stored);
+  public ObjectNode migrationCompletedRecord() {
+    return inForce.migrationCompleted().toNode(stored);
   }
 
-  private Optional<String> judge(Optional<JsonNode> value) {
+  private Optional<String> evaluate(Optional<JsonNode> value) {
     try {
-      inForce = ClusterLevel.ofStored(value);
+      inForce = SchemaLevel.fromStored(value);
       return objectionTo(inForce);
     } catch (MalformedMessageException e) {
       return Optional.of("the level of the stored state can't be read: " + e.getMessage());
     }
   }
 
-  private Optional<String> objectionTo(ClusterLevel inForce) {
+  private Optional<String> objectionTo(SchemaLevel inForce) {
     return supported.contains(inForce.level())
         ? Optional.empty()
         : Optional.of(
--- a/src/main/java/io/pearscale/upgrade/SupportedLevels.java
+++ b/src/main/java/io/pearscale/upgrade/SupportedLevels.java
@@ -20,8 +20,8 @@
   }
 
   /** The same without the levels above that one, as a build before them supported. */
-  public SupportedLevels upTo(int most) {
-    return new SupportedLevels(Math.min(lowest, most), Math.min(highest, most));
+  public SupportedLevels upTo(int highestAllowed) {
+    return new SupportedLevels(Math.min(lowest, highestAllowed), Math.min(highest, highestAllowed));
   }
 
   /** Whether the level lies in the range. */
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -13,22 +13,22 @@
  * @param inForce the level as it is stored
  * @param hosts all configured controllers
  * @param members what the controllers that run say of themselves
- * @param unsayable what the records say that can be said from a feature's level on only
+ * @param incompatibleRecords what the records say that can be said from a feature's level on only
  */
 public record UpgradePlan(
-    ClusterLevel inForce,
+    SchemaLevel inForce,
     Set<String> hosts,
     Map<String, MemberSupport> members,
-    Map<Feature, List<String>> unsayable) {
+    Map<Feature, List<String>> incompatibleRecords) {
 
   /** What comes of a wish. */
   public sealed interface Outcome {}
 
   /** The level is to become this. */
-  public record Change(ClusterLevel next) implements Outcome {}
+  public record LevelChange(SchemaLevel next) implements Outcome {}
 
   /** Nothing is to be done, and why. */
-  public record Nothing(String why) implements Outcome {}
+  public record NoChange(String reason) implements Outcome {}
 
   /** The step must not be taken, and why. */
   public record Refusal(List<String> reasons) implements Outcome {}
@@ -37,23 +37,24 @@
    * Raises the level by one.
    *
    * @param build what the operator's own build supports
-   * @param absent controllers that are away, which the operator vouches for
+   * @param confirmedAbsent controllers that are away, which the operator vouches for
    */
-  public Outcome finalise(SupportedLevels build, Set<String> absent) {
-    int target = inForce.isGoingBack() ? inForce.level() : inForce.level() + 1;
+  public Outcome finalise(SupportedLevels build, Set<String> confirmedAbsent) {
+    int target = inForce.isRollingBack() ? inForce.level() : inForce.level() + 1;
     if (target > build.highest()) {
       return inForce.migrated()
-          ? new Nothing("level " + inForce.level() + " is the highest that this build supports")
-          : new Nothing("level " + inForce.level() + " is in force, its records are migrated");
+          ? new NoChange("level " + inForce.level() + " is the highest that this build supports")
+          : new NoChange("level " + inForce.level() + " is in force, its records are migrated");
     }
-    List<String> reasons = objections(target, absent);
-    if (!inForce.isGoingBack() && !inForce.migrated()) {
+    List<String> reasons = objectionsTo(target, confirmedAbsent);
+    if (!inForce.isRollingBack() && !inForce.migrated()) {
       reasons.add("the records of level " + inForce.level() + " are still migrated");
     }
     if (!reasons.isEmpty()) {
       return new Refusal(reasons);
     }
-    return new Change(inForce.isGoingBack() ? inForce.resumed() : inForce.raisedTo(target));
+    return new LevelChange(
+        inForce.isRollingBack() ? inForce.resumed() : inForce.upgradedTo(target));
   }
 
   /**
@@ -62,28 +63,29 @@
    *
    * @param build what the leader's own build supports
    */
-  public Outcome automatic(SupportedLevels build) {
-    if (inForce.held()) {
-      return new Nothing("an operator has taken a step back");
+  public Outcome automaticUpgrade(SupportedLevels build) {
+    if (inForce.pinned()) {
+      return new NoChange("an operator has taken a step back");
     }
     int target = build.highest();
     for (MemberSupport member : members.values()) {
       target = Math.min(target, member.levels().highest());
     }
     if (target <= inForce.level() || !inForce.migrated()) {
-      return new Nothing("level " + inForce.level() + " stays in force");
+      return new NoChange("level " + inForce.level() + " stays in force");
     }
-    List<String> reasons = objections(target, Set.of());
-    return reasons.isEmpty() ? new Change(inForce.raisedTo(target)) : new Refusal(reasons);
+    List<String> reasons = objectionsTo(target, Set.of());
+    return reasons.isEmpty() ? new LevelChange(inForce.upgradedTo(target)) : new Refusal(reasons);
   }
 
   /** Takes the last step back: the records get the forms of the level below. */
   public Outcome rollback(SupportedLevels build) {
     if (inForce.level() == 0) {
-      return new Nothing("level 0 is in force, there is nothing to take back");
+      return new NoChange("level 0 is in force, there is nothing to take back");
     }
-    if (inForce.isGoingBack()) {
-      return new Nothing("the records are already written in the forms of " + inForce.written());
+    if (inForce.isRollingBack()) {
+      return new NoChange(
+          "the records are already written in the forms of " + inForce.writtenLevel());
     }
     int target = inForce.level() - 1;
     List<String> reasons = new ArrayList<>();
@@ -96,27 +98,28 @@
             reasons.add(host + " supports " + member.levels() + ", not level " + target);
           }
         });
-    unsayable.forEach(
-        (feature, what) -> {
-          if (target < feature.level() && !what.isEmpty()) {
-            reasons.add("level " + target + " " + feature.lacking() + String.join(", ", what));
+    incompatibleRecords.forEach(
+        (feature, records) -> {
+          if (target < feature.requiredLevel() && !records.isEmpty()) {
+            reasons.add(
+                "level " + target + " " + feature.limitation() + String.join(", ", records));
           }
         });
-    return reasons.isEmpty() ? new Change(inForce.goingBack()) : new Refusal(reasons);
+    return reasons.isEmpty() ? new LevelChange(inForce.rollingBack()) : new Refusal(reasons);
   }
 
   /** What holds the level up; empty when all controllers support it. */
-  private List<String> objections(int target, Set<String> absent) {
+  private List<String> objectionsTo(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
     for (String host : new TreeSet<>(hosts)) {
       MemberSupport member = members.get(host);
-      if (member == null && !absent.contains(host)) {
+      if (member == null && !confirmedAbsent.contains(host)) {
         reasons.add(host + " was not seen: it is away, or its build does not say what it supports");
       } else if (member != null && !member.levels().contains(target)) {
         reasons.add(host + " supports " + member.levels() + ", not level " + target);
       }
     }
-    for (String host : new TreeSet<>(absent)) {
+    for (String host : new TreeSet<>(confirmedAbsent)) {
       if (!hosts.contains(host)) {
         reasons.add(host + " is no controller of this cluster");
       } else if (members.containsKey(host)) {
@@ -128,14 +131,14 @@
 
   /** What an operator does next. */
   public String nextStep(SupportedLevels build) {
-    if (inForce.isGoingBack()) {
-      return "wait until level " + inForce.written() + " is in force, or finalise again";
+    if (inForce.isRollingBack()) {
+      return "wait until level " + inForce.writtenLevel() + " is in force, or finalise again";
     }
     if (!inForce.migrated()) {
       return "wait until all records are at level " + inForce.level();
     }
     Outcome outcome = finalise(build, Set.of());
-    if (outcome instanceof Change change) {
+    if (outcome instanceof LevelChange change) {
       return "finalise level " + change.next().level();
     }
     return outcome instanceof Refusal refusal
--- a/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
+++ b/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pearscale.upgrade.ClusterLevel;
+import io.pearscale.upgrade.SchemaLevel;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -21,7 +21,7 @@
   private static final int PORT = 19700;
   private static final int GANG = 4;
   private static final String OPERATIONS = "(announce-support-s 5)";
-  private static final ClusterLevel SMALL_VALUES = new ClusterLevel(2, 2, true);
+  private static final SchemaLevel SMALL_VALUES = new SchemaLevel(2, 2, true);
   private static final String SCENARIO =
       """
       nodes 3
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -319,7 +319,7 @@
                   DrainRequest.Wish.valueOf(w.get(2))));
       case "level-back" -> {
         int level = world.state.level().level();
-        world.state.set("c/level", world.state.level().goingBack().toNode(World.map()));
+        world.state.set("c/level", world.state.level().rollingBack().toNode(World.map()));
         world.note("level " + level + " is taken back");
       }
       case "limits" -> {
--- a/src/test/java/io/pearscale/sim/SimNode.java
+++ b/src/test/java/io/pearscale/sim/SimNode.java
@@ -223,7 +223,7 @@
 
   /** Builds from before level 2 say nothing of themselves unless they are told to. */
   private Operations operations() {
-    return running.contains(Feature.GANG_JOBS.level()) || !world.operations.automaticLevel()
+    return running.contains(Feature.GANG_JOBS.requiredLevel()) || !world.operations.automaticLevel()
         ? world.operations
         : Operations.off();
   }
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -7,7 +7,7 @@
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.transport.HttpClient.Reply;
-import io.pearscale.upgrade.ClusterLevel;
+import io.pearscale.upgrade.SchemaLevel;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -309,7 +309,7 @@
 
   /** No record has a later form than the level in force, nor another one once all are migrated. */
   private void checkForms() {
-    ClusterLevel level = level();
+    SchemaLevel level = level();
     boolean byNumberOnly = level.migrated() && level.level() >= 2;
     for (RecordLayout layout : RecordLayout.values()) {
       boolean mayStand = layout == RecordLayout.POSITIONAL ? !byNumberOnly : level.level() >= 2;
@@ -322,7 +322,7 @@
     under("c/roster/")
         .forEach(
             (key, value) -> {
-              int form = MachineRecordCodec.levelOf(value).orElse(level.written());
+              int form = MachineRecordCodec.levelOf(value).orElse(level.writtenLevel());
               if (form > level.level() || level.migrated() && form < level.level()) {
                 world.breaks("form_of_other_level", key + " has form " + form + " at " + level);
               }
@@ -330,11 +330,11 @@
   }
 
   /** The stored level. */
-  ClusterLevel level() {
+  SchemaLevel level() {
     try {
       return pairs.containsKey("c/level")
-          ? ClusterLevel.parse(pairs.get("c/level").value)
-          : ClusterLevel.UNVERSIONED;
+          ? SchemaLevel.parse(pairs.get("c/level").value)
+          : SchemaLevel.UNVERSIONED;
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pearscale.sim.Drill.Said;
-import io.pearscale.upgrade.ClusterLevel;
+import io.pearscale.upgrade.SchemaLevel;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,8 +23,8 @@
   private static final int ROUNDS = Integer.getInteger("pearscale.upgradeRounds", 2);
   private static final int PORT = 19500;
   private static final int EXIT_REFUSED = 4;
-  private static final ClusterLevel RAISED = new ClusterLevel(1, 1, true);
-  private static final ClusterLevel TAKEN_BACK = new ClusterLevel(0, 0, true, /* held= */ true);
+  private static final SchemaLevel RAISED = new SchemaLevel(1, 1, true);
+  private static final SchemaLevel TAKEN_BACK = new SchemaLevel(0, 0, true, /* held= */ true);
   private static final String NEW_BUILD = "(announce-support-s 5)";
   private static final String OLD_BUILD = NEW_BUILD + "\n(highest-level 0)";
   private static final String SCENARIO =
@@ -46,7 +46,7 @@
   }
 
   /** All records have the level's forms. */
-  private boolean isInForce(ClusterLevel level) {
+  private boolean isInForce(SchemaLevel level) {
     return drill.world.state.level().equals(level);
   }
 
--- a/src/test/java/io/pearscale/sim/World.java
+++ b/src/test/java/io/pearscale/sim/World.java
@@ -350,7 +350,7 @@
   /** Builds from before level 2 know nothing of what the limits will be. */
   private Settings.StoreLimits stateLimits(String host) {
     Settings.StoreLimits now = new Settings.StoreLimits(100, 60, valueBytes, TXN_OPS);
-    boolean knowsNext = nodes.get(host).supported.contains(Feature.SMALL_VALUES.level());
+    boolean knowsNext = nodes.get(host).supported.contains(Feature.SMALL_VALUES.requiredLevel());
     return knowsNext ? nextLimits.map(now::smallerOf).orElse(now) : now;
   }
 
--- a/src/test/java/io/pearscale/upgrade/LevelGateTest.java
+++ b/src/test/java/io/pearscale/upgrade/LevelGateTest.java
@@ -37,14 +37,14 @@
   void noStoredLevelIsLevelZero() {
     assertTrue(gate.objection().isPresent(), "this build does not support level 0 any more");
     assertEquals(Optional.empty(), new LevelGate(SupportedLevels.OF_THIS_BUILD).objection());
-    assertEquals(OptionalLong.empty(), gate.writeStamp());
-    assertEquals(OptionalLong.of(0), new LevelGate(SupportedLevels.OF_THIS_BUILD).writeStamp());
+    assertEquals(OptionalLong.empty(), gate.writeRevision());
+    assertEquals(OptionalLong.of(0), new LevelGate(SupportedLevels.OF_THIS_BUILD).writeRevision());
   }
 
   @Test
   void aLevelThatIsTakenBackIsAbsentAgain() {
     objectionTo(level(1));
-    assertEquals(OptionalLong.of(7), gate.writeStamp());
+    assertEquals(OptionalLong.of(7), gate.writeRevision());
     gate.update(Optional.empty(), 9);
     assertTrue(gate.objection().isPresent());
   }
@@ -53,9 +53,9 @@
   void nothingIsWrittenUnderALevelThatIsNotSupported() {
     objectionTo(level(1));
     objectionTo(level(3));
-    assertEquals(OptionalLong.empty(), gate.writeStamp());
+    assertEquals(OptionalLong.empty(), gate.writeRevision());
     objectionTo(level(2));
-    assertEquals(OptionalLong.of(7), gate.writeStamp());
+    assertEquals(OptionalLong.of(7), gate.writeRevision());
   }
 
   @Test
--- a/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
+++ b/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.upgrade.UpgradePlan.Change;
-import io.pearscale.upgrade.UpgradePlan.Nothing;
+import io.pearscale.upgrade.UpgradePlan.LevelChange;
+import io.pearscale.upgrade.UpgradePlan.NoChange;
 import io.pearscale.upgrade.UpgradePlan.Outcome;
 import io.pearscale.upgrade.UpgradePlan.Refusal;
 import java.util.List;
@@ -23,9 +23,9 @@
   private static final SupportedLevels OLD = new SupportedLevels(0, 0);
   private static final SupportedLevels NEW = new SupportedLevels(0, 1);
   private static final Set<String> HOSTS = Set.of("a", "b", "c");
-  private static final ClusterLevel RAISED = new ClusterLevel(1, 1, true);
+  private static final SchemaLevel RAISED = new SchemaLevel(1, 1, true);
 
-  private static UpgradePlan plan(ClusterLevel level, Map<String, SupportedLevels> seen) {
+  private static UpgradePlan plan(SchemaLevel level, Map<String, SupportedLevels> seen) {
     Map<String, MemberSupport> members = new TreeMap<>();
     seen.forEach((host, levels) -> members.put(host, new MemberSupport(levels, 1, "r")));
     return new UpgradePlan(level, HOSTS, members, Map.of());
@@ -40,13 +40,13 @@
   @Test
   void theLevelRisesWhenAllWereSeenToSupportIt() {
     assertEquals(
-        new Change(new ClusterLevel(1, 1, false)),
-        plan(ClusterLevel.UNVERSIONED, ALL_NEW).finalise(NEW, Set.of()));
+        new LevelChange(new SchemaLevel(1, 1, false)),
+        plan(SchemaLevel.UNVERSIONED, ALL_NEW).finalise(NEW, Set.of()));
   }
 
   @Test
   void whoIsAwayOrOldHoldsItUp() {
-    UpgradePlan plan = plan(ClusterLevel.UNVERSIONED, Map.of("a", NEW, "b", OLD));
+    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, Map.of("a", NEW, "b", OLD));
     refused(plan.finalise(NEW, Set.of()), "b supports 0, not level 1");
     refused(
         plan.finalise(NEW, Set.of()),
@@ -57,8 +57,8 @@
   @Test
   void onlyWhoIsAwayCanBeVouchedFor() {
     Map<String, SupportedLevels> seen = Map.of("a", NEW, "b", NEW);
-    UpgradePlan plan = plan(ClusterLevel.UNVERSIONED, seen);
-    assertInstanceOf(Change.class, plan.finalise(NEW, Set.of("c")));
+    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, seen);
+    assertInstanceOf(LevelChange.class, plan.finalise(NEW, Set.of("c")));
     refused(plan.finalise(NEW, Set.of("c", "b")), "b is not away");
     refused(plan.finalise(NEW, Set.of("c", "x")), "x is no controller of this cluster");
   }
@@ -68,24 +68,25 @@
     SupportedLevels later = new SupportedLevels(0, 2);
     Map<String, SupportedLevels> seen = Map.of("a", later, "b", later, "c", later);
     refused(
-        plan(new ClusterLevel(1, 1, false), seen).finalise(later, Set.of()),
+        plan(new SchemaLevel(1, 1, false), seen).finalise(later, Set.of()),
         "the records of level 1 are still migrated");
     assertEquals(
-        new Change(new ClusterLevel(2, 2, false)), plan(RAISED, seen).finalise(later, Set.of()));
-    assertInstanceOf(Nothing.class, plan(RAISED, ALL_NEW).finalise(NEW, Set.of()));
+        new LevelChange(new SchemaLevel(2, 2, false)),
+        plan(RAISED, seen).finalise(later, Set.of()));
+    assertInstanceOf(NoChange.class, plan(RAISED, ALL_NEW).finalise(NEW, Set.of()));
   }
 
   @Test
   void aStepIsTakenBackAndTakenAgain() {
-    ClusterLevel back = new ClusterLevel(1, 0, false, true);
-    assertEquals(new Change(back), plan(RAISED, ALL_NEW).rollback(NEW));
+    SchemaLevel back = new SchemaLevel(1, 0, false, true);
+    assertEquals(new LevelChange(back), plan(RAISED, ALL_NEW).rollback(NEW));
     assertEquals(
-        new Change(back), plan(new ClusterLevel(1, 1, false), ALL_NEW).rollback(NEW), "midway");
-    assertInstanceOf(Nothing.class, plan(back, ALL_NEW).rollback(NEW));
+        new LevelChange(back), plan(new SchemaLevel(1, 1, false), ALL_NEW).rollback(NEW), "midway");
+    assertInstanceOf(NoChange.class, plan(back, ALL_NEW).rollback(NEW));
     assertEquals(
-        new Change(new ClusterLevel(1, 1, false)), plan(back, ALL_NEW).finalise(NEW, Set.of()));
-    assertInstanceOf(Nothing.class, plan(ClusterLevel.UNVERSIONED, ALL_NEW).rollback(NEW));
-    assertEquals(new ClusterLevel(0, 0, true, true), back.completed());
+        new LevelChange(new SchemaLevel(1, 1, false)), plan(back, ALL_NEW).finalise(NEW, Set.of()));
+    assertInstanceOf(NoChange.class, plan(SchemaLevel.UNVERSIONED, ALL_NEW).rollback(NEW));
+    assertEquals(new SchemaLevel(0, 0, true, true), back.migrationCompleted());
   }
 
   @Test
@@ -102,16 +103,16 @@
   @Test
   void theRecordKeepsWhatALaterReleaseAdded() throws MalformedMessageException {
     ObjectNode stored = MessagePack.map().put("level", 1).put("later", "x");
-    ObjectNode next = ClusterLevel.parse(stored).goingBack().toNode(stored);
+    ObjectNode next = SchemaLevel.parse(stored).rollingBack().toNode(stored);
     assertEquals("x", next.path("later").asText());
-    assertEquals(new ClusterLevel(1, 0, false, true), ClusterLevel.parse(next));
+    assertEquals(new SchemaLevel(1, 0, false, true), SchemaLevel.parse(next));
   }
 
   @Test
   void contradictoryRecordsAreNoLevel() {
     assertThrows(
         MalformedMessageException.class,
-        () -> ClusterLevel.parse(MessagePack.map().put("level", 0).put("written", 1)));
+        () -> SchemaLevel.parse(MessagePack.map().put("level", 0).put("written", 1)));
     assertThrows(
         MalformedMessageException.class,
         () -> MemberSupport.parse(MessagePack.map().put("lowest", 2)));
