--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -41,20 +41,20 @@
     }
     Map<String, Double> values = values(file.get());
     return new Tuning(
-        (int) (double) values.getOrDefault("sample", (double) d.sample()),
+        (int) (double) values.getOrDefault("sample", (double) d.sampleSize()),
         values.getOrDefault("stranded-weight", d.strandedWeight()),
         values.getOrDefault("same-machine-weight", d.sameMachineWeight()),
-        values.getOrDefault("together-weight", d.togetherWeight()),
+        values.getOrDefault("together-weight", d.packingWeight()),
         values.getOrDefault("same-zone-weight", d.sameZoneWeight()),
         values.getOrDefault("zone-balance-weight", d.zoneBalanceWeight()),
-        values.getOrDefault("image-weight", d.imageWeight()),
-        values.getOrDefault("ordinary-weight", d.ordinaryWeight()),
+        values.getOrDefault("image-weight", d.cachedImageWeight()),
+        values.getOrDefault("ordinary-weight", d.onDemandWeight()),
         Optional.ofNullable(values.get("idle-release-s"))
             .map(s -> Duration.ofMillis((long) (s * 1000)))
-            .orElse(d.idleRelease()),
-        values.getOrDefault("spare-share", d.spareShare()),
+            .orElse(d.scaleInAfterIdle()),
+        values.getOrDefault("spare-share", d.reserveShare()),
         values.getOrDefault("headroom-share", d.headroomShare()),
-        values.getOrDefault("spot-risk", d.spotRisk()));
+        values.getOrDefault("spot-risk", d.spotRiskFactor()));
   }
 
   private static Map<String, Double> values(Path file) throws SettingsException {
--- a/src/main/java/io/pearscale/scheduler/AbsenceProof.java
+++ b/src/main/java/io/pearscale/scheduler/AbsenceProof.java
@@ -11,9 +11,9 @@
   /** A message lacks it, and it was there before or the machine has seen a higher token. */
   NOT_REPORTED,
   /** A message of a later session than the start's lacks it. */
-  LATER_SESSION,
+  LATER_INCARNATION,
   /** The machine's lease is over. */
-  LEASE_OVER,
+  LEASE_EXPIRED,
   /** The cloud has deleted the machine. */
   MACHINE_DELETED
 }
--- a/src/main/java/io/pearscale/scheduler/AttemptNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/AttemptNumbers.java
@@ -8,20 +8,20 @@
  */
 final class AttemptNumbers {
   private static final int TERM_SHIFT = 40;
-  private static final long MOST = (1L << TERM_SHIFT) - 1;
+  private static final long MAX_COUNT = (1L << TERM_SHIFT) - 1;
 
   private long term;
   private long count;
 
   /** Begins a term. */
-  void begin(long newTerm) {
+  void beginTerm(long newTerm) {
     term = newTerm;
     count = 0;
   }
 
   /** A number that was not used before. */
   long next() {
-    if (count == MOST) {
+    if (count == MAX_COUNT) {
       throw new IllegalStateException("all attempts of term " + term + " are used up");
     }
     return (term << TERM_SHIFT) + ++count;
--- a/src/main/java/io/pearscale/scheduler/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/Autoscaler.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.ScaleOutPlanner.Kind;
 import java.time.Duration;
 import java.time.Instant;
@@ -44,7 +44,7 @@
       Predicate<Machine> usable,
       Collection<Job> jobs,
       List<Job> waiting,
-      TeamUse use,
+      QuotaUsage use,
       Collection<MachineType> types,
       Set<String> silentZones,
       List<ScaleOutPlanner.Demand> replacements,
@@ -80,8 +80,8 @@
     List<Machine> coming = new ArrayList<>();
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : v.machines) {
-      if (machine.life == Life.BOOTING
-          && now.isBefore(machine.rented.plus(ScaleOutPlanner.patience(machine.type)))) {
+      if (machine.lifecycle == Lifecycle.BOOTING
+          && now.isBefore(machine.provisionedAt.plus(ScaleOutPlanner.patience(machine.type)))) {
         coming.add(machine);
       } else if (v.usable.test(machine)) {
         usable.add(machine);
@@ -98,7 +98,7 @@
     Plan plan = new Plan(hires, new ArrayList<>(), new ArrayList<>());
     if (v.mayGiveBack) {
       // Some tasks wait at any moment for the next pass; what counts is whether it finds room.
-      spare(usable, v.waiting.stream().anyMatch(job -> job.noRoom), headroom, plan, now);
+      spare(usable, v.waiting.stream().anyMatch(job -> job.unschedulable), headroom, plan, now);
     }
     return plan;
   }
@@ -109,8 +109,8 @@
     Map<Like, ScaleOutPlanner.Demand> demands = new LinkedHashMap<>();
     for (Job job : v.waiting) {
       // What the team's limit keeps waiting would wait on rented machines as well.
-      int tasks = Math.min(job.pending(), v.use.leftWithinLimit(job.spec));
-      if (tasks == 0 || (job.spec.isGang() && tasks < job.pending())) {
+      int tasks = Math.min(job.pendingTasks(), v.use.tasksLeftWithinLimit(job.spec));
+      if (tasks == 0 || (job.spec.isGang() && tasks < job.pendingTasks())) {
         continue;
       }
       v.use.charge(job.spec, tasks);
@@ -120,7 +120,7 @@
         // Each zone may take its part only.
         int left = tasks;
         for (String zone : zones(v)) {
-          int n = Math.min(left, job.spec.maxTasksPerZone() - job.inZone(zone));
+          int n = Math.min(left, job.spec.maxTasksPerZone() - job.attemptsInZone(zone));
           if (n > 0) {
             demand(demands, job, n, Optional.of(zone));
             left -= n;
@@ -138,8 +138,10 @@
       Map<Like, ScaleOutPlanner.Demand> demands, Job job, int tasks, List<Machine> usable) {
     Map<String, Integer> places = new TreeMap<>();
     for (Machine machine : usable) {
-      if (job.spec.allows(machine.type, machine.zone, machine.spot) && job.onlyIn(machine.zone)) {
-        places.merge(machine.zone, machine.roomAbove(Priority.IDLE).count(job), Integer::sum);
+      if (job.spec.allows(machine.type, machine.zone, machine.spot)
+          && job.isOnlyInZone(machine.zone)) {
+        places.merge(
+            machine.zone, machine.availableAbove(Priority.IDLE).countFitting(job), Integer::sum);
       }
     }
     Optional<Map.Entry<String, Integer>> most =
@@ -171,14 +173,14 @@
   private Headroom headroom(View v, List<Machine> usable) {
     Map<String, Integer> running = new HashMap<>();
     for (Job job : v.jobs) {
-      if (classes.startsAtOnce(job.spec)) {
-        running.merge(job.spec.jobClass(), job.placed.size(), Integer::sum);
+      if (classes.needsHeadroom(job.spec)) {
+        running.merge(job.spec.jobClass(), job.attempts.size(), Integer::sum);
       }
     }
     Set<String> zones = zones(v);
     List<Headroom.Want> wants = new ArrayList<>();
-    for (String c : classes.startingAtOnce()) {
-      Optional<Job> sample = classes.sample(c);
+    for (String c : classes.classesNeedingHeadroom()) {
+      Optional<Job> sample = classes.latestJob(c);
       if (sample.isPresent()) {
         int want = 2 + (int) Math.ceil(tuning.headroomShare() * running.getOrDefault(c, 0));
         int each = (want + zones.size() - 1) / Math.max(1, zones.size());
@@ -191,9 +193,9 @@
   /** How many tasks of a class with a time to keep have room on the machine now. */
   private int placesFor(String jobClass, Machine machine) {
     return classes
-        .sample(jobClass)
+        .latestJob(jobClass)
         .filter(job -> job.spec.allows(machine.type, machine.zone, machine.spot))
-        .map(job -> machine.room().count(job))
+        .map(job -> machine.available().countFitting(job))
         .orElse(0);
   }
 
@@ -209,9 +211,9 @@
     double free = 0;
     double used = 0;
     for (Machine m : usable) {
-      double mine = m.type.cpus() - m.roomAbove(Priority.IDLE).cpus;
+      double mine = m.type.cpus() - m.availableAbove(Priority.IDLE).cpus;
       double price = m.type.hourlyPrice(m.spot) / Math.max(1e-9, m.type.cpus());
-      candidates.add(new Candidate(m, m.replicas(), price, mine));
+      candidates.add(new Candidate(m, m.replicaCount(), price, mine));
       used += mine;
       free += m.type.cpus() - mine;
     }
@@ -224,14 +226,14 @@
     Map<String, Integer> places = new HashMap<>();
     Map<String, Integer> large = new HashMap<>();
     for (String c : classes.sized()) {
-      large.put(c, classes.largeJob(c));
+      large.put(c, classes.largeJobTasks(c));
       for (Machine m : usable) {
         places.merge(c, placesFor(c, m), Integer::sum);
       }
     }
     // Of many machines a smaller part need be kept: what comes and goes varies by the square root.
     double scale = Math.sqrt(Math.min(1, SMALL_FLEET / (double) Math.max(1, usable.size())));
-    double reserve = tuning.spareShare() * used * scale;
+    double reserve = tuning.reserveShare() * used * scale;
     int most = 1 + usable.size() / SMALL_FLEET;
     if (!now.isBefore(nextMove)) {
       nextMove = now.plus(MOVE_SPACING);
@@ -254,20 +256,20 @@
         emptied += room ? 1 : 0;
       }
       if (!room) {
-        m.spareSince = Instant.MAX;
+        m.scaleInCandidateSince = Instant.MAX;
         continue;
       }
       free = after;
       rest.remove(m);
       headroom.lose(m);
       classes.sized().forEach(k -> places.merge(k, -placesFor(k, m), Integer::sum));
-      if (m.spareSince.equals(Instant.MAX)) {
-        m.spareSince = now;
+      if (m.scaleInCandidateSince.equals(Instant.MAX)) {
+        m.scaleInCandidateSince = now;
       }
-      boolean due = now.isAfter(m.spareSince.plus(tuning.idleRelease()));
+      boolean due = now.isAfter(m.scaleInCandidateSince.plus(tuning.scaleInAfterIdle()));
       if (due && replicas > 0) {
         moveOne(m, plan);
-      } else if (due && m.placements.isEmpty() && now.isAfter(m.rented.plusSeconds(60))) {
+      } else if (due && m.attempts.isEmpty() && now.isAfter(m.provisionedAt.plusSeconds(60))) {
         plan.giveBack.add(m);
       }
     }
@@ -278,7 +280,7 @@
     if (moves <= 0) {
       return;
     }
-    for (TaskAttempt attempt : machine.placements.values()) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.job.spec.isService() && !attempt.stopping) {
         moves--;
         plan.moves.add(attempt);
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -6,9 +6,9 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.DecisionLog.Carrier;
-import io.pearscale.scheduler.Machine.Ended;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.DecisionLog.Channel;
+import io.pearscale.scheduler.Machine.AttemptId;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.HttpClient.Reply;
@@ -65,7 +65,7 @@
   private final MachineInventory inventory;
   private final InstantSource clock;
   private final Settings settings;
-  private final WorkerTimes times;
+  private final AgentTimings times;
   private final HttpClient calls;
   private final TermExecutor executor;
   private final LongConsumer higherTerm;
@@ -90,7 +90,7 @@
   CommandDispatcher(
       LeaderState state,
       Settings settings,
-      WorkerTimes times,
+      AgentTimings times,
       HttpClient calls,
       TermExecutor executor,
       LongConsumer higherTerm,
@@ -120,18 +120,18 @@
 
   /** Sends all that is decided, durable and has its room free. */
   void sendAllDue() {
-    inventory.forEachWithCommands(
+    inventory.forEachWithDueCommands(
         this::sendDue, machine -> hasPlanned(machine) || isWorthACall(machine));
   }
 
   private static boolean hasPlanned(Machine machine) {
-    return machine.placements.values().stream().anyMatch(attempt -> attempt.stage == Stage.PLANNED);
+    return machine.attempts.values().stream().anyMatch(attempt -> attempt.stage == Stage.PLANNED);
   }
 
   /** All that goes with the answer to a report of the machine. */
   List<AgentCommand> ordersInAnswer(Machine machine) {
     List<AgentCommand> orders = ordersDue(machine, true);
-    decisions.sending(machine, orders, Carrier.ANSWER);
+    decisions.sendingStarts(machine, orders, Channel.HEARTBEAT_RESPONSE);
     return orders;
   }
 
@@ -141,7 +141,7 @@
     if (inAnswer) {
       orders.addAll(repeatedStarts(machine));
     }
-    Set<Ended> cleared = clearable(machine);
+    Set<AttemptId> cleared = clearable(machine);
     cleared.forEach(e -> orders.add(AgentCommand.forget(e.task(), e.attempt())));
     orders.addAll(starts(machine, cleared));
     return orders;
@@ -150,16 +150,16 @@
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
   private List<AgentCommand> repeatedStarts(Machine machine) {
     List<AgentCommand> orders = new ArrayList<>();
-    for (TaskAttempt attempt : machine.placements.values()) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
       boolean seemsLost =
-          attempt.stage == Stage.SENT
-              && !attempt.confirmed
+          attempt.stage == Stage.START_SENT
+              && !attempt.observed
               && !attempt.stopping
-              && !machine.calling;
-      if (seemsLost && leadership.mayStart()) {
-        attempt.token = machine.token;
-        attempt.session = machine.lease.session();
-        orders.add(AgentCommand.start(attempt.task, attempt.attempt));
+              && !machine.commandInFlight;
+      if (seemsLost && leadership.mayStartTasks()) {
+        attempt.startToken = machine.fencingToken;
+        attempt.startIncarnation = machine.lease.incarnation();
+        orders.add(AgentCommand.start(attempt.task, attempt.number));
       }
     }
     return orders;
@@ -168,23 +168,25 @@
   /**
    * Attempts that the worker may forget now; the machine's token is raised where that is needed.
    */
-  private Set<Ended> clearable(Machine machine) {
-    Set<Ended> clearable = new LinkedHashSet<>();
-    for (Map.Entry<Ended, Long> entry : machine.ended.entrySet()) {
-      Ended e = entry.getKey();
+  private Set<AttemptId> clearable(Machine machine) {
+    Set<AttemptId> clearable = new LinkedHashSet<>();
+    for (Map.Entry<AttemptId, Long> entry : machine.endedAttempts.entrySet()) {
+      AttemptId e = entry.getKey();
       Job job = jobs.get(e.task().job());
-      if (job != null && job.done.get(e.task().index()) && !job.durableDone.get(e.task().index())) {
+      if (job != null
+          && job.doneTasks.get(e.task().index())
+          && !job.durablyDoneTasks.get(e.task().index())) {
         continue;
       }
       // After a clear the worker would take a late start command for a new one, be it in doubt, on
       // its way or a copy. So what clears an attempt carries a higher token than any start of it
       // did: from then on the worker refuses those. Only what is done may be started again: it
       // stays done.
-      if (entry.getValue() < 0 && (machine.calling || machine.inDoubt())) {
+      if (entry.getValue() < 0 && (machine.commandInFlight || machine.commandOutcomeUnknown())) {
         continue;
       }
-      if (machine.token <= entry.getValue()) {
-        machine.raiseToken();
+      if (machine.fencingToken <= entry.getValue()) {
+        machine.incrementFencingToken();
       }
       clearable.add(e);
     }
@@ -192,36 +194,42 @@
   }
 
   /** Placements that may be started now; they count as sent from here on. */
-  private List<AgentCommand> starts(Machine machine, Set<Ended> cleared) {
+  private List<AgentCommand> starts(Machine machine, Set<AttemptId> cleared) {
     List<AgentCommand> orders = new ArrayList<>();
-    if (!machine.recorded || machine.life != Life.UP || !machine.settled || machine.lost) {
+    if (!machine.recorded
+        || machine.lifecycle != Lifecycle.UP
+        || !machine.reconciled
+        || machine.leaseExpired) {
       return orders;
     }
     Machine.Resources room = null;
-    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       boolean durable =
-          attempt.stage == Stage.PLANNED && attempt.marked && Gangs.mayStart(attempt.job);
+          attempt.stage == Stage.PLANNED
+              && attempt.placementRecorded
+              && Gangs.mayStart(attempt.job);
       if (!durable || mayBeCalledBusy(machine, attempt, cleared)) {
         continue;
       }
       if (room == null) {
-        room = machine.physicalRoom();
+        room = machine.physicallyAvailable();
       }
-      if (!room.fits(attempt.job) || !leadership.mayStart()) {
+      if (!room.fits(attempt.job) || !leadership.mayStartTasks()) {
         continue;
       }
-      room.take(attempt.job);
-      attempt.stage = Stage.SENT;
-      attempt.token = machine.token;
-      attempt.session = machine.lease.session();
-      orders.add(AgentCommand.start(attempt.task, attempt.attempt));
+      room.subtract(attempt.job);
+      attempt.stage = Stage.START_SENT;
+      attempt.startToken = machine.fencingToken;
+      attempt.startIncarnation = machine.lease.incarnation();
+      orders.add(AgentCommand.start(attempt.task, attempt.number));
     }
     return orders;
   }
 
   /** Whether the worker still knows another attempt of the task, and might refuse this one. */
-  private static boolean mayBeCalledBusy(Machine machine, TaskAttempt attempt, Set<Ended> cleared) {
-    return machine.ended.keySet().stream()
+  private static boolean mayBeCalledBusy(
+      Machine machine, TaskAttempt attempt, Set<AttemptId> cleared) {
+    return machine.endedAttempts.keySet().stream()
         .anyMatch(e -> e.task().equals(attempt.task) && !cleared.contains(e));
   }
 
@@ -230,8 +238,8 @@
     if (StopCommands.unsent(machine)) {
       return true;
     }
-    for (TaskAttempt attempt : machine.placements.values()) {
-      if (attempt.stage == Stage.PLANNED && attempt.marked && machine.recorded) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.stage == Stage.PLANNED && attempt.placementRecorded && machine.recorded) {
         return true;
       }
     }
@@ -240,24 +248,24 @@
 
   /** Sends what is due straight to the worker, unless a call is under way or just failed. */
   void sendDue(Machine machine) {
-    if (!mayCall(machine) || !leadership.mayRenew() || !isWorthACall(machine)) {
+    if (!mayCall(machine) || !leadership.mayRenewLeases() || !isWorthACall(machine)) {
       return;
     }
     List<AgentCommand> orders = ordersDue(machine, false);
     if (!orders.isEmpty()) {
-      decisions.sending(machine, orders, Carrier.COMMAND);
+      decisions.sendingStarts(machine, orders, Channel.COMMAND);
       send(machine, orders);
     }
   }
 
   private boolean mayCall(Machine machine) {
-    return leadership.ready()
-        && !machine.calling
-        && machine.settled
-        && !machine.lost
+    return leadership.isReady()
+        && !machine.commandInFlight
+        && machine.reconciled
+        && !machine.leaseExpired
         && !machine.address.isEmpty()
-        && machine.life == Life.UP
-        && !clock.instant().isBefore(machine.directAfter);
+        && machine.lifecycle == Lifecycle.UP
+        && !clock.instant().isBefore(machine.directCommandsAfter);
   }
 
   /**
@@ -272,10 +280,10 @@
     boolean soonerThanReports =
         MessageFields.seconds(asking) / settings.cpuShare()
             < MessageFields.seconds(settings.agents().heartbeatInterval());
-    probesFrom = soonerThanReports ? clock.instant() : clock.instant().plus(times.reportDue());
+    probesFrom = soonerThanReports ? clock.instant() : clock.instant().plus(times.heartbeatDue());
     probeMore();
     if (!soonerThanReports) {
-      executor.after(times.reportDue(), this::probeMore);
+      executor.after(times.heartbeatDue(), this::probeMore);
     }
   }
 
@@ -286,8 +294,8 @@
     }
     while (probing < MOST_PROBES && !unprobed.isEmpty()) {
       Machine machine = unprobed.poll();
-      if (!machine.settled
-          && !machine.calling
+      if (!machine.reconciled
+          && !machine.commandInFlight
           && inventory.contains(machine)
           && !machine.address.isEmpty()) {
         send(machine, List.of());
@@ -297,7 +305,7 @@
 
   /** Asks a machine of the roster for its state, and shows it our token on the way. */
   void probe(Machine machine) {
-    if (!machine.calling && !machine.address.isEmpty()) {
+    if (!machine.commandInFlight && !machine.address.isEmpty()) {
       send(machine, List.of());
     }
   }
@@ -313,11 +321,13 @@
   }
 
   private void send(Machine machine, List<AgentCommand> orders) {
-    Call call = new Call(machine, machine.token, orders);
-    machine.calling = true;
+    Call call = new Call(machine, machine.fencingToken, orders);
+    machine.commandInFlight = true;
     probing += call.isProbe() ? 1 : 0;
     ObjectNode body =
-        MessagePack.map().put("baton", machine.token).put("stint", machine.lease.session());
+        MessagePack.map()
+            .put("baton", machine.fencingToken)
+            .put("stint", machine.lease.incarnation());
     var list = body.putArray("orders");
     orders.forEach(command -> list.add(command.toNode()));
     Duration timeout = call.isProbe() ? PROBE_TIMEOUT : COMMAND_TIMEOUT;
@@ -327,7 +337,7 @@
 
   private void answered(Call call, Reply reply) {
     Machine machine = call.machine;
-    machine.calling = false;
+    machine.commandInFlight = false;
     probing -= call.isProbe() ? 1 : 0;
     if (!unprobed.isEmpty()) {
       probeMore();
@@ -343,17 +353,17 @@
     if (reply.notSent()) {
       // Not a sign of anything about the machine: the next report or moment brings another chance.
       notExecuted(call);
-      machine.directAfter = clock.instant().plus(FIRST_PAUSE);
+      machine.directCommandsAfter = clock.instant().plus(FIRST_PAUSE);
     } else if (call.isProbe()) {
       // Each miss doubles the pause: a zone that is cut off must not keep us busy.
       machine.missedProbes++;
       long factor = 1L << Math.min(MOST_DOUBLINGS, machine.missedProbes);
-      machine.directAfter = clock.instant().plus(FIRST_PAUSE.multipliedBy(factor));
+      machine.directCommandsAfter = clock.instant().plus(FIRST_PAUSE.multipliedBy(factor));
     } else {
       // It may have been executed, or be executed later: a higher token puts an end to that.
-      machine.doubtToken = Math.max(machine.doubtToken, call.token);
-      machine.raiseToken();
-      machine.directAfter = clock.instant().plus(DOUBT_PAUSE);
+      machine.unknownOutcomeToken = Math.max(machine.unknownOutcomeToken, call.token);
+      machine.incrementFencingToken();
+      machine.directCommandsAfter = clock.instant().plus(DOUBT_PAUSE);
       LOG.info(
           "event=command_in_doubt term={} machine={} token={}",
           leadership.term(),
@@ -370,19 +380,20 @@
       if (!heartbeat.machine().equals(machine.name)) {
         throw new MalformedMessageException("answer of another machine");
       }
-      if (leadership.isOfLaterTerm(heartbeat.fencingToken())) {
+      if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
         higherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
         return true;
       }
       if (refused) {
         notExecuted(call);
       }
-      boolean wasSettled = machine.settled;
-      if (machine.lease.isNews(heartbeat)) {
+      boolean wasSettled = machine.reconciled;
+      if (machine.lease.isNewer(heartbeat)) {
         reports.absorb(machine, heartbeat, true);
-        machine.answersSince = machine.answersSince.or(() -> Optional.of(clock.instant()));
+        machine.answersWithoutHeartbeatSince =
+            machine.answersWithoutHeartbeatSince.or(() -> Optional.of(clock.instant()));
       }
-      if (!wasSettled && !machine.settled && refused) {
+      if (!wasSettled && !machine.reconciled && refused) {
         probe(machine);
       } else {
         sendDue(machine);
@@ -400,15 +411,15 @@
    */
   private void notExecuted(Call call) {
     for (AgentCommand command : call.orders) {
-      TaskAttempt attempt = call.machine.placements.get(command.task());
-      if (attempt == null || attempt.attempt != command.attempt()) {
+      TaskAttempt attempt = call.machine.attempts.get(command.task());
+      if (attempt == null || attempt.number != command.attempt()) {
         continue;
       }
       if (command.verb() == AgentCommand.Verb.STOP) {
-        attempt.kills = 0;
+        attempt.stopsSent = 0;
       } else if (command.verb() == AgentCommand.Verb.START
-          && !attempt.confirmed
-          && attempt.token == call.token) {
+          && !attempt.observed
+          && attempt.startToken == call.token) {
         startNotExecuted(attempt);
       }
     }
@@ -419,7 +430,7 @@
       inventory.remove(attempt, AbsenceProof.NOT_EXECUTED);
     } else {
       attempt.stage = Stage.PLANNED;
-      inventory.noteCommandDue(attempt.machine);
+      inventory.markCommandDue(attempt.machine);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/DecisionLog.java
@@ -16,18 +16,18 @@
  */
 final class DecisionLog {
   /** How starts are brought to a worker. */
-  enum Carrier {
+  enum Channel {
     COMMAND,
-    ANSWER
+    HEARTBEAT_RESPONSE
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(DecisionLog.class);
 
   private final Leadership leadership;
   private final InstantSource clock;
-  private final int[] absences = new int[AbsenceProof.values().length];
-  private final int[] starts = new int[Carrier.values().length];
-  private int sessions;
+  private final int[] absencesByProof = new int[AbsenceProof.values().length];
+  private final int[] startsByChannel = new int[Channel.values().length];
+  private int incarnationsBegun;
 
   /** Makes a log for the decisions of a leader. */
   DecisionLog(Leadership leadership, InstantSource clock) {
@@ -36,19 +36,19 @@
   }
 
   /** Starts are being sent; orders of other kinds among them are not counted. */
-  void sending(Machine machine, List<AgentCommand> orders, Carrier carrier) {
-    int before = starts[carrier.ordinal()];
+  void sendingStarts(Machine machine, List<AgentCommand> orders, Channel channel) {
+    int before = startsByChannel[channel.ordinal()];
     for (AgentCommand command : orders) {
-      starts[carrier.ordinal()] += command.verb() == AgentCommand.Verb.START ? 1 : 0;
+      startsByChannel[channel.ordinal()] += command.verb() == AgentCommand.Verb.START ? 1 : 0;
     }
-    if (starts[carrier.ordinal()] > before && LOG.isDebugEnabled()) {
+    if (startsByChannel[channel.ordinal()] > before && LOG.isDebugEnabled()) {
       LOG.debug(
           "event=starts_sent term={} machine={} token={} by={} {} tasks={}",
           leadership.term(),
           machine.name,
-          machine.token,
-          carrier,
-          lease(machine),
+          machine.fencingToken,
+          channel,
+          describeLease(machine),
           startsIn(orders));
     }
   }
@@ -61,53 +61,53 @@
   }
 
   /** A machine shows a session that was not expected of it, or the one after a loss. */
-  void sessionBegan(Machine machine, Heartbeat message, long formerSession) {
-    sessions++;
+  void incarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
+    incarnationsBegun++;
     LOG.info(
         "event=session_began term={} machine={} former_session={} token={} {}",
         leadership.term(),
         machine.name,
-        formerSession,
+        previousIncarnation,
         message.fencingToken(),
-        lease(machine));
+        describeLease(machine));
   }
 
   /** The machine's lease is over, and with it all that was there. */
-  void lost(Machine machine, int tasks, Duration bound) {
+  void leaseExpired(Machine machine, int tasks, Duration bound) {
     LOG.warn(
         "event=machine_lost term={} machine={} tasks={} bound_ms={} {}",
         leadership.term(),
         machine.name,
         tasks,
         bound.toMillis(),
-        lease(machine));
+        describeLease(machine));
   }
 
   /** A task is taken to be gone from its machine. */
-  void gone(TaskAttempt attempt, AbsenceProof proof) {
-    absences[proof.ordinal()]++;
+  void absenceProved(TaskAttempt attempt, AbsenceProof proof) {
+    absencesByProof[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "event=task_gone term={} task={} attempt={} machine={} proof={} start_token={}"
               + " start_session={} {}",
           leadership.term(),
           attempt.task,
-          attempt.attempt,
+          attempt.number,
           attempt.machine.name,
           proof,
-          attempt.token,
-          attempt.session,
-          lease(attempt.machine));
+          attempt.startToken,
+          attempt.startIncarnation,
+          describeLease(attempt.machine));
     }
   }
 
-  private String lease(Machine machine) {
+  private String describeLease(Machine machine) {
     IncarnationLease lease = machine.lease;
     return "session=%d sequence=%d shown_token=%d lease_from=%s lease_age_ms=%d"
         .formatted(
-            lease.session(),
+            lease.incarnation(),
             lease.sequence(),
-            machine.seenToken,
+            machine.observedFencingToken,
             lease.basis(),
             lease.age(clock.instant()).toMillis());
   }
@@ -117,12 +117,12 @@
     String counts =
         "starts=%s absences=%s sessions=%d"
             .formatted(
-                Arrays.toString(starts).replace(" ", ""),
-                Arrays.toString(absences).replace(" ", ""),
-                sessions);
-    Arrays.fill(starts, 0);
-    Arrays.fill(absences, 0);
-    sessions = 0;
+                Arrays.toString(startsByChannel).replace(" ", ""),
+                Arrays.toString(absencesByProof).replace(" ", ""),
+                incarnationsBegun);
+    Arrays.fill(startsByChannel, 0);
+    Arrays.fill(absencesByProof, 0);
+    incarnationsBegun = 0;
     return counts;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -16,34 +16,34 @@
   private final List<Machine> usable = new ArrayList<>();
   private final Map<Machine, Machine.Resources> rooms = new HashMap<>();
 
-  DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, WorkerTimes times) {
+  DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, AgentTimings times) {
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
-      boolean heard = !now.isAfter(machine.heard.plus(times.silent()));
+      boolean heard = !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
       if (machine.maintenance.isInService()
-          && machine.life == Machine.Life.UP
-          && machine.settled
-          && !machine.lost
-          && !machine.faulty
+          && machine.lifecycle == Machine.Lifecycle.UP
+          && machine.reconciled
+          && !machine.leaseExpired
+          && !machine.quarantined
           && heard
-          && machine.takenAt.isEmpty()) {
+          && machine.preemptionNoticeAt.isEmpty()) {
         usable.add(machine);
       }
     }
     // What goes to a machine that is drained later has to move once more.
-    usable.sort(Comparator.comparing(machine -> machine.drainsLater));
+    usable.sort(Comparator.comparing(machine -> machine.drainPlanned));
   }
 
   @Override
   public Optional<String> reserve(TaskView task) {
     Job job = jobs.get(task.task().job());
-    TaskAttempt attempt = job == null ? null : job.placed.get(task.task().index());
+    TaskAttempt attempt = job == null ? null : job.attempts.get(task.task().index());
     if (attempt == null) {
       return Optional.of("it is not where it was");
     }
     for (Machine machine : usable) {
       if (mayGo(attempt, machine) && roomOf(machine).fits(job)) {
-        roomOf(machine).take(job);
+        roomOf(machine).subtract(job);
         return Optional.empty();
       }
     }
@@ -53,18 +53,18 @@
   }
 
   private Machine.Resources roomOf(Machine machine) {
-    return rooms.computeIfAbsent(machine, Machine::room);
+    return rooms.computeIfAbsent(machine, Machine::available);
   }
 
   private static boolean mayGo(TaskAttempt attempt, Machine machine) {
     Job job = attempt.job;
-    boolean alone = job.placed.size() == 1;
+    boolean alone = job.attempts.size() == 1;
     boolean sameZone = machine.zone.equals(attempt.machine.zone);
     boolean zoneFree =
         sameZone
             || ((!job.spec.singleZone() || alone)
                 && (!job.spec.spreadAcrossZones()
-                    || job.inZone(machine.zone) < job.spec.maxTasksPerZone()));
+                    || job.attemptsInZone(machine.zone) < job.spec.maxTasksPerZone()));
     return machine != attempt.machine
         && zoneFree
         && job.spec.allows(machine.type, machine.zone, machine.spot);
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -12,7 +12,7 @@
 import io.pearscale.drain.DrainSettings;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.MachineRetirement.Reason;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.storage.Keys;
@@ -47,7 +47,7 @@
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private final WorkerTimes times;
+  private final AgentTimings times;
   private final GracefulTermination stops;
   private final LevelGate level;
   private final InstantSource timeOfDay;
@@ -66,7 +66,7 @@
   DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
-      WorkerTimes times,
+      AgentTimings times,
       GracefulTermination stops,
       LevelGate level,
       int largestValue,
@@ -160,7 +160,7 @@
   /** Operators choose machines from the records: idle ones have to be in them as well. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
-      if (machine.life == Life.UP && machine.settled && !records.hasPlace(machine)) {
+      if (machine.lifecycle == Lifecycle.UP && machine.reconciled && !records.hasPlace(machine)) {
         records.assignPlace(machine);
         records.recordMachineUnhurried(machine);
       }
@@ -172,11 +172,11 @@
     List<Drain> drains = requests.all();
     if (!drains.isEmpty()) {
       inventory.all().stream()
-          .filter(machine -> machine.life != Life.RETIRING)
+          .filter(machine -> machine.lifecycle != Lifecycle.RETIRING)
           .forEach(machine -> machines.put(machine.name, view(machine, now)));
     }
     Instant today = timeOfDay.instant();
-    inventory.all().forEach(machine -> machine.drainsLater = false);
+    inventory.all().forEach(machine -> machine.drainPlanned = false);
     drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteDrainsLater);
     DrainCapacity room = new DrainCapacity(inventory, jobs, now, times);
     return planner.plan(drains, machines, ledger, room, today);
@@ -186,7 +186,7 @@
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.drainsLater = true;
+        machine.drainPlanned = true;
       }
     }
   }
@@ -214,7 +214,7 @@
         maintenance.drain());
     machine.maintenance = maintenance;
     if (maintenance.stage() == Maintenance.Stage.PROBATION) {
-      machine.images.clear();
+      machine.cachedImages.clear();
     }
     if (!maintenance.isSchedulable()) {
       inventory.withdrawPlanned(machine);
@@ -256,7 +256,7 @@
         probationSince.put(machine, now);
       }
       Instant proven = since.plus(times.lease().multipliedBy(LEASES_OF_PROBATION));
-      if (heard && (!machine.images.isEmpty() || now.isAfter(proven))) {
+      if (heard && (!machine.cachedImages.isEmpty() || now.isAfter(proven))) {
         change(machine.name, Maintenance.IN_SERVICE);
       }
     }
@@ -301,9 +301,9 @@
         leadership.term(),
         attempt.machine.name,
         attempt.task,
-        attempt.attempt);
+        attempt.number);
     stops.stop(attempt);
-    List.copyOf(attempt.job.placed.values()).stream()
+    List.copyOf(attempt.job.attempts.values()).stream()
         .filter(stopped -> stopped.stopping)
         .forEach(stopped -> dispatcher.sendDue(stopped.machine));
   }
@@ -313,19 +313,19 @@
     if (!attempt.job.spec.isGang()) {
       return List.of();
     }
-    return attempt.job.placed.values().stream()
+    return attempt.job.attempts.values().stream()
         .filter(mate -> mate != attempt)
         .map(mate -> mate.task)
         .toList();
   }
 
   private Optional<TaskAttempt> placementOf(TaskId task) {
-    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.placed.get(task.index()));
+    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts.get(task.index()));
   }
 
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
   private void noteRemoved(TaskAttempt attempt) {
-    boolean wasUp = attempt.stage == Stage.RUNNING || attempt.stage == Stage.SAVING;
+    boolean wasUp = attempt.stage == Stage.RUNNING || attempt.stage == Stage.CHECKPOINTING;
     if (wasUp && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
       ledger.note(disruption(attempt, /* voluntary= */ false));
     }
@@ -337,7 +337,7 @@
             task -> {
               Job job = jobs.get(task.job());
               return job == null
-                  || job.done.get(task.index())
+                  || job.doneTasks.get(task.index())
                   || placementOf(task).map(attempt -> runsOn(attempt, now)).orElse(false);
             });
     closed.stream().filter(Disruption::voluntary).forEach(disruptions::remove);
@@ -350,14 +350,15 @@
    */
   private boolean runsOn(TaskAttempt attempt, Instant now) {
     return attempt.stage == Stage.RUNNING
-        && attempt.confirmed
+        && attempt.observed
         && !attempt.stopping
         && isHeard(attempt.machine, now)
         && !disruptions.isPending(attempt.task);
   }
 
   private boolean isHeard(Machine machine, Instant now) {
-    return !machine.lost && !now.isAfter(machine.heard.plus(times.silent()));
+    return !machine.leaseExpired
+        && !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
   }
 
   // ---- Views ----
@@ -367,7 +368,7 @@
     ledger.open().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
     Map<Group, Load> loads = new HashMap<>();
     for (Job job : jobs.all()) {
-      if (!job.mistaken()) {
+      if (!job.failsEverywhere()) {
         Group group = new Group(job.spec.team(), job.spec.jobClass());
         int open = openByJob.getOrDefault(job.spec.id(), 0);
         loads.merge(group, load(job, open, now), Load::plus);
@@ -389,7 +390,7 @@
   private Load load(Job job, int open, Instant now) {
     int up = 0;
     int ending = 0;
-    for (TaskAttempt attempt : job.placed.values()) {
+    for (TaskAttempt attempt : job.attempts.values()) {
       boolean disrupted = ledger.isOpen(attempt.task);
       up += runsOn(attempt, now) && !disrupted ? 1 : 0;
       ending += attempt.stopping && !disrupted ? 1 : 0;
@@ -403,8 +404,11 @@
   private MachineView view(Machine machine, Instant now) {
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
-        machine.life == Life.UP && machine.settled && isHeard(machine, now) && !machine.faulty;
-    for (TaskAttempt attempt : machine.placements.values()) {
+        machine.lifecycle == Lifecycle.UP
+            && machine.reconciled
+            && isHeard(machine, now)
+            && !machine.quarantined;
+    for (TaskAttempt attempt : machine.attempts.values()) {
       tasks.add(view(attempt, now));
     }
     return new MachineView(
@@ -417,7 +421,7 @@
 
   private TaskView view(TaskAttempt attempt, Instant now) {
     boolean saves = !attempt.job.spec.checkpointInterval().isZero();
-    Duration ran = attempt.ranFor(now);
+    Duration ran = attempt.runningTime(now);
     return new TaskView(
         attempt.task,
         attempt.job.spec.team(),
--- a/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
@@ -11,9 +11,9 @@
     double cpus,
     double gpus,
     double memoryGb,
-    Optional<List<String>> types,
+    Optional<List<String>> machineTypes,
     Optional<String> zone,
-    boolean spot) {
+    boolean spotAllowed) {
 
   static EquivalenceClass of(JobSpec spec) {
     return new EquivalenceClass(
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.MachineRetirement.Reason;
 import io.pearscale.storage.Maintenance;
 import java.time.Duration;
@@ -38,7 +38,7 @@
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final WorkerTimes times;
+  private final AgentTimings times;
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
   private final DecisionLog decisions;
@@ -46,7 +46,7 @@
 
   FailureDetector(
       LeaderState state,
-      WorkerTimes times,
+      AgentTimings times,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
     this.leadership = state.leadership();
@@ -61,17 +61,17 @@
 
   /** Whether tasks may be placed on the machine. */
   boolean usable(Machine machine, Instant now) {
-    return machine.life == Life.UP
-        && machine.settled
-        && !machine.lost
-        && !machine.faulty
-        && machine.takenAt.isEmpty()
+    return machine.lifecycle == Lifecycle.UP
+        && machine.reconciled
+        && !machine.leaseExpired
+        && !machine.quarantined
+        && machine.preemptionNoticeAt.isEmpty()
         && machine.maintenance.isSchedulable()
-        && machine.everReported
-        && machine.unheard == 0
+        && machine.heartbeatEverReceived
+        && machine.unacknowledgedResponses == 0
         && !mute(machine, now)
         && !now.isBefore(machine.avoidUntil)
-        && Duration.between(machine.heard, now).compareTo(times.usable()) < 0;
+        && Duration.between(machine.lastReachableAt, now).compareTo(times.schedulableWithin()) < 0;
   }
 
   /**
@@ -79,13 +79,13 @@
    * stay. Nearly all machines are like this nearly always, so this is asked before all else.
    */
   private boolean healthy(Machine machine, Instant now) {
-    return machine.life == Life.UP
-        && machine.settled
-        && !machine.lost
-        && !machine.faulty
-        && machine.takenAt.isEmpty()
-        && machine.answersSince.isEmpty()
-        && now.isBefore(machine.heard.plus(times.reportDue()))
+    return machine.lifecycle == Lifecycle.UP
+        && machine.reconciled
+        && !machine.leaseExpired
+        && !machine.quarantined
+        && machine.preemptionNoticeAt.isEmpty()
+        && machine.answersWithoutHeartbeatSince.isEmpty()
+        && now.isBefore(machine.lastReachableAt.plus(times.heartbeatDue()))
         && machine.lease.isHeld(now, times.lease());
   }
 
@@ -113,36 +113,38 @@
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
   private boolean isLost(Machine machine, Instant now) {
-    return machine.everReported && !machine.lost && machine.lease.isOver(now, times.leaseOver());
+    return machine.heartbeatEverReceived
+        && !machine.leaseExpired
+        && machine.lease.isExpired(now, times.leaseExpiryBound());
   }
 
   /** Nothing can be alive on the machine. */
   private void noteLost(Machine machine) {
-    machine.lost = true;
-    decisions.lost(machine, machine.placements.size(), times.leaseOver());
+    machine.leaseExpired = true;
+    decisions.leaseExpired(machine, machine.attempts.size(), times.leaseExpiryBound());
     // Its worker has gone on to another session, and has to show that, with our token: reports of
     // this one that a cut had held back say only what was.
-    machine.settled = false;
-    machine.ended.clear();
-    machine.foreign.clear();
-    inventory.removeAll(machine, AbsenceProof.LEASE_OVER);
-    machine.lease.end();
-    if (machine.life == Life.UP && machine.maintenance.isInService()) {
+    machine.reconciled = false;
+    machine.endedAttempts.clear();
+    machine.unknownAttempts.clear();
+    inventory.removeAll(machine, AbsenceProof.LEASE_EXPIRED);
+    machine.lease.endIncarnation();
+    if (machine.lifecycle == Lifecycle.UP && machine.maintenance.isInService()) {
       // A successor need not wait for it again. Before its next start it is recorded anew.
       records.removeMachine(machine);
     }
   }
 
   private void probeIfSilent(Machine machine, Instant now) {
-    boolean silent = silentFor(machine, now).compareTo(times.reportDue()) > 0;
-    boolean unseen = !machine.settled && dispatcher.askedAll();
-    if (machine.life == Life.UP
-        && machine.everReported
-        && !machine.lost
+    boolean silent = silentFor(machine, now).compareTo(times.heartbeatDue()) > 0;
+    boolean unseen = !machine.reconciled && dispatcher.askedAll();
+    if (machine.lifecycle == Lifecycle.UP
+        && machine.heartbeatEverReceived
+        && !machine.leaseExpired
         && (unseen || silent)
-        && !machine.calling
+        && !machine.commandInFlight
         && dispatcher.mayProbe()
-        && now.isAfter(machine.directAfter)) {
+        && now.isAfter(machine.directCommandsAfter)) {
       dispatcher.probe(machine);
     }
   }
@@ -154,27 +156,28 @@
    * Other work is done again, the sooner the better.
    */
   private boolean isDeaf(Machine machine, Instant now) {
-    boolean serves = machine.replicas() > 0;
+    boolean serves = machine.replicaCount() > 0;
     boolean few = silence(now).few();
-    Duration patience = serves && (machine.settled || !few) ? times.halfLease() : times.silent();
-    return machine.life == Life.UP
-        && !machine.lost
+    Duration patience =
+        serves && (machine.reconciled || !few) ? times.halfLease() : times.unresponsiveAfter();
+    return machine.lifecycle == Lifecycle.UP
+        && !machine.leaseExpired
         && machine.missedProbes >= DEAF_AFTER
         && silentFor(machine, now).compareTo(patience) > 0
-        && (!machine.placements.isEmpty() || !machine.settled)
+        && (!machine.attempts.isEmpty() || !machine.reconciled)
         && (few || (serves && silence(now).minority()));
   }
 
   /** Whether what was decided for the machine, but not sent, may stay decided. */
   private boolean mayKeepPlanned(Machine machine, Instant now) {
-    return !machine.faulty
-        && machine.takenAt.isEmpty()
-        && machine.life == Life.UP
-        && !now.isAfter(machine.heard.plus(times.abandoned()));
+    return !machine.quarantined
+        && machine.preemptionNoticeAt.isEmpty()
+        && machine.lifecycle == Lifecycle.UP
+        && !now.isAfter(machine.lastReachableAt.plus(times.withdrawPlannedAfter()));
   }
 
   private Optional<Reason> reasonToRetire(Machine machine, boolean deaf, Instant now) {
-    if (machine.maintenance.stage() == Maintenance.Stage.DRAINED && machine.placements.isEmpty()) {
+    if (machine.maintenance.stage() == Maintenance.Stage.DRAINED && machine.attempts.isEmpty()) {
       // Whoever maintains it may switch it off; what the cloud says of it counts all the same.
       return Optional.empty();
     }
@@ -184,8 +187,8 @@
     if (wasTaken(machine, now)) {
       return Optional.of(Reason.TAKEN);
     }
-    boolean empty = machine.life == Life.UP && machine.placements.isEmpty();
-    if (machine.faulty && empty) {
+    boolean empty = machine.lifecycle == Lifecycle.UP && machine.attempts.isEmpty();
+    if (machine.quarantined && empty) {
       return Optional.of(Reason.FAULTY);
     }
     if (deaf) {
@@ -199,13 +202,14 @@
 
   private static boolean neverCame(Machine machine, Instant now) {
     Duration patience = machine.type.bootTime().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
-    return machine.life == Life.BOOTING && now.isAfter(machine.rented.plus(patience));
+    return machine.lifecycle == Lifecycle.BOOTING
+        && now.isAfter(machine.provisionedAt.plus(patience));
   }
 
   private static boolean wasTaken(Machine machine, Instant now) {
-    return machine.takenAt.isPresent()
-        && now.isAfter(machine.takenAt.get().plus(NOTICE_MARGIN))
-        && now.isAfter(machine.heard.plus(TAKEN_SILENCE));
+    return machine.preemptionNoticeAt.isPresent()
+        && now.isAfter(machine.preemptionNoticeAt.get().plus(NOTICE_MARGIN))
+        && now.isAfter(machine.lastReachableAt.plus(TAKEN_SILENCE));
   }
 
   /**
@@ -216,8 +220,8 @@
   private boolean isSilentForGood(Machine machine, Instant now) {
     int leases =
         silence(now).zones().contains(machine.zone) ? LEASES_OF_A_CUT : LEASES_OF_A_SILENT_MACHINE;
-    return machine.lost
-        && machine.life == Life.UP
+    return machine.leaseExpired
+        && machine.lifecycle == Lifecycle.UP
         && now.isAfter(spoke(machine).plus(times.lease().multipliedBy(leases)));
   }
 
@@ -238,8 +242,8 @@
    * report may find nobody for as long, and comes in time.
    */
   private boolean mute(Machine machine, Instant now) {
-    return machine.answersSince.isPresent()
-        && now.isAfter(machine.answersSince.get().plus(times.halfLease()));
+    return machine.answersWithoutHeartbeatSince.isPresent()
+        && now.isAfter(machine.answersWithoutHeartbeatSince.get().plus(times.halfLease()));
   }
 
   /**
@@ -252,13 +256,16 @@
     if (silence.isEmpty()) {
       silence =
           Optional.of(
-              FleetReachability.count(inventory.all(), this::spoke, now.minus(times.silent())));
+              FleetReachability.count(
+                  inventory.all(), this::spoke, now.minus(times.unresponsiveAfter())));
     }
     return silence.get();
   }
 
   /** When a machine was last heard; one that a new leader has not heard yet counts from its win. */
   private Instant spoke(Machine machine) {
-    return machine.heard.isAfter(leadership.wonAt()) ? machine.heard : leadership.wonAt();
+    return machine.lastReachableAt.isAfter(leadership.electedAt())
+        ? machine.lastReachableAt
+        : leadership.electedAt();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/FaultAttribution.java
@@ -28,44 +28,44 @@
    */
   void failed(Machine machine, Job job) {
     Instant now = clock.instant();
-    job.failedOn.add(machine.name);
-    machine.noteFailure(job);
-    if (job.mistaken()) {
-      if (!now.isBefore(job.notBefore)) {
-        job.notBefore = now.plusSeconds(Math.min(60, 4L << Math.min(4, job.retries++)));
+    job.machinesFailedOn.add(machine.name);
+    machine.recordFailure(job);
+    if (job.failsEverywhere()) {
+      if (!now.isBefore(job.retryNotBefore)) {
+        job.retryNotBefore = now.plusSeconds(Math.min(60, 4L << Math.min(4, job.retries++)));
       }
-      for (String name : job.failedOn) {
+      for (String name : job.machinesFailedOn) {
         Machine other = inventory.get(name);
-        if (other != null && other.strikes() == 0) {
+        if (other != null && other.failureCount() == 0) {
           other.avoidUntil = Instant.MIN;
         }
       }
     } else {
-      machine.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.strikes())));
+      machine.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.failureCount())));
     }
     judge(machine);
   }
 
   /** A task of the job was done. Where others failed before, the machine was at fault. */
   void succeeded(Machine machine, Job job) {
-    if (!job.succeeded) {
-      job.succeeded = true;
-      job.notBefore = Instant.MIN;
-      for (String name : job.failedOn) {
+    if (!job.taskSucceeded) {
+      job.taskSucceeded = true;
+      job.retryNotBefore = Instant.MIN;
+      for (String name : job.machinesFailedOn) {
         Optional.ofNullable(inventory.get(name)).ifPresent(this::judge);
       }
     }
-    machine.noteSuccess();
+    machine.recordSuccess();
   }
 
   private void judge(Machine machine) {
-    if (!machine.faulty && machine.failsWhatItStarts()) {
-      machine.faulty = true;
+    if (!machine.quarantined && machine.failuresPointToMachine()) {
+      machine.quarantined = true;
       LOG.warn(
           "event=machine_faulty term={} machine={} strikes={}",
           leadership.term(),
           machine.name,
-          machine.strikes());
+          machine.failureCount());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/FleetReachability.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import java.time.Instant;
 import java.util.Collection;
 import java.util.HashMap;
@@ -33,11 +33,11 @@
     int silent = 0;
     Map<String, Integer> byZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (machine.life == Life.UP && machine.everReported) {
+      if (machine.lifecycle == Lifecycle.UP && machine.heartbeatEverReceived) {
         byZone.merge(machine.zone, spoke.apply(machine).isBefore(limit) ? 1 : -1, Integer::sum);
-        if (!machine.lost) {
+        if (!machine.leaseExpired) {
           up++;
-          silent += machine.heard.isBefore(limit) ? 1 : 0;
+          silent += machine.lastReachableAt.isBefore(limit) ? 1 : 0;
         }
       }
     }
--- a/src/main/java/io/pearscale/scheduler/GangPlacement.java
+++ b/src/main/java/io/pearscale/scheduler/GangPlacement.java
@@ -32,7 +32,7 @@
           .map(Choice::machine)
           .map(
               machine ->
-                  machine.images.containsKey(job.spec.image())
+                  machine.cachedImages.containsKey(job.spec.image())
                       ? Duration.ZERO
                       : machine.type.fetchTime(job.spec.imageGb()))
           .max(Comparator.naturalOrder())
@@ -89,7 +89,7 @@
     }
     List<Predicate<Machine>> parts = new ArrayList<>();
     for (String zone : zones) {
-      if (job.onlyIn(zone)) {
+      if (job.isOnlyInZone(zone)) {
         parts.add(machine -> machine.zone.equals(zone));
       }
     }
@@ -158,7 +158,7 @@
           machines.stream()
               .filter(among)
               .filter(machine -> job.spec.allows(machine.type, machine.zone, machine.spot))
-              .mapToLong(machine -> Machine.Resources.of(machine.type).count(job))
+              .mapToLong(machine -> Machine.Resources.of(machine.type).countFitting(job))
               .sum();
       most = Math.max(most, places);
     }
@@ -186,7 +186,8 @@
 
     boolean allows(String zone) {
       long here = planned.stream().filter(zone::equals).count();
-      return !job.spec.spreadAcrossZones() || job.inZone(zone) + here < job.spec.maxTasksPerZone();
+      return !job.spec.spreadAcrossZones()
+          || job.attemptsInZone(zone) + here < job.spec.maxTasksPerZone();
     }
 
     void add(String zone) {
--- a/src/main/java/io/pearscale/scheduler/Gangs.java
+++ b/src/main/java/io/pearscale/scheduler/Gangs.java
@@ -78,26 +78,26 @@
     return switch (phase(job)) {
       case FORMING ->
           "%d of the %d tasks of its gang have their image, and wait for the others: %s"
-              .formatted(inStage(job, Stage.WAITING), job.spec.tasks(), laggards(job));
+              .formatted(inStage(job, Stage.WAITING_FOR_GANG), job.spec.tasks(), laggards(job));
       case ENDING ->
           "tasks of the attempt before are not yet proven gone: " + machinesOf(job, placed -> true);
       case UNKNOWN ->
           "tasks that a former leader placed were not shown yet: "
-              + machinesOf(job, placed -> !placed.confirmed);
+              + machinesOf(job, placed -> !placed.observed);
       case VACANT, RUNNING -> "it does not wait";
     };
   }
 
   private static long inStage(Job job, Stage stage) {
-    return job.placed.values().stream().filter(placed -> placed.stage == stage).count();
+    return job.attempts.values().stream().filter(placed -> placed.stage == stage).count();
   }
 
   private static String laggards(Job job) {
-    return machinesOf(job, placed -> placed.stage.compareTo(Stage.WAITING) < 0);
+    return machinesOf(job, placed -> placed.stage.compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
   private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
-    return job.placed.values().stream()
+    return job.attempts.values().stream()
         .filter(which)
         .limit(MACHINES_NAMED)
         .map(placed -> placed.machine.name)
@@ -107,7 +107,7 @@
 
   /** What is to be done for the gang now. */
   Action next(Job job) {
-    if (!job.done.isEmpty()) {
+    if (!job.doneTasks.isEmpty()) {
       return Action.NONE; // One task that is done makes all done: what is left exits by itself.
     }
     GangAttempt attempt = attemptOf(job);
@@ -126,7 +126,7 @@
     }
     Instant now = clock.instant();
     Duration lasted = Duration.between(phaseSince.put(job, now), now);
-    if (before == Phase.RUNNING && phase == Phase.ENDING && job.done.isEmpty() && !saved) {
+    if (before == Phase.RUNNING && phase == Phase.ENDING && job.doneTasks.isEmpty() && !saved) {
       lost = lost.plus(lostWork(job, lasted));
     }
     LOG.info(
@@ -135,7 +135,7 @@
         job.spec.id(),
         phase,
         attempt.number().orElse(-1L),
-        job.placed.size(),
+        job.attempts.size(),
         attempt.ended(),
         before,
         lasted.toMillis());
@@ -149,9 +149,9 @@
   }
 
   private static Collection<Member> membersOf(Job job) {
-    List<Member> members = new ArrayList<>(job.placed.size());
-    for (TaskAttempt attempt : job.placed.values()) {
-      members.add(new Member(attempt.attempt, stageOf(attempt.stage), attempt.stopping));
+    List<Member> members = new ArrayList<>(job.attempts.size());
+    for (TaskAttempt attempt : job.attempts.values()) {
+      members.add(new Member(attempt.number, stageOf(attempt.stage), attempt.stopping));
     }
     return members;
   }
@@ -159,11 +159,11 @@
   private static MemberStage stageOf(Stage stage) {
     return switch (stage) {
       case PLANNED -> MemberStage.PLANNED;
-      case SENT -> MemberStage.SENT;
+      case START_SENT -> MemberStage.SENT;
       case FETCHING -> MemberStage.FETCHING;
-      case WAITING -> MemberStage.WAITING;
+      case WAITING_FOR_GANG -> MemberStage.WAITING;
       case RUNNING -> MemberStage.RUNNING;
-      case SAVING -> MemberStage.SAVING;
+      case CHECKPOINTING -> MemberStage.SAVING;
     };
   }
 
@@ -203,11 +203,12 @@
     if (!job.spec.isGang()) {
       return true;
     }
-    return job.placed.size() == job.spec.tasks()
-        && job.placed.values().stream()
+    return job.attempts.size() == job.spec.tasks()
+        && job.attempts.values().stream()
             .allMatch(
                 attempt ->
-                    attempt.stage != Stage.PLANNED || (attempt.marked && attempt.machine.recorded));
+                    attempt.stage != Stage.PLANNED
+                        || (attempt.placementRecorded && attempt.machine.recorded));
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -4,7 +4,7 @@
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.OrderlyStop;
 import io.pearscale.gang.OrderlyStop.Reach;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -24,9 +24,9 @@
   private final MachineInventory inventory;
   private final Gangs gangs;
   private final InstantSource clock;
-  private final WorkerTimes times;
+  private final AgentTimings times;
 
-  GracefulTermination(LeaderState state, WorkerTimes times) {
+  GracefulTermination(LeaderState state, AgentTimings times) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.gangs = state.gangs();
@@ -48,7 +48,7 @@
     if (attempt.job.spec.isGang() && gangs.phase(attempt.job) == Phase.RUNNING) {
       stopGang(attempt.job, atOnce);
     } else {
-      attempt.stopsAtOnce |= atOnce;
+      attempt.stopsWithoutCheckpoint |= atOnce;
       inventory.stop(attempt);
     }
   }
@@ -66,10 +66,14 @@
     Instant now = clock.instant();
     List<Reach> members = new ArrayList<>();
     Duration left = NO_NOTICE;
-    for (TaskAttempt attempt : job.placed.values()) {
+    for (TaskAttempt attempt : job.attempts.values()) {
       members.add(new Reach(attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
       Duration untilTaken =
-          attempt.machine.takenAt.map(taken -> Duration.between(now, taken)).orElse(NO_NOTICE);
+          attempt
+              .machine
+              .preemptionNoticeAt
+              .map(taken -> Duration.between(now, taken))
+              .orElse(NO_NOTICE);
       left = untilTaken.compareTo(left) < 0 ? untilTaken : left;
     }
     boolean saves =
@@ -77,20 +81,20 @@
             && !job.spec.checkpointInterval().isZero()
             && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.checkpointDuration());
     gangs.noteEnding(job, saves);
-    for (TaskAttempt attempt : List.copyOf(job.placed.values())) {
-      attempt.stopsAtOnce |= !saves;
+    for (TaskAttempt attempt : List.copyOf(job.attempts.values())) {
+      attempt.stopsWithoutCheckpoint |= !saves;
       inventory.stop(attempt);
     }
   }
 
   /** Whether a command reaches the machine within a moment, as far as can be known. */
   private boolean isReachable(Machine machine, Instant now) {
-    return machine.life == Life.UP
-        && machine.settled
-        && !machine.lost
-        && !machine.inDoubt()
+    return machine.lifecycle == Lifecycle.UP
+        && machine.reconciled
+        && !machine.leaseExpired
+        && !machine.commandOutcomeUnknown()
         && !machine.address.isEmpty()
-        && !now.isBefore(machine.directAfter)
-        && now.isBefore(machine.heard.plus(times.recent()));
+        && !now.isBefore(machine.directCommandsAfter)
+        && now.isBefore(machine.lastReachableAt.plus(times.reachableWithin()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/Headroom.java
@@ -36,7 +36,7 @@
 
   private static int places(Job sample, Machine machine) {
     return sample.spec.allows(machine.type, machine.zone, machine.spot)
-        ? machine.roomWithEviction(sample)
+        ? machine.capacityWithEviction(sample)
         : 0;
   }
 
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import java.time.InstantSource;
 import java.util.List;
 import java.util.Optional;
@@ -48,10 +48,10 @@
    * @param via the controller that it came to
    */
   HeartbeatResponse answer(Heartbeat heartbeat, String via) {
-    if (!leadership.ready() || !leadership.mayRenew()) {
+    if (!leadership.isReady() || !leadership.mayRenewLeases()) {
       return HeartbeatResponse.UNAVAILABLE;
     }
-    if (leadership.isOfLaterTerm(heartbeat.fencingToken())) {
+    if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
       LOG.warn(
           "event=report_of_higher_term machine={} token={}",
           heartbeat.machine(),
@@ -60,27 +60,27 @@
       return HeartbeatResponse.UNAVAILABLE;
     }
     Machine machine = machineOf(heartbeat);
-    if (machine == null || !machine.lease.isNews(heartbeat)) {
+    if (machine == null || !machine.lease.isNewer(heartbeat)) {
       LOG.debug("event=report_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
     }
     reports.absorb(machine, heartbeat, gotLastAnswer(machine, heartbeat, via));
-    machine.answersSince = Optional.empty();
-    machine.lease.answered(clock.instant());
-    machine.via = via;
+    machine.answersWithoutHeartbeatSince = Optional.empty();
+    machine.lease.renew(clock.instant());
+    machine.lastResponseController = via;
     List<AgentCommand> orders = ordersInAnswer(machine, heartbeat);
     dispatcher.sendDue(machine);
-    machine.answered = machine.token;
-    return new HeartbeatResponse(200, machine.token, orders);
+    machine.lastResponseToken = machine.fencingToken;
+    return new HeartbeatResponse(200, machine.fencingToken, orders);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
   private List<AgentCommand> ordersInAnswer(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.fencingToken() > machine.token) {
+    if (heartbeat.fencingToken() > machine.fencingToken) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
     }
-    return machine.settled
+    return machine.reconciled
         ? dispatcher.ordersInAnswer(machine)
         : StopCommands.forUnsettled(heartbeat, jobs::isLive);
   }
@@ -92,16 +92,16 @@
    * although it was answered, as workers do when no answer comes. A higher token makes sure.
    */
   private boolean gotLastAnswer(Machine machine, Heartbeat heartbeat, String via) {
-    if (heartbeat.fencingToken() < machine.answered) {
-      machine.unheard++;
+    if (heartbeat.fencingToken() < machine.lastResponseToken) {
+      machine.unacknowledgedResponses++;
       return false;
     }
-    machine.unheard = 0;
-    if (machine.via.isEmpty() || machine.via.equals(via)) {
+    machine.unacknowledgedResponses = 0;
+    if (machine.lastResponseController.isEmpty() || machine.lastResponseController.equals(via)) {
       return true;
     }
-    if (machine.token <= heartbeat.fencingToken()) {
-      machine.raiseToken();
+    if (machine.fencingToken <= heartbeat.fencingToken()) {
+      machine.incrementFencingToken();
     }
     return false;
   }
@@ -119,9 +119,9 @@
               heartbeat.zone(),
               heartbeat.spot(),
               type,
-              Life.UP,
+              Lifecycle.UP,
               clock.instant());
-      inventory.addFormer(machine);
+      inventory.addFromPreviousLeader(machine);
       LOG.info("event=machine_unexpected term={} machine={}", leadership.term(), machine.name);
     }
     return machine;
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -3,8 +3,8 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.scheduler.Machine.Ended;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.AttemptId;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -65,20 +65,20 @@
    */
   void absorb(Machine machine, Heartbeat heartbeat, boolean received) {
     noteReported(machine, heartbeat);
-    if (!machine.settled) {
-      if (!leadership.isOfThisTerm(heartbeat.fencingToken())) {
+    if (!machine.reconciled) {
+      if (!leadership.isFromThisTerm(heartbeat.fencingToken())) {
         // It has not heard of this term, or is a late copy: it says nothing of what an old command
         // may yet do, nor that the machine is alive.
         return;
       }
-      machine.settled = true;
+      machine.reconciled = true;
       requestPass.run();
     }
     noteAlive(machine, heartbeat, received);
-    Map<Ended, Long> oldEnded = new HashMap<>(machine.ended);
-    machine.ended.clear();
-    Map<Ended, Instant> oldForeign = new HashMap<>(machine.foreign);
-    machine.foreign.clear();
+    Map<AttemptId, Long> oldEnded = new HashMap<>(machine.endedAttempts);
+    machine.endedAttempts.clear();
+    Map<AttemptId, Instant> oldForeign = new HashMap<>(machine.unknownAttempts);
+    machine.unknownAttempts.clear();
     Set<TaskAttempt> seen = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.stage() == Heartbeat.Stage.ENDED) {
@@ -88,11 +88,11 @@
       }
     }
     removeUnseen(machine, heartbeat, seen);
-    if (machine.takenAt.isPresent()) {
+    if (machine.preemptionNoticeAt.isPresent()) {
       prepareForNotice(machine);
     }
-    if (!machine.foreign.isEmpty()) {
-      inventory.noteCommandDue(machine);
+    if (!machine.unknownAttempts.isEmpty()) {
+      inventory.markCommandDue(machine);
     }
   }
 
@@ -100,17 +100,17 @@
   private void noteReported(Machine machine, Heartbeat heartbeat) {
     Instant now = clock.instant();
     noteSession(machine, heartbeat, now);
-    machine.seenToken = Math.max(machine.seenToken, heartbeat.fencingToken());
+    machine.observedFencingToken = Math.max(machine.observedFencingToken, heartbeat.fencingToken());
     machine.address = heartbeat.address();
-    if (machine.life == Life.BOOTING) {
-      machine.life = Life.UP;
+    if (machine.lifecycle == Lifecycle.BOOTING) {
+      machine.lifecycle = Lifecycle.UP;
     }
     if (machine.recorded && !machine.recordedAddress.equals(machine.address)) {
       machine.recordedAddress = machine.address;
       records.recordMachineUnhurried(machine);
     }
-    if (!machine.everReported) {
-      machine.everReported = true;
+    if (!machine.heartbeatEverReceived) {
+      machine.heartbeatEverReceived = true;
       LOG.info(
           "event=machine_up term={} machine={} type={} zone={} spot={} after_ms={}",
           leadership.term(),
@@ -118,16 +118,16 @@
           machine.type.name(),
           machine.zone,
           machine.spot,
-          Duration.between(machine.rented, now).toMillis());
+          Duration.between(machine.provisionedAt, now).toMillis());
     }
   }
 
   /** Takes in the session; one that was not expected is worth a line in the log. */
   private void noteSession(Machine machine, Heartbeat heartbeat, Instant now) {
-    long former = machine.lease.session();
-    boolean isNew = machine.lease.shown(heartbeat, now);
-    if (isNew && (machine.lost || (former > 0 && heartbeat.incarnation() > former))) {
-      decisions.sessionBegan(machine, heartbeat, former);
+    long former = machine.lease.incarnation();
+    boolean isNew = machine.lease.observe(heartbeat, now);
+    if (isNew && (machine.leaseExpired || (former > 0 && heartbeat.incarnation() > former))) {
+      decisions.incarnationBegan(machine, heartbeat, former);
     }
   }
 
@@ -135,21 +135,21 @@
   private void noteAlive(Machine machine, Heartbeat heartbeat, boolean received) {
     Instant now = clock.instant();
     if (received) {
-      machine.heard = now;
+      machine.lastReachableAt = now;
       if (machine.missedProbes > 0) {
         machine.missedProbes = 0;
-        machine.directAfter = now;
+        machine.directCommandsAfter = now;
       }
     }
-    machine.lost = false;
-    if (heartbeat.preemptionNotice().isPresent() && machine.takenAt.isEmpty()) {
+    machine.leaseExpired = false;
+    if (heartbeat.preemptionNotice().isPresent() && machine.preemptionNoticeAt.isEmpty()) {
       LOG.info(
           "event=spot_notice term={} machine={} left={}",
           leadership.term(),
           machine.name,
           heartbeat.preemptionNotice().get());
     }
-    machine.takenAt = heartbeat.preemptionNotice().map(now::plus);
+    machine.preemptionNoticeAt = heartbeat.preemptionNotice().map(now::plus);
   }
 
   /** The job of a reported task; empty when it is over or has no such task. */
@@ -161,40 +161,40 @@
   /** What is known of a reported attempt; one that a former leader gave is known from now on. */
   private Optional<TaskAttempt> placementOf(
       Machine machine, Heartbeat heartbeat, TaskStatus status) {
-    TaskAttempt attempt = machine.placements.get(status.task());
-    if (attempt != null && attempt.attempt < 0) {
-      attempt.attempt = status.attempt();
-      attempt.token = heartbeat.fencingToken();
-      attempt.session = heartbeat.incarnation();
+    TaskAttempt attempt = machine.attempts.get(status.task());
+    if (attempt != null && attempt.number < 0) {
+      attempt.number = status.attempt();
+      attempt.startToken = heartbeat.fencingToken();
+      attempt.startIncarnation = heartbeat.incarnation();
     }
-    return Optional.ofNullable(attempt).filter(known -> known.attempt == status.attempt());
+    return Optional.ofNullable(attempt).filter(known -> known.number == status.attempt());
   }
 
   private void absorbEnded(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<Ended, Long> oldEnded) {
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<AttemptId, Long> oldEnded) {
     Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
     // What is done stays done however often it is started: no token need be raised for it.
     long started =
         status.cause().equals("done")
             ? -1
-            : placement.map(attempt -> attempt.token).orElse(machine.token);
-    Ended key = new Ended(status.task(), status.attempt());
-    machine.ended.put(key, oldEnded.getOrDefault(key, started));
+            : placement.map(attempt -> attempt.startToken).orElse(machine.fencingToken);
+    AttemptId key = new AttemptId(status.task(), status.attempt());
+    machine.endedAttempts.put(key, oldEnded.getOrDefault(key, started));
     placement.ifPresent(attempt -> inventory.remove(attempt, AbsenceProof.ENDED));
     ended(machine, jobOf(status).orElse(null), status, placement.orElse(null));
   }
 
   /** Takes in a task that is on the machine; empty if it must not be there. */
   private Optional<TaskAttempt> absorbPresent(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<Ended, Instant> oldForeign) {
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<AttemptId, Instant> oldForeign) {
     Optional<Job> job = jobOf(status);
     Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
-    if (placement.isEmpty() && job.isPresent() && !job.get().done.get(status.task().index())) {
+    if (placement.isEmpty() && job.isPresent() && !job.get().doneTasks.get(status.task().index())) {
       placement = adopt(job.get(), machine, heartbeat, status);
     }
     if (placement.isEmpty()) {
-      Ended key = new Ended(status.task(), status.attempt());
-      machine.foreign.put(key, oldForeign.getOrDefault(key, Instant.MIN));
+      AttemptId key = new AttemptId(status.task(), status.attempt());
+      machine.unknownAttempts.put(key, oldForeign.getOrDefault(key, Instant.MIN));
     }
     placement.ifPresent(attempt -> progress(attempt, status.stage()));
     return placement;
@@ -203,7 +203,7 @@
   /** Takes a task over that nobody knew to be here; empty if it is known to be elsewhere. */
   private Optional<TaskAttempt> adopt(
       Job job, Machine machine, Heartbeat heartbeat, TaskStatus status) {
-    TaskAttempt other = job.placed.get(status.task().index());
+    TaskAttempt other = job.attempts.get(status.task().index());
     if (other != null && other.stage == Stage.PLANNED) {
       inventory.remove(other, AbsenceProof.NOT_SENT);
       other = null;
@@ -217,9 +217,10 @@
       return Optional.empty();
     }
     TaskAttempt adopted =
-        new TaskAttempt(job, status.task(), status.attempt(), machine, Stage.SENT, job.submitted);
-    adopted.token = heartbeat.fencingToken();
-    adopted.session = heartbeat.incarnation();
+        new TaskAttempt(
+            job, status.task(), status.attempt(), machine, Stage.START_SENT, job.submittedAt);
+    adopted.startToken = heartbeat.fencingToken();
+    adopted.startIncarnation = heartbeat.incarnation();
     inventory.add(adopted);
     records.recordTask(adopted);
     return Optional.of(adopted);
@@ -227,26 +228,26 @@
 
   /** What is not in the report is gone only if no command for it can still be on its way. */
   private void removeUnseen(Machine machine, Heartbeat heartbeat, Set<TaskAttempt> seen) {
-    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       if (attempt.stage == Stage.PLANNED || seen.contains(attempt)) {
         continue;
       }
-      if (attempt.session < heartbeat.incarnation()) {
-        inventory.remove(attempt, AbsenceProof.LATER_SESSION);
-      } else if (attempt.confirmed || attempt.token < heartbeat.fencingToken()) {
+      if (attempt.startIncarnation < heartbeat.incarnation()) {
+        inventory.remove(attempt, AbsenceProof.LATER_INCARNATION);
+      } else if (attempt.observed || attempt.startToken < heartbeat.fencingToken()) {
         inventory.remove(attempt, AbsenceProof.NOT_REPORTED);
       }
     }
   }
 
   private void progress(TaskAttempt attempt, Heartbeat.Stage stage) {
-    attempt.confirmed = true;
+    attempt.observed = true;
     Stage before = attempt.stage;
     attempt.stage =
         switch (stage) {
           case FETCHING -> Stage.FETCHING;
-          case WAITING -> Stage.WAITING;
-          case CHECKPOINTING -> Stage.SAVING;
+          case WAITING -> Stage.WAITING_FOR_GANG;
+          case CHECKPOINTING -> Stage.CHECKPOINTING;
           default -> Stage.RUNNING;
         };
     if (attempt.stage == Stage.RUNNING && before != Stage.RUNNING) {
@@ -255,15 +256,15 @@
           leadership.term(),
           attempt.machine.name,
           attempt.task,
-          attempt.attempt,
-          Duration.between(attempt.job.submitted, clock.instant()).toMillis(),
-          Duration.between(attempt.since, clock.instant()).toMillis());
-      attempt.machine.noteImage(attempt.job.spec.image(), attempt.job.spec.imageGb());
+          attempt.number,
+          Duration.between(attempt.job.submittedAt, clock.instant()).toMillis(),
+          Duration.between(attempt.stageSince, clock.instant()).toMillis());
+      attempt.machine.recordImageUse(attempt.job.spec.image(), attempt.job.spec.imageGb());
       Instant now = clock.instant();
       if (before.compareTo(Stage.RUNNING) < 0) {
-        statistics.started(Duration.between(attempt.since, now));
+        statistics.recordStart(Duration.between(attempt.stageSince, now));
       }
-      attempt.since = now;
+      attempt.stageSince = now;
     }
   }
 
@@ -274,7 +275,7 @@
     switch (status.cause()) {
       case "done" -> {
         failures.succeeded(machine, job);
-        if (!job.spec.isService() && !job.done.get(status.task().index())) {
+        if (!job.spec.isService() && !job.doneTasks.get(status.task().index())) {
           completed(job, status.task().index());
         }
       }
@@ -299,18 +300,18 @@
   private void completed(Job job, int index) {
     if (job.spec.isGang()) {
       // Its tasks complete together: whoever shows it first decides for all.
-      job.done.set(0, job.spec.tasks());
+      job.doneTasks.set(0, job.spec.tasks());
       jobs.requeue(job);
       records.recordEnd(job);
       return;
     }
-    TaskAttempt other = job.placed.get(index);
+    TaskAttempt other = job.attempts.get(index);
     if (other != null) {
       inventory.stop(other);
     }
-    job.done.set(index);
+    job.doneTasks.set(index);
     jobs.requeue(job);
-    if (job.complete()) {
+    if (job.isComplete()) {
       records.recordEnd(job);
     } else {
       records.recordProgress(job, index);
@@ -328,7 +329,7 @@
         status.cause());
     Instant later = clock.instant().plus(REFUSAL_PAUSE);
     if (status.cause().equals("no_such")) {
-      job.notBefore = later;
+      job.retryNotBefore = later;
     } else {
       machine.avoidUntil = later;
     }
@@ -337,14 +338,14 @@
   /** A machine that will be taken: saves what can be saved and moves what can't finish. */
   private void prepareForNotice(Machine machine) {
     Instant now = clock.instant();
-    Duration left = Duration.between(now, machine.takenAt.orElse(now));
-    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+    Duration left = Duration.between(now, machine.preemptionNoticeAt.orElse(now));
+    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       if (attempt.stopping) {
         continue;
       }
       JobSpec spec = attempt.job.spec;
       boolean saves = !spec.checkpointInterval().isZero();
-      Duration ran = Duration.between(attempt.since, now);
+      Duration ran = Duration.between(attempt.stageSince, now);
       boolean running = attempt.stage == Stage.RUNNING;
       Duration remaining = running ? spec.estimatedDuration().minus(ran) : spec.estimatedDuration();
       if (saves
--- a/src/main/java/io/pearscale/scheduler/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/IncarnationLease.java
@@ -20,69 +20,70 @@
     /** Nothing was heard of the worker, and nobody can have started anything there. */
     NONE,
     /** A former leader may have renewed it until then. */
-    FORMER_LEADERS,
+    PREVIOUS_LEADERS,
     /** The session was seen for the first time: it began then at the latest. */
-    SESSION_SEEN,
+    INCARNATION_OBSERVED,
     /** A report was answered. */
-    ANSWER
+    HEARTBEAT_RESPONSE
   }
 
   /** Of a worker that has shown no session which may still be believed. */
-  private static final long NONE = -1;
+  private static final long NO_INCARNATION = -1;
 
-  private long leastSession;
-  private long shownSession = NONE;
-  private long shownSequence;
-  private Instant from = Instant.MIN;
+  private long leastAcceptableIncarnation;
+  private long observedIncarnation = NO_INCARNATION;
+  private long observedSequence;
+  private Instant countedFrom = Instant.MIN;
   private Basis basis = Basis.NONE;
 
   /** A stored record names the session: what is older is not believed. */
-  void recorded(long session) {
-    leastSession = session;
+  void acceptFromRecorded(long incarnation) {
+    leastAcceptableIncarnation = incarnation;
   }
 
   /** Former leaders may renew the lease until then. */
-  void formerLeadersRenewUntil(Instant until) {
-    if (until.isAfter(from)) {
-      from = until;
-      basis = Basis.FORMER_LEADERS;
+  void previousLeadersRenewUntil(Instant until) {
+    if (until.isAfter(countedFrom)) {
+      countedFrom = until;
+      basis = Basis.PREVIOUS_LEADERS;
     }
   }
 
   /** Former leaders renew nothing any more. */
-  void formerLeadersEnded(Instant now) {
-    if (from.isAfter(now)) {
-      from = now;
+  void previousLeadersEnded(Instant now) {
+    if (countedFrom.isAfter(now)) {
+      countedFrom = now;
     }
   }
 
   /** Whether the message is later than all that were taken in, and of a session to be believed. */
-  boolean isNews(Heartbeat message) {
-    return shownSession == NONE
-        ? message.incarnation() >= leastSession
-        : message.isNewerThan(shownSession, shownSequence);
+  boolean isNewer(Heartbeat message) {
+    return observedIncarnation == NO_INCARNATION
+        ? message.incarnation() >= leastAcceptableIncarnation
+        : message.isNewerThan(observedIncarnation, observedSequence);
   }
 
   /**
-   * Takes in a message that {@link #isNews}.
+   * Takes in a message that {@link #isNewer}.
    *
    * @return whether it shows a session that was not seen before, which counts its lease from now
    */
-  boolean shown(Heartbeat message, Instant now) {
-    boolean sessionIsNew = shownSession == NONE || message.incarnation() > shownSession;
-    shownSession = message.incarnation();
-    shownSequence = message.sequence();
-    if (sessionIsNew && now.isAfter(from)) {
-      from = now;
-      basis = Basis.SESSION_SEEN;
+  boolean observe(Heartbeat message, Instant now) {
+    boolean incarnationIsNew =
+        observedIncarnation == NO_INCARNATION || message.incarnation() > observedIncarnation;
+    observedIncarnation = message.incarnation();
+    observedSequence = message.sequence();
+    if (incarnationIsNew && now.isAfter(countedFrom)) {
+      countedFrom = now;
+      basis = Basis.INCARNATION_OBSERVED;
     }
-    return sessionIsNew;
+    return incarnationIsNew;
   }
 
   /** A report of the present session is answered: its lease may last for its time from now. */
-  void answered(Instant now) {
-    from = now;
-    basis = Basis.ANSWER;
+  void renew(Instant now) {
+    countedFrom = now;
+    basis = Basis.HEARTBEAT_RESPONSE;
   }
 
   /**
@@ -90,29 +91,29 @@
    *
    * @param bound a lease, with what clocks may differ by
    */
-  boolean isOver(Instant now, Duration bound) {
-    return basis != Basis.NONE && now.isAfter(from.plus(bound));
+  boolean isExpired(Instant now, Duration bound) {
+    return basis != Basis.NONE && now.isAfter(countedFrom.plus(bound));
   }
 
   /** Whether the lease was renewed so lately that the worker still has it. */
   boolean isHeld(Instant now, Duration lease) {
-    return basis != Basis.NONE && now.isBefore(from.plus(lease));
+    return basis != Basis.NONE && now.isBefore(countedFrom.plus(lease));
   }
 
   /** The present session is proven to be over; the worker has yet to show a later one. */
-  void end() {
-    leastSession = session() + 1;
-    shownSession = NONE;
+  void endIncarnation() {
+    leastAcceptableIncarnation = incarnation() + 1;
+    observedIncarnation = NO_INCARNATION;
   }
 
   /** The session that commands name: the one shown, or else the least that may be believed. */
-  long session() {
-    return shownSession == NONE ? leastSession : shownSession;
+  long incarnation() {
+    return observedIncarnation == NO_INCARNATION ? leastAcceptableIncarnation : observedIncarnation;
   }
 
   /** The sequence of the last message; none when no session is shown. */
   long sequence() {
-    return shownSession == NONE ? NONE : shownSequence;
+    return observedIncarnation == NO_INCARNATION ? NO_INCARNATION : observedSequence;
   }
 
   /** What the lease was last counted from. */
@@ -122,6 +123,6 @@
 
   /** How long ago the lease was last counted from; negative while former leaders may renew it. */
   Duration age(Instant now) {
-    return basis == Basis.NONE ? Duration.ZERO : Duration.between(from, now);
+    return basis == Basis.NONE ? Duration.ZERO : Duration.between(countedFrom, now);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/Job.java
@@ -19,120 +19,123 @@
   static final Duration LONG_WAIT = Duration.ofSeconds(75);
 
   /** What is stopped sooner is no start in its user's eyes. */
-  static final Duration A_START = Duration.ofSeconds(30);
+  static final Duration MIN_RUN_TO_COUNT_AS_START = Duration.ofSeconds(30);
 
   /** On so many machines a job must fail before it is thought to be its own fault. */
-  private static final int TRIES = 3;
+  private static final int MACHINES_TO_BLAME_JOB = 3;
 
   final JobSpec spec;
-  final long stamp;
-  final Instant submitted;
+  final long revision;
+  final Instant submittedAt;
 
   /** Whether its team may use only so much at any time. */
-  private final boolean limited;
+  private final boolean quotaLimited;
 
-  /** Tasks that are done; {@link #durableDone} says for which of them a successor would know. */
-  final BitSet done = new BitSet();
+  /**
+   * Tasks that are done; {@link #durablyDoneTasks} says for which of them a successor would know.
+   */
+  final BitSet doneTasks = new BitSet();
 
-  final BitSet durableDone = new BitSet();
+  final BitSet durablyDoneTasks = new BitSet();
 
   /**
    * Where each task is, or may be: also such as were not seen since the takeover, each on the
    * machine that its mark names.
    */
-  final Map<Integer, TaskAttempt> placed = new HashMap<>();
+  final Map<Integer, TaskAttempt> attempts = new HashMap<>();
 
-  private final Map<String, Integer> byZone = new HashMap<>();
-  final Set<String> failedOn = new HashSet<>();
-  Instant notBefore = Instant.MIN;
+  private final Map<String, Integer> attemptsByZone = new HashMap<>();
+  final Set<String> machinesFailedOn = new HashSet<>();
+  Instant retryNotBefore = Instant.MIN;
 
   /** How often it was put off since it seems to be mistaken. */
   int retries;
 
-  boolean succeeded;
+  boolean taskSucceeded;
 
   /** Whether any of its tasks ran for long enough to count as a start. */
-  boolean begun;
+  boolean hasStarted;
 
   /** Whether the last pass found no place for one of its tasks. */
-  boolean noRoom;
+  boolean unschedulable;
 
   /** Whether it is known that its tasks can run: one was done, or a replica ran for a while. */
-  boolean works() {
-    return succeeded || (spec.isService() && begun);
+  boolean hasSucceeded() {
+    return taskSucceeded || (spec.isService() && hasStarted);
   }
 
   /** Whether it seems to have been submitted with a mistake: it failed wherever it was tried. */
-  boolean mistaken() {
-    return !works() && failedOn.size() >= TRIES;
+  boolean failsEverywhere() {
+    return !hasSucceeded() && machinesFailedOn.size() >= MACHINES_TO_BLAME_JOB;
   }
 
   Job(JobSpec spec, long stamp, Instant submitted, boolean limited) {
-    this.limited = limited;
+    this.quotaLimited = limited;
     this.spec = spec;
-    this.stamp = stamp;
-    this.submitted = submitted;
+    this.revision = stamp;
+    this.submittedAt = submitted;
   }
 
   void add(TaskAttempt attempt) {
-    placed.put(attempt.task.index(), attempt);
-    byZone.merge(attempt.machine.zone, 1, Integer::sum);
+    attempts.put(attempt.task.index(), attempt);
+    attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
   }
 
   void remove(TaskAttempt attempt) {
-    if (placed.remove(attempt.task.index(), attempt)) {
-      byZone.merge(attempt.machine.zone, -1, Integer::sum);
+    if (attempts.remove(attempt.task.index(), attempt)) {
+      attemptsByZone.merge(attempt.machine.zone, -1, Integer::sum);
     }
   }
 
   /** Forgets all that only a leader knows. */
-  void forget() {
-    placed.clear();
-    byZone.clear();
-    done.clear();
-    durableDone.clear();
+  void forgetLeaderState() {
+    attempts.clear();
+    attemptsByZone.clear();
+    doneTasks.clear();
+    durablyDoneTasks.clear();
   }
 
-  int pending() {
-    return spec.tasks() - done.cardinality() - placed.size();
+  int pendingTasks() {
+    return spec.tasks() - doneTasks.cardinality() - attempts.size();
   }
 
-  boolean complete() {
-    return !spec.isService() && done.cardinality() >= spec.tasks();
+  boolean isComplete() {
+    return !spec.isService() && doneTasks.cardinality() >= spec.tasks();
   }
 
   /** The next task that waits for a machine, from {@code from} on, or -1. */
-  int nextPending(int from) {
+  int nextPendingTask(int from) {
     for (int i = from; i < spec.tasks(); i++) {
-      if (!done.get(i) && !placed.containsKey(i)) {
+      if (!doneTasks.get(i) && !attempts.containsKey(i)) {
         return i;
       }
     }
     return -1;
   }
 
-  int running() {
-    int n = 0;
-    for (TaskAttempt attempt : placed.values()) {
-      if (attempt.stage == TaskAttempt.Stage.RUNNING || attempt.stage == TaskAttempt.Stage.SAVING) {
-        n++;
+  int runningTasks() {
+    int count = 0;
+    for (TaskAttempt attempt : attempts.values()) {
+      if (attempt.stage == TaskAttempt.Stage.RUNNING
+          || attempt.stage == TaskAttempt.Stage.CHECKPOINTING) {
+        count++;
       }
     }
-    return n;
+    return count;
   }
 
-  int inZone(String zone) {
-    return byZone.getOrDefault(zone, 0);
+  int attemptsInZone(String zone) {
+    return attemptsByZone.getOrDefault(zone, 0);
   }
 
   /** Whether no task is placed outside of the zone. */
-  boolean onlyIn(String zone) {
-    return byZone.getOrDefault(zone, 0) == placed.size();
+  boolean isOnlyInZone(String zone) {
+    return attemptsByZone.getOrDefault(zone, 0) == attempts.size();
   }
 
   /** What its tasks take of their team's limit. */
-  Optional<PlacementRecordCodec.QuotaClaim> claim() {
-    return limited
+  Optional<PlacementRecordCodec.QuotaClaim> quotaClaim() {
+    return quotaLimited
         ? Optional.of(
             new PlacementRecordCodec.QuotaClaim(
                 spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb()))
@@ -143,16 +146,18 @@
    * What a former leader started of a job that is over by now. Nothing is known of it but the marks
    * of one part; its tasks count for their team's limit until they are known to be gone.
    */
-  static Job remains(
-      PlacementRecordCodec.PartitionRecord p, PlacementRecordCodec.QuotaClaim claim, Instant now) {
+  static Job orphaned(
+      PlacementRecordCodec.PartitionRecord part,
+      PlacementRecordCodec.QuotaClaim claim,
+      Instant now) {
     JobSpec spec =
         new JobSpec(
-            p.job(),
+            part.job(),
             "",
             claim.team(),
             WorkloadType.SERVICE,
             Priority.IDLE,
-            p.firstTask() + p.machineReferences().length,
+            part.firstTask() + part.machineReferences().length,
             claim.cpus(),
             claim.gpus(),
             claim.memoryGb(),
@@ -171,10 +176,10 @@
   }
 
   /** The tasks were written as done; they are numbered from the first one. */
-  void noteDurable(int first, BitSet doneTasks) {
-    for (int i = doneTasks.nextSetBit(0); i >= 0; i = doneTasks.nextSetBit(i + 1)) {
-      if (first + i < spec.tasks()) {
-        durableDone.set(first + i);
+  void recordDurablyDone(int firstTask, BitSet written) {
+    for (int i = written.nextSetBit(0); i >= 0; i = written.nextSetBit(i + 1)) {
+      if (firstTask + i < spec.tasks()) {
+        durablyDoneTasks.set(firstTask + i);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/JobClasses.java
@@ -15,17 +15,17 @@
 
 /** What is expected of each class of jobs, and what its jobs were like lately. */
 final class JobClasses {
-  private static final int REMEMBERED = 40;
+  private static final int RECENT_JOBS_KEPT = 40;
 
   /**
    * What a stop or a start takes beside saving and fetching: messages and the worker's own time.
    */
-  private static final Duration MESSAGES = Duration.ofSeconds(2);
+  private static final Duration MESSAGING_OVERHEAD = Duration.ofSeconds(2);
 
   private final List<ServiceLevelObjective> objectives;
   private final Collection<MachineType> types;
-  private final Map<String, Job> samples = new HashMap<>();
-  private final Map<String, ArrayDeque<Integer>> sizes = new HashMap<>();
+  private final Map<String, Job> latestJobs = new HashMap<>();
+  private final Map<String, ArrayDeque<Integer>> recentSizes = new HashMap<>();
 
   /**
    * Judges classes by what is expected of them.
@@ -38,7 +38,7 @@
   }
 
   /** In which time tasks of the class are expected to start; the shortest, if several are said. */
-  Optional<Duration> startWithin(JobSpec spec) {
+  Optional<Duration> startObjective(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
         .map(ServiceLevelObjective::target)
@@ -50,8 +50,8 @@
    * be up, with its image, in the time that its tasks have to start. Batch work that has a minute
    * or two needs no room of its own.
    */
-  boolean startsAtOnce(JobSpec spec) {
-    Optional<Duration> within = startWithin(spec);
+  boolean needsHeadroom(JobSpec spec) {
+    Optional<Duration> within = startObjective(spec);
     if (within.isEmpty()) {
       return false;
     }
@@ -59,59 +59,63 @@
         .filter(spec::allowsInSomeZone)
         .map(
             type ->
-                ScaleOutPlanner.bootTime(type).plus(type.fetchTime(spec.imageGb())).plus(MESSAGES))
+                ScaleOutPlanner.bootTime(type)
+                    .plus(type.fetchTime(spec.imageGb()))
+                    .plus(MESSAGING_OVERHEAD))
         .noneMatch(need -> need.compareTo(within.get()) <= 0);
   }
 
   /** Whether a start on a machine of the type would be late if it waited for the victim to save. */
-  boolean tooLateIfSaved(JobSpec spec, JobSpec victim, MachineType type) {
-    Duration need = victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGES);
-    return startWithin(spec).filter(w -> w.compareTo(need) < 0).isPresent();
+  boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
+    Duration needed =
+        victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGING_OVERHEAD);
+    return startObjective(spec).filter(w -> w.compareTo(needed) < 0).isPresent();
   }
 
   /** Tasks of a large job of the class, as seen lately: nine of ten have no more. */
-  int largeJob(String jobClass) {
-    int[] sorted = sizes.get(jobClass).stream().mapToInt(n -> n).sorted().toArray();
+  int largeJobTasks(String jobClass) {
+    int[] sorted = recentSizes.get(jobClass).stream().mapToInt(n -> n).sorted().toArray();
     return sorted.length == 0 ? 0 : sorted[sorted.length * 9 / 10];
   }
 
   /** Whether sizes of its jobs are kept: it has batch jobs and a time to keep. */
   boolean sized(String jobClass) {
-    return sizes.containsKey(jobClass);
+    return recentSizes.containsKey(jobClass);
   }
 
   /** The classes with batch jobs and a time to keep. */
   Set<String> sized() {
-    return sizes.keySet();
+    return recentSizes.keySet();
   }
 
   /** A job of the class, if one was seen. */
-  Optional<Job> sample(String jobClass) {
-    return Optional.ofNullable(samples.get(jobClass));
+  Optional<Job> latestJob(String jobClass) {
+    return Optional.ofNullable(latestJobs.get(jobClass));
   }
 
   /** The classes whose tasks are expected to start at once. */
-  List<String> startingAtOnce() {
-    return samples.entrySet().stream()
-        .filter(e -> startsAtOnce(e.getValue().spec))
+  List<String> classesNeedingHeadroom() {
+    return latestJobs.entrySet().stream()
+        .filter(e -> needsHeadroom(e.getValue().spec))
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
   }
 
   /** Remembers what jobs of classes with a time to keep are like. */
-  void note(Job job) {
+  void observe(Job job) {
     JobSpec spec = job.spec;
     if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
       return;
     }
     if (!spec.isService()) {
-      ArrayDeque<Integer> last = sizes.computeIfAbsent(spec.jobClass(), c -> new ArrayDeque<>());
-      last.add(spec.tasks());
-      if (last.size() > REMEMBERED) {
-        last.poll();
+      ArrayDeque<Integer> recent =
+          recentSizes.computeIfAbsent(spec.jobClass(), c -> new ArrayDeque<>());
+      recent.add(spec.tasks());
+      if (recent.size() > RECENT_JOBS_KEPT) {
+        recent.poll();
       }
     }
-    samples.put(spec.jobClass(), job);
+    latestJobs.put(spec.jobClass(), job);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/JobPartition.java
@@ -41,13 +41,13 @@
   /** How large the marks of this part may become. */
   int marksSize(RecordLayout layout) {
     return PlacementRecordCodec.maximumSize(job.spec.id(), tasks, layout)
-        + job.claim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
+        + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
   /** Where its tasks are, or may be. */
   List<TaskAttempt> placements() {
     List<TaskAttempt> placements = new ArrayList<>();
-    for (TaskAttempt attempt : job.placed.values()) {
+    for (TaskAttempt attempt : job.attempts.values()) {
       int index = attempt.task.index() - first;
       if (index >= 0 && index < tasks) {
         placements.add(attempt);
@@ -58,12 +58,12 @@
 
   /** Its tasks that are done, numbered from its first. */
   BitSet done() {
-    return job.done.get(first, first + tasks);
+    return job.doneTasks.get(first, first + tasks);
   }
 
   /** Its tasks were written as done. */
   void noteDurable(BitSet doneTasks) {
-    job.noteDurable(first, doneTasks);
+    job.recordDurablyDone(first, doneTasks);
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/JobTable.java
@@ -35,40 +35,40 @@
   private final Map<String, Team> teams;
   private final Leadership leadership;
   private final InstantSource clock;
-  private final InstantSource timeOfDay;
-  private final LevelGate level;
-  private final Consumer<Job> added;
+  private final InstantSource wallClock;
+  private final LevelGate levelGate;
+  private final Consumer<Job> jobAdded;
   private final Runnable requestPass;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Collection<Job> all = Collections.unmodifiableCollection(jobs.values());
   private final CancelledJobs cancelled = new CancelledJobs();
   private final Set<String> unreadableKeys = new HashSet<>();
-  private final Set<Job> waiting = new LinkedHashSet<>();
+  private final Set<Job> queued = new LinkedHashSet<>();
   private final Set<Job> gangs = new LinkedHashSet<>();
-  private final Collection<Job> waitingView = Collections.unmodifiableCollection(waiting);
+  private final Collection<Job> queuedView = Collections.unmodifiableCollection(queued);
 
   /**
    * Makes an empty table.
    *
-   * @param timeOfDay on it, submissions carry their time
-   * @param level says which features this build has
-   * @param added is told of each new job
+   * @param wallClock on it, submissions carry their time
+   * @param levelGate says which features this build has
+   * @param jobAdded is told of each new job
    * @param requestPass asks for a pass over the jobs that wait
    */
   JobTable(
       Map<String, Team> teams,
       Leadership leadership,
       InstantSource clock,
-      InstantSource timeOfDay,
-      LevelGate level,
-      Consumer<Job> added,
+      InstantSource wallClock,
+      LevelGate levelGate,
+      Consumer<Job> jobAdded,
       Runnable requestPass) {
     this.teams = teams;
     this.leadership = leadership;
     this.clock = clock;
-    this.timeOfDay = timeOfDay;
-    this.level = level;
-    this.added = added;
+    this.wallClock = wallClock;
+    this.levelGate = levelGate;
+    this.jobAdded = jobAdded;
     this.requestPass = requestPass;
   }
 
@@ -104,23 +104,23 @@
   void add(String key, Entry entry) {
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
-      if (spec.isGang() && !level.supports(Feature.GANG_JOBS)) {
+      if (spec.isGang() && !levelGate.supports(Feature.GANG_JOBS)) {
         throw new MalformedMessageException("a gang job, which this build must not serve");
       }
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
         return;
       }
-      Instant submitted = Instant.ofEpochMilli(entry.value().path("at").asLong());
-      Duration age = Duration.between(submitted, timeOfDay.instant());
+      Instant submittedTimeOfDay = Instant.ofEpochMilli(entry.value().path("at").asLong());
+      Duration age = Duration.between(submittedTimeOfDay, wallClock.instant());
       Team team = teams.get(spec.team());
       boolean limited = team != null && team.hasQuotaLimit();
-      Instant since = clock.instant().minus(age.isNegative() ? Duration.ZERO : age);
-      Job job = new Job(spec, entry.revision(), since, limited);
+      Instant submittedAt = clock.instant().minus(age.isNegative() ? Duration.ZERO : age);
+      Job job = new Job(spec, entry.revision(), submittedAt, limited);
       jobs.put(spec.id(), job);
       if (spec.isGang()) {
         gangs.add(job);
       }
-      added.accept(job);
+      jobAdded.accept(job);
       requeue(job);
     } catch (MalformedMessageException e) {
       LOG.error("event=stored_job_unreadable key={} reason={}", key, e.getMessage());
@@ -146,54 +146,54 @@
   /** The job is over. */
   Optional<Job> remove(String id) {
     Optional<Job> job = Optional.ofNullable(jobs.remove(id));
-    job.ifPresent(waiting::remove);
+    job.ifPresent(queued::remove);
     job.ifPresent(gangs::remove);
     return job;
   }
 
   /** The job is over although the copy of the keys may not show it yet. */
-  void noteCancelled(String id) {
-    cancelled.note(id, clock.instant());
+  void markCancelled(String id) {
+    cancelled.add(id, clock.instant());
   }
 
   /** The copy of the keys has all changes that were made before that time. */
-  void copyIsAsNewAs(Instant asOf) {
-    cancelled.copyIsAsNewAs(asOf);
+  void replicaCaughtUpTo(Instant asOf) {
+    cancelled.replicaCaughtUpTo(asOf);
   }
 
   /** Jobs that are not among the keys. */
-  List<String> missingIn(Set<String> keys) {
-    List<String> missing = new ArrayList<>();
+  List<String> absentFrom(Set<String> keys) {
+    List<String> absent = new ArrayList<>();
     for (String id : jobs.keySet()) {
       if (!keys.contains(Keys.liveJob(id))) {
-        missing.add(id);
+        absent.add(id);
       }
     }
-    return missing;
+    return absent;
   }
 
   /** Jobs with tasks that wait for a machine: a pass looks at these alone. */
-  Collection<Job> waiting() {
-    return waitingView;
+  Collection<Job> queued() {
+    return queuedView;
   }
 
   /** Keeps the jobs that wait true after a job's tasks changed. */
   void requeue(Job job) {
-    if (leadership.ready() && contains(job) && job.pending() > 0) {
-      waiting.add(job);
+    if (leadership.isReady() && contains(job) && job.pendingTasks() > 0) {
+      queued.add(job);
       requestPass.run();
     } else {
-      waiting.remove(job);
+      queued.remove(job);
     }
   }
 
   /** Nothing waits any more, since this controller does not lead. */
-  void clearWaiting() {
-    waiting.clear();
+  void clearQueue() {
+    queued.clear();
   }
 
   /** Forgets of all jobs what only a leader knows. */
-  void forgetPlacements() {
-    jobs.values().forEach(Job::forget);
+  void forgetLeaderState() {
+    jobs.values().forEach(Job::forgetLeaderState);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -44,7 +44,7 @@
     Settings settings = env.settings();
     Listener listener = env.listener();
     Map<String, Team> teams = teams(settings);
-    WorkerTimes times = WorkerTimes.of(settings.agents());
+    AgentTimings times = AgentTimings.of(settings.agents());
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
@@ -104,7 +104,8 @@
     LeaderRecords stored =
         new LeaderRecords(settings.storeLimits(), env.level(), clock, this::requestCommit);
     JobTable table =
-        new JobTable(teams, term, clock, env.timeOfDay(), env.level(), classes::note, requestPass);
+        new JobTable(
+            teams, term, clock, env.timeOfDay(), env.level(), classes::observe, requestPass);
     DecisionLog decisions = new DecisionLog(term, clock);
     Duration forming =
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
@@ -115,7 +116,7 @@
   }
 
   private Optional<DrainCoordinator> drains(
-      Environment env, LeaderState shared, WorkerTimes times, MachineRetirement retirement) {
+      Environment env, LeaderState shared, AgentTimings times, MachineRetirement retirement) {
     return env.operations()
         .drains()
         .map(
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -110,7 +110,7 @@
     }
     MachineRecordCodec.MachineRecord entry = stored.entry();
     if (layout == RecordLayout.INDEXED) {
-      machine.number = entry.index();
+      machine.recordNumber = entry.index();
       roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value());
     } else {
       roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value(), entry.index());
@@ -193,9 +193,9 @@
     machine.recorded = false;
     assignPlace(machine);
     boolean waits =
-        machine.placements.values().stream()
+        machine.attempts.values().stream()
             .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
-    if (waits || (machine.life == Machine.Life.RETIRING && !machine.recordedRetiring)) {
+    if (waits || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
       roster.due(machine);
     }
   }
@@ -243,10 +243,10 @@
 
   /** Gives the machine a place in the roster, unless it has one. */
   void assignPlace(Machine machine) {
-    if (layout == RecordLayout.INDEXED && machine.number == 0) {
-      machine.number = numbers.next();
+    if (layout == RecordLayout.INDEXED && machine.recordNumber == 0) {
+      machine.recordNumber = numbers.next();
     }
-    roster.put(machine, MachineRecordCodec.maximumSize(machine.rosterEntry(0)));
+    roster.put(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
   }
 
   /** The machine's record is to be written within that time. */
@@ -288,7 +288,7 @@
    */
   void close(Job job) {
     ended.remove(job);
-    if (job.claim().isEmpty() || job.placed.isEmpty()) {
+    if (job.quotaClaim().isEmpty() || job.attempts.isEmpty()) {
       removeJob(job);
     }
   }
@@ -424,7 +424,7 @@
       return 0;
     }
     return layout == RecordLayout.INDEXED
-        ? machine.number
+        ? machine.recordNumber
         : PlacementRecordCodec.positionalReference(
             home.get().shard(), home.get().place(), RecordPacker.PLACES);
   }
@@ -442,7 +442,7 @@
 
   /** The transaction was applied. */
   void written(LeaderTransaction transaction) {
-    transaction.marked().forEach(attempt -> attempt.marked = true);
+    transaction.marked().forEach(attempt -> attempt.placementRecorded = true);
     transaction
         .done()
         .forEach(
@@ -472,7 +472,7 @@
     int number = stored.entry().index();
     return home.isPresent()
         && home.get().shard() == stored.value()
-        && number == (layout == RecordLayout.INDEXED ? machine.number : home.get().place());
+        && number == (layout == RecordLayout.INDEXED ? machine.recordNumber : home.get().place());
   }
 
   /** Whether the roster has a place for the machine. */
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -60,7 +60,7 @@
       return false;
     }
     leadership.becomeReady();
-    jobs.forgetPlacements();
+    jobs.forgetLeaderState();
     records.clear();
     new RecordAdoption(state).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
@@ -69,12 +69,12 @@
         "event=takeover term={} token={} revision={} term_revision={} jobs={} roster={}"
             + " unseen_tasks={} out_of_service={}",
         leadership.term(),
-        leadership.firstToken(),
+        leadership.firstFencingToken(),
         epoch,
-        leadership.termStamp(),
+        leadership.termRevision(),
         jobs.size(),
         inventory.size(),
-        jobs.all().stream().mapToInt(job -> job.placed.size()).sum(),
+        jobs.all().stream().mapToInt(job -> job.attempts.size()).sum(),
         inventory.all().stream().filter(machine -> !machine.maintenance.isSchedulable()).count());
     return true;
   }
@@ -102,13 +102,13 @@
    * whole zones that are cut off while their leader's process ends are done without so much sooner.
    */
   void formerLeadersEnded() {
-    if (leadership.formerLeadersEnded()) {
+    if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
-      inventory.all().forEach(machine -> machine.lease.formerLeadersEnded(now));
+      inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
       LOG.info(
           "event=former_leaders_over term={} after_ms={}",
           leadership.term(),
-          Duration.between(leadership.wonAt(), now).toMillis());
+          Duration.between(leadership.electedAt(), now).toMillis());
     }
   }
 
@@ -116,13 +116,13 @@
   void noteProgress() {
     if (complete
         || inventory.all().stream()
-            .anyMatch(machine -> !machine.settled && !machine.placements.isEmpty())) {
+            .anyMatch(machine -> !machine.reconciled && !machine.attempts.isEmpty())) {
       return;
     }
     complete = true;
     LOG.info(
         "event=rebuilt term={} after_ms={}",
         leadership.term(),
-        Duration.between(leadership.wonAt(), clock.instant()).toMillis());
+        Duration.between(leadership.electedAt(), clock.instant()).toMillis());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
@@ -12,42 +12,42 @@
 /** Figures for operators, and counts of tasks for users' questions. */
 final class LeaderStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderStatistics.class);
-  private static final Duration SPACING = Duration.ofSeconds(60);
+  private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
 
   /** Longer than that is recorded as that. */
-  private static final long LONGEST = 3_600_000;
+  private static final long LONGEST_RECORDED_MS = 3_600_000;
 
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
-  private final DecisionLog decisions;
+  private final DecisionLog decisionLog;
   private final Gangs gangs;
   private final Histogram startMillis = new Histogram(3);
   private final Histogram passMicros = new Histogram(3);
-  private Instant next = Instant.MIN;
+  private Instant nextLogAt = Instant.MIN;
 
   LeaderStatistics(LeaderState state) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
-    this.decisions = state.decisions();
+    this.decisionLog = state.decisions();
     this.gangs = state.gangs();
   }
 
   /** A task runs, so long after its start was decided. */
-  void started(Duration afterDecision) {
-    startMillis.recordValue(Math.max(0, Math.min(LONGEST, afterDecision.toMillis())));
+  void recordStart(Duration afterDecision) {
+    startMillis.recordValue(Math.max(0, Math.min(LONGEST_RECORDED_MS, afterDecision.toMillis())));
   }
 
   /** A pass took so long. */
-  void passTook(Duration time) {
-    passMicros.recordValue(Math.min(LONGEST * 1000, time.toNanos() / 1000));
+  void recordPass(Duration time) {
+    passMicros.recordValue(Math.min(LONGEST_RECORDED_MS * 1000, time.toNanos() / 1000));
   }
 
   /** Logs the figures, unless that was done within a minute. */
   void logIfDue(Instant now, Predicate<Machine> usable) {
-    if (now.isAfter(next)) {
-      next = now.plus(SPACING);
+    if (now.isAfter(nextLogAt)) {
+      nextLogAt = now.plus(LOG_INTERVAL);
       log(now, usable);
       startMillis.reset();
       passMicros.reset();
@@ -57,19 +57,19 @@
   /** What an operator wants to see at a glance, once a minute. */
   private void log(Instant now, Predicate<Machine> usable) {
     int usableMachines = 0;
-    int faulty = 0;
+    int quarantined = 0;
     int avoided = 0;
     int[] stages = new int[Stage.values().length];
     int stopping = 0;
-    double free = 0;
+    double freeCpus = 0;
     for (Machine machine : inventory.all()) {
       if (usable.test(machine)) {
         usableMachines++;
-        free += machine.room().cpus;
+        freeCpus += machine.available().cpus;
       }
-      faulty += machine.faulty ? 1 : 0;
+      quarantined += machine.quarantined ? 1 : 0;
       avoided += now.isBefore(machine.avoidUntil) ? 1 : 0;
-      for (TaskAttempt attempt : machine.placements.values()) {
+      for (TaskAttempt attempt : machine.attempts.values()) {
         stages[attempt.stage.ordinal()]++;
         stopping += attempt.stopping ? 1 : 0;
       }
@@ -80,19 +80,19 @@
             + " pass_us_p99={} {} {}",
         leadership.term(),
         jobs.size(),
-        jobs.all().stream().mapToInt(Job::pending).sum(),
+        jobs.all().stream().mapToInt(Job::pendingTasks).sum(),
         inventory.size(),
         usableMachines,
-        faulty,
+        quarantined,
         avoided,
-        free,
+        freeCpus,
         Arrays.toString(stages).replace(" ", ""),
         stopping,
         startMillis.getValueAtPercentile(50),
         startMillis.getValueAtPercentile(99),
         passMicros.getValueAtPercentile(50),
         passMicros.getValueAtPercentile(99),
-        decisions.takeCounts(),
+        decisionLog.takeCounts(),
         gangs.counts());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -114,7 +114,7 @@
         .items(number)
         .forEach(
             (place, machine) ->
-                entries.add(machine.rosterEntry(byNumber ? machine.number : place)));
+                entries.add(machine.machineRecord(byNumber ? machine.recordNumber : place)));
     rosters.add(number);
     entries.forEach(entry -> machines.add(new StoredMachine(number, entry)));
     JsonNode value = MachineRecordCodec.encode(entries, level);
@@ -154,7 +154,7 @@
       int number = numberOf.applyAsInt(attempt.machine);
       if (number > 0) {
         hosts[attempt.task.index() - part.first()] = number;
-        if (!attempt.marked) {
+        if (!attempt.placementRecorded) {
           marked.add(attempt);
         }
       }
@@ -162,13 +162,13 @@
     BitSet doneTasks = part.done();
     done.put(part, doneTasks);
     return new PlacementRecordCodec.PartitionRecord(
-        job.spec.id(), part.first(), doneTasks, hosts, job.claim());
+        job.spec.id(), part.first(), doneTasks, hosts, job.quotaClaim());
   }
 
   /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
   void addEnd(Job job) {
     String id = job.spec.id();
-    guards.add(new Precondition(Keys.liveJob(id), job.stamp));
+    guards.add(new Precondition(Keys.liveJob(id), job.revision));
     changes.add(Mutation.delete(Keys.liveJob(id)));
     changes.add(
         Mutation.put(
--- a/src/main/java/io/pearscale/scheduler/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/Leadership.java
@@ -10,40 +10,40 @@
  */
 final class Leadership {
   /** A token carries the term above a count of 24 bits for each machine. */
-  private static final int TOKEN_TERM_SHIFT = 24;
+  private static final int FENCING_TOKEN_TERM_SHIFT = 24;
 
   /** A watch that comes back without news was sent 2 s before: a shorter hold asks for no less. */
-  private static final Duration WATCH_AGE = Duration.ofSeconds(3);
+  private static final Duration QUIET_WATCH_AGE = Duration.ofSeconds(3);
 
   private final InstantSource clock;
-  private final Duration hold;
-  private final Duration startKnowledge;
+  private final Duration renewalAuthorityTimeout;
+  private final Duration startAuthorityTimeout;
   private boolean leading;
   private boolean ready;
   private long term;
-  private long termStamp;
-  private Instant wonAt = Instant.MIN;
-  private Instant formerLeadersUntil = Instant.MIN;
-  private Instant provenAt = Instant.MIN;
-  private Instant copyAsOf = Instant.MIN;
+  private long termRevision;
+  private Instant electedAt = Instant.MIN;
+  private Instant previousLeadersUntil = Instant.MIN;
+  private Instant leadershipProvenAt = Instant.MIN;
+  private Instant replicaAsOf = Instant.MIN;
 
   /** Leadership that a proof extends by the hold. */
-  Leadership(InstantSource clock, Duration hold) {
+  Leadership(InstantSource clock, Duration renewalAuthorityTimeout) {
     this.clock = clock;
-    this.hold = hold;
-    Duration half = hold.dividedBy(2);
-    this.startKnowledge = half.compareTo(WATCH_AGE) > 0 ? half : WATCH_AGE;
+    this.renewalAuthorityTimeout = renewalAuthorityTimeout;
+    Duration half = renewalAuthorityTimeout.dividedBy(2);
+    this.startAuthorityTimeout = half.compareTo(QUIET_WATCH_AGE) > 0 ? half : QUIET_WATCH_AGE;
   }
 
   /** Begins a term; nothing may be decided in it before {@link #becomeReady}. */
-  void begin(long newTerm, long newTermStamp, Instant proof) {
+  void begin(long newTerm, long newTermRevision, Instant proof) {
     leading = true;
     ready = false;
     term = newTerm;
-    termStamp = newTermStamp;
-    provenAt = proof;
-    wonAt = clock.instant();
-    formerLeadersUntil = wonAt.plus(hold);
+    termRevision = newTermRevision;
+    leadershipProvenAt = proof;
+    electedAt = clock.instant();
+    previousLeadersUntil = electedAt.plus(renewalAuthorityTimeout);
   }
 
   /** Ends the term. */
@@ -58,12 +58,12 @@
   }
 
   /** Whether this controller leads, ready or not. */
-  boolean leading() {
+  boolean isLeading() {
     return leading;
   }
 
   /** Whether it leads and has taken over what its predecessors recorded. */
-  boolean ready() {
+  boolean isReady() {
     return ready;
   }
 
@@ -77,22 +77,22 @@
   }
 
   /** The stamp of the term's key after this leader's last transaction. */
-  long termStamp() {
-    return termStamp;
+  long termRevision() {
+    return termRevision;
   }
 
   /** The term's key has that stamp now. */
-  void termStampIs(long stamp) {
-    termStamp = stamp;
+  void recordTermRevision(long revision) {
+    termRevision = revision;
   }
 
-  Instant wonAt() {
-    return wonAt;
+  Instant electedAt() {
+    return electedAt;
   }
 
   /** Until then a former leader may have renewed leases. */
-  Instant formerLeadersUntil() {
-    return formerLeadersUntil;
+  Instant previousLeadersUntil() {
+    return previousLeadersUntil;
   }
 
   /**
@@ -100,23 +100,23 @@
    *
    * @return whether that is sooner than was known
    */
-  boolean formerLeadersEnded() {
+  boolean endPreviousLeaders() {
     Instant now = clock.instant();
-    if (!now.isBefore(formerLeadersUntil)) {
+    if (!now.isBefore(previousLeadersUntil)) {
       return false;
     }
-    formerLeadersUntil = now;
+    previousLeadersUntil = now;
     return true;
   }
 
   /** It is proven that no other controller led at that time. */
-  void provenAt(Instant time) {
-    provenAt = later(provenAt, time);
+  void recordProof(Instant time) {
+    leadershipProvenAt = later(leadershipProvenAt, time);
   }
 
   /** All changes of the stored keys that were made by then are known. */
-  void copyIsAsNewAs(Instant time) {
-    copyAsOf = later(copyAsOf, time);
+  void recordReplicaAsOf(Instant time) {
+    replicaAsOf = later(replicaAsOf, time);
   }
 
   /**
@@ -124,16 +124,16 @@
    * holds. That makes good a copy that has been as new as the state service within one hold; an
    * older one is made good by the state service alone.
    */
-  void confirmedByPeers(Instant time) {
-    if (time.isBefore(copyAsOf.plus(hold))) {
-      provenAt(time);
-      copyIsAsNewAs(time);
+  void recordPeerConfirmation(Instant time) {
+    if (time.isBefore(replicaAsOf.plus(renewalAuthorityTimeout))) {
+      recordProof(time);
+      recordReplicaAsOf(time);
     }
   }
 
   /** Whether the last proof is younger than the age. */
   boolean provenWithin(Duration age) {
-    return !clock.instant().isAfter(provenAt.plus(age));
+    return !clock.instant().isAfter(leadershipProvenAt.plus(age));
   }
 
   /**
@@ -141,9 +141,11 @@
    * and of which jobs were cancelled, as of at most hold ago. A renewal of the grant shows the
    * former alone: a leader whose watch is stuck would keep cancelled tasks alive.
    */
-  boolean mayRenew() {
+  boolean mayRenewLeases() {
     Instant now = clock.instant();
-    return leading && now.isBefore(provenAt.plus(hold)) && now.isBefore(copyAsOf.plus(hold));
+    return leading
+        && now.isBefore(leadershipProvenAt.plus(renewalAuthorityTimeout))
+        && now.isBefore(replicaAsOf.plus(renewalAuthorityTimeout));
   }
 
   /**
@@ -152,31 +154,31 @@
    * the state service, looks again first. Half of the hold leaves time to a leader that has just
    * taken over and hears everything late.
    */
-  boolean mayStart() {
-    return mayRenew() && clock.instant().isBefore(copyAsOf.plus(startKnowledge));
+  boolean mayStartTasks() {
+    return mayRenewLeases() && clock.instant().isBefore(replicaAsOf.plus(startAuthorityTimeout));
   }
 
   /** The token with which a machine is commanded first in this term. */
-  long firstToken() {
-    return (term << TOKEN_TERM_SHIFT) + 1;
+  long firstFencingToken() {
+    return (term << FENCING_TOKEN_TERM_SHIFT) + 1;
   }
 
   /** Whether the token was given in this term. */
-  boolean isOfThisTerm(long token) {
-    return termOf(token) == term;
+  boolean isFromThisTerm(long fencingToken) {
+    return termOf(fencingToken) == term;
   }
 
   /** Whether a leader of a later term gave the token. */
-  boolean isOfLaterTerm(long token) {
-    return termOf(token) > term;
+  boolean isFromLaterTerm(long fencingToken) {
+    return termOf(fencingToken) > term;
   }
 
   /** The term of the leader that gave the token. */
-  static long termOf(long token) {
-    return token >> TOKEN_TERM_SHIFT;
+  static long termOf(long fencingToken) {
+    return fencingToken >> FENCING_TOKEN_TERM_SHIFT;
   }
 
-  private static Instant later(Instant a, Instant b) {
-    return a.isAfter(b) ? a : b;
+  private static Instant later(Instant first, Instant second) {
+    return first.isAfter(second) ? first : second;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/Machine.java
@@ -15,7 +15,7 @@
 
 /** A machine, as the leader sees it. */
 final class Machine {
-  enum Life {
+  enum Lifecycle {
     BOOTING,
     UP,
     /** To be given back; never used again, since a late deletion may still reach it. */
@@ -23,10 +23,10 @@
   }
 
   /** An attempt that ended, until the worker has forgotten it. */
-  record Ended(TaskId task, long attempt) {
+  record AttemptId(TaskId task, long attempt) {
     @Override
     public boolean equals(Object other) {
-      return other instanceof Ended o && attempt == o.attempt && task.equals(o.task);
+      return other instanceof AttemptId that && attempt == that.attempt && task.equals(that.task);
     }
 
     @Override
@@ -35,7 +35,7 @@
     }
   }
 
-  private static final int MANY_MISTAKEN = 5;
+  private static final int MANY_FAILING_JOBS = 5;
 
   final String name;
   final String zone;
@@ -44,36 +44,36 @@
   /** As the catalogue has it; without any room until the catalogue is known. */
   MachineType type;
 
-  Life life;
+  Lifecycle lifecycle;
   String address;
-  Instant rented;
+  Instant provisionedAt;
 
   /** Its sessions, and until when anything in them can be alive. */
   final IncarnationLease lease = new IncarnationLease();
 
   /** Highest token that a report has shown, and the one that we command with. */
-  long seenToken;
+  long observedFencingToken;
 
-  long token;
+  long fencingToken;
 
   /** The token of the last answer to a report, and the controller through which it went. */
-  long answered = -1;
+  long lastResponseToken = -1;
 
-  String via = "";
+  String lastResponseController = "";
 
   /** Reports in a row that did not show what the one before was answered with. */
-  int unheard;
+  int unacknowledgedResponses;
 
   /**
    * A command with this token got no answer: it may yet be executed, until a higher one is seen.
    */
-  long doubtToken = -1;
+  long unknownOutcomeToken = -1;
 
   /** Whether a report has shown a token of this term: from then on reports tell all. */
-  boolean settled;
+  boolean reconciled;
 
   /** Nothing can be alive here: the lease ran out, and it has shown no sign of life since. */
-  boolean lost;
+  boolean leaseExpired;
 
   /** Whether the roster durably names the machine, and as what. */
   boolean recorded;
@@ -81,138 +81,140 @@
   boolean recordedRetiring;
 
   /** By which marks name it in the layout by number; 0 while it has none. */
-  int number;
+  int recordNumber;
 
   /** What the roster has as the machine's address. */
   String recordedAddress = "";
 
   /** Whether a drain will come to it: what is placed there would soon be moved again. */
-  boolean drainsLater;
+  boolean drainPlanned;
 
-  boolean deleteSent;
+  boolean deletionSent;
 
   /** Whether it is in maintenance, and what of that is durably recorded. */
   Maintenance maintenance = Maintenance.IN_SERVICE;
 
   Maintenance recordedMaintenance = Maintenance.IN_SERVICE;
-  Instant heard = Instant.MIN;
+  Instant lastReachableAt = Instant.MIN;
 
   /** When it first answered a command since its last report; only reports renew its lease. */
-  Optional<Instant> answersSince = Optional.empty();
+  Optional<Instant> answersWithoutHeartbeatSince = Optional.empty();
 
-  boolean everReported;
-  boolean calling;
+  boolean heartbeatEverReceived;
+  boolean commandInFlight;
 
   /** Probes without an answer since it was last heard. */
   int missedProbes;
 
-  Instant directAfter = Instant.MIN;
-  Optional<Instant> takenAt = Optional.empty();
-  boolean faulty;
+  Instant directCommandsAfter = Instant.MIN;
+  Optional<Instant> preemptionNoticeAt = Optional.empty();
+  boolean quarantined;
 
   /** Jobs whose tasks failed here since one last was done here, and how often. */
-  private final Map<Job, Integer> failures = new HashMap<>();
+  private final Map<Job, Integer> failuresByJob = new HashMap<>();
 
   Instant avoidUntil = Instant.MIN;
 
   /** Since when the machine can be spared; far in the future when it can't. */
-  Instant spareSince = Instant.MAX;
+  Instant scaleInCandidateSince = Instant.MAX;
 
-  boolean listed;
+  boolean listedByCloud;
   Instant listedSince = Instant.MIN;
 
-  final Map<TaskId, TaskAttempt> placements = new LinkedHashMap<>();
-  private Resources[] rooms;
+  final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
+  private Resources[] availableByPriority;
 
   /** Attempts that ended, each with a token that no start command for it was above. */
-  final Map<Ended, Long> ended = new HashMap<>();
+  final Map<AttemptId, Long> endedAttempts = new HashMap<>();
 
-  final Map<Ended, Instant> foreign = new HashMap<>();
+  final Map<AttemptId, Instant> unknownAttempts = new HashMap<>();
 
   /** Images used here, the latest last, with their sizes. */
-  final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
+  final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
-  Machine(String name, String zone, boolean spot, MachineType type, Life life, Instant now) {
+  Machine(String name, String zone, boolean spot, MachineType type, Lifecycle life, Instant now) {
     this.name = name;
     this.zone = zone;
     this.spot = spot;
     this.type = type;
-    this.life = life;
-    this.rented = now;
+    this.lifecycle = life;
+    this.provisionedAt = now;
     this.address = "";
   }
 
   /** What the roster is to say of the machine, with the number by which marks name it. */
-  MachineRecordCodec.MachineRecord rosterEntry(int byNumber) {
+  MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
     return new MachineRecordCodec.MachineRecord(
-        byNumber,
+        numberInRecords,
         name,
         address,
         type.name(),
         zone,
         spot,
-        lease.session(),
-        life == Life.RETIRING,
+        lease.incarnation(),
+        lifecycle == Lifecycle.RETIRING,
         maintenance);
   }
 
   /** A task failed here. */
-  void noteFailure(Job job) {
-    failures.merge(job, 1, Integer::sum);
+  void recordFailure(Job job) {
+    failuresByJob.merge(job, 1, Integer::sum);
   }
 
   /** A task was done here: what failed before did not fail for the machine. */
-  void noteSuccess() {
-    failures.clear();
+  void recordSuccess() {
+    failuresByJob.clear();
   }
 
   /** How often tasks failed here that did not fail for their own job. */
-  int strikes() {
-    int n = 0;
-    for (Map.Entry<Job, Integer> e : failures.entrySet()) {
-      n += e.getKey().mistaken() ? 0 : e.getValue();
+  int failureCount() {
+    int count = 0;
+    for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
+      count += failure.getKey().failsEverywhere() ? 0 : failure.getValue();
     }
-    return n;
+    return count;
   }
 
   /**
    * Whether what failed here points at the machine: twice a job that runs elsewhere, or two jobs of
    * which it is not known that they fail everywhere. Of those that do, it takes many at once.
    */
-  boolean failsWhatItStarts() {
-    int good = 0;
-    int jobs = 0;
-    for (Map.Entry<Job, Integer> e : failures.entrySet()) {
-      good += e.getKey().works() ? e.getValue() : 0;
-      jobs += e.getKey().mistaken() ? 0 : 1;
+  boolean failuresPointToMachine() {
+    int failuresOfSucceedingJobs = 0;
+    int suspectJobs = 0;
+    for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
+      failuresOfSucceedingJobs += failure.getKey().hasSucceeded() ? failure.getValue() : 0;
+      suspectJobs += failure.getKey().failsEverywhere() ? 0 : 1;
     }
-    return good >= 2 || jobs >= 2 || failures.size() >= MANY_MISTAKEN;
+    return failuresOfSucceedingJobs >= 2
+        || suspectJobs >= 2
+        || failuresByJob.size() >= MANY_FAILING_JOBS;
   }
 
-  void noteImage(String image, double gb) {
-    images.put(image, gb);
-    double sum = 0;
-    for (double d : images.values()) {
-      sum += d;
+  void recordImageUse(String image, double sizeGb) {
+    cachedImages.put(image, sizeGb);
+    double totalGb = 0;
+    for (double cachedGb : cachedImages.values()) {
+      totalGb += cachedGb;
     }
-    var it = images.entrySet().iterator();
-    while (sum > type.imageCacheGb() && it.hasNext()) {
-      var oldest = it.next();
+    var iterator = cachedImages.entrySet().iterator();
+    while (totalGb > type.imageCacheGb() && iterator.hasNext()) {
+      var oldest = iterator.next();
       if (oldest.getKey().equals(image)) {
         break;
       }
-      sum -= oldest.getValue();
-      it.remove();
+      totalGb -= oldest.getValue();
+      iterator.remove();
     }
   }
 
   /** How many images beside that one are fetched, or are to be, for tasks that are placed here. */
-  int otherFetches(String image) {
+  int otherImageFetches(String image) {
     Set<String> others = new HashSet<>();
-    for (TaskAttempt attempt : placements.values()) {
+    for (TaskAttempt attempt : attempts.values()) {
       String other = attempt.job.spec.image();
       boolean fetches = attempt.stage.compareTo(TaskAttempt.Stage.FETCHING) <= 0;
-      if (fetches && !other.equals(image) && !images.containsKey(other)) {
+      if (fetches && !other.equals(image) && !cachedImages.containsKey(other)) {
         others.add(other);
       }
     }
@@ -220,84 +222,84 @@
   }
 
   void add(TaskAttempt attempt) {
-    placements.put(attempt.task, attempt);
-    touch();
+    attempts.put(attempt.task, attempt);
+    invalidateAvailable();
   }
 
   void remove(TaskAttempt attempt) {
-    placements.remove(attempt.task, attempt);
-    touch();
+    attempts.remove(attempt.task, attempt);
+    invalidateAvailable();
   }
 
   /** To be called when what is placed here, or is to stay here, has changed. */
-  void touch() {
-    rooms = null;
+  void invalidateAvailable() {
+    availableByPriority = null;
   }
 
   /** What is left, when everything decided has come to pass; the caller may change it. */
-  Resources room() {
-    return roomAbove(Priority.IDLE).copy();
+  Resources available() {
+    return availableAbove(Priority.IDLE).copy();
   }
 
   /**
    * What would be left if all below the priority were evicted. Kept from one question to the next,
    * since every pass asks every machine and most have not changed. Not to be changed.
    */
-  Resources roomAbove(Priority priority) {
-    if (rooms == null) {
-      rooms = new Resources[Priority.values().length];
+  Resources availableAbove(Priority priority) {
+    if (availableByPriority == null) {
+      availableByPriority = new Resources[Priority.values().length];
       for (Priority floor : Priority.values()) {
-        Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-        for (TaskAttempt attempt : placements.values()) {
+        Resources available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
+        for (TaskAttempt attempt : attempts.values()) {
           if (!attempt.stopping && attempt.job.spec.priority().compareTo(floor) >= 0) {
-            r.take(attempt.job);
+            available.subtract(attempt.job);
           }
         }
-        rooms[floor.ordinal()] = r;
+        availableByPriority[floor.ordinal()] = available;
       }
     }
-    return rooms[priority.ordinal()];
+    return availableByPriority[priority.ordinal()];
   }
 
   /** What is left now, counting all that may be on the machine. */
-  Resources physicalRoom() {
-    Resources r = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-    for (TaskAttempt attempt : placements.values()) {
+  Resources physicallyAvailable() {
+    Resources available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
+    for (TaskAttempt attempt : attempts.values()) {
       if (attempt.stage != TaskAttempt.Stage.PLANNED) {
-        r.take(attempt.job);
+        available.subtract(attempt.job);
       }
     }
-    return r;
+    return available;
   }
 
   /** How many more tasks like these the machine could take, evicting lower ones if need be. */
-  int roomWithEviction(Job like) {
-    return roomAbove(like.spec.priority()).count(like);
+  int capacityWithEviction(Job like) {
+    return availableAbove(like.spec.priority()).countFitting(like);
   }
 
   /** Tasks of services here. */
-  int replicas() {
-    int n = 0;
-    for (TaskAttempt attempt : placements.values()) {
+  int replicaCount() {
+    int count = 0;
+    for (TaskAttempt attempt : attempts.values()) {
       if (attempt.job.spec.isService()) {
-        n++;
+        count++;
       }
     }
-    return n;
+    return count;
   }
 
   /** From when the machine has seen the next token, no command with an older one is executed. */
-  void raiseToken() {
-    token++;
+  void incrementFencingToken() {
+    fencingToken++;
   }
 
-  boolean inDoubt() {
-    return doubtToken >= seenToken;
+  boolean commandOutcomeUnknown() {
+    return unknownOutcomeToken >= observedFencingToken;
   }
 
   /** Room in all resources. */
   static final class Resources {
-    static final double SLACK = 1e-6;
+    static final double TOLERANCE = 1e-6;
     double cpus;
     double gpus;
     double memoryGb;
@@ -317,37 +319,37 @@
       return new Resources(cpus, gpus, memoryGb);
     }
 
-    void take(Job job) {
+    void subtract(Job job) {
       cpus -= job.spec.cpus();
       gpus -= job.spec.gpus();
       memoryGb -= job.spec.memoryGb();
     }
 
-    void give(Job job) {
+    void add(Job job) {
       cpus += job.spec.cpus();
       gpus += job.spec.gpus();
       memoryGb += job.spec.memoryGb();
     }
 
     boolean fits(Job job) {
-      return cpus + SLACK >= job.spec.cpus()
-          && gpus + SLACK >= job.spec.gpus()
-          && memoryGb + SLACK >= job.spec.memoryGb();
+      return cpus + TOLERANCE >= job.spec.cpus()
+          && gpus + TOLERANCE >= job.spec.gpus()
+          && memoryGb + TOLERANCE >= job.spec.memoryGb();
     }
 
     /** How many tasks like these fit. */
-    int count(Job job) {
-      double n = 100_000;
+    int countFitting(Job job) {
+      double count = 100_000;
       if (job.spec.cpus() > 0) {
-        n = Math.min(n, (cpus + SLACK) / job.spec.cpus());
+        count = Math.min(count, (cpus + TOLERANCE) / job.spec.cpus());
       }
       if (job.spec.gpus() > 0) {
-        n = Math.min(n, (gpus + SLACK) / job.spec.gpus());
+        count = Math.min(count, (gpus + TOLERANCE) / job.spec.gpus());
       }
       if (job.spec.memoryGb() > 0) {
-        n = Math.min(n, (memoryGb + SLACK) / job.spec.memoryGb());
+        count = Math.min(count, (memoryGb + TOLERANCE) / job.spec.memoryGb());
       }
-      return (int) Math.max(0, n);
+      return (int) Math.max(0, count);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineCatalogue.java
+++ b/src/main/java/io/pearscale/scheduler/MachineCatalogue.java
@@ -31,18 +31,18 @@
 
   /** The type of that name; one without any room while it is not known. */
   MachineType typeOf(String name) {
-    return find(name).orElseGet(() -> withoutRoom(name));
+    return find(name).orElseGet(() -> withoutCapacity(name));
   }
 
   /** Takes a catalogue in; an empty one changes nothing. */
-  void update(List<MachineType> list) {
-    if (!list.isEmpty()) {
+  void update(List<MachineType> offered) {
+    if (!offered.isEmpty()) {
       types.clear();
-      list.forEach(type -> types.put(type.name(), type));
+      offered.forEach(type -> types.put(type.name(), type));
     }
   }
 
-  private static MachineType withoutRoom(String name) {
+  private static MachineType withoutCapacity(String name) {
     return new MachineType(name, 0, 0, 0, 0, 0.1, 0, 0, Duration.ofSeconds(60), List.of());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/MachineInventory.java
@@ -30,12 +30,12 @@
   private final LeaderRecords records;
   private final InstantSource clock;
   private final Runnable requestPass;
-  private final DecisionLog decisions;
+  private final DecisionLog decisionLog;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
-  private final MachineTombstones removed = new MachineTombstones();
+  private final MachineTombstones tombstones = new MachineTombstones();
   private Consumer<TaskAttempt> removedListener = attempt -> {};
-  private final Set<Machine> withCommands = new LinkedHashSet<>();
+  private final Set<Machine> withDueCommands = new LinkedHashSet<>();
 
   /** Makes an empty inventory. */
   MachineInventory(
@@ -46,7 +46,7 @@
       LeaderRecords records,
       InstantSource clock,
       Runnable requestPass,
-      DecisionLog decisions) {
+      DecisionLog decisionLog) {
     this.catalogue = catalogue;
     this.teams = teams;
     this.leadership = leadership;
@@ -54,7 +54,7 @@
     this.records = records;
     this.clock = clock;
     this.requestPass = requestPass;
-    this.decisions = decisions;
+    this.decisionLog = decisionLog;
   }
 
   /** The machine types that are known. */
@@ -67,7 +67,7 @@
     catalogue.update(types);
     for (Machine machine : machines.values()) {
       machine.type = catalogue.find(machine.type.name()).orElse(machine.type);
-      machine.touch();
+      machine.invalidateAvailable();
     }
   }
 
@@ -93,27 +93,27 @@
 
   /** Whether a machine of this name is known to be gone. */
   boolean isRemoved(String name) {
-    return removed.contains(name);
+    return tombstones.contains(name);
   }
 
   /** Adds a machine that was not there in this term before. */
   void add(Machine machine) {
-    machine.token = leadership.firstToken();
+    machine.fencingToken = leadership.firstFencingToken();
     machines.put(machine.name, machine);
   }
 
   /**
    * Adds a machine that a former leader may have known, and on which it may have renewed leases.
    */
-  void addFormer(Machine machine) {
+  void addFromPreviousLeader(Machine machine) {
     add(machine);
-    machine.lease.formerLeadersRenewUntil(leadership.formerLeadersUntil());
+    machine.lease.previousLeadersRenewUntil(leadership.previousLeadersUntil());
   }
 
   /** The cloud says that the machine, and all that was on it, is gone. */
-  void deleted(String name) {
+  void confirmDeleted(String name) {
     Machine machine = machines.remove(name);
-    removed.note(name, clock.instant());
+    tombstones.add(name, clock.instant());
     if (machine == null) {
       return;
     }
@@ -125,7 +125,7 @@
   /** Forgets all, since this controller does not lead any more. */
   void clear() {
     machines.clear();
-    withCommands.clear();
+    withDueCommands.clear();
   }
 
   // ---- Tasks on machines ----
@@ -136,7 +136,7 @@
     attempt.job.add(attempt);
     jobs.requeue(attempt.job);
     if (attempt.stage == Stage.PLANNED) {
-      noteCommandDue(attempt.machine);
+      markCommandDue(attempt.machine);
     }
   }
 
@@ -147,20 +147,20 @@
 
   /** It is proven that none of the machine's tasks is there any more. */
   void removeAll(Machine machine, AbsenceProof proof) {
-    List.copyOf(machine.placements.values()).forEach(attempt -> remove(attempt, proof));
+    List.copyOf(machine.attempts.values()).forEach(attempt -> remove(attempt, proof));
   }
 
   /** It is proven that the task is not on the machine. */
   void remove(TaskAttempt attempt, AbsenceProof proof) {
     Job job = attempt.job;
-    decisions.gone(attempt, proof);
+    decisionLog.absenceProved(attempt, proof);
     removedListener.accept(attempt);
     attempt.machine.remove(attempt);
     job.remove(attempt);
-    if (attempt.ranFor(clock.instant()).compareTo(Job.A_START) >= 0) {
-      job.begun = true;
+    if (attempt.runningTime(clock.instant()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) >= 0) {
+      job.hasStarted = true;
     }
-    if (job.placed.isEmpty() && !jobs.contains(job)) {
+    if (job.attempts.isEmpty() && !jobs.contains(job)) {
       records.removeJob(job);
     }
     jobs.requeue(job);
@@ -177,17 +177,17 @@
       return;
     }
     attempt.stopping = true;
-    attempt.machine.touch();
-    noteCommandDue(attempt.machine);
-    if (!attempt.confirmed && attempt.attempt >= 0 && !attempt.machine.calling) {
+    attempt.machine.invalidateAvailable();
+    markCommandDue(attempt.machine);
+    if (!attempt.observed && attempt.number >= 0 && !attempt.machine.commandInFlight) {
       // The start command may still be on its way; only a higher token can overtake it.
-      attempt.machine.raiseToken();
+      attempt.machine.incrementFencingToken();
     }
   }
 
   /** Takes back what was decided for a machine that turned bad before the start was sent. */
   void withdrawPlanned(Machine machine) {
-    for (TaskAttempt attempt : List.copyOf(machine.placements.values())) {
+    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       if (attempt.stage == Stage.PLANNED) {
         remove(attempt, AbsenceProof.NOT_SENT);
       }
@@ -195,24 +195,24 @@
   }
 
   /** What each team has in use, counting all that may be on a machine. */
-  TeamUse use() {
-    TeamUse use = new TeamUse(teams);
+  QuotaUsage quotaUsage() {
+    QuotaUsage usage = new QuotaUsage(teams);
     if (teams.values().stream().noneMatch(Team::hasQuota)) {
-      return use;
+      return usage;
     }
     for (Machine machine : machines.values()) {
-      for (TaskAttempt attempt : machine.placements.values()) {
-        use.charge(attempt.job.spec, 1);
+      for (TaskAttempt attempt : machine.attempts.values()) {
+        usage.charge(attempt.job.spec, 1);
       }
     }
-    return use;
+    return usage;
   }
 
   // ---- Commands that wait ----
 
   /** Something is to be told to the machine. */
-  void noteCommandDue(Machine machine) {
-    withCommands.add(machine);
+  void markCommandDue(Machine machine) {
+    withDueCommands.add(machine);
   }
 
   /**
@@ -221,14 +221,14 @@
    * @param send sends what may be sent now
    * @param stillDue whether something still waits afterwards
    */
-  void forEachWithCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
-    for (Iterator<Machine> it = withCommands.iterator(); it.hasNext(); ) {
-      Machine machine = it.next();
+  void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
+    for (Iterator<Machine> iterator = withDueCommands.iterator(); iterator.hasNext(); ) {
+      Machine machine = iterator.next();
       if (contains(machine)) {
         send.accept(machine);
       }
       if (!contains(machine) || !stillDue.test(machine)) {
-        it.remove();
+        iterator.remove();
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.CloudActor.Host;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.MachineRetirement.Reason;
 import java.time.Duration;
 import java.time.Instant;
@@ -113,8 +113,8 @@
                 inventory.all(),
                 m -> health.usable(m, now),
                 jobs.all(),
-                order.waiting(jobs.waiting(), order.turns(now), now),
-                inventory.use(),
+                order.waiting(jobs.queued(), order.turns(now), now),
+                inventory.quotaUsage(),
                 inventory.catalogue().types(),
                 health.silentZones(now),
                 drains.map(DrainCoordinator::replacements).orElse(List.of()),
@@ -145,7 +145,7 @@
         leadership.term(),
         attempt.machine.name,
         attempt.task,
-        attempt.attempt);
+        attempt.number);
     if (drains.isEmpty()) {
       inventory.stop(attempt);
       dispatcher.sendDue(attempt.machine);
@@ -164,7 +164,7 @@
     } else if (event instanceof CloudActor.Refused e) {
       refused(e, now);
     } else if (event instanceof CloudActor.Deleted e) {
-      e.names().forEach(inventory::deleted);
+      e.names().forEach(inventory::confirmDeleted);
       records.requestCommit();
     } else if (event instanceof CloudActor.NotDeleted e) {
       retirement.notDeleted(e.names());
@@ -181,7 +181,7 @@
       boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
       if (isNew && type.isPresent()) {
         Machine machine =
-            new Machine(name, kind.zone(), kind.spot(), type.get(), Life.BOOTING, now);
+            new Machine(name, kind.zone(), kind.spot(), type.get(), Lifecycle.BOOTING, now);
         inventory.add(machine);
         records.assignPlace(machine);
         records.recordMachine(machine, RECORD_WITHIN);
@@ -219,12 +219,12 @@
     Machine machine = inventory.get(host.name());
     if (machine == null) {
       MachineType type = inventory.catalogue().typeOf(host.type());
-      machine = new Machine(host.name(), host.zone(), host.spot(), type, Life.BOOTING, now);
+      machine = new Machine(host.name(), host.zone(), host.spot(), type, Lifecycle.BOOTING, now);
       machine.address = host.address();
       inventory.add(machine);
     }
-    if (!machine.listed) {
-      machine.listed = true;
+    if (!machine.listedByCloud) {
+      machine.listedByCloud = true;
       machine.listedSince = now;
     }
     if (host.stage().equals("failed")) {
@@ -239,9 +239,9 @@
    */
   private boolean isGone(Machine machine, Instant now) {
     Duration lag = settings.cloudLimits().listLag().multipliedBy(LAGS);
-    return machine.listed
-        && machine.everReported
+    return machine.listedByCloud
+        && machine.heartbeatEverReceived
         && now.isAfter(machine.listedSince.plus(lag))
-        && now.isAfter(machine.heard.plus(UNLISTED_SILENCE));
+        && now.isAfter(machine.lastReachableAt.plus(UNLISTED_SILENCE));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/MachineRetirement.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -59,7 +59,7 @@
 
   /** The machine is not used any more; it is deleted once that is durable. */
   void retire(Machine machine, Reason reason) {
-    if (machine.life == Life.RETIRING) {
+    if (machine.lifecycle == Lifecycle.RETIRING) {
       return;
     }
     LOG.info(
@@ -67,7 +67,7 @@
         leadership.term(),
         machine.name,
         reason.text());
-    machine.life = Life.RETIRING;
+    machine.lifecycle = Lifecycle.RETIRING;
     records.assignPlace(machine);
     records.recordMachineNow(machine);
   }
@@ -76,11 +76,11 @@
   void deleteRetired() {
     List<String> names = new ArrayList<>();
     for (Machine machine : inventory.all()) {
-      if (machine.life == Life.RETIRING
+      if (machine.lifecycle == Lifecycle.RETIRING
           && machine.recordedRetiring
-          && !machine.deleteSent
+          && !machine.deletionSent
           && names.size() < MOST_DELETED) {
-        machine.deleteSent = true;
+        machine.deletionSent = true;
         names.add(machine.name);
       }
     }
@@ -94,7 +94,7 @@
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.deleteSent = false;
+        machine.deletionSent = false;
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/MachineTombstones.java
+++ b/src/main/java/io/pearscale/scheduler/MachineTombstones.java
@@ -14,24 +14,24 @@
  */
 final class MachineTombstones {
   /** Longer than any message was seen to be late, and than any list lags. */
-  static final Duration KEPT = Duration.ofMinutes(15);
+  static final Duration RETENTION = Duration.ofMinutes(15);
 
   /** The oldest first. */
-  private final Map<String, Instant> names = new LinkedHashMap<>();
+  private final Map<String, Instant> removedAt = new LinkedHashMap<>();
 
   /** A machine is gone. */
-  void note(String name, Instant now) {
-    names.remove(name);
-    names.put(name, now);
-    Instant limit = now.minus(KEPT);
-    Iterator<Instant> oldest = names.values().iterator();
-    while (oldest.hasNext() && oldest.next().isBefore(limit)) {
+  void add(String name, Instant now) {
+    removedAt.remove(name);
+    removedAt.put(name, now);
+    Instant expiry = now.minus(RETENTION);
+    Iterator<Instant> oldest = removedAt.values().iterator();
+    while (oldest.hasNext() && oldest.next().isBefore(expiry)) {
       oldest.remove();
     }
   }
 
   /** Whether a machine of this name is known to be gone. */
   boolean contains(String name) {
-    return names.containsKey(name);
+    return removedAt.containsKey(name);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/PassCapacity.java
@@ -9,19 +9,19 @@
 
 /** The room of machines, and what teams have in use, after all that was booked in a pass. */
 final class PassCapacity {
-  private final TeamUse use;
+  private final QuotaUsage use;
   private final Map<Machine, Resources> rooms = new HashMap<>();
   private final Set<TaskAttempt> victims = new HashSet<>();
 
-  PassCapacity(TeamUse use) {
+  PassCapacity(QuotaUsage use) {
     this.use = use;
   }
 
   Resources of(Machine machine) {
-    return rooms.computeIfAbsent(machine, Machine::room);
+    return rooms.computeIfAbsent(machine, Machine::available);
   }
 
-  TeamUse use() {
+  QuotaUsage use() {
     return use;
   }
 
@@ -33,18 +33,18 @@
   /** Books a task's room, after that of its victims has become free. */
   void book(Job job, Choice choice) {
     Resources room = of(choice.machine());
-    choice.victims().forEach(victim -> room.give(victim.job));
+    choice.victims().forEach(victim -> room.add(victim.job));
     victims.addAll(choice.victims());
-    room.take(job);
+    room.subtract(job);
     use.charge(job.spec, 1);
   }
 
   /** Takes back what was booked for a task. */
   void release(Job job, Choice choice) {
     Resources room = of(choice.machine());
-    choice.victims().forEach(victim -> room.take(victim.job));
+    choice.victims().forEach(victim -> room.subtract(victim.job));
     victims.removeAll(choice.victims());
-    room.give(job);
+    room.add(job);
     use.charge(job.spec, -1);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -31,7 +31,7 @@
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final WorkerTimes times;
+  private final AgentTimings times;
   private final Policy policy;
   private final TermExecutor executor;
   private final FailureDetector health;
@@ -45,7 +45,7 @@
 
   PlacementPass(
       LeaderState state,
-      WorkerTimes times,
+      AgentTimings times,
       Policy policy,
       TermExecutor executor,
       FailureDetector health,
@@ -69,13 +69,13 @@
 
   /** A term has begun. */
   void begin() {
-    attempts.begin(leadership.term());
+    attempts.beginTerm(leadership.term());
     requested = false;
   }
 
   /** Asks for a pass, if a job waits. */
   void request() {
-    if (!requested && leadership.leading() && !jobs.waiting().isEmpty()) {
+    if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
       executor.after(PACING.restAfter(lastPass), this::run);
     }
@@ -83,7 +83,7 @@
 
   private void run() {
     requested = false;
-    if (leadership.ready()) {
+    if (leadership.isReady()) {
       pass();
     }
   }
@@ -92,7 +92,7 @@
     Instant now = clock.instant();
     stops.endBrokenGangs();
     Function<Job, QueueOrder.Turn> turns = policy.order.turns(now);
-    List<Job> waiting = policy.order.waiting(jobs.waiting(), turns, now);
+    List<Job> waiting = policy.order.waiting(jobs.queued(), turns, now);
     if (!waiting.isEmpty()) {
       List<Machine> usable = usable(now);
       Placer placer = placer(waiting, usable, turns, now);
@@ -109,7 +109,7 @@
     }
     dispatcher.sendAllDue();
     lastPass = Duration.between(now, clock.instant());
-    statistics.passTook(lastPass);
+    statistics.recordPass(lastPass);
   }
 
   private Placer placer(
@@ -119,11 +119,11 @@
             policy.tuning,
             policy.random,
             usable,
-            policy.classes::startWithin,
+            policy.classes::startObjective,
             Comparator.comparing(turns),
-            now.minus(times.recent()),
+            now.minus(times.reachableWithin()),
             now);
-    return new Placer(input, waiting, inventory.use());
+    return new Placer(input, waiting, inventory.quotaUsage());
   }
 
   private List<Machine> usable(Instant now) {
@@ -139,10 +139,10 @@
   private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
     boolean pressing = QueueOrder.pressing(job, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
-    boolean one = QueueOrder.begins(job, now) || job.mistaken();
-    for (int i = job.nextPending(0); i >= 0; i = job.nextPending(i + 1)) {
+    boolean one = QueueOrder.begins(job, now) || job.failsEverywhere();
+    for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
       Optional<Placer.Choice> choice = placer.place(job, pressing);
-      job.noRoom = choice.isEmpty();
+      job.unschedulable = choice.isEmpty();
       if (choice.isEmpty()) {
         return;
       }
@@ -159,13 +159,13 @@
     if (action != Action.START && action != Action.COMPLETE) {
       return;
     }
-    int tasks = job.pending();
+    int tasks = job.pendingTasks();
     List<Placer.Choice> choices = placement.place(job, tasks, QueueOrder.pressing(job, now));
-    job.noRoom = choices.isEmpty();
+    job.unschedulable = choices.isEmpty();
     if (choices.isEmpty()) {
       if (QueueOrder.begins(job, now)) {
         placement.hold(job, tasks);
-      } else if (policy.classes.startWithin(job.spec).isPresent()) {
+      } else if (policy.classes.startObjective(job.spec).isPresent()) {
         placement.holdIfSmall(job, tasks);
       }
       return;
@@ -174,10 +174,10 @@
       gangs.begin(job, attempts.next());
     }
     long attempt = gangs.number(job);
-    int task = job.nextPending(0);
+    int task = job.nextPendingTask(0);
     for (Placer.Choice choice : choices) {
       start(job, task, choice, attempt, touched, now);
-      task = job.nextPending(task + 1);
+      task = job.nextPendingTask(task + 1);
     }
   }
 
@@ -196,10 +196,10 @@
         leadership.term(),
         machine.name,
         placement.task,
-        placement.attempt,
+        placement.number,
         job.spec.jobClass(),
         job.spec.image(),
-        machine.images.containsKey(job.spec.image()));
+        machine.cachedImages.containsKey(job.spec.image()));
     records.recordTask(placement);
   }
 
@@ -209,10 +209,11 @@
         leadership.term(),
         victim.machine.name,
         victim.task,
-        victim.attempt,
+        victim.number,
         job.spec.id(),
         index);
     stops.stop(
-        victim, policy.classes.tooLateIfSaved(job.spec, victim.job.spec, victim.machine.type));
+        victim,
+        policy.classes.isLateIfCheckpointed(job.spec, victim.job.spec, victim.machine.type));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -59,7 +59,7 @@
    *     any of them are met only in search of victims
    * @param use what each team may have on machines
    */
-  Placer(PlacementInput input, Collection<Job> waiting, TeamUse use) {
+  Placer(PlacementInput input, Collection<Job> waiting, QuotaUsage use) {
     this.input = input;
     this.rooms = new PassCapacity(use);
     this.zones = new ZoneCapacity(input.machines());
@@ -78,8 +78,9 @@
     }
     List<Machine> roomy = new ArrayList<>();
     for (Machine machine : machines) {
-      Resources room = machine.roomAbove(Priority.IDLE);
-      if (room.cpus + Resources.SLACK >= cpus && room.memoryGb + Resources.SLACK >= memoryGb) {
+      Resources room = machine.availableAbove(Priority.IDLE);
+      if (room.cpus + Resources.TOLERANCE >= cpus
+          && room.memoryGb + Resources.TOLERANCE >= memoryGb) {
         roomy.add(machine);
       }
     }
@@ -101,7 +102,7 @@
 
   /** The same, on machines of which {@code among} holds. */
   Optional<Choice> place(Job job, boolean mayStopOthers, Predicate<Machine> among) {
-    if (rooms.use().leftWithinLimit(job.spec) < 1) {
+    if (rooms.use().tasksLeftWithinLimit(job.spec) < 1) {
       return Optional.empty();
     }
     Predicate<Machine> allowed = machine -> among.test(machine) && allowedNow(job, machine);
@@ -149,7 +150,7 @@
       meetHolders(job, visit, allowed);
     }
     long usable = visit.found.stream().filter(allowed).count();
-    while (usable < input.tuning().sample() && visit.next < open.size()) {
+    while (usable < input.tuning().sampleSize() && visit.next < open.size()) {
       Machine machine = open.get(visit.start, visit.next++);
       if (meet(job, visit, machine) && allowed.test(machine)) {
         usable++;
@@ -172,8 +173,10 @@
     String image = job.spec.image();
     List<Machine> imageHolders = holders.computeIfAbsent(image, this::holdersOf);
     long usable =
-        visit.found.stream().filter(m -> m.images.containsKey(image) && allowed.test(m)).count();
-    while (usable < input.tuning().sample() / 2 && visit.nextHolder < imageHolders.size()) {
+        visit.found.stream()
+            .filter(m -> m.cachedImages.containsKey(image) && allowed.test(m))
+            .count();
+    while (usable < input.tuning().sampleSize() / 2 && visit.nextHolder < imageHolders.size()) {
       Machine machine = imageHolders.get(visit.nextHolder++);
       if (meet(job, visit, machine) && allowed.test(machine)) {
         usable++;
@@ -186,7 +189,7 @@
     List<Machine> found = new ArrayList<>();
     for (int i = 0; i < open.size(); i++) {
       Machine machine = open.get(/* start= */ 0, i);
-      if (machine.images.containsKey(image)) {
+      if (machine.cachedImages.containsKey(image)) {
         found.add(machine);
       }
     }
@@ -225,9 +228,10 @@
     if (urgent && machine.maintenance.stage() == Maintenance.Stage.PROBATION) {
       return false;
     }
-    if (job.spec.spreadAcrossZones() && job.inZone(machine.zone) >= job.spec.maxTasksPerZone()) {
+    if (job.spec.spreadAcrossZones()
+        && job.attemptsInZone(machine.zone) >= job.spec.maxTasksPerZone()) {
       return false;
     }
-    return !job.spec.singleZone() || job.onlyIn(machine.zone);
+    return !job.spec.singleZone() || job.isOnlyInZone(machine.zone);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -25,7 +25,7 @@
   /** Lowest first; among equals the youngest, which has the least to lose. */
   private static final Comparator<TaskAttempt> LOWEST_AND_YOUNGEST =
       Comparator.comparing((TaskAttempt attempt) -> attempt.job.spec.priority())
-          .thenComparing(attempt -> attempt.since, Comparator.reverseOrder());
+          .thenComparing(attempt -> attempt.stageSince, Comparator.reverseOrder());
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
   private record Search(
@@ -84,7 +84,7 @@
     JobSpec spec = job.spec;
     Optional<Duration> within = input.startWithin().apply(spec);
     if (within.isEmpty()
-        || free.images.containsKey(spec.image())
+        || free.cachedImages.containsKey(spec.image())
         || free.type.fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
       return Optional.empty();
     }
@@ -101,20 +101,20 @@
 
   /** Looks for victims, on machines that have the image if one is given. */
   private Optional<Choice> evict(Job job, Optional<String> image, Predicate<Machine> allowed) {
-    boolean guaranteed = rooms.use().isGuaranteed(job.spec);
+    boolean guaranteed = rooms.use().isWithinGuarantee(job.spec);
     Choice best = null;
     RandomizedMachineScan machines = order.get();
     int start = machines.start();
     int met = 0;
     // As with room, the best of the first that will do: at size, seeing all would cost more than a
     // better victim saves. Ending a gang costs all of its tasks, so then the search is longer.
-    int most = input.tuning().sample();
+    int most = input.tuning().sampleSize();
     for (int i = 0; i < machines.size() && met < most; i++) {
       Machine machine = machines.get(start, i);
       if (!job.spec.allows(machine.type, machine.zone, machine.spot)
           || !allowed.test(machine)
           || (image.isPresent() && !canStartAtOnce(machine, image.get()))
-          || (!guaranteed && !machine.roomAbove(job.spec.priority()).fits(job))) {
+          || (!guaranteed && !machine.availableAbove(job.spec.priority()).fits(job))) {
         continue;
       }
       List<TaskAttempt> victims = victimsOn(machine, job, guaranteed);
@@ -125,7 +125,7 @@
       met++;
       if (best == null || better(victims, machine, best, job)) {
         best = new Choice(machine, victims);
-        most = input.tuning().sample() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
+        most = input.tuning().sampleSize() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
       }
     }
     if (best != null) {
@@ -136,15 +136,15 @@
 
   /** Whether the machine has the image, and a kill would be carried out there at once. */
   private boolean canStartAtOnce(Machine machine, String image) {
-    return machine.images.containsKey(image)
-        && machine.heard.isAfter(input.heardSince())
-        && !input.now().isBefore(machine.directAfter);
+    return machine.cachedImages.containsKey(image)
+        && machine.lastReachableAt.isAfter(input.heardSince())
+        && !input.now().isBefore(machine.directCommandsAfter);
   }
 
   /** Who would have to leave the machine; nobody if that would not make room enough. */
   private List<TaskAttempt> victimsOn(Machine machine, Job job, boolean guaranteed) {
     List<TaskAttempt> candidates = new ArrayList<>();
-    for (TaskAttempt attempt : machine.placements.values()) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
       if (!attempt.stopping
           && !rooms.isVictim(attempt)
           && !isSheltered(attempt)
@@ -159,7 +159,7 @@
       if (trial.fits(job)) {
         break;
       }
-      trial.give(attempt.job);
+      trial.add(attempt.job);
       victims.add(attempt);
     }
     return trial.fits(job) ? victims : List.of();
@@ -172,11 +172,11 @@
   private boolean isSheltered(TaskAttempt attempt) {
     Job job = attempt.job;
     return !job.spec.isService()
-        && !job.begun
-        && job.done.isEmpty()
-        && (job.spec.isGang() || job.placed.size() == 1)
-        && job.submitted.isBefore(input.now().minus(Job.LONG_WAIT))
-        && attempt.ranFor(input.now()).compareTo(Job.A_START) < 0;
+        && !job.hasStarted
+        && job.doneTasks.isEmpty()
+        && (job.spec.isGang() || job.attempts.size() == 1)
+        && job.submittedAt.isBefore(input.now().minus(Job.LONG_WAIT))
+        && attempt.runningTime(input.now()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) < 0;
   }
 
   private boolean mayEvict(Job job, TaskAttempt victim, boolean guaranteed) {
@@ -189,7 +189,7 @@
     }
     return guaranteed
         && !spec.team().equals(job.spec.team())
-        && rooms.use().isBeyondGuarantee(spec.team());
+        && rooms.use().exceedsGuarantee(spec.team());
   }
 
   /**
@@ -208,8 +208,8 @@
     if (highest != bestHighest) {
       return highest.compareTo(bestHighest) < 0;
     }
-    boolean cached = machine.images.containsKey(job.spec.image());
-    if (cached != best.machine().images.containsKey(job.spec.image())) {
+    boolean cached = machine.cachedImages.containsKey(job.spec.image());
+    if (cached != best.machine().cachedImages.containsKey(job.spec.image())) {
       return cached;
     }
     return input.turns().compare(first(victims), first(best.victims())) > 0;
@@ -221,7 +221,7 @@
     for (TaskAttempt victim : victims) {
       boolean ofRunningGang =
           victim.job.spec.isGang() && victim.stage.compareTo(TaskAttempt.Stage.RUNNING) >= 0;
-      losses += ofRunningGang ? victim.job.placed.size() : 1;
+      losses += ofRunningGang ? victim.job.attempts.size() : 1;
     }
     return losses;
   }
--- a/src/main/java/io/pearscale/scheduler/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/QueueOrder.java
@@ -35,16 +35,16 @@
   /** When a job should be over: its own deadline, or what its class is expected to keep. */
   private Instant due(Job job) {
     if (job.spec.deadline().isPresent()) {
-      return job.submitted.plus(job.spec.deadline().get());
+      return job.submittedAt.plus(job.spec.deadline().get());
     }
     Duration within = finishedWithin(job).orElse(NO_HURRY);
     if (job.spec.isGang()) {
       // It can't begin in part, so a time to start says when it would be over.
       Duration ifStarted =
-          classes.startWithin(job.spec).map(job.spec.estimatedDuration()::plus).orElse(within);
+          classes.startObjective(job.spec).map(job.spec.estimatedDuration()::plus).orElse(within);
       within = ifStarted.compareTo(within) < 0 ? ifStarted : within;
     }
-    return job.submitted.plus(within);
+    return job.submittedAt.plus(within);
   }
 
   private Optional<Duration> finishedWithin(Job job) {
@@ -75,12 +75,12 @@
   private Turn turn(Job job, Instant now) {
     Instant due = due(job);
     Instant end = now.plus(job.spec.estimatedDuration());
-    Duration allowed = Duration.between(job.submitted, due);
+    Duration allowed = Duration.between(job.submittedAt, due);
     int lateness =
         job.spec.isService() || !end.isAfter(due)
             ? 0
-            : end.isAfter(job.submitted.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
-    return new Turn(lateness, job.spec.isService() ? job.submitted : order(job, due));
+            : end.isAfter(job.submittedAt.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
+    return new Turn(lateness, job.spec.isService() ? job.submittedAt : order(job, due));
   }
 
   /** Waiting jobs, in the order in which they are decided. */
@@ -88,7 +88,7 @@
     record Ranked(Job job, int band, Turn turn) {}
     List<Ranked> ranked = new ArrayList<>();
     for (Job j : queue) {
-      if (!now.isBefore(j.notBefore) && !(j.mistaken() && !j.placed.isEmpty())) {
+      if (!now.isBefore(j.retryNotBefore) && !(j.failsEverywhere() && !j.attempts.isEmpty())) {
         Turn turn = turns.apply(j);
         boolean begins = begins(j, now);
         // In the top band nothing goes before the order of the design; below it, what has waited
@@ -110,10 +110,10 @@
   /** Whether no task of a batch job has begun in a time in which its users expect that. */
   static boolean begins(Job job, Instant now) {
     return !job.spec.isService()
-        && !job.begun
-        && job.done.isEmpty()
-        && now.isAfter(job.submitted.plus(Job.LONG_WAIT))
-        && job.placed.isEmpty();
+        && !job.hasStarted
+        && job.doneTasks.isEmpty()
+        && now.isAfter(job.submittedAt.plus(Job.LONG_WAIT))
+        && job.attempts.isEmpty();
   }
 
   /**
@@ -127,10 +127,10 @@
         || !classes.sized(job.spec.jobClass())) {
       return due;
     }
-    Duration allowed = Duration.between(job.submitted, due);
-    double left = job.spec.tasks() - job.done.cardinality();
-    double part = Math.min(1, 0.2 + left / Math.max(1, classes.largeJob(job.spec.jobClass())));
-    return job.submitted.plusMillis((long) (allowed.toMillis() * part));
+    Duration allowed = Duration.between(job.submittedAt, due);
+    double left = job.spec.tasks() - job.doneTasks.cardinality();
+    double part = Math.min(1, 0.2 + left / Math.max(1, classes.largeJobTasks(job.spec.jobClass())));
+    return job.submittedAt.plusMillis((long) (allowed.toMillis() * part));
   }
 
   /**
@@ -143,6 +143,6 @@
     }
     // Estimates are often wrong by half, and an image may have to be fetched first.
     Duration need = job.spec.estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
-    return now.plus(need).isAfter(job.submitted.plus(job.spec.deadline().get()));
+    return now.plus(need).isAfter(job.submittedAt.plus(job.spec.deadline().get()));
   }
 }
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/QuotaUsage.java
@@ -0,0 +1,77 @@
+package io.pearscale.scheduler;
+
+import io.pearscale.protocol.JobSpec;
+import io.pearscale.protocol.Settings.Team;
+import java.util.HashMap;
+import java.util.Map;
+
+/** What teams have in use, all doubt counted as use, against their limits and guarantees. */
+final class QuotaUsage {
+  private static final double TOLERANCE = 1e-6;
+
+  private static final class Usage {
+    double cpus;
+    double gpus;
+  }
+
+  private final Map<String, Team> teams;
+  private final Map<String, Usage> usageByTeam = new HashMap<>();
+
+  /** Nothing is in use. */
+  QuotaUsage(Map<String, Team> teams) {
+    this.teams = teams;
+  }
+
+  private Usage usageOf(String team) {
+    return usageByTeam.computeIfAbsent(team, t -> new Usage());
+  }
+
+  /** Notes so many more tasks as in use, or fewer. */
+  void charge(JobSpec spec, int tasks) {
+    Usage usage = usageOf(spec.team());
+    usage.cpus += tasks * spec.cpus();
+    usage.gpus += tasks * spec.gpus();
+  }
+
+  /**
+   * How many more tasks like these the team's limit allows. A limit of 0 means that there is none.
+   */
+  int tasksLeftWithinLimit(JobSpec spec) {
+    Team team = teams.get(spec.team());
+    if (team == null) {
+      return 0;
+    }
+    Usage usage = usageOf(spec.team());
+    double byCpus = tasksLeft(team.cpuLimit(), usage.cpus, spec.cpus());
+    double byGpus = tasksLeft(team.gpuLimit(), usage.gpus, spec.gpus());
+    return (int) Math.max(0, Math.min(Math.min(byCpus, byGpus), spec.tasks()));
+  }
+
+  private static double tasksLeft(double limit, double used, double perTask) {
+    double left = limit - used + TOLERANCE;
+    if (limit <= 0 || (perTask <= 0 && left >= 0)) {
+      return Double.MAX_VALUE;
+    }
+    return perTask <= 0 ? 0 : left / perTask;
+  }
+
+  /** Whether the team knows a guarantee, and one more task like these is within it. */
+  boolean isWithinGuarantee(JobSpec spec) {
+    return !exceedsGuarantee(spec.team(), spec.cpus(), spec.gpus());
+  }
+
+  /** Whether a team of the settings has more in use than it is guaranteed. */
+  boolean exceedsGuarantee(String team) {
+    return teams.containsKey(team) && exceedsGuarantee(team, 0, 0);
+  }
+
+  private boolean exceedsGuarantee(String name, double cpus, double gpus) {
+    Team team = teams.get(name);
+    if (team == null || (team.guaranteedCpus() <= 0 && team.guaranteedGpus() <= 0)) {
+      return true;
+    }
+    Usage usage = usageOf(name);
+    return usage.cpus + cpus > team.guaranteedCpus() + TOLERANCE
+        || usage.gpus + gpus > team.guaranteedGpus() + TOLERANCE;
+  }
+}
--- a/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
@@ -19,7 +19,7 @@
   RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
-      boolean stays = machine.spareSince.equals(Instant.MAX) && !machine.drainsLater;
+      boolean stays = machine.scaleInCandidateSince.equals(Instant.MAX) && !machine.drainPlanned;
       (stays ? kept : spare).add(machine);
     }
     shuffle(kept);
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.StoredRecords.StoredMachine;
 import io.pearscale.scheduler.StoredRecords.StoredPart;
 import io.pearscale.scheduler.TaskAttempt.Stage;
@@ -51,11 +51,11 @@
     stored.tasks().forEach(this::noteRemains);
     stored.tasks().forEach(this::adopt);
     for (Job job : remains.values()) {
-      for (TaskAttempt attempt : job.placed.values()) {
+      for (TaskAttempt attempt : job.attempts.values()) {
         attempt.stopping = true;
-        attempt.stopsAtOnce = true;
+        attempt.stopsWithoutCheckpoint = true;
       }
-      if (job.placed.isEmpty()) {
+      if (job.attempts.isEmpty()) {
         records.removeJob(job);
       }
     }
@@ -66,10 +66,10 @@
     Machine machine = inventory.get(entry.machine());
     if (machine == null) {
       machine = machineOf(entry);
-      inventory.addFormer(machine);
-    } else if (entry.retiring() && machine.life != Life.RETIRING) {
+      inventory.addFromPreviousLeader(machine);
+    } else if (entry.retiring() && machine.lifecycle != Lifecycle.RETIRING) {
       // That it may be under deletion is never taken back, whichever record says so.
-      machine.life = Life.RETIRING;
+      machine.lifecycle = Lifecycle.RETIRING;
       machine.recordedRetiring = true;
     }
     numbered.get(stored.layout()).put(stored.number(), machine);
@@ -79,7 +79,8 @@
   private Machine machineOf(MachineRecordCodec.MachineRecord entry) {
     MachineType type = inventory.catalogue().typeOf(entry.type());
     boolean seen = !entry.address().isEmpty();
-    Life life = entry.retiring() ? Life.RETIRING : seen ? Life.UP : Life.BOOTING;
+    Lifecycle life =
+        entry.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
     Machine machine =
         new Machine(entry.machine(), entry.zone(), entry.spot(), type, life, clock.instant());
     machine.address = entry.address();
@@ -87,8 +88,8 @@
     machine.recordedAddress = entry.address();
     machine.maintenance = entry.maintenance();
     machine.recordedMaintenance = entry.maintenance();
-    machine.everReported = seen;
-    machine.lease.recorded(entry.incarnation());
+    machine.heartbeatEverReceived = seen;
+    machine.lease.acceptFromRecorded(entry.incarnation());
     return machine;
   }
 
@@ -99,7 +100,7 @@
       Instant now = clock.instant();
       remains.merge(
           part.job(),
-          Job.remains(part, part.quotaClaim().get(), now),
+          Job.orphaned(part, part.quotaClaim().get(), now),
           (a, b) -> a.spec.tasks() >= b.spec.tasks() ? a : b);
     }
   }
@@ -130,32 +131,32 @@
     part.completed().stream()
         .map(i -> first + i)
         .filter(task -> task < job.spec.tasks())
-        .forEach(job.done::set);
-    job.noteDurable(first, part.completed());
-    if (job.spec.isGang() && !job.done.isEmpty()) {
+        .forEach(job.doneTasks::set);
+    job.recordDurablyDone(first, part.completed());
+    if (job.spec.isGang() && !job.doneTasks.isEmpty()) {
       // Its tasks complete together, also those of parts that were not written again.
-      job.done.set(0, job.spec.tasks());
+      job.doneTasks.set(0, job.spec.tasks());
     }
     records.adoptPart(job, stored);
     for (int i = 0; i < part.machineReferences().length && first + i < job.spec.tasks(); i++) {
       Machine machine = numbered.get(stored.layout()).get(part.machineReferences()[i]);
-      if (machine != null && !job.done.get(first + i) && !known.get(first + i)) {
+      if (machine != null && !job.doneTasks.get(first + i) && !known.get(first + i)) {
         TaskAttempt assumed =
             new TaskAttempt(
                 job,
                 new TaskId(job.spec.id(), first + i),
                 -1,
                 machine,
-                Stage.SENT,
+                Stage.START_SENT,
                 clock.instant());
-        assumed.marked = true;
+        assumed.placementRecorded = true;
         inventory.add(assumed);
       }
     }
     if (written) {
       known.set(first, first + stored.layout().tasksPerPartition());
     }
-    if (job.complete()) {
+    if (job.isComplete()) {
       records.adoptEnd(job);
     }
   }
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -109,7 +109,7 @@
 
   /** Asks for a transaction. */
   void plan() {
-    if (planned || committing || !leadership.leading()) {
+    if (planned || committing || !leadership.isLeading()) {
       return;
     }
     planned = true;
@@ -145,14 +145,14 @@
   /** Writes all that is due in one transaction, guarded by the term. */
   private void commit() {
     planned = false;
-    if (committing || !leadership.ready()) {
+    if (committing || !leadership.isReady()) {
       return;
     }
     LeaderTransaction transaction =
         new LeaderTransaction(
             limits.maxTransactionOperations(),
             leadership.term(),
-            leadership.termStamp(),
+            leadership.termRevision(),
             ++commits,
             level.inForce().writtenLevel());
     records.fill(transaction, inventory.catalogue().types());
@@ -173,7 +173,7 @@
   private void committed(LeaderTransaction transaction, Reply reply) {
     if (reply.ok()) {
       committing = false;
-      leadership.termStampIs(reply.body().path("epoch").asLong(leadership.termStamp()));
+      leadership.recordTermRevision(reply.body().path("epoch").asLong(leadership.termRevision()));
       applied(transaction);
       planIfDue();
       return;
@@ -228,7 +228,7 @@
     }
     // Applied or not: what is due is still marked as due and goes out again, guarded by the
     // stamp as it is now. Should the old transaction come after all, it will find another one.
-    leadership.termStampIs(reply.body().path("stamp").asLong(leadership.termStamp()));
+    leadership.recordTermRevision(reply.body().path("stamp").asLong(leadership.termRevision()));
     committing = false;
     retry();
   }
@@ -262,12 +262,12 @@
     jobs.remove(job.spec.id());
     gangs.forget(job);
     records.close(job);
-    job.durableDone.or(job.done);
+    job.durablyDoneTasks.or(job.doneTasks);
     LOG.info(
         "event=job_done term={} job={} after_ms={}",
         leadership.term(),
         job.spec.id(),
-        Duration.between(job.submitted, clock.instant()).toMillis());
-    List.copyOf(job.placed.values()).forEach(inventory::stop);
+        Duration.between(job.submittedAt, clock.instant()).toMillis());
+    List.copyOf(job.attempts.values()).forEach(inventory::stop);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -43,7 +43,7 @@
    * their room is taken.
    */
   boolean takesReplicasOf(Machine machine, Instant now) {
-    for (TaskAttempt attempt : machine.placements.values()) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.job.spec.isService() && !(settled(attempt, now) && takes(attempt))) {
         return false;
       }
@@ -53,7 +53,7 @@
 
   private static boolean settled(TaskAttempt attempt, Instant now) {
     return attempt.stage == TaskAttempt.Stage.RUNNING
-        && !attempt.since.isAfter(now.minus(ReplicaRelocation.SETTLED));
+        && !attempt.stageSince.isAfter(now.minus(ReplicaRelocation.SETTLED));
   }
 
   private boolean takes(TaskAttempt attempt) {
@@ -63,8 +63,8 @@
       }
       looksLeft--;
       if (ReplicaRelocation.mayMoveTo(attempt, other)
-          && rooms.computeIfAbsent(other, Machine::room).fits(attempt.job)) {
-        rooms.get(other).take(attempt.job);
+          && rooms.computeIfAbsent(other, Machine::available).fits(attempt.job)) {
+        rooms.get(other).subtract(attempt.job);
         return true;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
@@ -36,13 +36,13 @@
     RandomizedMachineScan machines = order.get();
     int start = machines.start();
     int asked = 0;
-    for (int i = 0; i < machines.size() && asked < input.tuning().sample(); i++) {
+    for (int i = 0; i < machines.size() && asked < input.tuning().sampleSize(); i++) {
       Machine machine = machines.get(start, i);
       if (!job.spec.allows(machine.type, machine.zone, machine.spot)
           || !Placer.allowedNow(job, machine)) {
         continue;
       }
-      for (TaskAttempt replica : machine.placements.values()) {
+      for (TaskAttempt replica : machine.attempts.values()) {
         if (!isMovable(job, replica)) {
           continue;
         }
@@ -60,21 +60,21 @@
   private boolean isMovable(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job.spec;
     Resources trial = rooms.of(replica.machine).copy();
-    trial.give(replica.job);
+    trial.add(replica.job);
     return !replica.stopping
         && replica.stage == TaskAttempt.Stage.RUNNING
         && spec.isService()
         && !spec.singleZone()
         && spec.priority() == job.spec.priority()
         && spec.team().equals(job.spec.team())
-        && replica.since.isBefore(input.now().minus(SETTLED))
+        && replica.stageSince.isBefore(input.now().minus(SETTLED))
         && trial.fits(job);
   }
 
   private boolean takesOtherPlace(TaskAttempt replica) {
     for (Machine machine : input.machines()) {
       if (mayMoveTo(replica, machine) && rooms.of(machine).fits(replica.job)) {
-        rooms.of(machine).take(replica.job);
+        rooms.of(machine).subtract(replica.job);
         return true;
       }
     }
@@ -88,10 +88,10 @@
         machine.zone.equals(replica.machine.zone)
             || (!spec.singleZone()
                 && (!spec.spreadAcrossZones()
-                    || replica.job.inZone(machine.zone) < spec.maxTasksPerZone()));
+                    || replica.job.attemptsInZone(machine.zone) < spec.maxTasksPerZone()));
     return machine != replica.machine
         && zoneFree
         && spec.allows(machine.type, machine.zone, machine.spot)
-        && machine.images.containsKey(spec.image());
+        && machine.cachedImages.containsKey(spec.image());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -79,9 +79,9 @@
       if (!d.job().spec.allows(type, zone, spot) || !d.zone().map(zone::equals).orElse(true)) {
         return 0;
       }
-      int n = Math.min(tasks, room.count(d.job()));
+      int n = Math.min(tasks, room.countFitting(d.job()));
       for (int i = 0; i < n; i++) {
-        room.take(d.job());
+        room.subtract(d.job());
       }
       return n;
     }
@@ -174,7 +174,7 @@
           for (Demand other : later) {
             used += trial.take(other, other.tasks()) * size(other.job());
           }
-          double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRisk() : 1) / used;
+          double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / used;
           if (cost < bestCost) {
             bestCost = cost;
             best = b;
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -145,14 +145,14 @@
     } else if (message instanceof Changed m) {
       changed(m);
     } else if (message instanceof Fresh m) {
-      leadership.copyIsAsNewAs(m.asOf);
-      jobs.copyIsAsNewAs(m.asOf);
+      leadership.recordReplicaAsOf(m.asOf);
+      jobs.replicaCaughtUpTo(m.asOf);
     } else if (message instanceof Loaded m) {
       loaded(m);
     } else if (message instanceof Won m) {
       won(m);
     } else if (message instanceof Confirmed m) {
-      leadership.provenAt(m.evidence);
+      leadership.recordProof(m.evidence);
     } else if (message instanceof Cancelled m) {
       cancelled(m.job);
     } else if (message instanceof Vouched m) {
@@ -161,9 +161,9 @@
       parts.recovery.formerLeadersEnded();
     } else if (message instanceof Lost) {
       lost();
-    } else if (message instanceof CloudSaid m && leadership.leading()) {
+    } else if (message instanceof CloudSaid m && leadership.isLeading()) {
       parts.supply.cloudSaid(m.event);
-    } else if (message instanceof Beat && leadership.ready()) {
+    } else if (message instanceof Beat && leadership.isReady()) {
       parts.writer.heartbeat();
     }
   }
@@ -171,7 +171,7 @@
   // ---- What the state service holds ----
 
   private void loaded(Loaded m) {
-    jobs.missingIn(m.all.keySet()).forEach(this::jobOver);
+    jobs.absentFrom(m.all.keySet()).forEach(this::jobOver);
     jobs.forgetUnreadable();
     records.storedValues().forget();
     parts.raiser.forgetStored();
@@ -186,7 +186,7 @@
     m.changes.forEach(this::changed);
     epoch = m.epoch;
     takeOverWhenPossible();
-    if (leadership.ready()) {
+    if (leadership.isReady()) {
       parts.passes.request();
     }
   }
@@ -209,7 +209,7 @@
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       List<MachineType> types = MachineType.parseAll(change.entry().get().value());
       records.storedValues().catalogueIs(types);
-      if (!leadership.leading() || inventory.catalogue().types().isEmpty()) {
+      if (!leadership.isLeading() || inventory.catalogue().types().isEmpty()) {
         inventory.updateCatalogue(types);
       }
     }
@@ -221,32 +221,32 @@
     for (LiveJobs list : m.live) {
       Set<String> live = Set.copyOf(list.jobs());
       List.copyOf(jobs.all()).stream()
-          .filter(job -> job.stamp <= list.storeRevision() && !live.contains(job.spec.id()))
+          .filter(job -> job.revision <= list.storeRevision() && !live.contains(job.spec.id()))
           .forEach(job -> cancelled(job.spec.id()));
     }
-    leadership.confirmedByPeers(m.evidence);
+    leadership.recordPeerConfirmation(m.evidence);
   }
 
   /** A job is over although our copy may not show it yet. */
   private void cancelled(String id) {
-    jobs.noteCancelled(id);
+    jobs.markCancelled(id);
     jobOver(id);
   }
 
   private void jobOver(String id) {
     Optional<Job> job = jobs.remove(id);
-    if (job.isEmpty() || !leadership.leading()) {
+    if (job.isEmpty() || !leadership.isLeading()) {
       return;
     }
     records.close(job.get());
     parts.gangs.forget(job.get());
-    for (TaskAttempt attempt : List.copyOf(job.get().placed.values())) {
+    for (TaskAttempt attempt : List.copyOf(job.get().attempts.values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
       // saves already, for whatever reason it was stopped, is told to end.
-      attempt.stopsAtOnce = true;
-      attempt.kills = 0;
+      attempt.stopsWithoutCheckpoint = true;
+      attempt.stopsSent = 0;
       inventory.stop(attempt);
-      inventory.noteCommandDue(attempt.machine);
+      inventory.markCommandDue(attempt.machine);
       parts.dispatcher.sendDue(attempt.machine);
     }
   }
@@ -267,14 +267,14 @@
   private void lost() {
     leadership.end();
     inventory.clear();
-    jobs.clearWaiting();
+    jobs.clearQueue();
     parts.dispatcher.end();
     records.clear();
     parts.counts.clear();
     parts.gangs.clear();
     parts.drains.ifPresent(DrainCoordinator::end);
     parts.supply.end();
-    jobs.forgetPlacements();
+    jobs.forgetLeaderState();
   }
 
   /**
@@ -282,8 +282,8 @@
    * are older than the term, so a copy as new as the term has them all.
    */
   private void takeOverWhenPossible() {
-    boolean possible = leadership.leading() && loaded && epoch >= leadership.termStamp();
-    if (possible && !leadership.ready() && parts.recovery.takeOver(epoch)) {
+    boolean possible = leadership.isLeading() && loaded && epoch >= leadership.termRevision();
+    if (possible && !leadership.isReady() && parts.recovery.takeOver(epoch)) {
       parts.drains.ifPresent(DrainCoordinator::begin);
       parts.passes.request();
     }
@@ -298,7 +298,7 @@
 
   private void tick() {
     scheduleTick();
-    if (!leadership.ready()) {
+    if (!leadership.isReady()) {
       return;
     }
     Instant now = loop.clock().instant();
@@ -324,7 +324,7 @@
     int slices = Math.min(MOST_SLICES, 1 + inventory.size() / SLICE);
     int i = ++ticks;
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (++i % slices == 0 || !machine.settled) {
+      if (++i % slices == 0 || !machine.reconciled) {
         parts.health.check(machine, now);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
@@ -28,13 +28,15 @@
     JobSpec spec = job.spec;
     return tuning.strandedWeight() * stranded(job, machine)
         + mates(job, machine) / Math.max(1, spec.tasks())
-        + tuning.sameZoneWeight() * job.inZone(machine.zone) / Math.max(1, spec.tasks())
+        + tuning.sameZoneWeight() * job.attemptsInZone(machine.zone) / Math.max(1, spec.tasks())
         + tuning.zoneBalanceWeight() * crowding.getOrDefault(machine.zone, 1.0)
-        + tuning.imageWeight() * fetchShare(job, machine) * fetchesInTheWay(spec.image(), machine)
-        + (spec.spotAllowed() && !machine.spot ? tuning.ordinaryWeight() : 0)
+        + tuning.cachedImageWeight()
+            * fetchShare(job, machine)
+            * fetchesInTheWay(spec.image(), machine)
+        + (spec.spotAllowed() && !machine.spot ? tuning.onDemandWeight() : 0)
         // A machine that just missed a direct command gets its starts by report only, which is
         // slow.
-        + (input.now().isBefore(machine.directAfter) ? tuning.imageWeight() : 0);
+        + (input.now().isBefore(machine.directCommandsAfter) ? tuning.cachedImageWeight() : 0);
   }
 
   /**
@@ -44,7 +46,7 @@
   private int coming(Job job, Machine machine) {
     return job.spec.isService()
         ? 1
-        : Math.max(1, Math.min(rooms.of(machine).count(job), job.pending()));
+        : Math.max(1, Math.min(rooms.of(machine).countFitting(job), job.pendingTasks()));
   }
 
   private double stranded(Job job, Machine machine) {
@@ -66,14 +68,14 @@
    */
   private double mates(Job job, Machine machine) {
     int onMachine = 0;
-    for (TaskAttempt attempt : machine.placements.values()) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.job == job) {
         onMachine++;
       }
     }
     return job.spec.isService()
         ? tuning.sameMachineWeight() * onMachine
-        : -tuning.togetherWeight() * (onMachine + coming(job, machine));
+        : -tuning.packingWeight() * (onMachine + coming(job, machine));
   }
 
   /**
@@ -92,6 +94,6 @@
 
   /** How many fetches would share the rate with the image's own; -1 if that is cached. */
   private static int fetchesInTheWay(String image, Machine machine) {
-    return machine.images.containsKey(image) ? -1 : machine.otherFetches(image);
+    return machine.cachedImages.containsKey(image) ? -1 : machine.otherImageFetches(image);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/StatusPublisher.java
@@ -81,7 +81,7 @@
     var down = node.putArray("disrupted");
     ledger.open().stream().limit(mostReasons).forEach(d -> down.add(d.task().toString()));
     ObjectNode waiting = node.putObject("waiting");
-    for (Job job : jobs.waiting()) {
+    for (Job job : jobs.queued()) {
       putReason(waiting, job);
     }
     for (Job job : jobs.gangs()) {
@@ -99,13 +99,13 @@
   }
 
   private String reasonToWait(Job job) {
-    if (job.mistaken()) {
+    if (job.failsEverywhere()) {
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
     if (job.spec.isGang() && gangs.isHeldUp(job)) {
       return gangs.whatHoldsUp(job);
     }
-    if (!job.noRoom) {
+    if (!job.unschedulable) {
       return "for the next pass";
     }
     return job.spec.isGang()
