--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -35,16 +35,16 @@
    */
   static List<AgentCommand> due(Machine machine, boolean inAnswer, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
-    machine.foreign.replaceAll((attempt, sent) -> now);
+    machine.unknownAttempts.replaceAll((attempt, sent) -> now);
     machine
-        .foreign
+        .unknownAttempts
         .keySet()
         .forEach(e -> stops.add(AgentCommand.stop(e.task(), e.attempt(), Duration.ZERO)));
-    for (TaskAttempt placement : machine.placements.values()) {
+    for (TaskAttempt placement : machine.attempts.values()) {
       if (isDue(placement, inAnswer, now)) {
         stops.add(stop(placement));
-        placement.killSent = now;
-        placement.kills++;
+        placement.lastStopSentAt = now;
+        placement.stopsSent++;
       }
     }
     return stops;
@@ -71,36 +71,36 @@
    * Whether a stop waits that no command has carried yet, so that a direct one is worth its cost.
    */
   static boolean unsent(Machine machine) {
-    return machine.foreign.containsValue(Instant.MIN)
-        || machine.placements.values().stream()
-            .anyMatch(attempt -> attempt.stopping && attempt.kills == 0);
+    return machine.unknownAttempts.containsValue(Instant.MIN)
+        || machine.attempts.values().stream()
+            .anyMatch(attempt -> attempt.stopping && attempt.stopsSent == 0);
   }
 
   private static boolean isDue(TaskAttempt attempt, boolean inAnswer, Instant now) {
-    if (!attempt.stopping || attempt.attempt < 0) {
+    if (!attempt.stopping || attempt.number < 0) {
       return false;
     }
-    if (attempt.kills == 0 || (inAnswer && !isSaving(attempt))) {
+    if (attempt.stopsSent == 0 || (inAnswer && !isSaving(attempt))) {
       return true;
     }
     Duration patience =
         isSaving(attempt) ? REPEAT.plus(attempt.job.spec.checkpointDuration()) : REPEAT;
-    return Duration.between(attempt.killSent, now).compareTo(patience) >= 0;
+    return Duration.between(attempt.lastStopSentAt, now).compareTo(patience) >= 0;
   }
 
   /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
   private static boolean isSaving(TaskAttempt attempt) {
-    return attempt.stage == Stage.SAVING && !attempt.stopsAtOnce;
+    return attempt.stage == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint;
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
   private static AgentCommand stop(TaskAttempt attempt) {
     boolean mayStillSave =
-        !attempt.stopsAtOnce
+        !attempt.stopsWithoutCheckpoint
             && !attempt.job.spec.checkpointInterval().isZero()
-            && (attempt.kills == 0 || attempt.stage != Stage.SAVING);
+            && (attempt.stopsSent == 0 || attempt.stage != Stage.CHECKPOINTING);
     Duration grace =
         mayStillSave ? attempt.job.spec.checkpointDuration().plus(SAVING_MARGIN) : Duration.ZERO;
-    return AgentCommand.stop(attempt.task, attempt.attempt, grace);
+    return AgentCommand.stop(attempt.task, attempt.number, grace);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/TaskAttempt.java
@@ -10,12 +10,12 @@
     /** Decided, no command sent: can be taken back. */
     PLANNED,
     /** A command was sent; whether it arrived is open. */
-    SENT,
+    START_SENT,
     FETCHING,
     /** Of a gang: it has its image, and waits for the others. */
-    WAITING,
+    WAITING_FOR_GANG,
     RUNNING,
-    SAVING
+    CHECKPOINTING
   }
 
   final Job job;
@@ -25,45 +25,45 @@
    * The attempt's number; below 0 when a former leader gave it and no report has shown it: the task
    * is taken to be where its mark says until a report of that machine, or a proof, tells more.
    */
-  long attempt;
+  long number;
 
   final Machine machine;
   Stage stage;
 
   /** Highest token and the session of any start command for this attempt. */
-  long token;
+  long startToken;
 
-  long session;
+  long startIncarnation;
 
   /** Whether the mark that names the machine is durable: no start is sent before. */
-  boolean marked;
+  boolean placementRecorded;
 
   /** Whether a report has shown the attempt. */
-  boolean confirmed;
+  boolean observed;
 
   /** To be stopped. */
   boolean stopping;
 
   /** To be stopped without saving: what is to start instead can't wait for that. */
-  boolean stopsAtOnce;
+  boolean stopsWithoutCheckpoint;
 
-  Instant killSent = Instant.MIN;
-  int kills;
-  Instant since;
+  Instant lastStopSentAt = Instant.MIN;
+  int stopsSent;
+  Instant stageSince;
 
   /** How long it has been running by now; nothing if it is not. */
-  Duration ranFor(Instant now) {
-    return stage == Stage.RUNNING || stage == Stage.SAVING
-        ? Duration.between(since, now)
+  Duration runningTime(Instant now) {
+    return stage == Stage.RUNNING || stage == Stage.CHECKPOINTING
+        ? Duration.between(stageSince, now)
         : Duration.ZERO;
   }
 
   TaskAttempt(Job job, TaskId task, long attempt, Machine machine, Stage stage, Instant since) {
     this.job = job;
     this.task = task;
-    this.attempt = attempt;
+    this.number = attempt;
     this.machine = machine;
     this.stage = stage;
-    this.since = since;
+    this.stageSince = since;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/TaskCounts.java
+++ b/src/main/java/io/pearscale/scheduler/TaskCounts.java
@@ -33,8 +33,8 @@
   void tellChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
-      int done = job.done.cardinality();
-      int running = job.running();
+      int done = job.doneTasks.cardinality();
+      int running = job.runningTasks();
       JobTaskCount before = known.get(job.spec.id());
       if (before == null || before.done() != done || before.running() != running) {
         JobTaskCount count = new JobTaskCount(job.spec.id(), done, running);
--- a/src/main/java/io/pearscale/scheduler/Tuning.java
+++ b/src/main/java/io/pearscale/scheduler/Tuning.java
@@ -6,33 +6,33 @@
  * Operators' own settings. The defaults of the sample size and of the scoring terms are the
  * design's starting values.
  *
- * @param sample feasible machines to find before the best is taken
+ * @param sampleSize feasible machines to find before the best is taken
  * @param strandedWeight cost of room left over on a machine, per resource
  * @param sameMachineWeight cost per task of the same service on the machine
- * @param togetherWeight bonus of a machine on which many tasks of the same batch job would be
+ * @param packingWeight bonus of a machine on which many tasks of the same batch job would be
  * @param sameZoneWeight cost per task of the same job in the zone
  * @param zoneBalanceWeight cost of using a zone that has less room left than the roomiest
- * @param imageWeight bonus of a cached image
- * @param ordinaryWeight cost of putting work that may use spot machines on an ordinary one
- * @param idleRelease how long a machine must have been to spare before it is given back
- * @param spareShare room to keep beyond what is used, as a part of what is used
+ * @param cachedImageWeight bonus of a cached image
+ * @param onDemandWeight cost of putting work that may use spot machines on an ordinary one
+ * @param scaleInAfterIdle how long a machine must have been to spare before it is given back
+ * @param reserveShare room to keep beyond what is used, as a part of what is used
  * @param headroomShare part of the running tasks of a class with a start objective for which room
  *     is kept
- * @param spotRisk factor on the spot price for the risk of losing the machine
+ * @param spotRiskFactor factor on the spot price for the risk of losing the machine
  */
 public record Tuning(
-    int sample,
+    int sampleSize,
     double strandedWeight,
     double sameMachineWeight,
-    double togetherWeight,
+    double packingWeight,
     double sameZoneWeight,
     double zoneBalanceWeight,
-    double imageWeight,
-    double ordinaryWeight,
-    Duration idleRelease,
-    double spareShare,
+    double cachedImageWeight,
+    double onDemandWeight,
+    Duration scaleInAfterIdle,
+    double reserveShare,
     double headroomShare,
-    double spotRisk) {
+    double spotRiskFactor) {
 
   /** The defaults. */
   public static Tuning defaults() {
--- a/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
@@ -22,7 +22,7 @@
     Map<String, Integer> free = new HashMap<>();
     for (Machine machine : machines) {
       if (job.spec.allows(machine.type, machine.zone, machine.spot)) {
-        free.merge(machine.zone, machine.roomWithEviction(job), Integer::sum);
+        free.merge(machine.zone, machine.capacityWithEviction(job), Integer::sum);
       }
     }
     return free;
@@ -34,7 +34,7 @@
       return List.of();
     }
     return of(job).keySet().stream()
-        .filter(zone -> job.inZone(zone) < job.spec.maxTasksPerZone())
+        .filter(zone -> job.attemptsInZone(zone) < job.spec.maxTasksPerZone())
         .sorted()
         .toList();
   }
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -152,10 +152,10 @@
     Files.writeString(
         file, "; fewer\n(sample 4) (spare-share 0.5)\n(idle-release-s 90)\n(newer 1)");
     Tuning t = TuningReader.read(Optional.of(file));
-    assertEquals(4, t.sample());
-    assertEquals(0.5, t.spareShare());
-    assertEquals(Duration.ofSeconds(90), t.idleRelease());
-    assertEquals(Tuning.defaults().imageWeight(), t.imageWeight());
+    assertEquals(4, t.sampleSize());
+    assertEquals(0.5, t.reserveShare());
+    assertEquals(Duration.ofSeconds(90), t.scaleInAfterIdle());
+    assertEquals(Tuning.defaults().cachedImageWeight(), t.cachedImageWeight());
     assertEquals(Tuning.defaults(), TuningReader.read(Optional.empty()));
   }
 
--- a/src/test/java/io/pearscale/scheduler/AttemptNumbersTest.java
+++ b/src/test/java/io/pearscale/scheduler/AttemptNumbersTest.java
@@ -11,14 +11,14 @@
   @Test
   void aLongTermDoesNotUseTheNumbersOfTheNext() {
     AttemptNumbers numbers = new AttemptNumbers();
-    numbers.begin(6);
+    numbers.beginTerm(6);
     long last = 0;
     for (int i = 0; i < MANY; i++) {
       long next = numbers.next();
       assertTrue(next > last);
       last = next;
     }
-    numbers.begin(7);
+    numbers.beginTerm(7);
     assertTrue(numbers.next() > last);
   }
 }
--- a/src/test/java/io/pearscale/scheduler/CancelledJobsTest.java
+++ b/src/test/java/io/pearscale/scheduler/CancelledJobsTest.java
@@ -14,27 +14,27 @@
 
   @Test
   void staysWhileTheCopyMayBeOlder() {
-    cancelled.note("wk-1", noted);
-    cancelled.copyIsAsNewAs(noted);
+    cancelled.add("wk-1", noted);
+    cancelled.replicaCaughtUpTo(noted);
     assertTrue(cancelled.contains("wk-1"), "the copy was read before, or at the same moment");
-    cancelled.copyIsAsNewAs(noted.plusNanos(1));
+    cancelled.replicaCaughtUpTo(noted.plusNanos(1));
     assertFalse(cancelled.contains("wk-1"));
   }
 
   @Test
   void isNotForgottenForTheNumberOfOthers() {
-    cancelled.note("wk-first", noted);
+    cancelled.add("wk-first", noted);
     for (int i = 0; i < MANY; i++) {
-      cancelled.note("wk-" + i, noted.plusNanos(i));
+      cancelled.add("wk-" + i, noted.plusNanos(i));
     }
     assertTrue(cancelled.contains("wk-first"));
   }
 
   @Test
   void countsFromWhenItWasFirstNoted() {
-    cancelled.note("wk-1", noted);
-    cancelled.note("wk-1", noted.plusSeconds(30));
-    cancelled.copyIsAsNewAs(noted.plusSeconds(1));
+    cancelled.add("wk-1", noted);
+    cancelled.add("wk-1", noted.plusSeconds(30));
+    cancelled.replicaCaughtUpTo(noted.plusSeconds(1));
     assertFalse(cancelled.contains("wk-1"), "the first word was of a durable end already");
   }
 }
--- a/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.DecisionLog.Carrier;
+import io.pearscale.scheduler.DecisionLog.Channel;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -22,23 +22,23 @@
           "a",
           false,
           new MachineType("small", 8, 0, 64, 10, 1, 1, 1, Duration.ZERO, List.of("a")),
-          Machine.Life.UP,
+          Machine.Lifecycle.UP,
           Instant.EPOCH);
 
   @Test
   void countsStartsAndProofsOnce() {
-    log.sending(
+    log.sendingStarts(
         machine,
         List.of(
             AgentCommand.start(TASK, 1),
             AgentCommand.forget(TASK, 0),
             AgentCommand.start(new TaskId("wk-1", 1), 2)),
-        Carrier.COMMAND);
-    log.sending(machine, List.of(AgentCommand.start(TASK, 3)), Carrier.ANSWER);
+        Channel.COMMAND);
+    log.sendingStarts(machine, List.of(AgentCommand.start(TASK, 3)), Channel.HEARTBEAT_RESPONSE);
     TaskAttempt attempt =
-        new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.SENT, Instant.EPOCH);
-    log.gone(attempt, AbsenceProof.ENDED);
-    log.gone(attempt, AbsenceProof.LEASE_OVER);
+        new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.START_SENT, Instant.EPOCH);
+    log.absenceProved(attempt, AbsenceProof.ENDED);
+    log.absenceProved(attempt, AbsenceProof.LEASE_EXPIRED);
     assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] sessions=0", log.takeCounts());
     assertEquals("starts=[0,0] absences=[0,0,0,0,0,0,0] sessions=0", log.takeCounts());
   }
--- a/src/test/java/io/pearscale/scheduler/IncarnationLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/IncarnationLeaseTest.java
@@ -29,78 +29,78 @@
   @Test
   void nothingIsKnownOfAMachineThatSaidNothing() {
     assertEquals(Basis.NONE, lease.basis());
-    assertFalse(lease.isOver(at(1000), BOUND));
+    assertFalse(lease.isExpired(at(1000), BOUND));
     assertFalse(lease.isHeld(START, BOUND));
-    assertTrue(lease.isNews(message(1, 1)));
+    assertTrue(lease.isNewer(message(1, 1)));
   }
 
   @Test
   void theFirstMessageOfEachSessionCountsItsLease() {
-    assertTrue(lease.shown(message(1, 1), at(0)));
-    assertFalse(lease.shown(message(1, 2), at(10)));
-    assertTrue(lease.isOver(at(18), BOUND));
-    assertTrue(lease.shown(message(2, 3), at(18)));
-    assertFalse(lease.isOver(at(35), BOUND));
-    assertTrue(lease.isOver(at(36), BOUND));
-    assertEquals(Basis.SESSION_SEEN, lease.basis());
+    assertTrue(lease.observe(message(1, 1), at(0)));
+    assertFalse(lease.observe(message(1, 2), at(10)));
+    assertTrue(lease.isExpired(at(18), BOUND));
+    assertTrue(lease.observe(message(2, 3), at(18)));
+    assertFalse(lease.isExpired(at(35), BOUND));
+    assertTrue(lease.isExpired(at(36), BOUND));
+    assertEquals(Basis.INCARNATION_OBSERVED, lease.basis());
   }
 
   @Test
   void theSessionAfterOneThatWasProvenOverCountsFromItsFirstMessage() {
-    lease.shown(message(1, 1), at(0));
-    lease.answered(at(2));
-    assertTrue(lease.isOver(at(20), BOUND));
-    lease.end();
-    assertEquals(2, lease.session());
-    assertFalse(lease.isNews(message(1, 9)));
-    assertTrue(lease.isNews(message(2, 10)));
-    assertTrue(lease.shown(message(2, 10), at(21)));
-    assertFalse(lease.isOver(at(38), BOUND));
-    assertTrue(lease.isOver(at(39), BOUND));
+    lease.observe(message(1, 1), at(0));
+    lease.renew(at(2));
+    assertTrue(lease.isExpired(at(20), BOUND));
+    lease.endIncarnation();
+    assertEquals(2, lease.incarnation());
+    assertFalse(lease.isNewer(message(1, 9)));
+    assertTrue(lease.isNewer(message(2, 10)));
+    assertTrue(lease.observe(message(2, 10), at(21)));
+    assertFalse(lease.isExpired(at(38), BOUND));
+    assertTrue(lease.isExpired(at(39), BOUND));
   }
 
   @Test
   void onlyLaterMessagesAreNews() {
-    lease.shown(message(3, 5), at(0));
-    assertFalse(lease.isNews(message(3, 5)));
-    assertFalse(lease.isNews(message(2, 6)));
-    assertTrue(lease.isNews(message(3, 6)));
-    assertTrue(lease.isNews(message(4, 1)));
+    lease.observe(message(3, 5), at(0));
+    assertFalse(lease.isNewer(message(3, 5)));
+    assertFalse(lease.isNewer(message(2, 6)));
+    assertTrue(lease.isNewer(message(3, 6)));
+    assertTrue(lease.isNewer(message(4, 1)));
   }
 
   @Test
   void aRecordedSessionIsNotAShownOne() {
-    lease.recorded(4);
-    lease.formerLeadersRenewUntil(at(14));
-    assertEquals(4, lease.session());
-    assertFalse(lease.isNews(message(3, 9)));
+    lease.acceptFromRecorded(4);
+    lease.previousLeadersRenewUntil(at(14));
+    assertEquals(4, lease.incarnation());
+    assertFalse(lease.isNewer(message(3, 9)));
     // Its own lease counts from now when it is seen after all former leaders are over.
-    assertTrue(lease.shown(message(4, 1), at(20)));
-    assertFalse(lease.isOver(at(37), BOUND));
-    assertTrue(lease.isOver(at(38), BOUND));
+    assertTrue(lease.observe(message(4, 1), at(20)));
+    assertFalse(lease.isExpired(at(37), BOUND));
+    assertTrue(lease.isExpired(at(38), BOUND));
   }
 
   @Test
   void formerLeadersBoundTheLeaseUntilTheyAreKnownToHaveEnded() {
-    lease.recorded(1);
-    lease.formerLeadersRenewUntil(at(14));
-    lease.shown(message(1, 1), at(3));
-    assertEquals(Basis.FORMER_LEADERS, lease.basis());
-    assertFalse(lease.isOver(at(31), BOUND));
-    lease.formerLeadersEnded(at(5));
-    assertTrue(lease.isOver(at(23), BOUND));
-    lease.formerLeadersEnded(at(20));
-    assertTrue(lease.isOver(at(23), BOUND));
+    lease.acceptFromRecorded(1);
+    lease.previousLeadersRenewUntil(at(14));
+    lease.observe(message(1, 1), at(3));
+    assertEquals(Basis.PREVIOUS_LEADERS, lease.basis());
+    assertFalse(lease.isExpired(at(31), BOUND));
+    lease.previousLeadersEnded(at(5));
+    assertTrue(lease.isExpired(at(23), BOUND));
+    lease.previousLeadersEnded(at(20));
+    assertTrue(lease.isExpired(at(23), BOUND));
   }
 
   @Test
   void anAnswerRenews() {
-    lease.shown(message(1, 1), at(0));
-    lease.answered(at(10));
-    assertEquals(Basis.ANSWER, lease.basis());
+    lease.observe(message(1, 1), at(0));
+    lease.renew(at(10));
+    assertEquals(Basis.HEARTBEAT_RESPONSE, lease.basis());
     assertTrue(lease.isHeld(at(20), Duration.ofSeconds(16)));
     assertEquals(Duration.ofSeconds(10), lease.age(at(20)));
-    assertFalse(lease.isOver(at(27), BOUND));
-    assertTrue(lease.isOver(at(28), BOUND));
+    assertFalse(lease.isExpired(at(27), BOUND));
+    assertTrue(lease.isExpired(at(28), BOUND));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/MachineTombstonesTest.java
+++ b/src/test/java/io/pearscale/scheduler/MachineTombstonesTest.java
@@ -12,23 +12,23 @@
   /** A fleet that is given back goes on to be listed for as long as the list lags. */
   @Test
   void aWholeFleetIsRememberedWhileListsAndReportsMayNameIt() {
-    MachineTombstones removed = new MachineTombstones();
+    MachineTombstones tombstones = new MachineTombstones();
     for (int i = 0; i < 6000; i++) {
-      removed.note("m-" + i, NOW.plusMillis(i));
+      tombstones.add("m-" + i, NOW.plusMillis(i));
     }
     for (int i = 0; i < 6000; i++) {
-      assertTrue(removed.contains("m-" + i));
+      assertTrue(tombstones.contains("m-" + i));
     }
   }
 
   @Test
   void whatIsLongGoneIsForgotten() {
-    MachineTombstones removed = new MachineTombstones();
-    removed.note("m-1", NOW);
-    removed.note("m-2", NOW.plusSeconds(1));
-    removed.note("m-3", NOW.plus(MachineTombstones.KEPT).plusMillis(500));
-    assertFalse(removed.contains("m-1"));
-    assertTrue(removed.contains("m-2"));
-    assertTrue(removed.contains("m-3"));
+    MachineTombstones tombstones = new MachineTombstones();
+    tombstones.add("m-1", NOW);
+    tombstones.add("m-2", NOW.plusSeconds(1));
+    tombstones.add("m-3", NOW.plus(MachineTombstones.RETENTION).plusMillis(500));
+    assertFalse(tombstones.contains("m-1"));
+    assertTrue(tombstones.contains("m-2"));
+    assertTrue(tombstones.contains("m-3"));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/ProbationTest.java
@@ -4,7 +4,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.Maintenance.Stage;
 import java.time.Duration;
@@ -26,7 +26,7 @@
   void urgentWorkGoesElsewhere() {
     MachineType type =
         new MachineType("s", 8, 0, 64, 100, 1, 1, 1, Duration.ofSeconds(5), List.of("a"));
-    Machine machine = new Machine("m-1", "a", false, type, Life.UP, NOW);
+    Machine machine = new Machine("m-1", "a", false, type, Lifecycle.UP, NOW);
     for (Priority priority : Priority.values()) {
       machine.maintenance = new Maintenance(Stage.PROBATION, "d1");
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
--- a/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
@@ -8,7 +8,7 @@
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.protocol.WorkloadType;
-import io.pearscale.scheduler.Machine.Life;
+import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -52,8 +52,8 @@
     Job job = new Job(replica(cpus, Priority.CRITICAL), 0, NOW, false);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      Machine machine = new Machine("m-" + i, "a", false, BIG, Life.UP, NOW);
-      machine.noteImage("img", 1);
+      Machine machine = new Machine("m-" + i, "a", false, BIG, Lifecycle.UP, NOW);
+      machine.recordImageUse("img", 1);
       TaskAttempt attempt =
           new TaskAttempt(
               job,
