--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -19,7 +19,7 @@
  * The voluntary disruptions that count, as a successor finds them. One is durable before the stop
  * of its task is sent: a leader that ends in between leaves it as spent.
  */
-final class DisruptionRecords implements TransactionSource {
+final class DisruptionRecords implements TransactionContributor {
   /** Values are filled to so many bytes. */
   private static final int VALUE_SIZE = 3000;
 
@@ -84,8 +84,8 @@
 
   /** The disruption is to be recorded before it is carried out. */
   void record(Disruption disruption) {
-    shards.put(disruption, disruption.size());
-    shards.due(disruption);
+    shards.assignSlot(disruption, disruption.size());
+    shards.markDue(disruption);
     notDurable.add(disruption);
     requestCommit.run();
   }
@@ -93,7 +93,7 @@
   /** The disruption does not count any more; its value is written without it in time. */
   void remove(Disruption disruption) {
     notDurable.remove(disruption);
-    shards.due(disruption);
+    shards.markDue(disruption);
     shards.remove(disruption);
   }
 
@@ -104,23 +104,23 @@
 
   @Override
   public boolean isDue() {
-    return !shards.urgent().isEmpty();
+    return !shards.urgentValues().isEmpty();
   }
 
   @Override
-  public void fill(LeaderTransaction transaction) {
+  public void contribute(LeaderTransaction transaction) {
     List<Disruption> going = new ArrayList<>();
     List<Integer> numbers = new ArrayList<>();
-    for (int number : shards.urgent()) {
-      if (!transaction.hasRoom()) {
+    for (int number : shards.urgentValues()) {
+      if (!transaction.hasCapacity()) {
         break;
       }
-      List<Disruption> content = List.copyOf(shards.items(number).values());
-      transaction.addValue(
+      List<Disruption> content = List.copyOf(shards.itemsByPosition(number).values());
+      transaction.addUntrackedValue(
           Keys.disruptions(number),
           Disruption.encode(content),
           content.stream().mapToInt(Disruption::size).sum());
-      shards.sent(number);
+      shards.markSent(number);
       numbers.add(number);
       content.stream().filter(notDurable::contains).forEach(going::add);
     }
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public void written(LeaderTransaction transaction) {
+  public void onApplied(LeaderTransaction transaction) {
     values.remove(transaction);
     for (Disruption disruption : sent.getOrDefault(transaction, List.of())) {
       if (notDurable.remove(disruption)) {
@@ -140,9 +140,9 @@
   }
 
   @Override
-  public void writeAgain(LeaderTransaction transaction) {
+  public void onNotApplied(LeaderTransaction transaction) {
     sent.remove(transaction);
-    values.getOrDefault(transaction, List.of()).forEach(shards::due);
+    values.getOrDefault(transaction, List.of()).forEach(shards::markDue);
     values.remove(transaction);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -92,7 +92,7 @@
   }
 
   /** What is to be written for drains. */
-  List<TransactionSource> sources() {
+  List<TransactionContributor> sources() {
     return List.of(disruptions, published);
   }
 
@@ -160,9 +160,9 @@
   /** Operators choose machines from the records: idle ones have to be in them as well. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
-      if (machine.lifecycle == Lifecycle.UP && machine.reconciled && !records.hasPlace(machine)) {
-        records.assignPlace(machine);
-        records.recordMachineUnhurried(machine);
+      if (machine.lifecycle == Lifecycle.UP && machine.reconciled && !records.hasSlot(machine)) {
+        records.assignSlot(machine);
+        records.recordMachineDeferred(machine);
       }
     }
   }
@@ -219,7 +219,7 @@
     if (!maintenance.isSchedulable()) {
       inventory.withdrawPlanned(machine);
     }
-    records.assignPlace(machine);
+    records.assignSlot(machine);
     records.recordMachineNow(machine);
   }
 
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -107,7 +107,7 @@
     }
     if (machine.recorded && !machine.recordedAddress.equals(machine.address)) {
       machine.recordedAddress = machine.address;
-      records.recordMachineUnhurried(machine);
+      records.recordMachineDeferred(machine);
     }
     if (!machine.heartbeatEverReceived) {
       machine.heartbeatEverReceived = true;
@@ -222,7 +222,7 @@
     adopted.startToken = heartbeat.fencingToken();
     adopted.startIncarnation = heartbeat.incarnation();
     inventory.add(adopted);
-    records.recordTask(adopted);
+    records.recordPlacement(adopted);
     return Optional.of(adopted);
   }
 
@@ -302,7 +302,7 @@
       // Its tasks complete together: whoever shows it first decides for all.
       job.doneTasks.set(0, job.spec.tasks());
       jobs.requeue(job);
-      records.recordEnd(job);
+      records.recordJobFinished(job);
       return;
     }
     TaskAttempt other = job.attempts.get(index);
@@ -312,9 +312,9 @@
     job.doneTasks.set(index);
     jobs.requeue(job);
     if (job.isComplete()) {
-      records.recordEnd(job);
+      records.recordJobFinished(job);
     } else {
-      records.recordProgress(job, index);
+      records.recordTaskCompleted(job, index);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -21,7 +21,7 @@
   final MachineInventory inventory;
   final LeaderRecords records;
   final LeaderStatistics statistics;
-  final LevelRaiser raiser;
+  final SchemaLevelUpgrader raiser;
   final GracefulTermination stops;
   final Gangs gangs;
   final CommandDispatcher dispatcher;
@@ -83,7 +83,7 @@
             dispatcher,
             recovery,
             drains);
-    raiser = new LevelRaiser(env.level(), settings.hosts(), shared.clock());
+    raiser = new SchemaLevelUpgrader(env.level(), settings.hosts(), shared.clock());
     writer = new RecordWriter(shared, env, sources(env), executor, dispatcher, retirement);
     counts = new TaskCounts(jobs, listener::counts);
   }
@@ -134,8 +134,8 @@
   }
 
   /** What has more to write than the records of jobs and machines. */
-  private List<TransactionSource> sources(Environment env) {
-    List<TransactionSource> sources = new ArrayList<>();
+  private List<TransactionContributor> sources(Environment env) {
+    List<TransactionContributor> sources = new ArrayList<>();
     if (env.operations().automaticLevel()) {
       sources.add(raiser);
     }
@@ -148,6 +148,6 @@
   }
 
   private void requestCommit() {
-    writer.plan();
+    writer.scheduleCommit();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -25,30 +25,30 @@
  */
 final class LeaderRecords {
   /** Changes that nobody waits for are written with others within this time. */
-  private static final Duration UNHURRIED = Duration.ofSeconds(4);
+  private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
   /** Values are filled to so many bytes, and to three quarters of what the service takes. */
-  private static final int SHARED_VALUE = 6000;
+  private static final int MAX_PACKED_VALUE_BYTES = 6000;
 
   private final LevelGate gate;
-  private final int valueSize;
-  private final int largestValue;
+  private final int packedValueBytes;
+  private final int maxValueBytes;
   private final InstantSource clock;
   private final Runnable requestCommit;
   private final StoredValues storedValues = new StoredValues();
-  private final MachineNumbers numbers = new MachineNumbers();
-  private final PreviousLayoutRecords former = new PreviousLayoutRecords();
+  private final MachineIndexAllocator machineIndexes = new MachineIndexAllocator();
+  private final PreviousLayoutRecords previousLayout = new PreviousLayoutRecords();
   private final RecordMigration migration;
-  private final RefusedValues refused = new RefusedValues();
+  private final RejectedValues rejectedValues = new RejectedValues();
   private RecordLayout layout;
-  private RecordPacker<JobPartition> marks;
-  private RecordPacker<Machine> roster;
-  private final Set<Job> ended = new LinkedHashSet<>();
+  private RecordPacker<JobPartition> placementRecords;
+  private RecordPacker<Machine> machineRecords;
+  private final Set<Job> finishedJobs = new LinkedHashSet<>();
 
   /** Parts whose records were found in the layout that is written when the term began. */
-  private final Set<JobPartition> found = new HashSet<>();
+  private final Set<JobPartition> foundPartitions = new HashSet<>();
 
-  private final ObsoleteValues unused = new ObsoleteValues();
+  private final ObsoleteValues obsoleteValues = new ObsoleteValues();
   private boolean catalogueDue;
 
   /**
@@ -59,33 +59,33 @@
    */
   LeaderRecords(StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
     this.gate = gate;
-    this.valueSize = Math.min(SHARED_VALUE, limits.maxValueBytes() * 3 / 4);
-    this.largestValue = limits.maxValueBytes();
+    this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, limits.maxValueBytes() * 3 / 4);
+    this.maxValueBytes = limits.maxValueBytes();
     this.clock = clock;
     this.requestCommit = requestCommit;
-    this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), former);
+    this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), previousLayout);
     clear();
   }
 
   /** Forgets what is to be written; what is stored stays known. */
   void clear() {
     layout = layoutInForce();
-    emptyShards();
-    former.clear();
-    numbers.begin();
-    refused.clear();
-    ended.clear();
-    found.clear();
-    unused.clear();
+    createPackers();
+    previousLayout.clear();
+    machineIndexes.reset();
+    rejectedValues.clear();
+    finishedJobs.clear();
+    foundPartitions.clear();
+    obsoleteValues.clear();
   }
 
   private RecordLayout layoutInForce() {
     return RecordLayout.ofLevel(gate.inForce().writtenLevel());
   }
 
-  private void emptyShards() {
-    marks = new RecordPacker<>(valueSize);
-    roster = new RecordPacker<>(valueSize);
+  private void createPackers() {
+    placementRecords = new RecordPacker<>(packedValueBytes);
+    machineRecords = new RecordPacker<>(packedValueBytes);
   }
 
   // ---- What is stored ----
@@ -97,114 +97,123 @@
 
   /** All that is stored, decoded, for a term that begins. */
   StoredRecords decodeStored() throws MalformedMessageException {
-    migration.begin(storedValues.roster());
-    return StoredRecords.decode(storedValues.roster(), storedValues.marks(), layoutInForce());
+    migration.beginTerm(storedValues.machineValues());
+    return StoredRecords.decode(
+        storedValues.machineValues(), storedValues.placementValues(), layoutInForce());
   }
 
   /** Takes over a machine's record; one of the former layout is to be copied. */
   void adoptMachine(Machine machine, StoredRecords.StoredMachine stored) {
     if (stored.layout() != layout) {
-      assignPlace(machine);
-      former.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
+      assignSlot(machine);
+      previousLayout.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
       return;
     }
-    MachineRecordCodec.MachineRecord entry = stored.entry();
+    MachineRecordCodec.MachineRecord record = stored.record();
     if (layout == RecordLayout.INDEXED) {
-      machine.recordNumber = entry.index();
-      roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value());
+      machine.recordNumber = record.index();
+      machineRecords.adopt(machine, MachineRecordCodec.maximumSize(record), stored.value());
     } else {
-      roster.adopt(machine, MachineRecordCodec.maximumSize(entry), stored.value(), entry.index());
+      machineRecords.adopt(
+          machine, MachineRecordCodec.maximumSize(record), stored.value(), record.index());
     }
     machine.recorded = true;
   }
 
   /** The number of a stored machine is taken. */
-  void noteNumber(StoredRecords.StoredMachine stored) {
+  void reserveIndex(StoredRecords.StoredMachine stored) {
     if (stored.layout() == RecordLayout.INDEXED) {
-      numbers.note(stored.entry().index());
+      machineIndexes.reserve(stored.record().index());
     }
   }
 
   /** Takes over the records of tasks of a job; those of the former layout are to be copied. */
-  void adoptPart(Job job, StoredRecords.StoredPart stored) {
-    int first = stored.part().firstTask();
+  void adoptPartition(Job job, StoredRecords.StoredPartition stored) {
+    int firstTask = stored.record().firstTask();
     if (stored.layout() == layout) {
-      JobPartition part = JobPartition.of(job, first, layout);
-      marks.adopt(part, part.marksSize(layout), stored.value());
-      found.add(part);
+      JobPartition partition = JobPartition.containing(job, firstTask, layout);
+      placementRecords.adopt(partition, partition.maximumRecordSize(layout), stored.value());
+      foundPartitions.add(partition);
       return;
     }
-    List<JobPartition> parts =
-        JobPartition.covering(job, first, first + stored.layout().tasksPerPartition(), layout);
-    parts.removeIf(found::contains);
-    parts.forEach(part -> marks.put(part, part.marksSize(layout)));
-    former.add(stored.key(), parts);
+    List<JobPartition> partitions =
+        JobPartition.covering(
+            job, firstTask, firstTask + stored.layout().tasksPerPartition(), layout);
+    partitions.removeIf(foundPartitions::contains);
+    partitions.forEach(
+        partition -> placementRecords.assignSlot(partition, partition.maximumRecordSize(layout)));
+    previousLayout.add(stored.key(), partitions);
   }
 
   /** Nothing of what the stored value says is alive, as far as this part of it goes. */
-  void noteUnused(StoredRecords.StoredPart stored) {
+  void noteObsolete(StoredRecords.StoredPartition stored) {
     if (stored.layout() != layout) {
-      former.add(stored.key(), List.of());
+      previousLayout.add(stored.key(), List.of());
     }
   }
 
   /** Whether records are written in that layout. */
-  boolean isWritten(RecordLayout thatLayout) {
+  boolean isCurrentLayout(RecordLayout thatLayout) {
     return thatLayout == layout;
   }
 
   /** Takes over that all tasks of the job are done: its end is written with the next values. */
-  void adoptEnd(Job job) {
-    ended.add(job);
+  void adoptFinishedJob(Job job) {
+    finishedJobs.add(job);
   }
 
   /** The layout of another level is to be written: all is copied, what is due first. */
   private void changeLayout() {
-    RecordLayout before = layout;
-    RecordPacker<JobPartition> formerMarks = marks;
-    RecordPacker<Machine> formerRoster = roster;
+    RecordLayout previous = layout;
+    RecordPacker<JobPartition> previousPlacements = placementRecords;
+    RecordPacker<Machine> previousMachines = machineRecords;
     layout = layoutInForce();
-    unused.clear();
-    former.clear();
-    refused.clear();
-    emptyShards();
-    for (String key : storedValues.roster().keySet()) {
-      if (RecordLayout.ofMachineKey(key).orElseThrow() == before) {
-        Collection<Machine> machines = formerRoster.items(Keys.valueNumber(key)).values();
-        former.add(key, machines);
+    obsoleteValues.clear();
+    previousLayout.clear();
+    rejectedValues.clear();
+    createPackers();
+    for (String key : storedValues.machineValues().keySet()) {
+      if (RecordLayout.ofMachineKey(key).orElseThrow() == previous) {
+        Collection<Machine> machines =
+            previousMachines.itemsByPosition(Keys.valueNumber(key)).values();
+        previousLayout.add(key, machines);
       }
     }
-    formerRoster.all().forEach(this::copyMachine);
-    for (String key : storedValues.marks().keySet()) {
-      if (RecordLayout.ofPlacementKey(key).orElseThrow() == before) {
-        former.add(key, inLayout(formerMarks.items(Keys.valueNumber(key)).values()));
+    previousMachines.allItems().forEach(this::copyMachineRecord);
+    for (String key : storedValues.placementValues().keySet()) {
+      if (RecordLayout.ofPlacementKey(key).orElseThrow() == previous) {
+        previousLayout.add(
+            key,
+            inCurrentLayout(previousPlacements.itemsByPosition(Keys.valueNumber(key)).values()));
       }
     }
-    Set<JobPartition> urgent = inLayout(formerMarks.itemsOf(formerMarks.urgent()));
-    for (JobPartition part : inLayout(formerMarks.all())) {
-      marks.put(part, part.marksSize(layout));
-      if (urgent.contains(part)) {
-        marks.due(part);
+    Set<JobPartition> urgent =
+        inCurrentLayout(previousPlacements.itemsIn(previousPlacements.urgentValues()));
+    for (JobPartition partition : inCurrentLayout(previousPlacements.allItems())) {
+      placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
+      if (urgent.contains(partition)) {
+        placementRecords.markDue(partition);
       }
     }
   }
 
-  private void copyMachine(Machine machine) {
+  private void copyMachineRecord(Machine machine) {
     machine.recorded = false;
-    assignPlace(machine);
-    boolean waits =
+    assignSlot(machine);
+    boolean hasPlannedTasks =
         machine.attempts.values().stream()
             .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
-    if (waits || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
-      roster.due(machine);
+    if (hasPlannedTasks
+        || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
+      machineRecords.markDue(machine);
     }
   }
 
-  private Set<JobPartition> inLayout(Collection<JobPartition> parts) {
+  private Set<JobPartition> inCurrentLayout(Collection<JobPartition> partitions) {
     Set<JobPartition> converted = new LinkedHashSet<>();
-    for (JobPartition part : parts) {
-      int end = part.first() + part.tasks();
-      converted.addAll(JobPartition.covering(part.job(), part.first(), end, layout));
+    for (JobPartition partition : partitions) {
+      int end = partition.firstTask() + partition.taskCount();
+      converted.addAll(JobPartition.covering(partition.job(), partition.firstTask(), end, layout));
     }
     return converted;
   }
@@ -212,73 +221,73 @@
   // ---- What is to be written ----
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
-  void recordTask(TaskAttempt attempt) {
-    JobPartition part = JobPartition.of(attempt.job, attempt.task.index(), layout);
-    assignPlace(attempt.machine);
+  void recordPlacement(TaskAttempt attempt) {
+    JobPartition partition = JobPartition.containing(attempt.job, attempt.task.index(), layout);
+    assignSlot(attempt.machine);
     if (!attempt.machine.recorded) {
-      roster.due(attempt.machine);
+      machineRecords.markDue(attempt.machine);
     }
-    marks.put(part, part.marksSize(layout));
-    marks.due(part);
+    placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
+    placementRecords.markDue(partition);
     requestCommit.run();
   }
 
   /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
-  void recordProgress(Job job, int task) {
-    JobPartition part = JobPartition.of(job, task, layout);
-    marks.put(part, part.marksSize(layout));
-    marks.due(part, clock.instant().plus(UNHURRIED));
+  void recordTaskCompleted(Job job, int task) {
+    JobPartition partition = JobPartition.containing(job, task, layout);
+    placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
+    placementRecords.markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
   }
 
   /** All tasks of the job are done. */
-  void recordEnd(Job job) {
-    ended.add(job);
+  void recordJobFinished(Job job) {
+    finishedJobs.add(job);
     requestCommit.run();
   }
 
   /** The job's end need not be written any more. */
-  void withdrawEnd(Job job) {
-    ended.remove(job);
+  void withdrawJobFinished(Job job) {
+    finishedJobs.remove(job);
   }
 
   /** Gives the machine a place in the roster, unless it has one. */
-  void assignPlace(Machine machine) {
+  void assignSlot(Machine machine) {
     if (layout == RecordLayout.INDEXED && machine.recordNumber == 0) {
-      machine.recordNumber = numbers.next();
+      machine.recordNumber = machineIndexes.allocate();
     }
-    roster.put(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
+    machineRecords.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
   }
 
   /** The machine's record is to be written within that time. */
   void recordMachine(Machine machine, Duration within) {
-    roster.due(machine, clock.instant().plus(within));
+    machineRecords.markDue(machine, clock.instant().plus(within));
   }
 
   /** The machine's record has changed, but nobody waits for it. */
-  void recordMachineUnhurried(Machine machine) {
-    recordMachine(machine, UNHURRIED);
+  void recordMachineDeferred(Machine machine) {
+    recordMachine(machine, DEFERRED_WRITE_DELAY);
   }
 
   /** The machine's record is to be written as soon as possible. */
   void recordMachineNow(Machine machine) {
-    roster.due(machine);
+    machineRecords.markDue(machine);
     requestCommit.run();
   }
 
   /** The machine is gone, or nothing can be alive on it: the roster need not name it any more. */
   void removeMachine(Machine machine) {
-    recordMachineUnhurried(machine);
-    roster.remove(machine);
-    former.copied(machine);
+    recordMachineDeferred(machine);
+    machineRecords.remove(machine);
+    previousLayout.noteCopied(machine);
     machine.recorded = false;
     machine.recordedRetiring = false;
   }
 
   /** The records of a job's tasks need no room any more. */
   void removeJob(Job job) {
-    for (JobPartition part : JobPartition.all(job, layout)) {
-      marks.remove(part);
-      former.copied(part);
+    for (JobPartition partition : JobPartition.allOf(job, layout)) {
+      placementRecords.remove(partition);
+      previousLayout.noteCopied(partition);
     }
   }
 
@@ -286,16 +295,16 @@
    * A job is over. Tasks of it that may still be somewhere count for their team's limit: until the
    * last is gone the marks go on to name them, as a successor finds them nowhere else.
    */
-  void close(Job job) {
-    ended.remove(job);
+  void closeJob(Job job) {
+    finishedJobs.remove(job);
     if (job.quotaClaim().isEmpty() || job.attempts.isEmpty()) {
       removeJob(job);
     }
   }
 
   /** The cloud offers these types; the catalogue is stored if it has others. */
-  void catalogueIs(Set<String> names) {
-    catalogueDue = !names.equals(storedValues.types());
+  void updateCatalogue(Set<String> typeNames) {
+    catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
     requestCommit.run();
   }
 
@@ -305,16 +314,18 @@
   }
 
   /** Finds stored values in which nothing lives any more. */
-  void collectGarbage() {
-    unused.find(storedValues, this::isUnused);
-    former.removable(unused::add);
+  void collectObsoleteValues() {
+    obsoleteValues.collect(storedValues, this::isObsolete);
+    previousLayout.forEachDeletable(obsoleteValues::add);
   }
 
   /** Whether nothing is left of a value of the layout that is written. */
-  private boolean isUnused(String key) {
+  private boolean isObsolete(String key) {
     int value = Keys.valueNumber(key);
     return layout.containsKey(key)
-        && (Keys.isPlacementRecords(key) ? marks.isEmpty(value) : roster.isEmpty(value));
+        && (Keys.isPlacementRecords(key)
+            ? placementRecords.isEmpty(value)
+            : machineRecords.isEmpty(value));
   }
 
   /** Whether something waits to be written now. */
@@ -322,37 +333,37 @@
     Instant now = clock.instant();
     return catalogueDue
         || layout != layoutInForce()
-        || !ended.isEmpty()
-        || !unused.isEmpty()
+        || !finishedJobs.isEmpty()
+        || !obsoleteValues.isEmpty()
         || migration.isDue(now)
-        || !roster.urgent().isEmpty()
-        || !marks.urgent().isEmpty()
-        || !roster.overdue(now).isEmpty()
-        || !marks.overdue(now).isEmpty();
+        || !machineRecords.urgentValues().isEmpty()
+        || !placementRecords.urgentValues().isEmpty()
+        || !machineRecords.overdueValues(now).isEmpty()
+        || !placementRecords.overdueValues(now).isEmpty();
   }
 
   // ---- Writing ----
 
   /** First what waiting tasks need, then what users wait to hear, then what can wait. */
-  void fill(LeaderTransaction transaction, Collection<MachineType> types) {
+  void contribute(LeaderTransaction transaction, Collection<MachineType> types) {
     if (layout != layoutInForce()) {
       changeLayout();
     }
     if (catalogueDue && !types.isEmpty()) {
-      transaction.addCatalogue(types, largestValue);
+      transaction.addCatalogue(types, maxValueBytes);
     }
-    writeRosters(roster.urgent(), transaction);
-    writeMarks(marks.urgent(), transaction);
-    for (Job job : ended) {
-      if (!transaction.hasRoomForEnd()) {
+    addMachineValues(machineRecords.urgentValues(), transaction);
+    addPlacementValues(placementRecords.urgentValues(), transaction);
+    for (Job job : finishedJobs) {
+      if (!transaction.hasCapacityForJobEnd()) {
         break;
       }
-      transaction.addEnd(job);
+      transaction.addJobEnd(job);
     }
     Instant now = clock.instant();
-    writeRosters(roster.overdue(now), transaction);
-    writeMarks(marks.overdue(now), transaction);
-    unused.fill(transaction, key -> !layout.containsKey(key) || isUnused(key));
+    addMachineValues(machineRecords.overdueValues(now), transaction);
+    addPlacementValues(placementRecords.overdueValues(now), transaction);
+    obsoleteValues.addDeletions(transaction, key -> !layout.containsKey(key) || isObsolete(key));
     if (migration.isDue(now)) {
       migrate(transaction, now);
     }
@@ -364,35 +375,40 @@
    * the end in it.
    */
   private void migrate(LeaderTransaction transaction, Instant now) {
-    RecordMigration.Batch batch = migration.nextBatch(now, this::homeOfCopy);
-    writeRosters(batch.rosters(), transaction);
-    writeMarks(batch.marks(), transaction);
-    if (migration.isOver(batch) && transaction.hasRoom()) {
+    RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
+    addMachineValues(batch.machineValues(), transaction);
+    addPlacementValues(batch.placementValues(), transaction);
+    if (migration.isComplete(batch) && transaction.hasCapacity()) {
       transaction.addLevel(migration.completedLevel());
     }
   }
 
   /** In which value what has yet to be copied is to stand. */
-  private Optional<RecordMigration.Home> homeOfCopy(Object item) {
+  private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
     return item instanceof Machine machine
-        ? roster.home(machine).map(home -> new RecordMigration.Home(false, home.shard()))
-        : marks.home((JobPartition) item).map(home -> new RecordMigration.Home(true, home.shard()));
+        ? machineRecords
+            .slotOf(machine)
+            .map(slot -> new RecordMigration.CopyTarget(false, slot.value()))
+        : placementRecords
+            .slotOf((JobPartition) item)
+            .map(slot -> new RecordMigration.CopyTarget(true, slot.value()));
   }
 
-  private void writeRosters(Collection<Integer> values, LeaderTransaction transaction) {
+  private void addMachineValues(Collection<Integer> values, LeaderTransaction transaction) {
     for (int value : values) {
-      if (transaction.hasRoom() && refused.mayWrite(layout.machineKey(value))) {
-        transaction.addRoster(layout, value, roster);
-        unused.remove(layout.machineKey(value));
+      if (transaction.hasCapacity() && rejectedValues.mayWrite(layout.machineKey(value))) {
+        transaction.addMachineValue(layout, value, machineRecords);
+        obsoleteValues.remove(layout.machineKey(value));
       }
     }
   }
 
-  private void writeMarks(Collection<Integer> values, LeaderTransaction transaction) {
+  private void addPlacementValues(Collection<Integer> values, LeaderTransaction transaction) {
     for (int value : values) {
-      if (refused.mayWrite(layout.placementKey(value)) && writeMachinesOf(value, transaction)) {
-        transaction.addMarks(layout, value, marks, this::numberOf);
-        unused.remove(layout.placementKey(value));
+      if (rejectedValues.mayWrite(layout.placementKey(value))
+          && addMachinesNamedIn(value, transaction)) {
+        transaction.addPlacementValue(layout, value, placementRecords, this::machineReference);
+        obsoleteValues.remove(layout.placementKey(value));
       }
     }
   }
@@ -403,80 +419,82 @@
    *
    * @return whether the marks can go along
    */
-  private boolean writeMachinesOf(int value, LeaderTransaction transaction) {
+  private boolean addMachinesNamedIn(int value, LeaderTransaction transaction) {
     Set<Integer> missing = new LinkedHashSet<>();
-    for (JobPartition part : marks.items(value).values()) {
-      for (TaskAttempt attempt : part.placements()) {
+    for (JobPartition partition : placementRecords.itemsByPosition(value).values()) {
+      for (TaskAttempt attempt : partition.attempts()) {
         if (!attempt.machine.recorded) {
-          roster.home(attempt.machine).ifPresent(home -> missing.add(home.shard()));
+          machineRecords.slotOf(attempt.machine).ifPresent(slot -> missing.add(slot.value()));
         }
       }
     }
-    missing.removeAll(transaction.rosters());
-    writeRosters(missing, transaction);
-    return transaction.hasRoom() && transaction.rosters().containsAll(missing);
+    missing.removeAll(transaction.machineValues());
+    addMachineValues(missing, transaction);
+    return transaction.hasCapacity() && transaction.machineValues().containsAll(missing);
   }
 
   /** The number by which marks name a machine; 0 while it has none. */
-  private int numberOf(Machine machine) {
-    Optional<RecordPacker.Home> home = roster.home(machine);
-    if (home.isEmpty()) {
+  private int machineReference(Machine machine) {
+    Optional<RecordPacker.Slot> slot = machineRecords.slotOf(machine);
+    if (slot.isEmpty()) {
       return 0;
     }
     return layout == RecordLayout.INDEXED
         ? machine.recordNumber
         : PlacementRecordCodec.positionalReference(
-            home.get().shard(), home.get().place(), RecordPacker.PLACES);
+            slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
   }
 
   /** The transaction was not applied, as far as known: its values are to be written again. */
-  void writeAgain(LeaderTransaction transaction) {
-    transaction.rosters().forEach(roster::due);
-    transaction.marks().forEach(marks::due);
+  void onNotApplied(LeaderTransaction transaction) {
+    transaction.machineValues().forEach(machineRecords::markDue);
+    transaction.placementValues().forEach(placementRecords::markDue);
   }
 
   /** The state service takes no transaction like this: values that are too long are left out. */
-  void refused(LeaderTransaction transaction) {
-    refused.note(transaction.sizes(), largestValue);
+  void onRejected(LeaderTransaction transaction) {
+    rejectedValues.noteRejection(transaction.valueLengths(), maxValueBytes);
   }
 
   /** The transaction was applied. */
-  void written(LeaderTransaction transaction) {
-    transaction.marked().forEach(attempt -> attempt.placementRecorded = true);
+  void onApplied(LeaderTransaction transaction) {
+    transaction.newlyRecordedAttempts().forEach(attempt -> attempt.placementRecorded = true);
     transaction
-        .done()
+        .completedTasks()
         .forEach(
-            (part, doneTasks) -> {
-              part.noteDurable(doneTasks);
-              former.copied(part);
+            (partition, doneTasks) -> {
+              partition.noteDurable(doneTasks);
+              previousLayout.noteCopied(partition);
             });
-    transaction.rosters().forEach(number -> migration.written(number, transaction.level()));
-    for (String key : transaction.dropped()) {
-      unused.remove(key);
-      former.removed(key);
-      migration.removed(key);
+    transaction
+        .machineValues()
+        .forEach(number -> migration.noteWritten(number, transaction.level()));
+    for (String key : transaction.deletedKeys()) {
+      obsoleteValues.remove(key);
+      previousLayout.noteDeleted(key);
+      migration.noteDeleted(key);
     }
-    if (transaction.hasCatalogue()) {
+    if (transaction.includesCatalogue()) {
       catalogueDue = false;
     }
   }
 
   /** The machine is recorded as it is to be found by a successor. */
-  void noteRecorded(Machine machine) {
-    former.copied(machine);
+  void noteMachineRecorded(Machine machine) {
+    previousLayout.noteCopied(machine);
   }
 
   /** Whether that is the machine's place in the roster. */
-  boolean hasPlace(Machine machine, LeaderTransaction.StoredMachine stored) {
-    Optional<RecordPacker.Home> home = roster.home(machine);
-    int number = stored.entry().index();
-    return home.isPresent()
-        && home.get().shard() == stored.value()
-        && number == (layout == RecordLayout.INDEXED ? machine.recordNumber : home.get().place());
+  boolean hasSlot(Machine machine, LeaderTransaction.WrittenMachine stored) {
+    Optional<RecordPacker.Slot> slot = machineRecords.slotOf(machine);
+    int index = stored.record().index();
+    return slot.isPresent()
+        && slot.get().value() == stored.value()
+        && index == (layout == RecordLayout.INDEXED ? machine.recordNumber : slot.get().position());
   }
 
   /** Whether the roster has a place for the machine. */
-  boolean hasPlace(Machine machine) {
-    return roster.home(machine).isPresent();
+  boolean hasSlot(Machine machine) {
+    return machineRecords.slotOf(machine).isPresent();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -19,15 +19,15 @@
   private final LeaderRecords records;
   private final InstantSource clock;
   private final CommandDispatcher dispatcher;
-  private final Consumer<String> unfit;
+  private final Consumer<String> onUnfitToLead;
   private boolean complete;
 
   /**
    * Makes a recovery.
    *
-   * @param unfit is told why this controller can't lead, of a record that it can't read
+   * @param onUnfitToLead is told why this controller can't lead, of a record that it can't read
    */
-  LeaderRecovery(LeaderState state, CommandDispatcher dispatcher, Consumer<String> unfit) {
+  LeaderRecovery(LeaderState state, CommandDispatcher dispatcher, Consumer<String> onUnfitToLead) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -35,11 +35,11 @@
     this.records = state.records();
     this.clock = state.clock();
     this.dispatcher = dispatcher;
-    this.unfit = unfit;
+    this.onUnfitToLead = onUnfitToLead;
   }
 
   /** A term has begun, in which nothing was taken over yet. */
-  void begin() {
+  void beginTerm() {
     complete = false;
   }
 
@@ -51,11 +51,11 @@
   /**
    * Takes over what is stored.
    *
-   * @param epoch the revision up to which all changes of the keys are known
+   * @param storeRevision the revision up to which all changes of the keys are known
    * @return whether that could be done; if not, this controller is unfit to lead
    */
-  boolean takeOver(long epoch) {
-    Optional<StoredRecords> stored = storedRecords();
+  boolean recover(long storeRevision) {
+    Optional<StoredRecords> stored = readStoredRecords();
     if (stored.isEmpty()) {
       return false;
     }
@@ -70,7 +70,7 @@
             + " unseen_tasks={} out_of_service={}",
         leadership.term(),
         leadership.firstFencingToken(),
-        epoch,
+        storeRevision,
         leadership.termRevision(),
         jobs.size(),
         inventory.size(),
@@ -80,7 +80,7 @@
   }
 
   /** All that a predecessor recorded; empty if it can't be read. */
-  private Optional<StoredRecords> storedRecords() {
+  private Optional<StoredRecords> readStoredRecords() {
     try {
       if (jobs.unreadableKey().isPresent()) {
         throw new MalformedMessageException(jobs.unreadableKey().get() + ": job can't be read");
@@ -89,7 +89,7 @@
     } catch (MalformedMessageException e) {
       LOG.error(
           "event=stored_record_unreadable term={} reason={}", leadership.term(), e.getMessage());
-      unfit.accept(e.getMessage());
+      onUnfitToLead.accept(e.getMessage());
       return Optional.empty();
     }
   }
@@ -101,7 +101,7 @@
    * tasks of a machine that nobody hears are over a lease from now, not a lease after the hold:
    * whole zones that are cut off while their leader's process ends are done without so much sooner.
    */
-  void formerLeadersEnded() {
+  void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
       inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -26,173 +26,181 @@
  */
 final class LeaderTransaction {
   /** Well below the 64 KiB that the state service takes. */
-  private static final int LARGEST_BODY = 40 * 1024;
+  private static final int MAX_BODY_BYTES = 40 * 1024;
 
   /** A machine that a value of the roster names. */
-  record StoredMachine(int value, MachineRecordCodec.MachineRecord entry) {}
+  record WrittenMachine(int value, MachineRecordCodec.MachineRecord record) {}
 
   /** What the term, its guard and the frame take. */
-  private static final int FRAME_SIZE = 512;
+  private static final int FRAME_BYTES = 512;
 
   /** What a change takes beside its value. */
-  private static final int KEY_SIZE = 100;
+  private static final int MUTATION_OVERHEAD_BYTES = 100;
 
   /** What the end of a job takes: a guard, the live key's removal and the record of the end. */
-  private static final int END_SIZE = 400;
+  private static final int JOB_END_BYTES = 400;
 
-  private static final int CHANGES_OF_AN_END = 2;
+  private static final int MUTATIONS_PER_JOB_END = 2;
 
-  private final int mostChanges;
-  private final List<Precondition> guards = new ArrayList<>();
-  private final List<Mutation> changes = new ArrayList<>();
+  private final int maxMutations;
+  private final List<Precondition> preconditions = new ArrayList<>();
+  private final List<Mutation> mutations = new ArrayList<>();
   private final int level;
-  private int size = FRAME_SIZE;
-
-  private final Set<Integer> rosters = new LinkedHashSet<>();
-  private final List<StoredMachine> machines = new ArrayList<>();
-  private final Set<Integer> marks = new LinkedHashSet<>();
-  private final List<TaskAttempt> marked = new ArrayList<>();
-  private final Map<JobPartition, BitSet> done = new HashMap<>();
-  private final List<Job> finished = new ArrayList<>();
-  private final List<String> dropped = new ArrayList<>();
-  private final Map<String, Integer> sizes = new HashMap<>();
-  private boolean catalogue;
+  private int bodyBytes = FRAME_BYTES;
+
+  private final Set<Integer> machineValues = new LinkedHashSet<>();
+  private final List<WrittenMachine> writtenMachines = new ArrayList<>();
+  private final Set<Integer> placementValues = new LinkedHashSet<>();
+  private final List<TaskAttempt> newlyRecordedAttempts = new ArrayList<>();
+  private final Map<JobPartition, BitSet> completedTasks = new HashMap<>();
+  private final List<Job> finishedJobs = new ArrayList<>();
+  private final List<String> deletedKeys = new ArrayList<>();
+  private final Map<String, Integer> valueLengths = new HashMap<>();
+  private boolean includesCatalogue;
 
   /**
    * Begins with the term, whose key changes with each transaction: one that comes late finds
    * another stamp and can't put old progress over new.
    *
-   * @param termStamp the stamp of the term's key after the transaction before
+   * @param termRevision the stamp of the term's key after the transaction before
    * @param number how many this term has had
    * @param level the level in whose forms records are written
    */
-  LeaderTransaction(int mostChanges, long term, long termStamp, long number, int level) {
-    this.mostChanges = mostChanges;
+  LeaderTransaction(int maxMutations, long term, long termRevision, long number, int level) {
+    this.maxMutations = maxMutations;
     this.level = level;
-    guards.add(new Precondition(Keys.TERM, termStamp));
-    changes.add(Mutation.put(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
+    preconditions.add(new Precondition(Keys.TERM, termRevision));
+    mutations.add(
+        Mutation.put(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
   }
 
   /** Whether another value can go along. */
-  boolean hasRoom() {
-    return changes.size() < mostChanges && size < LARGEST_BODY;
+  boolean hasCapacity() {
+    return mutations.size() < maxMutations && bodyBytes < MAX_BODY_BYTES;
   }
 
   /** Whether the end of another job can go along. */
-  boolean hasRoomForEnd() {
-    return changes.size() + CHANGES_OF_AN_END <= mostChanges && size <= LARGEST_BODY;
+  boolean hasCapacityForJobEnd() {
+    return mutations.size() + MUTATIONS_PER_JOB_END <= maxMutations && bodyBytes <= MAX_BODY_BYTES;
   }
 
   /** Whether another removal can go along, which takes next to nothing of the body. */
-  boolean hasRoomForRemoval() {
-    return changes.size() < mostChanges;
+  boolean hasCapacityForDeletion() {
+    return mutations.size() < maxMutations;
   }
 
   /** Whether it carries nothing but the term. */
   boolean isEmpty() {
-    return changes.size() == 1;
+    return mutations.size() == 1;
   }
 
   /** Adds the catalogue, unless it is longer than a value may be. */
-  void addCatalogue(Collection<MachineType> types, int longest) {
-    catalogue = true;
+  void addCatalogue(Collection<MachineType> types, int maxValueBytes) {
+    includesCatalogue = true;
     ObjectNode body = MessagePack.map();
     var list = body.putArray("breeds");
     types.forEach(type -> list.add(type.toNode()));
     int length = body.toString().length();
-    if (length < longest) {
-      changes.add(Mutation.put(Keys.CATALOGUE, body));
-      size += length;
+    if (length < maxValueBytes) {
+      mutations.add(Mutation.put(Keys.CATALOGUE, body));
+      bodyBytes += length;
     }
   }
 
   /** Adds a value of the roster. */
-  void addRoster(RecordLayout layout, int number, RecordPacker<Machine> roster) {
-    boolean byNumber = layout == RecordLayout.INDEXED;
-    List<MachineRecordCodec.MachineRecord> entries = new ArrayList<>();
-    roster
-        .items(number)
+  void addMachineValue(RecordLayout layout, int valueNumber, RecordPacker<Machine> packer) {
+    boolean indexed = layout == RecordLayout.INDEXED;
+    List<MachineRecordCodec.MachineRecord> records = new ArrayList<>();
+    packer
+        .itemsByPosition(valueNumber)
         .forEach(
-            (place, machine) ->
-                entries.add(machine.machineRecord(byNumber ? machine.recordNumber : place)));
-    rosters.add(number);
-    entries.forEach(entry -> machines.add(new StoredMachine(number, entry)));
-    JsonNode value = MachineRecordCodec.encode(entries, level);
-    addRecord(layout.machineKey(number), value, MachineRecordCodec.jsonLength(value));
-    roster.sent(number);
+            (position, machine) ->
+                records.add(machine.machineRecord(indexed ? machine.recordNumber : position)));
+    machineValues.add(valueNumber);
+    records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
+    JsonNode encodedValue = MachineRecordCodec.encode(records, level);
+    addRecord(
+        layout.machineKey(valueNumber), encodedValue, MachineRecordCodec.jsonLength(encodedValue));
+    packer.markSent(valueNumber);
   }
 
   /**
    * Adds a value of marks.
    *
-   * @param numberOf the number by which marks name a machine; 0 if it has none
+   * @param referenceOf the number by which marks name a machine; 0 if it has none
    */
-  void addMarks(
+  void addPlacementValue(
       RecordLayout layout,
-      int number,
-      RecordPacker<JobPartition> parts,
-      ToIntFunction<Machine> numberOf) {
-    List<PlacementRecordCodec.PartitionRecord> encoded = new ArrayList<>();
-    parts.items(number).values().forEach(part -> encoded.add(marksOf(part, numberOf)));
-    marks.add(number);
-    JsonNode value = PlacementRecordCodec.encode(encoded, layout);
-    addRecord(layout.placementKey(number), value, PlacementRecordCodec.jsonLength(value));
-    parts.sent(number);
+      int valueNumber,
+      RecordPacker<JobPartition> packer,
+      ToIntFunction<Machine> referenceOf) {
+    List<PlacementRecordCodec.PartitionRecord> partitionRecords = new ArrayList<>();
+    packer
+        .itemsByPosition(valueNumber)
+        .values()
+        .forEach(partition -> partitionRecords.add(partitionRecordOf(partition, referenceOf)));
+    placementValues.add(valueNumber);
+    JsonNode encodedValue = PlacementRecordCodec.encode(partitionRecords, layout);
+    addRecord(
+        layout.placementKey(valueNumber),
+        encodedValue,
+        PlacementRecordCodec.jsonLength(encodedValue));
+    packer.markSent(valueNumber);
   }
 
   private void addRecord(String key, JsonNode value, int length) {
-    write(key, value);
-    sizes.put(key, length);
-    size += length;
+    addPut(key, value);
+    valueLengths.put(key, length);
+    bodyBytes += length;
   }
 
-  private PlacementRecordCodec.PartitionRecord marksOf(
-      JobPartition part, ToIntFunction<Machine> numberOf) {
-    Job job = part.job();
-    int[] hosts = new int[part.tasks()];
-    for (TaskAttempt attempt : part.placements()) {
-      int number = numberOf.applyAsInt(attempt.machine);
-      if (number > 0) {
-        hosts[attempt.task.index() - part.first()] = number;
+  private PlacementRecordCodec.PartitionRecord partitionRecordOf(
+      JobPartition partition, ToIntFunction<Machine> referenceOf) {
+    Job job = partition.job();
+    int[] references = new int[partition.taskCount()];
+    for (TaskAttempt attempt : partition.attempts()) {
+      int reference = referenceOf.applyAsInt(attempt.machine);
+      if (reference > 0) {
+        references[attempt.task.index() - partition.firstTask()] = reference;
         if (!attempt.placementRecorded) {
-          marked.add(attempt);
+          newlyRecordedAttempts.add(attempt);
         }
       }
     }
-    BitSet doneTasks = part.done();
-    done.put(part, doneTasks);
+    BitSet doneTasks = partition.completedTasks();
+    completedTasks.put(partition, doneTasks);
     return new PlacementRecordCodec.PartitionRecord(
-        job.spec.id(), part.first(), doneTasks, hosts, job.quotaClaim());
+        job.spec.id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
   }
 
   /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
-  void addEnd(Job job) {
+  void addJobEnd(Job job) {
     String id = job.spec.id();
-    guards.add(new Precondition(Keys.liveJob(id), job.revision));
-    changes.add(Mutation.delete(Keys.liveJob(id)));
-    changes.add(
+    preconditions.add(new Precondition(Keys.liveJob(id), job.revision));
+    mutations.add(Mutation.delete(Keys.liveJob(id)));
+    mutations.add(
         Mutation.put(
             Keys.finishedJob(id),
             MessagePack.map().put("stage", "done").put("pieces", job.spec.tasks())));
-    finished.add(job);
-    size += END_SIZE;
+    finishedJobs.add(job);
+    bodyBytes += JOB_END_BYTES;
   }
 
   /** Adds a value that the transaction does not keep book of. */
-  void addValue(String key, JsonNode value, int bytes) {
-    write(key, value);
-    size += bytes;
+  void addUntrackedValue(String key, JsonNode value, int bytes) {
+    addPut(key, value);
+    bodyBytes += bytes;
   }
 
   /** Holds the transaction to a key that it rests on. */
-  void addGuard(String key, long stamp) {
-    guards.add(new Precondition(key, stamp));
+  void addPrecondition(String key, long revision) {
+    preconditions.add(new Precondition(key, revision));
   }
 
   /** Adds the record of the level. */
   void addLevel(JsonNode record) {
-    changes.add(Mutation.put(Keys.LEVEL, record));
-    size += KEY_SIZE;
+    mutations.add(Mutation.put(Keys.LEVEL, record));
+    bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
 
   /** The level in whose forms it writes records. */
@@ -201,66 +209,66 @@
   }
 
   /** Adds the removal of a value in which nothing lives any more. */
-  void addRemoval(String key) {
-    changes.add(Mutation.delete(key));
-    dropped.add(key);
+  void addDeletion(String key) {
+    mutations.add(Mutation.delete(key));
+    deletedKeys.add(key);
   }
 
-  private void write(String key, JsonNode value) {
-    changes.add(Mutation.put(key, value));
-    size += KEY_SIZE;
+  private void addPut(String key, JsonNode value) {
+    mutations.add(Mutation.put(key, value));
+    bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
 
-  List<Precondition> guards() {
-    return guards;
+  List<Precondition> preconditions() {
+    return preconditions;
   }
 
-  List<Mutation> changes() {
-    return changes;
+  List<Mutation> mutations() {
+    return mutations;
   }
 
   /** Whether it was to carry the catalogue. */
-  boolean hasCatalogue() {
-    return catalogue;
+  boolean includesCatalogue() {
+    return includesCatalogue;
   }
 
   /** How long the values of roster and marks in it are, by key. */
-  Map<String, Integer> sizes() {
-    return sizes;
+  Map<String, Integer> valueLengths() {
+    return valueLengths;
   }
 
   /** The values of the roster that it writes. */
-  Set<Integer> rosters() {
-    return rosters;
+  Set<Integer> machineValues() {
+    return machineValues;
   }
 
   /** The machines that are named in them. */
-  List<StoredMachine> machines() {
-    return machines;
+  List<WrittenMachine> writtenMachines() {
+    return writtenMachines;
   }
 
   /** The values of marks that it writes. */
-  Set<Integer> marks() {
-    return marks;
+  Set<Integer> placementValues() {
+    return placementValues;
   }
 
   /** Placements whose machine is named for the first time. */
-  List<TaskAttempt> marked() {
-    return marked;
+  List<TaskAttempt> newlyRecordedAttempts() {
+    return newlyRecordedAttempts;
   }
 
   /** Tasks that are done, by part of their job. */
-  Map<JobPartition, BitSet> done() {
-    return done;
+  Map<JobPartition, BitSet> completedTasks() {
+    return completedTasks;
   }
 
   /** Jobs that it ends. */
-  List<Job> finished() {
-    return finished;
+  List<Job> finishedJobs() {
+    return finishedJobs;
   }
 
   /** Keys that it removes. */
-  List<String> dropped() {
-    return dropped;
+  List<String> deletedKeys() {
+    return deletedKeys;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/MachineIndexAllocator.java
@@ -8,31 +8,31 @@
  * any record may name its machine by it: within a term none is given twice, and a new leader begins
  * above all numbers that it finds.
  */
-final class MachineNumbers {
+final class MachineIndexAllocator {
   /** Marks have three bytes for a number, and 0 stands for none. */
-  private static final int MOST = 0xffffff;
+  private static final int MAX_INDEX = 0xffffff;
 
-  private final Set<Integer> found = new HashSet<>();
-  private int last;
+  private final Set<Integer> reserved = new HashSet<>();
+  private int lastIndex;
 
   /** A term begins, of whose records nothing is known. */
-  void begin() {
-    found.clear();
-    last = 0;
+  void reset() {
+    reserved.clear();
+    lastIndex = 0;
   }
 
   /** A stored record has that number. */
-  void note(int number) {
-    found.add(number);
-    last = Math.max(last, number);
+  void reserve(int index) {
+    reserved.add(index);
+    lastIndex = Math.max(lastIndex, index);
   }
 
   /** The next number; beyond the highest one it goes on with low ones that no record had. */
-  int next() {
-    for (int tried = 0; tried < MOST; tried++) {
-      last = last >= MOST ? 1 : last + 1;
-      if (found.add(last)) {
-        return last;
+  int allocate() {
+    for (int tried = 0; tried < MAX_INDEX; tried++) {
+      lastIndex = lastIndex >= MAX_INDEX ? 1 : lastIndex + 1;
+      if (reserved.add(lastIndex)) {
+        return lastIndex;
       }
     }
     throw new IllegalStateException("all numbers of machines are in use");
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -158,7 +158,7 @@
     if (event instanceof CloudActor.Catalogue e) {
       // Kept for restarts during an outage of the cloud; prices in it may be old.
       inventory.updateCatalogue(e.types());
-      records.catalogueIs(inventory.catalogue().names());
+      records.updateCatalogue(inventory.catalogue().names());
     } else if (event instanceof CloudActor.Hired e) {
       hired(e, now);
     } else if (event instanceof CloudActor.Refused e) {
@@ -183,7 +183,7 @@
         Machine machine =
             new Machine(name, kind.zone(), kind.spot(), type.get(), Lifecycle.BOOTING, now);
         inventory.add(machine);
-        records.assignPlace(machine);
+        records.assignSlot(machine);
         records.recordMachine(machine, RECORD_WITHIN);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/MachineRetirement.java
@@ -68,7 +68,7 @@
         machine.name,
         reason.text());
     machine.lifecycle = Lifecycle.RETIRING;
-    records.assignPlace(machine);
+    records.assignSlot(machine);
     records.recordMachineNow(machine);
   }
 
--- a/src/main/java/io/pearscale/scheduler/ObsoleteValues.java
+++ b/src/main/java/io/pearscale/scheduler/ObsoleteValues.java
@@ -29,23 +29,23 @@
   }
 
   /** Adds the stored values that are unused. */
-  void find(StoredValues stored, Predicate<String> isUnused) {
-    stored.marks().keySet().stream().filter(isUnused).forEach(keys::add);
-    stored.roster().keySet().stream().filter(isUnused).forEach(keys::add);
+  void collect(StoredValues stored, Predicate<String> isObsolete) {
+    stored.placementValues().keySet().stream().filter(isObsolete).forEach(keys::add);
+    stored.machineValues().keySet().stream().filter(isObsolete).forEach(keys::add);
   }
 
   /**
    * Has as many values removed as the transaction has room for.
    *
-   * @param isUnused whether the value is still without use; otherwise it stays
+   * @param isObsolete whether the value is still without use; otherwise it stays
    */
-  void fill(LeaderTransaction transaction, Predicate<String> isUnused) {
-    keys.removeIf(isUnused.negate());
+  void addDeletions(LeaderTransaction transaction, Predicate<String> isObsolete) {
+    keys.removeIf(isObsolete.negate());
     for (String key : keys) {
-      if (!transaction.hasRoomForRemoval()) {
+      if (!transaction.hasCapacityForDeletion()) {
         return;
       }
-      transaction.addRemoval(key);
+      transaction.addDeletion(key);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -200,7 +200,7 @@
         job.spec.jobClass(),
         job.spec.image(),
         machine.cachedImages.containsKey(job.spec.image()));
-    records.recordTask(placement);
+    records.recordPlacement(placement);
   }
 
   private void evict(TaskAttempt victim, Job job, int index) {
--- a/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
@@ -18,47 +18,47 @@
  * roster only after all marks, which name machines by it.
  */
 final class PreviousLayoutRecords {
-  private final Map<String, Set<Object>> waiting = new TreeMap<>();
-  private final Map<Object, List<String>> keysOf = new HashMap<>();
+  private final Map<String, Set<Object>> uncopiedByKey = new TreeMap<>();
+  private final Map<Object, List<String>> keysByItem = new HashMap<>();
 
   /** Forgets all values. */
   void clear() {
-    waiting.clear();
-    keysOf.clear();
+    uncopiedByKey.clear();
+    keysByItem.clear();
   }
 
   /** A value is stored that says something of these; none if nothing of it is alive. */
   void add(String key, Collection<?> items) {
-    Set<Object> copies = waiting.computeIfAbsent(key, k -> new LinkedHashSet<>());
+    Set<Object> uncopied = uncopiedByKey.computeIfAbsent(key, k -> new LinkedHashSet<>());
     for (Object item : items) {
-      copies.add(item);
-      keysOf.computeIfAbsent(item, i -> new ArrayList<>()).add(key);
+      uncopied.add(item);
+      keysByItem.computeIfAbsent(item, i -> new ArrayList<>()).add(key);
     }
   }
 
   /** What is known of it stands in the present layout, or it is gone. */
-  void copied(Object item) {
-    List<String> keys = keysOf.remove(item);
+  void noteCopied(Object item) {
+    List<String> keys = keysByItem.remove(item);
     if (keys != null) {
-      keys.forEach(key -> waiting.getOrDefault(key, new HashSet<>()).remove(item));
+      keys.forEach(key -> uncopiedByKey.getOrDefault(key, new HashSet<>()).remove(item));
     }
   }
 
   /** The value was removed. */
-  void removed(String key) {
-    waiting.remove(key);
+  void noteDeleted(String key) {
+    uncopiedByKey.remove(key);
   }
 
   /** Whether no value is left. */
   boolean isEmpty() {
-    return waiting.isEmpty();
+    return uncopiedByKey.isEmpty();
   }
 
   /** Hands out what has yet to be copied, value by value, until the taker has enough. */
-  void offer(Taker taker) {
-    for (Set<Object> items : waiting.values()) {
+  void offerUncopied(BatchSink sink) {
+    for (Set<Object> items : uncopiedByKey.values()) {
       for (Object item : items) {
-        if (!taker.take(item)) {
+        if (!sink.accept(item)) {
           return;
         }
       }
@@ -66,20 +66,20 @@
   }
 
   /** Takes what is to be copied next. */
-  interface Taker {
+  interface BatchSink {
     /** Takes it; false when there is no room for more. */
-    boolean take(Object item);
+    boolean accept(Object item);
   }
 
   /** Tells of the values that may be removed now. */
-  void removable(Consumer<String> take) {
-    boolean marksLeft =
-        waiting.keySet().stream().anyMatch(k -> RecordLayout.ofPlacementKey(k).isPresent());
-    waiting.forEach(
+  void forEachDeletable(Consumer<String> action) {
+    boolean placementValuesLeft =
+        uncopiedByKey.keySet().stream().anyMatch(k -> RecordLayout.ofPlacementKey(k).isPresent());
+    uncopiedByKey.forEach(
         (key, items) -> {
-          boolean isRoster = RecordLayout.ofMachineKey(key).isPresent();
-          if (items.isEmpty() && !(isRoster && marksLeft)) {
-            take.accept(key);
+          boolean isMachineValue = RecordLayout.ofMachineKey(key).isPresent();
+          if (items.isEmpty() && !(isMachineValue && placementValuesLeft)) {
+            action.accept(key);
           }
         });
   }
--- a/src/main/java/io/pearscale/scheduler/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/PublishedRecords.java
@@ -17,7 +17,7 @@
  * What the leader publishes for operators' commands: values that nobody decides by, written behind
  * all else, when they have changed, and seldom.
  */
-final class PublishedRecords implements TransactionSource {
+final class PublishedRecords implements TransactionContributor {
   /** A value is written at this distance at the least. */
   static final Duration SPACING = Duration.ofSeconds(5);
 
@@ -76,16 +76,16 @@
   }
 
   @Override
-  public void fill(LeaderTransaction transaction) {
+  public void contribute(LeaderTransaction transaction) {
     if (!isDue()) {
       return;
     }
     next = clock.instant().plus(SPACING);
     Map<String, JsonNode> going = new HashMap<>();
     for (String key : changed()) {
-      if (transaction.hasRoom()) {
+      if (transaction.hasCapacity()) {
         JsonNode value = latest.get(key);
-        transaction.addValue(key, value, value.toString().length());
+        transaction.addUntrackedValue(key, value, value.toString().length());
         going.put(key, value);
       }
     }
@@ -93,13 +93,13 @@
   }
 
   @Override
-  public void written(LeaderTransaction transaction) {
+  public void onApplied(LeaderTransaction transaction) {
     written.putAll(sent.getOrDefault(transaction, Map.of()));
     sent.remove(transaction);
   }
 
   @Override
-  public void writeAgain(LeaderTransaction transaction) {
+  public void onNotApplied(LeaderTransaction transaction) {
     sent.remove(transaction);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.StoredRecords.StoredMachine;
-import io.pearscale.scheduler.StoredRecords.StoredPart;
+import io.pearscale.scheduler.StoredRecords.StoredPartition;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -25,14 +25,14 @@
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final Map<RecordLayout, Map<Integer, Machine>> numbered =
+  private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
 
   /** Of each job, the tasks that a part in the layout that is written has told of. */
-  private final Map<String, BitSet> told = new HashMap<>();
+  private final Map<String, BitSet> tasksInCurrentLayout = new HashMap<>();
 
   /** Jobs that are over, of which tasks may be left. */
-  private final Map<String, Job> remains = new HashMap<>();
+  private final Map<String, Job> orphanedJobs = new HashMap<>();
 
   RecordAdoption(LeaderState state) {
     this.jobs = state.jobs();
@@ -40,17 +40,17 @@
     this.records = state.records();
     this.clock = state.clock();
     for (RecordLayout layout : RecordLayout.values()) {
-      numbered.put(layout, new HashMap<>());
+      machinesByReference.put(layout, new HashMap<>());
     }
   }
 
   /** Takes all of it over. */
   void adopt(StoredRecords stored) {
-    stored.machines().forEach(records::noteNumber);
+    stored.machines().forEach(records::reserveIndex);
     stored.machines().forEach(this::adopt);
-    stored.tasks().forEach(this::noteRemains);
-    stored.tasks().forEach(this::adopt);
-    for (Job job : remains.values()) {
+    stored.partitions().forEach(this::noteOrphanedJob);
+    stored.partitions().forEach(this::adopt);
+    for (Job job : orphanedJobs.values()) {
       for (TaskAttempt attempt : job.attempts.values()) {
         attempt.stopping = true;
         attempt.stopsWithoutCheckpoint = true;
@@ -62,59 +62,59 @@
   }
 
   private void adopt(StoredMachine stored) {
-    MachineRecordCodec.MachineRecord entry = stored.entry();
-    Machine machine = inventory.get(entry.machine());
+    MachineRecordCodec.MachineRecord record = stored.record();
+    Machine machine = inventory.get(record.machine());
     if (machine == null) {
-      machine = machineOf(entry);
+      machine = machineOf(record);
       inventory.addFromPreviousLeader(machine);
-    } else if (entry.retiring() && machine.lifecycle != Lifecycle.RETIRING) {
+    } else if (record.retiring() && machine.lifecycle != Lifecycle.RETIRING) {
       // That it may be under deletion is never taken back, whichever record says so.
       machine.lifecycle = Lifecycle.RETIRING;
       machine.recordedRetiring = true;
     }
-    numbered.get(stored.layout()).put(stored.number(), machine);
+    machinesByReference.get(stored.layout()).put(stored.reference(), machine);
     records.adoptMachine(machine, stored);
   }
 
-  private Machine machineOf(MachineRecordCodec.MachineRecord entry) {
-    MachineType type = inventory.catalogue().typeOf(entry.type());
-    boolean seen = !entry.address().isEmpty();
+  private Machine machineOf(MachineRecordCodec.MachineRecord record) {
+    MachineType type = inventory.catalogue().typeOf(record.type());
+    boolean hasReported = !record.address().isEmpty();
     Lifecycle life =
-        entry.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
+        record.retiring() ? Lifecycle.RETIRING : hasReported ? Lifecycle.UP : Lifecycle.BOOTING;
     Machine machine =
-        new Machine(entry.machine(), entry.zone(), entry.spot(), type, life, clock.instant());
-    machine.address = entry.address();
-    machine.recordedRetiring = entry.retiring();
-    machine.recordedAddress = entry.address();
-    machine.maintenance = entry.maintenance();
-    machine.recordedMaintenance = entry.maintenance();
-    machine.heartbeatEverReceived = seen;
-    machine.lease.acceptFromRecorded(entry.incarnation());
+        new Machine(record.machine(), record.zone(), record.spot(), type, life, clock.instant());
+    machine.address = record.address();
+    machine.recordedRetiring = record.retiring();
+    machine.recordedAddress = record.address();
+    machine.maintenance = record.maintenance();
+    machine.recordedMaintenance = record.maintenance();
+    machine.heartbeatEverReceived = hasReported;
+    machine.lease.acceptFromRecorded(record.incarnation());
     return machine;
   }
 
   /** Finds how many tasks a job had that is over, but may still be somewhere. */
-  private void noteRemains(StoredPart stored) {
-    PlacementRecordCodec.PartitionRecord part = stored.part();
-    if (jobs.get(part.job()) == null && part.quotaClaim().isPresent()) {
+  private void noteOrphanedJob(StoredPartition stored) {
+    PlacementRecordCodec.PartitionRecord record = stored.record();
+    if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
       Instant now = clock.instant();
-      remains.merge(
-          part.job(),
-          Job.orphaned(part, part.quotaClaim().get(), now),
+      orphanedJobs.merge(
+          record.job(),
+          Job.orphaned(record, record.quotaClaim().get(), now),
           (a, b) -> a.spec.tasks() >= b.spec.tasks() ? a : b);
     }
   }
 
-  private void adopt(StoredPart stored) {
-    PlacementRecordCodec.PartitionRecord part = stored.part();
-    Job job = jobs.get(part.job());
+  private void adopt(StoredPartition stored) {
+    PlacementRecordCodec.PartitionRecord record = stored.record();
+    Job job = jobs.get(record.job());
     if (job == null) {
-      job = remains.get(part.job());
+      job = orphanedJobs.get(record.job());
     }
-    if (job != null && part.firstTask() >= 0 && part.firstTask() < job.spec.tasks()) {
+    if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec.tasks()) {
       adopt(job, stored);
     } else {
-      records.noteUnused(stored);
+      records.noteObsolete(stored);
     }
   }
 
@@ -123,28 +123,32 @@
    * its mark names, and on no other: the mark is durable before the start is sent, and is changed
    * only when the task is known to be gone from there. So it waits for that machine alone.
    */
-  private void adopt(Job job, StoredPart stored) {
-    PlacementRecordCodec.PartitionRecord part = stored.part();
-    BitSet known = told.computeIfAbsent(job.spec.id(), id -> new BitSet());
-    boolean written = records.isWritten(stored.layout());
-    int first = part.firstTask();
-    part.completed().stream()
-        .map(i -> first + i)
+  private void adopt(Job job, StoredPartition stored) {
+    PlacementRecordCodec.PartitionRecord record = stored.record();
+    BitSet alreadyAdopted = tasksInCurrentLayout.computeIfAbsent(job.spec.id(), id -> new BitSet());
+    boolean currentLayout = records.isCurrentLayout(stored.layout());
+    int firstTask = record.firstTask();
+    record.completed().stream()
+        .map(i -> firstTask + i)
         .filter(task -> task < job.spec.tasks())
         .forEach(job.doneTasks::set);
-    job.recordDurablyDone(first, part.completed());
+    job.recordDurablyDone(firstTask, record.completed());
     if (job.spec.isGang() && !job.doneTasks.isEmpty()) {
       // Its tasks complete together, also those of parts that were not written again.
       job.doneTasks.set(0, job.spec.tasks());
     }
-    records.adoptPart(job, stored);
-    for (int i = 0; i < part.machineReferences().length && first + i < job.spec.tasks(); i++) {
-      Machine machine = numbered.get(stored.layout()).get(part.machineReferences()[i]);
-      if (machine != null && !job.doneTasks.get(first + i) && !known.get(first + i)) {
+    records.adoptPartition(job, stored);
+    for (int i = 0;
+        i < record.machineReferences().length && firstTask + i < job.spec.tasks();
+        i++) {
+      Machine machine = machinesByReference.get(stored.layout()).get(record.machineReferences()[i]);
+      if (machine != null
+          && !job.doneTasks.get(firstTask + i)
+          && !alreadyAdopted.get(firstTask + i)) {
         TaskAttempt assumed =
             new TaskAttempt(
                 job,
-                new TaskId(job.spec.id(), first + i),
+                new TaskId(job.spec.id(), firstTask + i),
                 -1,
                 machine,
                 Stage.START_SENT,
@@ -153,11 +157,11 @@
         inventory.add(assumed);
       }
     }
-    if (written) {
-      known.set(first, first + stored.layout().tasksPerPartition());
+    if (currentLayout) {
+      alreadyAdopted.set(firstTask, firstTask + stored.layout().tasksPerPartition());
     }
     if (job.isComplete()) {
-      records.adoptEnd(job);
+      records.adoptFinishedJob(job);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/RecordMigration.java
@@ -22,100 +22,101 @@
  */
 final class RecordMigration {
   /** Between two batches, the rate of writes is left to others. */
-  static final Duration SPACING = Duration.ofSeconds(1);
+  static final Duration BATCH_INTERVAL = Duration.ofSeconds(1);
 
   /** A batch takes this part of what a transaction may carry, and so much at least. */
-  private static final int PART_OF_TRANSACTION = 8;
+  private static final int BATCHES_PER_TRANSACTION = 8;
 
-  private static final int SMALLEST_BATCH = 2;
+  private static final int MIN_BATCH_SIZE = 2;
 
   /** In which value something is to stand: of marks, or of the roster. */
-  record Home(boolean ofMarks, int value) {}
+  record CopyTarget(boolean placementValue, int value) {}
 
   /** The values to be written next. */
-  record Batch(Set<Integer> rosters, Set<Integer> marks) {
+  record Batch(Set<Integer> machineValues, Set<Integer> placementValues) {
     private int size() {
-      return rosters.size() + marks.size();
+      return machineValues.size() + placementValues.size();
     }
   }
 
   private final LevelGate gate;
-  private final int most;
-  private final PreviousLayoutRecords former;
-  private final Map<Integer, Integer> levels = new TreeMap<>();
-  private Instant next = Instant.MIN;
+  private final int maxBatchSize;
+  private final PreviousLayoutRecords previousLayout;
+  private final Map<Integer, Integer> levelByValue = new TreeMap<>();
+  private Instant nextBatchAt = Instant.MIN;
 
   /**
    * Makes a migration that knows of no values.
    *
    * @param gate says which level is written
-   * @param former what stands in the other layout
+   * @param previousLayout what stands in the other layout
    */
-  RecordMigration(LevelGate gate, int mostChanges, PreviousLayoutRecords former) {
+  RecordMigration(LevelGate gate, int maxMutations, PreviousLayoutRecords previousLayout) {
     this.gate = gate;
-    this.most = Math.max(SMALLEST_BATCH, mostChanges / PART_OF_TRANSACTION);
-    this.former = former;
+    this.maxBatchSize = Math.max(MIN_BATCH_SIZE, maxMutations / BATCHES_PER_TRANSACTION);
+    this.previousLayout = previousLayout;
   }
 
   /** A term begins with these values. */
-  void begin(Map<String, JsonNode> roster) {
-    levels.clear();
-    next = Instant.MIN;
-    roster.forEach(
+  void beginTerm(Map<String, JsonNode> machineValues) {
+    levelByValue.clear();
+    nextBatchAt = Instant.MIN;
+    machineValues.forEach(
         (key, value) -> {
           if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
             MachineRecordCodec.levelOf(value)
-                .ifPresent(level -> levels.put(Keys.valueNumber(key), level));
+                .ifPresent(level -> levelByValue.put(Keys.valueNumber(key), level));
           }
         });
   }
 
   /** The value was written in the form of the level. */
-  void written(int value, int level) {
+  void noteWritten(int value, int level) {
     if (RecordLayout.ofLevel(level) == RecordLayout.POSITIONAL) {
-      levels.put(value, level);
+      levelByValue.put(value, level);
     }
   }
 
   /** The key was removed. */
-  void removed(String key) {
+  void noteDeleted(String key) {
     if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
-      levels.remove(Keys.valueNumber(key));
+      levelByValue.remove(Keys.valueNumber(key));
     }
   }
 
   /** Whether a batch is to be written now, or the end of the migration. */
   boolean isDue(Instant now) {
-    return !gate.inForce().migrated() && !now.isBefore(next);
+    return !gate.inForce().migrated() && !now.isBefore(nextBatchAt);
   }
 
   /**
    * The values of the next batch; none when all that is left is to remove what was copied.
    *
-   * @param homeOfCopy in which value a copy is to stand; empty when nothing of it is alive
+   * @param targetOfCopy in which value a copy is to stand; empty when nothing of it is alive
    */
-  Batch nextBatch(Instant now, Function<Object, Optional<Home>> homeOfCopy) {
-    next = now.plus(SPACING);
+  Batch nextBatch(Instant now, Function<Object, Optional<CopyTarget>> targetOfCopy) {
+    nextBatchAt = now.plus(BATCH_INTERVAL);
     Batch batch = new Batch(new LinkedHashSet<>(), new LinkedHashSet<>());
-    former.offer(item -> take(batch, homeOfCopy.apply(item)));
+    previousLayout.offerUncopied(item -> addToBatch(batch, targetOfCopy.apply(item)));
     if (RecordLayout.ofLevel(gate.inForce().writtenLevel()) == RecordLayout.POSITIONAL) {
-      for (Map.Entry<Integer, Integer> value : levels.entrySet()) {
-        if (value.getValue() != gate.inForce().writtenLevel() && batch.size() < most) {
-          batch.rosters.add(value.getKey());
+      for (Map.Entry<Integer, Integer> value : levelByValue.entrySet()) {
+        if (value.getValue() != gate.inForce().writtenLevel() && batch.size() < maxBatchSize) {
+          batch.machineValues.add(value.getKey());
         }
       }
     }
     return batch;
   }
 
-  private boolean take(Batch batch, Optional<Home> home) {
-    home.ifPresent(h -> (h.ofMarks ? batch.marks : batch.rosters).add(h.value));
-    return batch.size() < most;
+  private boolean addToBatch(Batch batch, Optional<CopyTarget> target) {
+    target.ifPresent(
+        h -> (h.placementValue ? batch.placementValues : batch.machineValues).add(h.value));
+    return batch.size() < maxBatchSize;
   }
 
   /** Whether all records have the form that is written, when a batch has turned out like this. */
-  boolean isOver(Batch batch) {
-    return batch.size() == 0 && former.isEmpty();
+  boolean isComplete(Batch batch) {
+    return batch.size() == 0 && previousLayout.isEmpty();
   }
 
   /** The record of the level, now that no batch is left. */
--- a/src/main/java/io/pearscale/scheduler/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/RecordPacker.java
@@ -21,155 +21,156 @@
  */
 final class RecordPacker<T> {
   /** Places in a value. */
-  static final int PLACES = 64;
+  static final int SLOTS_PER_VALUE = 64;
 
   /** Where an item lives. */
-  record Home(int shard, int place) {}
+  record Slot(int value, int position) {}
 
-  private static final class Shard<T> {
+  private static final class PackedValue<T> {
     final TreeMap<Integer, T> items = new TreeMap<>();
     int bytes;
   }
 
-  private final int room;
-  private final TreeMap<Integer, Shard<T>> shards = new TreeMap<>();
-  private final Map<T, Home> homes = new HashMap<>();
-  private final Map<T, Integer> sizes = new HashMap<>();
-  private final Set<Integer> urgent = new LinkedHashSet<>();
-  private final Map<Integer, Instant> later = new LinkedHashMap<>();
+  private final int maxValueBytes;
+  private final TreeMap<Integer, PackedValue<T>> values = new TreeMap<>();
+  private final Map<T, Slot> slots = new HashMap<>();
+  private final Map<T, Integer> itemBytes = new HashMap<>();
+  private final Set<Integer> urgentValues = new LinkedHashSet<>();
+  private final Map<Integer, Instant> deadlines = new LinkedHashMap<>();
 
   /** Values may grow up to so many bytes. */
-  RecordPacker(int room) {
-    this.room = room;
+  RecordPacker(int maxValueBytes) {
+    this.maxValueBytes = maxValueBytes;
   }
 
-  private Shard<T> shard(int number) {
-    return shards.computeIfAbsent(number, n -> new Shard<>());
+  private PackedValue<T> packedValue(int number) {
+    return values.computeIfAbsent(number, n -> new PackedValue<>());
   }
 
-  private boolean fits(int number, int bytes) {
-    Shard<T> s = shard(number);
-    return s.items.size() < PLACES && (s.items.isEmpty() || s.bytes + bytes <= room);
+  private boolean fits(int value, int bytes) {
+    PackedValue<T> packed = packedValue(value);
+    return packed.items.size() < SLOTS_PER_VALUE
+        && (packed.items.isEmpty() || packed.bytes + bytes <= maxValueBytes);
   }
 
   /** Takes an item in where a former leader had put it. */
-  void adopt(T item, int bytes, int shard, int place) {
-    Shard<T> s = shard(shard);
-    s.items.put(place, item);
-    s.bytes += bytes;
-    homes.put(item, new Home(shard, place));
-    sizes.put(item, bytes);
+  void adopt(T item, int bytes, int value, int position) {
+    PackedValue<T> packed = packedValue(value);
+    packed.items.put(position, item);
+    packed.bytes += bytes;
+    slots.put(item, new Slot(value, position));
+    itemBytes.put(item, bytes);
   }
 
   /** As above, when the place does not matter. */
-  void adopt(T item, int bytes, int shard) {
-    adopt(item, bytes, shard, freePlace(shard));
+  void adopt(T item, int bytes, int value) {
+    adopt(item, bytes, value, freePosition(value));
   }
 
-  private int freePlace(int shard) {
-    int place = 0;
-    while (shard(shard).items.containsKey(place)) {
-      place++;
+  private int freePosition(int value) {
+    int position = 0;
+    while (packedValue(value).items.containsKey(position)) {
+      position++;
     }
-    return place;
+    return position;
   }
 
   /** Gives an item a home, unless it has one. */
-  void put(T item, int bytes) {
-    if (homes.containsKey(item)) {
+  void assignSlot(T item, int bytes) {
+    if (slots.containsKey(item)) {
       return;
     }
-    int number = -1;
-    for (int n : urgent) {
-      if (fits(n, bytes)) {
-        number = n;
+    int value = -1;
+    for (int candidate : urgentValues) {
+      if (fits(candidate, bytes)) {
+        value = candidate;
         break;
       }
     }
-    for (int n = 0; number < 0; n++) {
-      number = fits(n, bytes) ? n : -1;
+    for (int candidate = 0; value < 0; candidate++) {
+      value = fits(candidate, bytes) ? candidate : -1;
     }
-    adopt(item, bytes, number);
+    adopt(item, bytes, value);
   }
 
-  Optional<Home> home(T item) {
-    return Optional.ofNullable(homes.get(item));
+  Optional<Slot> slotOf(T item) {
+    return Optional.ofNullable(slots.get(item));
   }
 
   /** Lets go of an item; its value shows it until it is written for another reason. */
   void remove(T item) {
-    Home h = homes.remove(item);
-    if (h != null) {
-      Shard<T> s = shard(h.shard);
-      s.items.remove(h.place);
-      s.bytes -= sizes.remove(item);
+    Slot slot = slots.remove(item);
+    if (slot != null) {
+      PackedValue<T> packed = packedValue(slot.value);
+      packed.items.remove(slot.position);
+      packed.bytes -= itemBytes.remove(item);
     }
   }
 
   /** The item's value is to be written now. */
-  void due(T item) {
-    home(item).ifPresent(h -> due(h.shard));
+  void markDue(T item) {
+    slotOf(item).ifPresent(slot -> markDue(slot.value));
   }
 
-  void due(int shard) {
-    urgent.add(shard);
-    later.remove(shard);
+  void markDue(int value) {
+    urgentValues.add(value);
+    deadlines.remove(value);
   }
 
   /** The item's value is to be written at that time at the latest. */
-  void due(T item, Instant when) {
-    home(item).ifPresent(h -> due(h.shard, when));
+  void markDue(T item, Instant deadline) {
+    slotOf(item).ifPresent(slot -> markDue(slot.value, deadline));
   }
 
   /** The value is to be written at that time at the latest. */
-  void due(int shard, Instant when) {
-    if (!urgent.contains(shard)) {
-      later.merge(shard, when, (a, b) -> a.isBefore(b) ? a : b);
+  void markDue(int value, Instant deadline) {
+    if (!urgentValues.contains(value)) {
+      deadlines.merge(value, deadline, (a, b) -> a.isBefore(b) ? a : b);
     }
   }
 
   /** Values to be written now. */
-  List<Integer> urgent() {
-    return List.copyOf(urgent);
+  List<Integer> urgentValues() {
+    return List.copyOf(urgentValues);
   }
 
   /** Values whose time has come. */
-  List<Integer> overdue(Instant now) {
-    List<Integer> result = new ArrayList<>();
-    later.forEach(
-        (n, when) -> {
-          if (!now.isBefore(when)) {
-            result.add(n);
+  List<Integer> overdueValues(Instant now) {
+    List<Integer> overdue = new ArrayList<>();
+    deadlines.forEach(
+        (value, deadline) -> {
+          if (!now.isBefore(deadline)) {
+            overdue.add(value);
           }
         });
-    return result;
+    return overdue;
   }
 
-  /** The value is on its way; whoever finds that it did not arrive says so by {@link #due}. */
-  void sent(int shard) {
-    urgent.remove(shard);
-    later.remove(shard);
+  /** The value is on its way; whoever finds that it did not arrive says so by {@link #markDue}. */
+  void markSent(int value) {
+    urgentValues.remove(value);
+    deadlines.remove(value);
   }
 
   /** What lives in a value, by place. */
-  Map<Integer, T> items(int shard) {
-    return shard(shard).items;
+  Map<Integer, T> itemsByPosition(int value) {
+    return packedValue(value).items;
   }
 
   /** All that lives in those values. */
-  List<T> itemsOf(Collection<Integer> numbers) {
+  List<T> itemsIn(Collection<Integer> valueNumbers) {
     List<T> all = new ArrayList<>();
-    numbers.forEach(number -> all.addAll(shard(number).items.values()));
+    valueNumbers.forEach(value -> all.addAll(packedValue(value).items.values()));
     return all;
   }
 
   /** All that has a home, value by value. */
-  List<T> all() {
-    return itemsOf(List.copyOf(shards.keySet()));
+  List<T> allItems() {
+    return itemsIn(List.copyOf(values.keySet()));
   }
 
   /** Whether nothing lives in the value. */
-  boolean isEmpty(int shard) {
-    return shard(shard).items.isEmpty();
+  boolean isEmpty(int value) {
+    return packedValue(value).items.isEmpty();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.LeaderTransaction.StoredMachine;
+import io.pearscale.scheduler.LeaderTransaction.WrittenMachine;
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.storage.KeyValueStoreClient;
@@ -27,21 +27,21 @@
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
   /** A commit follows the one before after this time at the earliest. */
-  private static final Duration COMMIT_SPACING = Duration.ofMillis(40);
+  private static final Duration MIN_COMMIT_INTERVAL = Duration.ofMillis(40);
 
   /** Half of all writes is left to users. */
-  private static final double LEADERS_SHARE = 0.5;
+  private static final double LEADER_WRITE_SHARE = 0.5;
 
   /** After a refusal the next try waits for this time, and up to the spread longer. */
-  private static final Duration RETRY_PAUSE = Duration.ofMillis(150);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
-  private static final int RETRY_SPREAD_MILLIS = 200;
+  private static final int RETRY_JITTER_MILLIS = 200;
 
   /** After a transaction without an answer the term is read this much later. */
-  private static final Duration READ_PAUSE = Duration.ofMillis(300);
+  private static final Duration TERM_READ_DELAY = Duration.ofMillis(300);
 
   /** After a refused one it is read at once. */
-  private static final Duration AT_ONCE = Duration.ofMillis(1);
+  private static final Duration IMMEDIATE_TERM_READ_DELAY = Duration.ofMillis(1);
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -50,69 +50,69 @@
   private final Gangs gangs;
   private final InstantSource clock;
   private final Settings.StoreLimits limits;
-  private final KeyValueStoreClient state;
-  private final List<TransactionSource> sources;
+  private final KeyValueStoreClient store;
+  private final List<TransactionContributor> contributors;
   private final TermExecutor executor;
   private final RandomGenerator random;
-  private final LevelGate level;
+  private final LevelGate levelGate;
   private final Listener listener;
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
-  private long commits;
-  private boolean committing;
-  private boolean planned;
-  private boolean heartbeatDue;
+  private long commitCount;
+  private boolean commitInFlight;
+  private boolean commitScheduled;
+  private boolean keepAliveDue;
   private Instant lastCommit = Instant.MIN;
-  private int lastChanges;
+  private int lastMutationCount;
 
   /**
    * Makes a writer.
    *
-   * @param sources have more to write, behind the records of jobs and machines
+   * @param contributors have more to write, behind the records of jobs and machines
    */
   RecordWriter(
-      LeaderState shared,
-      Environment env,
-      List<TransactionSource> sources,
+      LeaderState leaderState,
+      Environment environment,
+      List<TransactionContributor> contributors,
       TermExecutor executor,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
-    this.leadership = shared.leadership();
-    this.jobs = shared.jobs();
-    this.inventory = shared.inventory();
-    this.records = shared.records();
-    this.clock = shared.clock();
-    this.gangs = shared.gangs();
-    this.limits = env.settings().storeLimits();
-    this.state = env.state();
-    this.random = env.random();
-    this.level = env.level();
-    this.listener = env.listener();
-    this.sources = sources;
+    this.leadership = leaderState.leadership();
+    this.jobs = leaderState.jobs();
+    this.inventory = leaderState.inventory();
+    this.records = leaderState.records();
+    this.clock = leaderState.clock();
+    this.gangs = leaderState.gangs();
+    this.limits = environment.settings().storeLimits();
+    this.store = environment.state();
+    this.random = environment.random();
+    this.levelGate = environment.level();
+    this.listener = environment.listener();
+    this.contributors = contributors;
     this.executor = executor;
     this.dispatcher = dispatcher;
     this.retirement = retirement;
   }
 
   /** A term has begun: nothing is under way in it. */
-  void begin() {
-    commits = 0;
-    committing = false;
-    planned = false;
+  void beginTerm() {
+    commitCount = 0;
+    commitInFlight = false;
+    commitScheduled = false;
   }
 
   /** The leader is to show that it lives, by a write if there is none to be made anyway. */
-  void heartbeat() {
-    heartbeatDue = true;
-    plan();
+  void writeKeepAlive() {
+    keepAliveDue = true;
+    scheduleCommit();
   }
 
   /** Asks for a transaction. */
-  void plan() {
-    if (planned || committing || !leadership.isLeading()) {
+  void scheduleCommit() {
+    if (commitScheduled || commitInFlight || !leadership.isLeading()) {
       return;
     }
-    planned = true;
+    commitScheduled = true;
     Duration wait = untilNextCommit();
     if (wait.isNegative() || wait.isZero()) {
       // After this message: what the rest of the pass decides goes along.
@@ -123,9 +123,9 @@
   }
 
   /** Asks for a transaction if something is due. */
-  void planIfDue() {
-    if (records.isDue() || sources.stream().anyMatch(TransactionSource::isDue)) {
-      plan();
+  void scheduleCommitIfDue() {
+    if (records.isDue() || contributors.stream().anyMatch(TransactionContributor::isDue)) {
+      scheduleCommit();
     }
   }
 
@@ -134,18 +134,18 @@
     if (lastCommit.equals(Instant.MIN)) {
       return Duration.ZERO;
     }
-    double rate = LEADERS_SHARE * limits.writesPerSecond();
-    Duration pause = MessageFields.duration(lastChanges / rate);
-    if (pause.compareTo(COMMIT_SPACING) < 0) {
-      pause = COMMIT_SPACING;
+    double mutationsPerSecond = LEADER_WRITE_SHARE * limits.writesPerSecond();
+    Duration pause = MessageFields.duration(lastMutationCount / mutationsPerSecond);
+    if (pause.compareTo(MIN_COMMIT_INTERVAL) < 0) {
+      pause = MIN_COMMIT_INTERVAL;
     }
     return pause.minus(Duration.between(lastCommit, clock.instant()));
   }
 
   /** Writes all that is due in one transaction, guarded by the term. */
   private void commit() {
-    planned = false;
-    if (committing || !leadership.isReady()) {
+    commitScheduled = false;
+    if (commitInFlight || !leadership.isReady()) {
       return;
     }
     LeaderTransaction transaction =
@@ -153,91 +153,93 @@
             limits.maxTransactionOperations(),
             leadership.term(),
             leadership.termRevision(),
-            ++commits,
-            level.inForce().writtenLevel());
-    records.fill(transaction, inventory.catalogue().types());
-    sources.forEach(source -> source.fill(transaction));
-    if (transaction.isEmpty() && !heartbeatDue) {
+            ++commitCount,
+            levelGate.inForce().writtenLevel());
+    records.contribute(transaction, inventory.catalogue().types());
+    contributors.forEach(contributor -> contributor.contribute(transaction));
+    if (transaction.isEmpty() && !keepAliveDue) {
       return;
     }
-    heartbeatDue = false;
-    committing = true;
+    keepAliveDue = false;
+    commitInFlight = true;
     lastCommit = clock.instant();
-    lastChanges = transaction.changes().size();
-    state.compareAndSwap(
-        transaction.guards(),
-        transaction.changes(),
-        executor.callback(reply -> committed(transaction, reply)));
+    lastMutationCount = transaction.mutations().size();
+    store.compareAndSwap(
+        transaction.preconditions(),
+        transaction.mutations(),
+        executor.callback(reply -> onCommitReply(transaction, reply)));
   }
 
-  private void committed(LeaderTransaction transaction, Reply reply) {
+  private void onCommitReply(LeaderTransaction transaction, Reply reply) {
     if (reply.ok()) {
-      committing = false;
+      commitInFlight = false;
       leadership.recordTermRevision(reply.body().path("epoch").asLong(leadership.termRevision()));
-      applied(transaction);
-      planIfDue();
+      onApplied(transaction);
+      scheduleCommitIfDue();
       return;
     }
-    records.writeAgain(transaction);
-    sources.forEach(source -> source.writeAgain(transaction));
-    List<String> failed =
+    records.onNotApplied(transaction);
+    contributors.forEach(contributor -> contributor.onNotApplied(transaction));
+    List<String> failedKeys =
         reply.status() == 409 ? KeyValueStoreClient.failedPreconditions(reply) : List.of();
-    if (reply.status() == 0 || failed.contains(Keys.TERM)) {
-      executor.after(reply.status() == 0 ? READ_PAUSE : AT_ONCE, this::readTerm);
-    } else if (failed.contains(Keys.LEVEL)) {
+    if (reply.status() == 0 || failedKeys.contains(Keys.TERM)) {
+      executor.after(
+          reply.status() == 0 ? TERM_READ_DELAY : IMMEDIATE_TERM_READ_DELAY, this::readTerm);
+    } else if (failedKeys.contains(Keys.LEVEL)) {
       // The level of stored forms was switched: the watch says whether this build supports it.
       LOG.info("event=commit_under_former_level term={}", leadership.term());
-      committing = false;
-      retry();
+      commitInFlight = false;
+      scheduleRetry();
     } else if (reply.status() == 409) {
       // Somebody was faster with these jobs, by cancelling them; the watch brings the news.
-      committing = false;
-      transaction.finished().stream()
-          .filter(job -> failed.contains(Keys.liveJob(job.spec.id())))
-          .forEach(records::withdrawEnd);
-      plan();
+      commitInFlight = false;
+      transaction.finishedJobs().stream()
+          .filter(job -> failedKeys.contains(Keys.liveJob(job.spec.id())))
+          .forEach(records::withdrawJobFinished);
+      scheduleCommit();
     } else {
       if (reply.status() == 400) {
-        records.refused(transaction);
+        records.onRejected(transaction);
       }
       LOG.info("event=commit_put_off term={} status={}", leadership.term(), reply.status());
-      committing = false;
-      retry();
+      commitInFlight = false;
+      scheduleRetry();
     }
   }
 
-  private void retry() {
-    planned = true;
-    executor.after(RETRY_PAUSE.plusMillis(random.nextInt(RETRY_SPREAD_MILLIS)), this::commit);
+  private void scheduleRetry() {
+    commitScheduled = true;
+    executor.after(RETRY_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::commit);
   }
 
   private void readTerm() {
-    state.get(Keys.TERM, executor.callback(this::termRead));
+    store.get(Keys.TERM, executor.callback(this::onTermRead));
   }
 
   /** After a transaction of unknown outcome: is the term still ours, and at which stamp? */
-  private void termRead(Reply reply) {
+  private void onTermRead(Reply reply) {
     if (!reply.ok()) {
-      executor.after(READ_PAUSE.plusMillis(random.nextInt(RETRY_SPREAD_MILLIS)), this::readTerm);
+      executor.after(
+          TERM_READ_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::readTerm);
       return;
     }
-    long found = reply.body().path("value").path("term").asLong();
-    if (found > leadership.term()) {
-      listener.higherTerm(found);
+    long storedTerm = reply.body().path("value").path("term").asLong();
+    if (storedTerm > leadership.term()) {
+      listener.higherTerm(storedTerm);
       return;
     }
     // Applied or not: what is due is still marked as due and goes out again, guarded by the
     // stamp as it is now. Should the old transaction come after all, it will find another one.
     leadership.recordTermRevision(reply.body().path("stamp").asLong(leadership.termRevision()));
-    committing = false;
-    retry();
+    commitInFlight = false;
+    scheduleRetry();
   }
 
-  private void applied(LeaderTransaction transaction) {
-    records.written(transaction);
-    transaction.machines().forEach(this::recorded);
-    transaction.finished().forEach(this::ended);
-    sources.forEach(source -> source.written(transaction));
+  private void onApplied(LeaderTransaction transaction) {
+    records.onApplied(transaction);
+    transaction.writtenMachines().forEach(this::noteMachineRecorded);
+    transaction.finishedJobs().forEach(this::finishJob);
+    contributors.forEach(contributor -> contributor.onApplied(transaction));
     dispatcher.sendAllDue();
     retirement.deleteRetired();
   }
@@ -246,22 +248,22 @@
    * A machine that got another place while the transaction was under way is not recorded by it:
    * marks name machines by their places.
    */
-  private void recorded(StoredMachine stored) {
-    MachineRecordCodec.MachineRecord entry = stored.entry();
-    Machine machine = inventory.get(entry.machine());
-    if (machine != null && records.hasPlace(machine, stored)) {
+  private void noteMachineRecorded(WrittenMachine stored) {
+    MachineRecordCodec.MachineRecord record = stored.record();
+    Machine machine = inventory.get(record.machine());
+    if (machine != null && records.hasSlot(machine, stored)) {
       machine.recorded = true;
-      machine.recordedRetiring = entry.retiring();
-      machine.recordedAddress = entry.address();
-      machine.recordedMaintenance = entry.maintenance();
-      records.noteRecorded(machine);
+      machine.recordedRetiring = record.retiring();
+      machine.recordedAddress = record.address();
+      machine.recordedMaintenance = record.maintenance();
+      records.noteMachineRecorded(machine);
     }
   }
 
-  private void ended(Job job) {
+  private void finishJob(Job job) {
     jobs.remove(job.spec.id());
     gangs.forget(job);
-    records.close(job);
+    records.closeJob(job);
     job.durablyDoneTasks.or(job.doneTasks);
     LOG.info(
         "event=job_done term={} job={} after_ms={}",
--- a/src/main/java/io/pearscale/scheduler/RefusedValues.java
+++ b/src/main/java/io/pearscale/scheduler/RejectedValues.java
@@ -11,8 +11,8 @@
  * they were stored. They stay as they are until another layout has copied them; what is to change
  * in them waits, and nothing else does.
  */
-final class RefusedValues {
-  private static final Logger LOG = LoggerFactory.getLogger(RefusedValues.class);
+final class RejectedValues {
+  private static final Logger LOG = LoggerFactory.getLogger(RejectedValues.class);
   private final Set<String> keys = new HashSet<>();
 
   /** Forgets all. */
@@ -28,14 +28,14 @@
   /**
    * A transaction was refused as a whole.
    *
-   * @param sizes how long the values in it are
-   * @param longest what the service takes for certain
+   * @param valueLengths how long the values in it are
+   * @param maxValueBytes what the service takes for certain
    */
-  void note(Map<String, Integer> sizes, int longest) {
-    sizes.forEach(
-        (key, size) -> {
-          if (size > longest && keys.add(key)) {
-            LOG.warn("event=value_refused key={} bytes={} longest={}", key, size, longest);
+  void noteRejection(Map<String, Integer> valueLengths, int maxValueBytes) {
+    valueLengths.forEach(
+        (key, length) -> {
+          if (length > maxValueBytes && keys.add(key)) {
+            LOG.warn("event=value_refused key={} bytes={} longest={}", key, length, maxValueBytes);
           }
         });
   }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -158,13 +158,13 @@
     } else if (message instanceof Vouched m) {
       vouched(m);
     } else if (message instanceof Acknowledged m && leadership.leadsIn(m.term)) {
-      parts.recovery.formerLeadersEnded();
+      parts.recovery.notePreviousLeadersEnded();
     } else if (message instanceof Lost) {
       lost();
     } else if (message instanceof CloudSaid m && leadership.isLeading()) {
       parts.supply.cloudSaid(m.event);
     } else if (message instanceof Beat && leadership.isReady()) {
-      parts.writer.heartbeat();
+      parts.writer.writeKeepAlive();
     }
   }
 
@@ -173,7 +173,7 @@
   private void loaded(Loaded m) {
     jobs.absentFrom(m.all.keySet()).forEach(this::jobOver);
     jobs.forgetUnreadable();
-    records.storedValues().forget();
+    records.storedValues().clear();
     parts.raiser.forgetStored();
     parts.drains.ifPresent(DrainCoordinator::forgetStored);
     m.all.forEach((key, entry) -> changed(new KeyChange(key, Optional.of(entry))));
@@ -201,14 +201,14 @@
         jobOver(Keys.lastSegment(key));
       }
     } else if (Keys.isPlacementRecords(key) || Keys.isMachineRecords(key)) {
-      records.storedValues().changed(change);
+      records.storedValues().apply(change);
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       parts.drains.ifPresent(drains -> drains.storedChanged(change));
     } else if (Keys.isMember(key)) {
       parts.raiser.storedChanged(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       List<MachineType> types = MachineType.parseAll(change.entry().get().value());
-      records.storedValues().catalogueIs(types);
+      records.storedValues().updateCatalogue(types);
       if (!leadership.isLeading() || inventory.catalogue().types().isEmpty()) {
         inventory.updateCatalogue(types);
       }
@@ -238,7 +238,7 @@
     if (job.isEmpty() || !leadership.isLeading()) {
       return;
     }
-    records.close(job.get());
+    records.closeJob(job.get());
     parts.gangs.forget(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts.values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
@@ -256,9 +256,9 @@
   private void won(Won m) {
     leadership.begin(m.term, m.termStamp, m.evidence);
     parts.passes.begin();
-    parts.writer.begin();
+    parts.writer.beginTerm();
     parts.dispatcher.begin();
-    parts.recovery.begin();
+    parts.recovery.beginTerm();
     parts.supply.begin();
     scheduleTick();
     takeOverWhenPossible();
@@ -283,7 +283,7 @@
    */
   private void takeOverWhenPossible() {
     boolean possible = leadership.isLeading() && loaded && epoch >= leadership.termRevision();
-    if (possible && !leadership.isReady() && parts.recovery.takeOver(epoch)) {
+    if (possible && !leadership.isReady() && parts.recovery.recover(epoch)) {
       parts.drains.ifPresent(DrainCoordinator::begin);
       parts.passes.request();
     }
@@ -311,11 +311,11 @@
     parts.supply.rentIfDue(now);
     if (now.isAfter(nextCounts)) {
       nextCounts = now.plus(COUNTS_SPACING);
-      records.collectGarbage();
+      records.collectObsoleteValues();
       parts.counts.tellChanges();
     }
     parts.statistics.logIfDue(now, machine -> parts.health.usable(machine, now));
-    parts.writer.planIfDue();
+    parts.writer.scheduleCommitIfDue();
   }
 
   /** Looks after each machine once a second at the latest. */
--- a/src/main/java/io/pearscale/scheduler/LevelRaiser.java
+++ b/src/main/java/io/pearscale/scheduler/SchemaLevelUpgrader.java
@@ -24,25 +24,25 @@
  * term and the level that it knows, and besides by the words on which it rests: should one of them
  * have changed, nothing is written. From then on whoever does not support the level is kept out.
  */
-final class LevelRaiser implements TransactionSource {
-  private static final Logger LOG = LoggerFactory.getLogger(LevelRaiser.class);
-  private static final Duration SPACING = Duration.ofSeconds(1);
+final class SchemaLevelUpgrader implements TransactionContributor {
+  private static final Logger LOG = LoggerFactory.getLogger(SchemaLevelUpgrader.class);
+  private static final Duration ATTEMPT_INTERVAL = Duration.ofSeconds(1);
 
   /** What a controller says of itself, and the stamp of that. */
-  private record Word(MemberSupport support, long stamp) {}
+  private record MemberAnnouncement(MemberSupport support, long revision) {}
 
   private final LevelGate gate;
   private final Set<String> hosts;
   private final InstantSource clock;
-  private final Map<String, Word> words = new TreeMap<>();
-  private Instant next = Instant.MIN;
+  private final Map<String, MemberAnnouncement> announcements = new TreeMap<>();
+  private Instant nextAttemptAt = Instant.MIN;
 
   /**
    * Makes a raiser.
    *
    * @param hosts all configured controllers
    */
-  LevelRaiser(LevelGate gate, Set<String> hosts, InstantSource clock) {
+  SchemaLevelUpgrader(LevelGate gate, Set<String> hosts, InstantSource clock) {
     this.gate = gate;
     this.hosts = Set.copyOf(hosts);
     this.clock = clock;
@@ -50,27 +50,31 @@
 
   /** All keys are about to be read anew. */
   void forgetStored() {
-    words.clear();
+    announcements.clear();
   }
 
   /** The word of a controller has changed; one that can't be read says nothing. */
   void storedChanged(KeyChange change) {
     String host = Keys.lastSegment(change.key());
-    words.remove(host);
-    change.entry().flatMap(LevelRaiser::wordOf).ifPresent(word -> words.put(host, word));
+    announcements.remove(host);
+    change
+        .entry()
+        .flatMap(SchemaLevelUpgrader::announcementOf)
+        .ifPresent(announcement -> announcements.put(host, announcement));
   }
 
-  private static Optional<Word> wordOf(Entry entry) {
+  private static Optional<MemberAnnouncement> announcementOf(Entry entry) {
     try {
-      return Optional.of(new Word(MemberSupport.parse(entry.value()), entry.revision()));
+      return Optional.of(
+          new MemberAnnouncement(MemberSupport.parse(entry.value()), entry.revision()));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
 
-  private Optional<UpgradePlan.LevelChange> step() {
+  private Optional<UpgradePlan.LevelChange> nextStep() {
     Map<String, MemberSupport> members = new TreeMap<>();
-    words.forEach((host, word) -> members.put(host, word.support));
+    announcements.forEach((host, announcement) -> members.put(host, announcement.support));
     UpgradePlan plan = new UpgradePlan(gate.inForce(), hosts, members, Map.of());
     return plan.automaticUpgrade(gate.supported()) instanceof UpgradePlan.LevelChange change
         ? Optional.of(change)
@@ -79,28 +83,29 @@
 
   @Override
   public boolean isDue() {
-    return !clock.instant().isBefore(next) && step().isPresent();
+    return !clock.instant().isBefore(nextAttemptAt) && nextStep().isPresent();
   }
 
   @Override
-  public void fill(LeaderTransaction transaction) {
-    Optional<UpgradePlan.LevelChange> step = isDue() ? step() : Optional.empty();
-    if (step.isPresent() && transaction.hasRoom()) {
-      next = clock.instant().plus(SPACING);
+  public void contribute(LeaderTransaction transaction) {
+    Optional<UpgradePlan.LevelChange> step = isDue() ? nextStep() : Optional.empty();
+    if (step.isPresent() && transaction.hasCapacity()) {
+      nextAttemptAt = clock.instant().plus(ATTEMPT_INTERVAL);
       JsonNode record = step.get().next().toNode(gate.stored());
       LOG.info("event=level_raised level={}", step.get().next().level());
-      hosts.forEach(host -> transaction.addGuard(Keys.member(host), words.get(host).stamp));
+      hosts.forEach(
+          host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
       transaction.addLevel(record);
     }
   }
 
   @Override
-  public void written(LeaderTransaction transaction) {
+  public void onApplied(LeaderTransaction transaction) {
     // The watch brings the level, to this controller as to all others.
   }
 
   @Override
-  public void writeAgain(LeaderTransaction transaction) {
+  public void onNotApplied(LeaderTransaction transaction) {
     // What was to be written follows from what is stored.
   }
 }
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/StoredRecords.java
@@ -18,27 +18,29 @@
  * start its tasks a second time.
  *
  * @param machines the machines, first those in the layout that is written
- * @param tasks the parts of jobs, first those in the layout that is written: what they say of a
- *     task is newer than what the other layout says
+ * @param partitions the parts of jobs, first those in the layout that is written: what they say of
+ *     a task is newer than what the other layout says
  */
-record StoredRecords(List<StoredMachine> machines, List<StoredPart> tasks) {
+record StoredRecords(List<StoredMachine> machines, List<StoredPartition> partitions) {
   /** A machine, as one value says. */
-  record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.MachineRecord entry) {
+  record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.MachineRecord record) {
     /** The key of the value. */
     String key() {
       return layout.machineKey(value);
     }
 
     /** The number by which marks of the same layout name it. */
-    int number() {
+    int reference() {
       return layout == RecordLayout.INDEXED
-          ? entry.index()
-          : PlacementRecordCodec.positionalReference(value, entry.index(), RecordPacker.PLACES);
+          ? record.index()
+          : PlacementRecordCodec.positionalReference(
+              value, record.index(), RecordPacker.SLOTS_PER_VALUE);
     }
   }
 
   /** A part of a job, as one value says. */
-  record StoredPart(RecordLayout layout, int value, PlacementRecordCodec.PartitionRecord part) {
+  record StoredPartition(
+      RecordLayout layout, int value, PlacementRecordCodec.PartitionRecord record) {
     /** The key of the value. */
     String key() {
       return layout.placementKey(value);
@@ -46,58 +48,60 @@
   }
 
   /** Reads a record's value. */
-  private interface Decoder<T> {
+  private interface ValueDecoder<T> {
     List<T> decode(JsonNode value) throws MalformedMessageException;
   }
 
   /** Makes an entry of a decoded one. */
-  private interface Maker<T, S> {
-    S make(RecordLayout layout, int value, T decoded);
+  private interface StoredRecordFactory<T, S> {
+    S create(RecordLayout layout, int value, T decoded);
   }
 
   /**
    * Decodes all records; the message of what is thrown names the key that can't be read.
    *
-   * @param written the layout that is written
+   * @param currentLayout the layout that is written
    */
   static StoredRecords decode(
-      Map<String, JsonNode> roster, Map<String, JsonNode> marks, RecordLayout written)
+      Map<String, JsonNode> machineValues,
+      Map<String, JsonNode> placementValues,
+      RecordLayout currentLayout)
       throws MalformedMessageException {
     List<StoredMachine> machines =
         decode(
-            roster,
+            machineValues,
             key -> RecordLayout.ofMachineKey(key).orElseThrow(),
             MachineRecordCodec::decode,
             StoredMachine::new);
-    List<StoredPart> tasks =
+    List<StoredPartition> partitions =
         decode(
-            marks,
+            placementValues,
             key -> RecordLayout.ofPlacementKey(key).orElseThrow(),
             PlacementRecordCodec::decode,
-            StoredPart::new);
-    machines.sort(Comparator.comparing(machine -> machine.layout() != written));
-    tasks.sort(Comparator.comparing(part -> part.layout() != written));
-    return new StoredRecords(machines, tasks);
+            StoredPartition::new);
+    machines.sort(Comparator.comparing(machine -> machine.layout() != currentLayout));
+    partitions.sort(Comparator.comparing(partition -> partition.layout() != currentLayout));
+    return new StoredRecords(machines, partitions);
   }
 
   private static <T, S> List<S> decode(
       Map<String, JsonNode> values,
       Function<String, RecordLayout> layoutOf,
-      Decoder<T> decoder,
-      Maker<T, S> maker)
+      ValueDecoder<T> decoder,
+      StoredRecordFactory<T, S> factory)
       throws MalformedMessageException {
-    List<S> entries = new ArrayList<>();
+    List<S> records = new ArrayList<>();
     for (Map.Entry<String, JsonNode> value : values.entrySet()) {
       String key = value.getKey();
       try {
         RecordLayout layout = layoutOf.apply(key);
         for (T decoded : decoder.decode(value.getValue())) {
-          entries.add(maker.make(layout, Keys.valueNumber(key), decoded));
+          records.add(factory.create(layout, Keys.valueNumber(key), decoded));
         }
       } catch (MalformedMessageException | NumberFormatException e) {
         throw new MalformedMessageException(key + ": " + e.getMessage());
       }
     }
-    return entries;
+    return records;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/StoredValues.java
@@ -13,19 +13,20 @@
 
 /** A leader's records as the state service holds them, so far as the watch has told. */
 final class StoredValues {
-  private final Map<String, JsonNode> marks = new TreeMap<>();
-  private final Map<String, JsonNode> roster = new TreeMap<>();
-  private final Set<String> types = new HashSet<>();
+  private final Map<String, JsonNode> placementValues = new TreeMap<>();
+  private final Map<String, JsonNode> machineValues = new TreeMap<>();
+  private final Set<String> machineTypeNames = new HashSet<>();
 
   /** All keys are about to be read anew. */
-  void forget() {
-    marks.clear();
-    roster.clear();
+  void clear() {
+    placementValues.clear();
+    machineValues.clear();
   }
 
   /** A value of marks or of the roster has changed. */
-  void changed(KeyChange change) {
-    Map<String, JsonNode> stored = Keys.isPlacementRecords(change.key()) ? marks : roster;
+  void apply(KeyChange change) {
+    Map<String, JsonNode> stored =
+        Keys.isPlacementRecords(change.key()) ? placementValues : machineValues;
     change
         .entry()
         .ifPresentOrElse(
@@ -33,23 +34,23 @@
   }
 
   /** The catalogue has these types. */
-  void catalogueIs(List<MachineType> stored) {
-    types.clear();
-    stored.forEach(type -> types.add(type.name()));
+  void updateCatalogue(List<MachineType> stored) {
+    machineTypeNames.clear();
+    stored.forEach(type -> machineTypeNames.add(type.name()));
   }
 
   /** The values that say where tasks are, by key. */
-  Map<String, JsonNode> marks() {
-    return Collections.unmodifiableMap(marks);
+  Map<String, JsonNode> placementValues() {
+    return Collections.unmodifiableMap(placementValues);
   }
 
   /** The values that say which machines there are, by key. */
-  Map<String, JsonNode> roster() {
-    return Collections.unmodifiableMap(roster);
+  Map<String, JsonNode> machineValues() {
+    return Collections.unmodifiableMap(machineValues);
   }
 
   /** The names of the types of machines in the catalogue. */
-  Set<String> types() {
-    return Collections.unmodifiableSet(types);
+  Set<String> machineTypeNames() {
+    return Collections.unmodifiableSet(machineTypeNames);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/TransactionSource.java
+++ b/src/main/java/io/pearscale/scheduler/TransactionContributor.java
@@ -1,16 +1,16 @@
 package io.pearscale.scheduler;
 
 /** Something that has records to write, which go along with the leader's transactions. */
-interface TransactionSource {
+interface TransactionContributor {
   /** Whether something waits to be written now. */
   boolean isDue();
 
   /** Adds what there is room for. */
-  void fill(LeaderTransaction transaction);
+  void contribute(LeaderTransaction transaction);
 
   /** The transaction was applied. */
-  void written(LeaderTransaction transaction);
+  void onApplied(LeaderTransaction transaction);
 
   /** The transaction was not applied, as far as known. */
-  void writeAgain(LeaderTransaction transaction);
+  void onNotApplied(LeaderTransaction transaction);
 }
--- a/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
@@ -30,12 +30,12 @@
 
   private LeaderTransaction transaction() {
     LeaderTransaction transaction = new LeaderTransaction(10, 1, 1, 1, 1);
-    records.fill(transaction);
+    records.contribute(transaction);
     return transaction;
   }
 
   private static JsonNode valueIn(LeaderTransaction transaction) {
-    Mutation last = transaction.changes().get(transaction.changes().size() - 1);
+    Mutation last = transaction.mutations().get(transaction.mutations().size() - 1);
     assertEquals("c/disrupted/0", last.key());
     return last.value().orElseThrow();
   }
@@ -46,22 +46,22 @@
     assertTrue(records.isPending(disruption(1).task()));
     LeaderTransaction transaction = transaction();
     assertEquals(List.of(), durable);
-    records.written(transaction);
+    records.onApplied(transaction);
     assertEquals(List.of(disruption(1)), durable);
     assertFalse(records.isPending(disruption(1).task()));
-    records.written(transaction);
+    records.onApplied(transaction);
     assertEquals(1, durable.size(), "once");
   }
 
   @Test
   void oneThatMayNotHaveArrivedGoesOutAgain() {
     records.record(disruption(1));
-    records.writeAgain(transaction());
+    records.onNotApplied(transaction());
     assertEquals(List.of(), durable);
     records.record(disruption(2));
     LeaderTransaction second = transaction();
     assertEquals(2, valueIn(second).path("d").size());
-    records.written(second);
+    records.onApplied(second);
     assertEquals(List.of(disruption(1), disruption(2)), durable);
   }
 
@@ -70,7 +70,7 @@
     records.record(disruption(1));
     LeaderTransaction transaction = transaction();
     records.remove(disruption(1));
-    records.written(transaction);
+    records.onApplied(transaction);
     assertEquals(List.of(), durable);
     assertEquals(0, valueIn(transaction()).path("d").size());
   }
--- a/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
@@ -20,10 +20,11 @@
 
 /** Which values a migration has yet to rewrite. */
 class RecordMigrationTest {
-  private static final int CHANGES = 16;
+  private static final int MAX_MUTATIONS = 16;
   private final LevelGate gate = new LevelGate(new SupportedLevels(0, 2));
-  private final PreviousLayoutRecords former = new PreviousLayoutRecords();
-  private final RecordMigration migration = new RecordMigration(gate, CHANGES, former);
+  private final PreviousLayoutRecords previousLayout = new PreviousLayoutRecords();
+  private final RecordMigration migration =
+      new RecordMigration(gate, MAX_MUTATIONS, previousLayout);
   private Instant now = Instant.EPOCH;
 
   private void level(int level, int written) {
@@ -40,17 +41,17 @@
   }
 
   /** Items are named after the value in which their copy is to stand. */
-  private Optional<RecordMigration.Home> homeOfCopy(Object item) {
+  private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
     return item.equals("gone")
         ? Optional.empty()
-        : Optional.of(new RecordMigration.Home(false, (Integer) item));
+        : Optional.of(new RecordMigration.CopyTarget(false, (Integer) item));
   }
 
   private List<Integer> next() {
-    now = now.plus(RecordMigration.SPACING);
-    RecordMigration.Batch batch = migration.nextBatch(now, this::homeOfCopy);
-    assertEquals(Set.of(), batch.marks());
-    return List.copyOf(batch.rosters());
+    now = now.plus(RecordMigration.BATCH_INTERVAL);
+    RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
+    assertEquals(Set.of(), batch.placementValues());
+    return List.copyOf(batch.machineValues());
   }
 
   @Test
@@ -61,7 +62,7 @@
   @Test
   void aFewValuesAtATimeUntilNoneIsLeft() {
     level(1, 1);
-    migration.begin(
+    migration.beginTerm(
         Map.of(
             "c/roster/0",
             value(0),
@@ -76,20 +77,20 @@
     assertTrue(migration.isDue(now));
     assertEquals(List.of(0, 3), next());
     assertFalse(migration.isDue(now), "the rate is left to others");
-    migration.written(0, 1);
+    migration.noteWritten(0, 1);
     assertEquals(List.of(3, 7), next());
-    migration.written(3, 1);
-    migration.removed("c/roster/7");
+    migration.noteWritten(3, 1);
+    migration.noteDeleted("c/roster/7");
     assertEquals(List.of(), next());
   }
 
   @Test
   void aValueWrittenBeforeASwitchAndAnsweredAfterItIsMigrated() {
-    migration.begin(Map.of("c/roster/0", value(0)));
+    migration.beginTerm(Map.of("c/roster/0", value(0)));
     level(1, 1);
-    migration.written(0, 0);
+    migration.noteWritten(0, 0);
     assertEquals(List.of(0), next());
-    migration.written(0, 1);
+    migration.noteWritten(0, 1);
     level(1, 0);
     assertEquals(List.of(0), next());
   }
@@ -97,26 +98,26 @@
   @Test
   void whatStandsInTheOtherLayoutIsCopiedValueByValue() {
     level(2, 2);
-    migration.begin(Map.of("c/roster/0", value(0)));
-    former.add("c/marks/0", List.of("gone"));
-    former.add("c/roster/0", List.of(3, 4));
-    former.add("c/roster/1", List.of(4, 5));
+    migration.beginTerm(Map.of("c/roster/0", value(0)));
+    previousLayout.add("c/marks/0", List.of("gone"));
+    previousLayout.add("c/roster/0", List.of(3, 4));
+    previousLayout.add("c/roster/1", List.of(4, 5));
     assertEquals(List.of(3, 4), next());
-    former.copied(3);
-    former.copied(4);
+    previousLayout.noteCopied(3);
+    previousLayout.noteCopied(4);
     assertEquals(List.of(5), next());
-    former.copied(5);
-    former.copied("gone");
-    RecordMigration.Batch nothing = migration.nextBatch(now.plusSeconds(9), this::homeOfCopy);
-    assertFalse(migration.isOver(nothing), "the former values are still stored");
+    previousLayout.noteCopied(5);
+    previousLayout.noteCopied("gone");
+    RecordMigration.Batch nothing = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
+    assertFalse(migration.isComplete(nothing), "the former values are still stored");
     List<String> removable = new ArrayList<>();
-    former.removable(removable::add);
+    previousLayout.forEachDeletable(removable::add);
     assertEquals(List.of("c/marks/0"), removable, "marks name machines by the roster");
-    former.removed("c/marks/0");
-    former.removable(removable::add);
+    previousLayout.noteDeleted("c/marks/0");
+    previousLayout.forEachDeletable(removable::add);
     assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), removable);
-    former.removed("c/roster/0");
-    former.removed("c/roster/1");
-    assertTrue(migration.isOver(nothing));
+    previousLayout.noteDeleted("c/roster/0");
+    previousLayout.noteDeleted("c/roster/1");
+    assertTrue(migration.isComplete(nothing));
   }
 }
