--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
@@ -39,24 +39,24 @@
   private static final Duration PROBE_TIMEOUT = Duration.ofMillis(1000);
 
   /** So many machines are asked to show themselves at a time. */
-  private static final int MOST_PROBES = 40;
+  private static final int MAX_CONCURRENT_PROBES = 40;
 
   /** What a connection, a question and its answer take of a core, roughly. */
-  private static final Duration PROBE_COST = Duration.ofNanos(800_000);
+  private static final Duration PROBE_CPU_TIME = Duration.ofNanos(800_000);
 
   /** After a first failure a machine is left alone for so long. */
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
   /** The pause after a probe without an answer is doubled so often at most. */
-  private static final int MOST_DOUBLINGS = 6;
+  private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
   /** After a command without an answer, reports are waited for. */
-  private static final Duration DOUBT_PAUSE = Duration.ofSeconds(3);
+  private static final Duration OUTCOME_UNKNOWN_BACKOFF = Duration.ofSeconds(3);
 
   /** A command that is under way. */
-  private record Call(Machine machine, long token, List<AgentCommand> orders) {
+  private record CommandCall(Machine machine, long fencingToken, List<AgentCommand> commands) {
     boolean isProbe() {
-      return orders.isEmpty();
+      return commands.isEmpty();
     }
   }
 
@@ -65,52 +65,52 @@
   private final MachineInventory inventory;
   private final InstantSource clock;
   private final Settings settings;
-  private final AgentTimings times;
+  private final AgentTimings agentTimeouts;
   private final HttpClient calls;
   private final TermExecutor executor;
-  private final LongConsumer higherTerm;
-  private final HeartbeatProcessor reports;
+  private final LongConsumer onHigherTerm;
+  private final HeartbeatProcessor heartbeatProcessor;
   private final DecisionLog decisions;
 
   /** Machines of the roster that were not asked since the takeover. */
   private final ArrayDeque<Machine> unprobed = new ArrayDeque<>();
 
   /** Questions under way to machines that are to show themselves. */
-  private int probing;
+  private int probesInFlight;
 
   /** Before that, machines are left to report by themselves. */
-  private Instant probesFrom = Instant.MIN;
+  private Instant probesAllowedFrom = Instant.MIN;
 
   /**
    * Makes a dispatcher.
    *
-   * @param higherTerm is told of a higher term than ours
-   * @param reports takes in what workers answer
+   * @param onHigherTerm is told of a higher term than ours
+   * @param heartbeatProcessor takes in what workers answer
    */
   CommandDispatcher(
       LeaderState state,
       Settings settings,
-      AgentTimings times,
+      AgentTimings agentTimeouts,
       HttpClient calls,
       TermExecutor executor,
-      LongConsumer higherTerm,
-      HeartbeatProcessor reports) {
+      LongConsumer onHigherTerm,
+      HeartbeatProcessor heartbeatProcessor) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.clock = state.clock();
     this.decisions = state.decisions();
     this.settings = settings;
-    this.times = times;
+    this.agentTimeouts = agentTimeouts;
     this.calls = calls;
     this.executor = executor;
-    this.higherTerm = higherTerm;
-    this.reports = reports;
+    this.onHigherTerm = onHigherTerm;
+    this.heartbeatProcessor = heartbeatProcessor;
   }
 
   /** A term has begun: nothing is under way in it. */
   void begin() {
-    probing = 0;
+    probesInFlight = 0;
   }
 
   /** The term is over. */
@@ -119,37 +119,38 @@
   }
 
   /** Sends all that is decided, durable and has its room free. */
-  void sendAllDue() {
+  void sendAllDueCommands() {
     inventory.forEachWithDueCommands(
-        this::sendDue, machine -> hasPlanned(machine) || isWorthACall(machine));
+        this::sendDueCommands,
+        machine -> hasPlannedAttempt(machine) || justifiesDirectCommand(machine));
   }
 
-  private static boolean hasPlanned(Machine machine) {
+  private static boolean hasPlannedAttempt(Machine machine) {
     return machine.attempts.values().stream().anyMatch(attempt -> attempt.stage == Stage.PLANNED);
   }
 
   /** All that goes with the answer to a report of the machine. */
-  List<AgentCommand> ordersInAnswer(Machine machine) {
-    List<AgentCommand> orders = ordersDue(machine, true);
-    decisions.sendingStarts(machine, orders, Channel.HEARTBEAT_RESPONSE);
-    return orders;
+  List<AgentCommand> commandsForHeartbeatResponse(Machine machine) {
+    List<AgentCommand> commands = dueCommands(machine, true);
+    decisions.sendingStarts(machine, commands, Channel.HEARTBEAT_RESPONSE);
+    return commands;
   }
 
   /** All that the worker has to be told now. */
-  private List<AgentCommand> ordersDue(Machine machine, boolean inAnswer) {
-    List<AgentCommand> orders = StopCommands.due(machine, inAnswer, clock.instant());
-    if (inAnswer) {
-      orders.addAll(repeatedStarts(machine));
+  private List<AgentCommand> dueCommands(Machine machine, boolean inHeartbeatResponse) {
+    List<AgentCommand> commands = StopCommands.due(machine, inHeartbeatResponse, clock.instant());
+    if (inHeartbeatResponse) {
+      commands.addAll(resentStarts(machine));
     }
-    Set<AttemptId> cleared = clearable(machine);
-    cleared.forEach(e -> orders.add(AgentCommand.forget(e.task(), e.attempt())));
-    orders.addAll(starts(machine, cleared));
-    return orders;
+    Set<AttemptId> forgotten = forgettableAttempts(machine);
+    forgotten.forEach(e -> commands.add(AgentCommand.forget(e.task(), e.attempt())));
+    commands.addAll(dueStarts(machine, forgotten));
+    return commands;
   }
 
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
-  private List<AgentCommand> repeatedStarts(Machine machine) {
-    List<AgentCommand> orders = new ArrayList<>();
+  private List<AgentCommand> resentStarts(Machine machine) {
+    List<AgentCommand> commands = new ArrayList<>();
     for (TaskAttempt attempt : machine.attempts.values()) {
       boolean seemsLost =
           attempt.stage == Stage.START_SENT
@@ -159,23 +160,23 @@
       if (seemsLost && leadership.mayStartTasks()) {
         attempt.startToken = machine.fencingToken;
         attempt.startIncarnation = machine.lease.incarnation();
-        orders.add(AgentCommand.start(attempt.task, attempt.number));
+        commands.add(AgentCommand.start(attempt.task, attempt.number));
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
    * Attempts that the worker may forget now; the machine's token is raised where that is needed.
    */
-  private Set<AttemptId> clearable(Machine machine) {
-    Set<AttemptId> clearable = new LinkedHashSet<>();
+  private Set<AttemptId> forgettableAttempts(Machine machine) {
+    Set<AttemptId> forgettable = new LinkedHashSet<>();
     for (Map.Entry<AttemptId, Long> entry : machine.endedAttempts.entrySet()) {
-      AttemptId e = entry.getKey();
-      Job job = jobs.get(e.task().job());
+      AttemptId attempt = entry.getKey();
+      Job job = jobs.get(attempt.task().job());
       if (job != null
-          && job.doneTasks.get(e.task().index())
-          && !job.durablyDoneTasks.get(e.task().index())) {
+          && job.doneTasks.get(attempt.task().index())
+          && !job.durablyDoneTasks.get(attempt.task().index())) {
         continue;
       }
       // After a clear the worker would take a late start command for a new one, be it in doubt, on
@@ -188,54 +189,54 @@
       if (machine.fencingToken <= entry.getValue()) {
         machine.incrementFencingToken();
       }
-      clearable.add(e);
+      forgettable.add(attempt);
     }
-    return clearable;
+    return forgettable;
   }
 
   /** Placements that may be started now; they count as sent from here on. */
-  private List<AgentCommand> starts(Machine machine, Set<AttemptId> cleared) {
-    List<AgentCommand> orders = new ArrayList<>();
+  private List<AgentCommand> dueStarts(Machine machine, Set<AttemptId> forgotten) {
+    List<AgentCommand> commands = new ArrayList<>();
     if (!machine.recorded
         || machine.lifecycle != Lifecycle.UP
         || !machine.reconciled
         || machine.leaseExpired) {
-      return orders;
+      return commands;
     }
-    Machine.Resources room = null;
+    Machine.Resources available = null;
     for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       boolean durable =
           attempt.stage == Stage.PLANNED
               && attempt.placementRecorded
-              && Gangs.mayStart(attempt.job);
-      if (!durable || mayBeCalledBusy(machine, attempt, cleared)) {
+              && GangTracker.mayStart(attempt.job);
+      if (!durable || mayBeRefusedAsBusy(machine, attempt, forgotten)) {
         continue;
       }
-      if (room == null) {
-        room = machine.physicallyAvailable();
+      if (available == null) {
+        available = machine.physicallyAvailable();
       }
-      if (!room.fits(attempt.job) || !leadership.mayStartTasks()) {
+      if (!available.fits(attempt.job) || !leadership.mayStartTasks()) {
         continue;
       }
-      room.subtract(attempt.job);
+      available.subtract(attempt.job);
       attempt.stage = Stage.START_SENT;
       attempt.startToken = machine.fencingToken;
       attempt.startIncarnation = machine.lease.incarnation();
-      orders.add(AgentCommand.start(attempt.task, attempt.number));
+      commands.add(AgentCommand.start(attempt.task, attempt.number));
     }
-    return orders;
+    return commands;
   }
 
   /** Whether the worker still knows another attempt of the task, and might refuse this one. */
-  private static boolean mayBeCalledBusy(
-      Machine machine, TaskAttempt attempt, Set<AttemptId> cleared) {
+  private static boolean mayBeRefusedAsBusy(
+      Machine machine, TaskAttempt attempt, Set<AttemptId> forgotten) {
     return machine.endedAttempts.keySet().stream()
-        .anyMatch(e -> e.task().equals(attempt.task) && !cleared.contains(e));
+        .anyMatch(e -> e.task().equals(attempt.task) && !forgotten.contains(e));
   }
 
   /** Whether something waits that is worth a command of its own. */
-  private static boolean isWorthACall(Machine machine) {
-    if (StopCommands.unsent(machine)) {
+  private static boolean justifiesDirectCommand(Machine machine) {
+    if (StopCommands.hasUnsent(machine)) {
       return true;
     }
     for (TaskAttempt attempt : machine.attempts.values()) {
@@ -247,18 +248,20 @@
   }
 
   /** Sends what is due straight to the worker, unless a call is under way or just failed. */
-  void sendDue(Machine machine) {
-    if (!mayCall(machine) || !leadership.mayRenewLeases() || !isWorthACall(machine)) {
+  void sendDueCommands(Machine machine) {
+    if (!maySendDirectCommand(machine)
+        || !leadership.mayRenewLeases()
+        || !justifiesDirectCommand(machine)) {
       return;
     }
-    List<AgentCommand> orders = ordersDue(machine, false);
-    if (!orders.isEmpty()) {
-      decisions.sendingStarts(machine, orders, Channel.COMMAND);
-      send(machine, orders);
+    List<AgentCommand> commands = dueCommands(machine, false);
+    if (!commands.isEmpty()) {
+      decisions.sendingStarts(machine, commands, Channel.COMMAND);
+      send(machine, commands);
     }
   }
 
-  private boolean mayCall(Machine machine) {
+  private boolean maySendDirectCommand(Machine machine) {
     return leadership.isReady()
         && !machine.commandInFlight
         && machine.reconciled
@@ -273,26 +276,27 @@
    * them the new token. Asking each is sooner only where the processor can open so many connections
    * in less time than that; elsewhere it delays the answers to those reports, and leases run out.
    */
-  void probeFormerMachines() {
+  void probeRecordedMachines() {
     unprobed.clear();
     unprobed.addAll(inventory.all());
-    Duration asking = PROBE_COST.multipliedBy(inventory.size());
+    Duration asking = PROBE_CPU_TIME.multipliedBy(inventory.size());
     boolean soonerThanReports =
         MessageFields.seconds(asking) / settings.cpuShare()
             < MessageFields.seconds(settings.agents().heartbeatInterval());
-    probesFrom = soonerThanReports ? clock.instant() : clock.instant().plus(times.heartbeatDue());
-    probeMore();
+    probesAllowedFrom =
+        soonerThanReports ? clock.instant() : clock.instant().plus(agentTimeouts.heartbeatDue());
+    sendMoreProbes();
     if (!soonerThanReports) {
-      executor.after(times.heartbeatDue(), this::probeMore);
+      executor.after(agentTimeouts.heartbeatDue(), this::sendMoreProbes);
     }
   }
 
   /** Asks all that have not shown themselves, a part at a time: each costs time and a socket. */
-  private void probeMore() {
-    if (clock.instant().isBefore(probesFrom)) {
+  private void sendMoreProbes() {
+    if (clock.instant().isBefore(probesAllowedFrom)) {
       return;
     }
-    while (probing < MOST_PROBES && !unprobed.isEmpty()) {
+    while (probesInFlight < MAX_CONCURRENT_PROBES && !unprobed.isEmpty()) {
       Machine machine = unprobed.poll();
       if (!machine.reconciled
           && !machine.commandInFlight
@@ -312,68 +316,69 @@
 
   /** Whether another machine may be asked to show itself, beside those that are being asked. */
   boolean mayProbe() {
-    return probing < MOST_PROBES;
+    return probesInFlight < MAX_CONCURRENT_PROBES;
   }
 
   /** Whether all machines that were known at the takeover were asked. */
-  boolean askedAll() {
+  boolean hasProbedAllRecorded() {
     return unprobed.isEmpty();
   }
 
-  private void send(Machine machine, List<AgentCommand> orders) {
-    Call call = new Call(machine, machine.fencingToken, orders);
+  private void send(Machine machine, List<AgentCommand> commands) {
+    CommandCall call = new CommandCall(machine, machine.fencingToken, commands);
     machine.commandInFlight = true;
-    probing += call.isProbe() ? 1 : 0;
+    probesInFlight += call.isProbe() ? 1 : 0;
     ObjectNode body =
         MessagePack.map()
             .put("baton", machine.fencingToken)
             .put("stint", machine.lease.incarnation());
     var list = body.putArray("orders");
-    orders.forEach(command -> list.add(command.toNode()));
+    commands.forEach(command -> list.add(command.toNode()));
     Duration timeout = call.isProbe() ? PROBE_TIMEOUT : COMMAND_TIMEOUT;
-    Consumer<Reply> handler = executor.callback(reply -> answered(call, reply));
+    Consumer<Reply> handler = executor.callback(reply -> handleReply(call, reply));
     calls.call(machine.address, "POST", "/do", body, timeout, handler);
   }
 
-  private void answered(Call call, Reply reply) {
+  private void handleReply(CommandCall call, Reply reply) {
     Machine machine = call.machine;
     machine.commandInFlight = false;
-    probing -= call.isProbe() ? 1 : 0;
+    probesInFlight -= call.isProbe() ? 1 : 0;
     if (!unprobed.isEmpty()) {
-      probeMore();
+      sendMoreProbes();
     }
     if (!inventory.contains(machine)) {
       return;
     }
     boolean executed = reply.status() == 200;
     boolean refused = reply.status() == 409;
-    if ((executed || refused) && takeIn(call, reply, refused)) {
+    if ((executed || refused) && processAnswer(call, reply, refused)) {
       return;
     }
     if (reply.notSent()) {
       // Not a sign of anything about the machine: the next report or moment brings another chance.
-      notExecuted(call);
-      machine.directCommandsAfter = clock.instant().plus(FIRST_PAUSE);
+      revertUnexecuted(call);
+      machine.directCommandsAfter = clock.instant().plus(INITIAL_BACKOFF);
     } else if (call.isProbe()) {
       // Each miss doubles the pause: a zone that is cut off must not keep us busy.
       machine.missedProbes++;
-      long factor = 1L << Math.min(MOST_DOUBLINGS, machine.missedProbes);
-      machine.directCommandsAfter = clock.instant().plus(FIRST_PAUSE.multipliedBy(factor));
+      long backoffFactor = 1L << Math.min(MAX_BACKOFF_DOUBLINGS, machine.missedProbes);
+      machine.directCommandsAfter =
+          clock.instant().plus(INITIAL_BACKOFF.multipliedBy(backoffFactor));
     } else {
       // It may have been executed, or be executed later: a higher token puts an end to that.
-      machine.unknownOutcomeToken = Math.max(machine.unknownOutcomeToken, call.token);
+      machine.unknownOutcomeToken = Math.max(machine.unknownOutcomeToken, call.fencingToken);
       machine.incrementFencingToken();
-      machine.directCommandsAfter = clock.instant().plus(DOUBT_PAUSE);
+      machine.directCommandsAfter = clock.instant().plus(OUTCOME_UNKNOWN_BACKOFF);
       LOG.info(
           "event=command_in_doubt term={} machine={} token={}",
           leadership.term(),
           machine.name,
-          call.token);
+          call.fencingToken);
     }
   }
 
   /** Takes in what the worker answered; false if it can't be read. */
-  private boolean takeIn(Call call, Reply reply, boolean refused) {
+  private boolean processAnswer(CommandCall call, Reply reply, boolean refused) {
     Machine machine = call.machine;
     try {
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
@@ -381,26 +386,29 @@
         throw new MalformedMessageException("answer of another machine");
       }
       if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
-        higherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
+        onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
         return true;
       }
       if (refused) {
-        notExecuted(call);
+        revertUnexecuted(call);
       }
-      boolean wasSettled = machine.reconciled;
+      boolean wasReconciled = machine.reconciled;
       if (machine.lease.isNewer(heartbeat)) {
-        reports.absorb(machine, heartbeat, true);
+        heartbeatProcessor.process(machine, heartbeat, true);
         machine.answersWithoutHeartbeatSince =
             machine.answersWithoutHeartbeatSince.or(() -> Optional.of(clock.instant()));
       }
-      if (!wasSettled && !machine.reconciled && refused) {
+      if (!wasReconciled && !machine.reconciled && refused) {
         probe(machine);
       } else {
-        sendDue(machine);
+        sendDueCommands(machine);
       }
       return true;
-    } catch (MalformedMessageException e) {
-      LOG.warn("event=worker_answer_malformed machine={} reason={}", machine.name, e.getMessage());
+    } catch (MalformedMessageException malformed) {
+      LOG.warn(
+          "event=worker_answer_malformed machine={} reason={}",
+          machine.name,
+          malformed.getMessage());
       return false;
     }
   }
@@ -409,8 +417,8 @@
    * Nothing was executed, and nothing will be: its starts go back to where they were, unless sent
    * otherwise.
    */
-  private void notExecuted(Call call) {
-    for (AgentCommand command : call.orders) {
+  private void revertUnexecuted(CommandCall call) {
+    for (AgentCommand command : call.commands) {
       TaskAttempt attempt = call.machine.attempts.get(command.task());
       if (attempt == null || attempt.number != command.attempt()) {
         continue;
@@ -419,13 +427,13 @@
         attempt.stopsSent = 0;
       } else if (command.verb() == AgentCommand.Verb.START
           && !attempt.observed
-          && attempt.startToken == call.token) {
-        startNotExecuted(attempt);
+          && attempt.startToken == call.fencingToken) {
+        revertStart(attempt);
       }
     }
   }
 
-  private void startNotExecuted(TaskAttempt attempt) {
+  private void revertStart(TaskAttempt attempt) {
     if (attempt.stopping) {
       inventory.remove(attempt, AbsenceProof.NOT_EXECUTED);
     } else {
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -305,7 +305,7 @@
     stops.stop(attempt);
     List.copyOf(attempt.job.attempts.values()).stream()
         .filter(stopped -> stopped.stopping)
-        .forEach(stopped -> dispatcher.sendDue(stopped.machine));
+        .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine));
   }
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/FailureDetector.java
@@ -17,50 +17,50 @@
   /**
    * A cut-off zone is waited for so many leases, since its machines come back with their images.
    */
-  private static final int LEASES_OF_A_CUT = 10;
+  private static final int ZONE_OUTAGE_LEASES = 10;
 
-  private static final int LEASES_OF_A_SILENT_MACHINE = 2;
+  private static final int SILENT_MACHINE_LEASES = 2;
 
   /** After so many probes without an answer a machine counts as deaf. */
-  private static final int DEAF_AFTER = 2;
+  private static final int UNREACHABLE_AFTER_PROBES = 2;
 
   /** So many times the usual time to boot, and a margin, are waited for. */
-  private static final int BOOT_PATIENCE = 4;
+  private static final int BOOT_TIMEOUT_FACTOR = 4;
 
-  private static final Duration BOOT_MARGIN = Duration.ofSeconds(5);
+  private static final Duration BOOT_TIMEOUT_MARGIN = Duration.ofSeconds(5);
 
   /** A machine that the cloud takes is gone so long after its time, if it is silent so long. */
-  private static final Duration NOTICE_MARGIN = Duration.ofSeconds(2);
+  private static final Duration PREEMPTION_MARGIN = Duration.ofSeconds(2);
 
-  private static final Duration TAKEN_SILENCE = Duration.ofSeconds(3);
+  private static final Duration PREEMPTED_SILENCE = Duration.ofSeconds(3);
 
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final AgentTimings times;
+  private final AgentTimings agentTimeouts;
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
   private final DecisionLog decisions;
-  private Optional<FleetReachability> silence = Optional.empty();
+  private Optional<FleetReachability> reachability = Optional.empty();
 
   FailureDetector(
       LeaderState state,
-      AgentTimings times,
+      AgentTimings agentTimeouts,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
     this.clock = state.clock();
-    this.times = times;
+    this.agentTimeouts = agentTimeouts;
     this.dispatcher = dispatcher;
     this.retirement = retirement;
     this.decisions = state.decisions();
   }
 
   /** Whether tasks may be placed on the machine. */
-  boolean usable(Machine machine, Instant now) {
+  boolean isSchedulable(Machine machine, Instant now) {
     return machine.lifecycle == Lifecycle.UP
         && machine.reconciled
         && !machine.leaseExpired
@@ -69,59 +69,62 @@
         && machine.maintenance.isSchedulable()
         && machine.heartbeatEverReceived
         && machine.unacknowledgedResponses == 0
-        && !mute(machine, now)
+        && !isHeartbeatPathDown(machine, now)
         && !now.isBefore(machine.avoidUntil)
-        && Duration.between(machine.lastReachableAt, now).compareTo(times.schedulableWithin()) < 0;
+        && Duration.between(machine.lastReachableAt, now)
+                .compareTo(agentTimeouts.schedulableWithin())
+            < 0;
   }
 
   /**
    * Whether there is nothing to look after: the machine reports, hears, keeps its lease and is to
    * stay. Nearly all machines are like this nearly always, so this is asked before all else.
    */
-  private boolean healthy(Machine machine, Instant now) {
+  private boolean isHealthy(Machine machine, Instant now) {
     return machine.lifecycle == Lifecycle.UP
         && machine.reconciled
         && !machine.leaseExpired
         && !machine.quarantined
         && machine.preemptionNoticeAt.isEmpty()
         && machine.answersWithoutHeartbeatSince.isEmpty()
-        && now.isBefore(machine.lastReachableAt.plus(times.heartbeatDue()))
-        && machine.lease.isHeld(now, times.lease());
+        && now.isBefore(machine.lastReachableAt.plus(agentTimeouts.heartbeatDue()))
+        && machine.lease.isHeld(now, agentTimeouts.lease());
   }
 
   /** A round over the machines begins: how many are silent is counted anew. */
   void beginRound() {
-    silence = Optional.empty();
+    reachability = Optional.empty();
   }
 
   /** Looks after one machine. */
   void check(Machine machine, Instant now) {
-    if (healthy(machine, now)) {
+    if (isHealthy(machine, now)) {
       return;
     }
-    if (isLost(machine, now)) {
-      noteLost(machine);
+    if (isLeaseExpired(machine, now)) {
+      expireLease(machine);
     }
     probeIfSilent(machine, now);
     // What was only planned still counts as something to be freed from a machine that is deaf.
-    boolean deaf = isDeaf(machine, now);
+    boolean unreachable = isUnreachable(machine, now);
     if (!mayKeepPlanned(machine, now)) {
       inventory.withdrawPlanned(machine);
     }
-    reasonToRetire(machine, deaf, now).ifPresent(reason -> retirement.retire(machine, reason));
+    reasonToRetire(machine, unreachable, now)
+        .ifPresent(reason -> retirement.retire(machine, reason));
   }
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
-  private boolean isLost(Machine machine, Instant now) {
+  private boolean isLeaseExpired(Machine machine, Instant now) {
     return machine.heartbeatEverReceived
         && !machine.leaseExpired
-        && machine.lease.isExpired(now, times.leaseExpiryBound());
+        && machine.lease.isExpired(now, agentTimeouts.leaseExpiryBound());
   }
 
   /** Nothing can be alive on the machine. */
-  private void noteLost(Machine machine) {
+  private void expireLease(Machine machine) {
     machine.leaseExpired = true;
-    decisions.leaseExpired(machine, machine.attempts.size(), times.leaseExpiryBound());
+    decisions.leaseExpired(machine, machine.attempts.size(), agentTimeouts.leaseExpiryBound());
     // Its worker has gone on to another session, and has to show that, with our token: reports of
     // this one that a cut had held back say only what was.
     machine.reconciled = false;
@@ -136,12 +139,12 @@
   }
 
   private void probeIfSilent(Machine machine, Instant now) {
-    boolean silent = silentFor(machine, now).compareTo(times.heartbeatDue()) > 0;
-    boolean unseen = !machine.reconciled && dispatcher.askedAll();
+    boolean silent = sinceLastContact(machine, now).compareTo(agentTimeouts.heartbeatDue()) > 0;
+    boolean unreconciled = !machine.reconciled && dispatcher.hasProbedAllRecorded();
     if (machine.lifecycle == Lifecycle.UP
         && machine.heartbeatEverReceived
         && !machine.leaseExpired
-        && (unseen || silent)
+        && (unreconciled || silent)
         && !machine.commandInFlight
         && dispatcher.mayProbe()
         && now.isAfter(machine.directCommandsAfter)) {
@@ -155,17 +158,19 @@
    * is kept for what may come between, an outage in which nothing can be recorded or an election.
    * Other work is done again, the sooner the better.
    */
-  private boolean isDeaf(Machine machine, Instant now) {
+  private boolean isUnreachable(Machine machine, Instant now) {
     boolean serves = machine.replicaCount() > 0;
-    boolean few = silence(now).few();
+    boolean few = reachability(now).fewUnreachable();
     Duration patience =
-        serves && (machine.reconciled || !few) ? times.halfLease() : times.unresponsiveAfter();
+        serves && (machine.reconciled || !few)
+            ? agentTimeouts.halfLease()
+            : agentTimeouts.unresponsiveAfter();
     return machine.lifecycle == Lifecycle.UP
         && !machine.leaseExpired
-        && machine.missedProbes >= DEAF_AFTER
-        && silentFor(machine, now).compareTo(patience) > 0
+        && machine.missedProbes >= UNREACHABLE_AFTER_PROBES
+        && sinceLastContact(machine, now).compareTo(patience) > 0
         && (!machine.attempts.isEmpty() || !machine.reconciled)
-        && (few || (serves && silence(now).minority()));
+        && (few || (serves && reachability(now).minorityUnreachable()));
   }
 
   /** Whether what was decided for the machine, but not sent, may stay decided. */
@@ -173,43 +178,46 @@
     return !machine.quarantined
         && machine.preemptionNoticeAt.isEmpty()
         && machine.lifecycle == Lifecycle.UP
-        && !now.isAfter(machine.lastReachableAt.plus(times.withdrawPlannedAfter()));
+        && !now.isAfter(machine.lastReachableAt.plus(agentTimeouts.withdrawPlannedAfter()));
   }
 
-  private Optional<Reason> reasonToRetire(Machine machine, boolean deaf, Instant now) {
+  private Optional<Reason> reasonToRetire(Machine machine, boolean unreachable, Instant now) {
     if (machine.maintenance.stage() == Maintenance.Stage.DRAINED && machine.attempts.isEmpty()) {
       // Whoever maintains it may switch it off; what the cloud says of it counts all the same.
       return Optional.empty();
     }
-    if (neverCame(machine, now)) {
-      return Optional.of(Reason.NEVER_CAME);
+    if (exceededBootTimeout(machine, now)) {
+      return Optional.of(Reason.BOOT_TIMEOUT);
     }
-    if (wasTaken(machine, now)) {
-      return Optional.of(Reason.TAKEN);
+    if (wasPreempted(machine, now)) {
+      return Optional.of(Reason.PREEMPTED);
     }
     boolean empty = machine.lifecycle == Lifecycle.UP && machine.attempts.isEmpty();
     if (machine.quarantined && empty) {
-      return Optional.of(Reason.FAULTY);
+      return Optional.of(Reason.QUARANTINED);
     }
-    if (deaf) {
-      return Optional.of(Reason.DEAF);
+    if (unreachable) {
+      return Optional.of(Reason.UNREACHABLE);
     }
-    if (mute(machine, now) && empty && silence(now).few()) {
-      return Optional.of(Reason.MUTE);
+    if (isHeartbeatPathDown(machine, now) && empty && reachability(now).fewUnreachable()) {
+      return Optional.of(Reason.HEARTBEAT_PATH_DOWN);
     }
-    return isSilentForGood(machine, now) ? Optional.of(Reason.SILENT) : Optional.empty();
+    return missedHeartbeatsForLong(machine, now)
+        ? Optional.of(Reason.MISSED_HEARTBEATS)
+        : Optional.empty();
   }
 
-  private static boolean neverCame(Machine machine, Instant now) {
-    Duration patience = machine.type.bootTime().multipliedBy(BOOT_PATIENCE).plus(BOOT_MARGIN);
+  private static boolean exceededBootTimeout(Machine machine, Instant now) {
+    Duration bootTimeout =
+        machine.type.bootTime().multipliedBy(BOOT_TIMEOUT_FACTOR).plus(BOOT_TIMEOUT_MARGIN);
     return machine.lifecycle == Lifecycle.BOOTING
-        && now.isAfter(machine.provisionedAt.plus(patience));
+        && now.isAfter(machine.provisionedAt.plus(bootTimeout));
   }
 
-  private static boolean wasTaken(Machine machine, Instant now) {
+  private static boolean wasPreempted(Machine machine, Instant now) {
     return machine.preemptionNoticeAt.isPresent()
-        && now.isAfter(machine.preemptionNoticeAt.get().plus(NOTICE_MARGIN))
-        && now.isAfter(machine.lastReachableAt.plus(TAKEN_SILENCE));
+        && now.isAfter(machine.preemptionNoticeAt.get().plus(PREEMPTION_MARGIN))
+        && now.isAfter(machine.lastReachableAt.plus(PREEMPTED_SILENCE));
   }
 
   /**
@@ -217,21 +225,23 @@
    * its machines come back with it, each with the images that it has: those given back would have
    * to be rented again, and boot, and fetch.
    */
-  private boolean isSilentForGood(Machine machine, Instant now) {
+  private boolean missedHeartbeatsForLong(Machine machine, Instant now) {
     int leases =
-        silence(now).zones().contains(machine.zone) ? LEASES_OF_A_CUT : LEASES_OF_A_SILENT_MACHINE;
+        reachability(now).unreachableZones().contains(machine.zone)
+            ? ZONE_OUTAGE_LEASES
+            : SILENT_MACHINE_LEASES;
     return machine.leaseExpired
         && machine.lifecycle == Lifecycle.UP
-        && now.isAfter(spoke(machine).plus(times.lease().multipliedBy(leases)));
+        && now.isAfter(lastContact(machine).plus(agentTimeouts.lease().multipliedBy(leases)));
   }
 
   /** Zones of which nothing is heard. */
-  Set<String> silentZones(Instant now) {
-    return silence(now).zones();
+  Set<String> unreachableZones(Instant now) {
+    return reachability(now).unreachableZones();
   }
 
-  private Duration silentFor(Machine machine, Instant now) {
-    return Duration.between(spoke(machine), now);
+  private Duration sinceLastContact(Machine machine, Instant now) {
+    return Duration.between(lastContact(machine), now);
   }
 
   /**
@@ -241,9 +251,9 @@
    * back while anything may run there: after a takeover, with a controller that stands still, a
    * report may find nobody for as long, and comes in time.
    */
-  private boolean mute(Machine machine, Instant now) {
+  private boolean isHeartbeatPathDown(Machine machine, Instant now) {
     return machine.answersWithoutHeartbeatSince.isPresent()
-        && now.isAfter(machine.answersWithoutHeartbeatSince.get().plus(times.halfLease()));
+        && now.isAfter(machine.answersWithoutHeartbeatSince.get().plus(agentTimeouts.halfLease()));
   }
 
   /**
@@ -252,18 +262,20 @@
    * a whole zone is silent and most machines are heard, those that hold replicas are worth it: a
    * new leader would otherwise wait for a lease from its own election on, while nothing serves.
    */
-  private FleetReachability silence(Instant now) {
-    if (silence.isEmpty()) {
-      silence =
+  private FleetReachability reachability(Instant now) {
+    if (reachability.isEmpty()) {
+      reachability =
           Optional.of(
               FleetReachability.count(
-                  inventory.all(), this::spoke, now.minus(times.unresponsiveAfter())));
+                  inventory.all(),
+                  this::lastContact,
+                  now.minus(agentTimeouts.unresponsiveAfter())));
     }
-    return silence.get();
+    return reachability.get();
   }
 
   /** When a machine was last heard; one that a new leader has not heard yet counts from its win. */
-  private Instant spoke(Machine machine) {
+  private Instant lastContact(Machine machine) {
     return machine.lastReachableAt.isAfter(leadership.electedAt())
         ? machine.lastReachableAt
         : leadership.electedAt();
--- a/src/main/java/io/pearscale/scheduler/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/FaultAttribution.java
@@ -26,7 +26,7 @@
    * that was submitted with a mistake fails on healthy machines: once it is known, they are not
    * blamed for it, while the job is tried ever more rarely.
    */
-  void failed(Machine machine, Job job) {
+  void noteFailure(Machine machine, Job job) {
     Instant now = clock.instant();
     job.machinesFailedOn.add(machine.name);
     machine.recordFailure(job);
@@ -43,22 +43,22 @@
     } else {
       machine.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.failureCount())));
     }
-    judge(machine);
+    quarantineIfFaulty(machine);
   }
 
   /** A task of the job was done. Where others failed before, the machine was at fault. */
-  void succeeded(Machine machine, Job job) {
+  void noteSuccess(Machine machine, Job job) {
     if (!job.taskSucceeded) {
       job.taskSucceeded = true;
       job.retryNotBefore = Instant.MIN;
       for (String name : job.machinesFailedOn) {
-        Optional.ofNullable(inventory.get(name)).ifPresent(this::judge);
+        Optional.ofNullable(inventory.get(name)).ifPresent(this::quarantineIfFaulty);
       }
     }
     machine.recordSuccess();
   }
 
-  private void judge(Machine machine) {
+  private void quarantineIfFaulty(Machine machine) {
     if (!machine.quarantined && machine.failuresPointToMachine()) {
       machine.quarantined = true;
       LOG.warn(
--- a/src/main/java/io/pearscale/scheduler/Gangs.java
+++ b/src/main/java/io/pearscale/scheduler/GangTracker.java
@@ -20,35 +20,35 @@
 import org.slf4j.LoggerFactory;
 
 /** The present attempt of each gang job that has, or had, tasks on machines. */
-final class Gangs {
-  private static final Logger LOG = LoggerFactory.getLogger(Gangs.class);
+final class GangTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
   /** So many machines are named at the most where a gang is held up. */
-  private static final int MACHINES_NAMED = 3;
+  private static final int MAX_MACHINES_NAMED = 3;
 
   private final Leadership leadership;
   private final InstantSource clock;
-  private final Duration forming;
+  private final Duration formingTimeout;
   private final Map<Job, GangAttempt> attempts = new HashMap<>();
   private final Map<Job, Instant> phaseSince = new HashMap<>();
-  private Duration lost = Duration.ZERO;
+  private Duration lostWork = Duration.ZERO;
 
   /**
    * Knows of no gangs.
    *
-   * @param forming how long a task of a gang waits for the others
+   * @param formingTimeout how long a task of a gang waits for the others
    */
-  Gangs(Leadership leadership, InstantSource clock, Duration forming) {
+  GangTracker(Leadership leadership, InstantSource clock, Duration formingTimeout) {
     this.leadership = leadership;
     this.clock = clock;
-    this.forming = forming;
+    this.formingTimeout = formingTimeout;
   }
 
   /** Forgets all gangs. */
   void clear() {
     attempts.clear();
     phaseSince.clear();
-    lost = Duration.ZERO;
+    lostWork = Duration.ZERO;
   }
 
   /** The job is over. */
@@ -59,7 +59,7 @@
 
   private GangAttempt attemptOf(Job job) {
     phaseSince.putIfAbsent(job, clock.instant());
-    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec.tasks(), forming));
+    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec.tasks(), formingTimeout));
   }
 
   /** What the job's attempt is at. */
@@ -74,11 +74,12 @@
   }
 
   /** What a gang that is held up waits for, in words for operators. */
-  String whatHoldsUp(Job job) {
+  String waitReason(Job job) {
     return switch (phase(job)) {
       case FORMING ->
           "%d of the %d tasks of its gang have their image, and wait for the others: %s"
-              .formatted(inStage(job, Stage.WAITING_FOR_GANG), job.spec.tasks(), laggards(job));
+              .formatted(
+                  countInStage(job, Stage.WAITING_FOR_GANG), job.spec.tasks(), stragglers(job));
       case ENDING ->
           "tasks of the attempt before are not yet proven gone: " + machinesOf(job, placed -> true);
       case UNKNOWN ->
@@ -88,37 +89,37 @@
     };
   }
 
-  private static long inStage(Job job, Stage stage) {
+  private static long countInStage(Job job, Stage stage) {
     return job.attempts.values().stream().filter(placed -> placed.stage == stage).count();
   }
 
-  private static String laggards(Job job) {
+  private static String stragglers(Job job) {
     return machinesOf(job, placed -> placed.stage.compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
   private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
     return job.attempts.values().stream()
         .filter(which)
-        .limit(MACHINES_NAMED)
+        .limit(MAX_MACHINES_NAMED)
         .map(placed -> placed.machine.name)
         .distinct()
         .collect(Collectors.joining(", "));
   }
 
   /** What is to be done for the gang now. */
-  Action next(Job job) {
+  Action nextAction(Job job) {
     if (!job.doneTasks.isEmpty()) {
       return Action.NONE; // One task that is done makes all done: what is left exits by itself.
     }
     GangAttempt attempt = attemptOf(job);
     Phase before = attempt.phase();
     Action action = attempt.next(membersOf(job), clock.instant());
-    noteChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* saved= */ false);
     return action;
   }
 
   /** Logs a change of phase, and counts the work that is lost if a gang that ran has to end. */
-  private void noteChange(Job job, Phase before, boolean saved) {
+  private void notePhaseChange(Job job, Phase before, boolean checkpointed) {
     GangAttempt attempt = attemptOf(job);
     Phase phase = attempt.phase();
     if (before == phase) {
@@ -126,8 +127,11 @@
     }
     Instant now = clock.instant();
     Duration lasted = Duration.between(phaseSince.put(job, now), now);
-    if (before == Phase.RUNNING && phase == Phase.ENDING && job.doneTasks.isEmpty() && !saved) {
-      lost = lost.plus(lostWork(job, lasted));
+    if (before == Phase.RUNNING
+        && phase == Phase.ENDING
+        && job.doneTasks.isEmpty()
+        && !checkpointed) {
+      lostWork = lostWork.plus(workSinceCheckpoint(job, lasted));
     }
     LOG.info(
         "event=gang term={} job={} phase={} attempt={} tasks={} ended={} before={} lasted_ms={}",
@@ -142,9 +146,10 @@
   }
 
   /** The work since the last checkpoint, of all tasks, as far as this leader saw them run. */
-  private static Duration lostWork(Job job, Duration ran) {
-    long step = job.spec.checkpointInterval().toMillis();
-    long sinceCheckpoint = step == 0 ? ran.toMillis() : ran.toMillis() % step;
+  private static Duration workSinceCheckpoint(Job job, Duration ran) {
+    long checkpointMillis = job.spec.checkpointInterval().toMillis();
+    long sinceCheckpoint =
+        checkpointMillis == 0 ? ran.toMillis() : ran.toMillis() % checkpointMillis;
     return Duration.ofMillis(sinceCheckpoint * job.spec.tasks());
   }
 
@@ -168,26 +173,26 @@
   }
 
   /** An attempt is started under that number. */
-  void begin(Job job, long number) {
+  void beginAttempt(Job job, long number) {
     Phase before = phase(job);
     attemptOf(job).begin(number, clock.instant());
-    noteChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* saved= */ false);
   }
 
   /** The number under which missing tasks of the present attempt are started. */
-  long number(Job job) {
+  long attemptNumber(Job job) {
     return attemptOf(job).number().orElseThrow();
   }
 
   /**
    * All tasks of the gang are told to stop.
    *
-   * @param saves whether they are given the time to save
+   * @param checkpoints whether they are given the time to save
    */
-  void noteEnding(Job job, boolean saves) {
+  void noteEnding(Job job, boolean checkpoints) {
     Phase before = phase(job);
     attemptOf(job).noteEnding();
-    noteChange(job, before, saves);
+    notePhaseChange(job, before, checkpoints);
   }
 
   /** A task of that attempt has exited since others are missing or gone. */
@@ -215,7 +220,7 @@
    * How many gangs are in each phase, how many attempts have ended, and the work that was lost, as
    * fields of a log line.
    */
-  String counts() {
+  String logFields() {
     int[] phases = new int[Phase.values().length];
     int ended = 0;
     for (GangAttempt attempt : attempts.values()) {
@@ -230,6 +235,6 @@
             phases[Phase.ENDING.ordinal()],
             phases[Phase.UNKNOWN.ordinal()],
             ended,
-            lost.toSeconds());
+            lostWork.toSeconds());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -18,20 +18,20 @@
  * that has not begun is stopped alone, since another one can take its place.
  */
 final class GracefulTermination {
-  private static final Duration NO_NOTICE = Duration.ofDays(365);
+  private static final Duration NO_PREEMPTION = Duration.ofDays(365);
 
   private final JobTable jobs;
   private final MachineInventory inventory;
-  private final Gangs gangs;
+  private final GangTracker gangs;
   private final InstantSource clock;
-  private final AgentTimings times;
+  private final AgentTimings agentTimeouts;
 
-  GracefulTermination(LeaderState state, AgentTimings times) {
+  GracefulTermination(LeaderState state, AgentTimings agentTimeouts) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.gangs = state.gangs();
     this.clock = state.clock();
-    this.times = times;
+    this.agentTimeouts = agentTimeouts;
   }
 
   /** Stops a task; what it has done is saved if that is possible. */
@@ -42,13 +42,13 @@
   /**
    * Stops a task.
    *
-   * @param atOnce whether what is to start instead can't wait until it has saved
+   * @param withoutCheckpoint whether what is to start instead can't wait until it has saved
    */
-  void stop(TaskAttempt attempt, boolean atOnce) {
+  void stop(TaskAttempt attempt, boolean withoutCheckpoint) {
     if (attempt.job.spec.isGang() && gangs.phase(attempt.job) == Phase.RUNNING) {
-      stopGang(attempt.job, atOnce);
+      stopGang(attempt.job, withoutCheckpoint);
     } else {
-      attempt.stopsWithoutCheckpoint |= atOnce;
+      attempt.stopsWithoutCheckpoint |= withoutCheckpoint;
       inventory.stop(attempt);
     }
   }
@@ -56,33 +56,34 @@
   /** Ends attempts that lost a task after they had begun, or that can't be completed in time. */
   void endBrokenGangs() {
     for (Job job : jobs.gangs()) {
-      if (gangs.next(job) == Action.END) {
+      if (gangs.nextAction(job) == Action.END) {
         stopGang(job, /* atOnce= */ true);
       }
     }
   }
 
-  private void stopGang(Job job, boolean atOnce) {
+  private void stopGang(Job job, boolean withoutCheckpoint) {
     Instant now = clock.instant();
     List<Reach> members = new ArrayList<>();
-    Duration left = NO_NOTICE;
+    Duration remaining = NO_PREEMPTION;
     for (TaskAttempt attempt : job.attempts.values()) {
       members.add(new Reach(attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
-      Duration untilTaken =
+      Duration untilPreemption =
           attempt
               .machine
               .preemptionNoticeAt
               .map(taken -> Duration.between(now, taken))
-              .orElse(NO_NOTICE);
-      left = untilTaken.compareTo(left) < 0 ? untilTaken : left;
+              .orElse(NO_PREEMPTION);
+      remaining = untilPreemption.compareTo(remaining) < 0 ? untilPreemption : remaining;
     }
-    boolean saves =
-        !atOnce
+    boolean checkpoints =
+        !withoutCheckpoint
             && !job.spec.checkpointInterval().isZero()
-            && OrderlyStop.saves(members, job.spec.tasks(), left, job.spec.checkpointDuration());
-    gangs.noteEnding(job, saves);
+            && OrderlyStop.saves(
+                members, job.spec.tasks(), remaining, job.spec.checkpointDuration());
+    gangs.noteEnding(job, checkpoints);
     for (TaskAttempt attempt : List.copyOf(job.attempts.values())) {
-      attempt.stopsWithoutCheckpoint |= !saves;
+      attempt.stopsWithoutCheckpoint |= !checkpoints;
       inventory.stop(attempt);
     }
   }
@@ -95,6 +96,6 @@
         && !machine.commandOutcomeUnknown()
         && !machine.address.isEmpty()
         && !now.isBefore(machine.directCommandsAfter)
-        && now.isBefore(machine.lastReachableAt.plus(times.reachableWithin()));
+        && now.isBefore(machine.lastReachableAt.plus(agentTimeouts.reachableWithin()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
@@ -19,35 +19,35 @@
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final InstantSource clock;
-  private final HeartbeatProcessor reports;
+  private final HeartbeatProcessor processor;
   private final CommandDispatcher dispatcher;
-  private final LongConsumer higherTerm;
+  private final LongConsumer onHigherTerm;
 
   /**
    * Makes a handler.
    *
-   * @param higherTerm is told of a higher term than ours
+   * @param onHigherTerm is told of a higher term than ours
    */
   HeartbeatHandler(
       LeaderState state,
-      HeartbeatProcessor reports,
+      HeartbeatProcessor processor,
       CommandDispatcher dispatcher,
-      LongConsumer higherTerm) {
+      LongConsumer onHigherTerm) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.clock = state.clock();
-    this.reports = reports;
+    this.processor = processor;
     this.dispatcher = dispatcher;
-    this.higherTerm = higherTerm;
+    this.onHigherTerm = onHigherTerm;
   }
 
   /**
    * Takes a report in and answers it.
    *
-   * @param via the controller that it came to
+   * @param relay the controller that it came to
    */
-  HeartbeatResponse answer(Heartbeat heartbeat, String via) {
+  HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
     if (!leadership.isReady() || !leadership.mayRenewLeases()) {
       return HeartbeatResponse.UNAVAILABLE;
     }
@@ -56,7 +56,7 @@
           "event=report_of_higher_term machine={} token={}",
           heartbeat.machine(),
           heartbeat.fencingToken());
-      higherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
+      onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
       return HeartbeatResponse.UNAVAILABLE;
     }
     Machine machine = machineOf(heartbeat);
@@ -64,25 +64,25 @@
       LOG.debug("event=report_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
     }
-    reports.absorb(machine, heartbeat, gotLastAnswer(machine, heartbeat, via));
+    processor.process(machine, heartbeat, receivedLastResponse(machine, heartbeat, relay));
     machine.answersWithoutHeartbeatSince = Optional.empty();
     machine.lease.renew(clock.instant());
-    machine.lastResponseController = via;
-    List<AgentCommand> orders = ordersInAnswer(machine, heartbeat);
-    dispatcher.sendDue(machine);
+    machine.lastResponseController = relay;
+    List<AgentCommand> commands = commandsForResponse(machine, heartbeat);
+    dispatcher.sendDueCommands(machine);
     machine.lastResponseToken = machine.fencingToken;
-    return new HeartbeatResponse(200, machine.fencingToken, orders);
+    return new HeartbeatResponse(200, machine.fencingToken, commands);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
-  private List<AgentCommand> ordersInAnswer(Machine machine, Heartbeat heartbeat) {
+  private List<AgentCommand> commandsForResponse(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.fencingToken() > machine.fencingToken) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
     }
     return machine.reconciled
-        ? dispatcher.ordersInAnswer(machine)
-        : StopCommands.forUnsettled(heartbeat, jobs::isLive);
+        ? dispatcher.commandsForHeartbeatResponse(machine)
+        : StopCommands.forUnreconciled(heartbeat, jobs::isLive);
   }
 
   /**
@@ -91,13 +91,13 @@
    * same: it shows an older token than it was answered with, or turns to another controller
    * although it was answered, as workers do when no answer comes. A higher token makes sure.
    */
-  private boolean gotLastAnswer(Machine machine, Heartbeat heartbeat, String via) {
+  private boolean receivedLastResponse(Machine machine, Heartbeat heartbeat, String relay) {
     if (heartbeat.fencingToken() < machine.lastResponseToken) {
       machine.unacknowledgedResponses++;
       return false;
     }
     machine.unacknowledgedResponses = 0;
-    if (machine.lastResponseController.isEmpty() || machine.lastResponseController.equals(via)) {
+    if (machine.lastResponseController.isEmpty() || machine.lastResponseController.equals(relay)) {
       return true;
     }
     if (machine.fencingToken <= heartbeat.fencingToken()) {
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -26,7 +26,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /** Whoever refused a start is left alone for so long. */
-  private static final Duration REFUSAL_PAUSE = Duration.ofSeconds(2);
+  private static final Duration REFUSED_START_BACKOFF = Duration.ofSeconds(2);
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -34,16 +34,16 @@
   private final LeaderRecords records;
   private final InstantSource clock;
   private final Runnable requestPass;
-  private final FaultAttribution failures;
-  private final GracefulTermination stops;
-  private final Gangs gangs;
+  private final FaultAttribution faultAttribution;
+  private final GracefulTermination termination;
+  private final GangTracker gangs;
   private final LeaderStatistics statistics;
   private final DecisionLog decisions;
 
   HeartbeatProcessor(
       LeaderState state,
-      FaultAttribution failures,
-      GracefulTermination stops,
+      FaultAttribution faultAttribution,
+      GracefulTermination termination,
       LeaderStatistics statistics) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -51,8 +51,8 @@
     this.records = state.records();
     this.clock = state.clock();
     this.requestPass = state.requestPass();
-    this.failures = failures;
-    this.stops = stops;
+    this.faultAttribution = faultAttribution;
+    this.termination = termination;
     this.gangs = state.gangs();
     this.statistics = statistics;
     this.decisions = state.decisions();
@@ -61,10 +61,10 @@
   /**
    * Takes in what a worker says, from whichever way it came. The message must be a newer one.
    *
-   * @param received whether it shows that what we say reaches the machine
+   * @param reachable whether it shows that what we say reaches the machine
    */
-  void absorb(Machine machine, Heartbeat heartbeat, boolean received) {
-    noteReported(machine, heartbeat);
+  void process(Machine machine, Heartbeat heartbeat, boolean reachable) {
+    updateMachine(machine, heartbeat);
     if (!machine.reconciled) {
       if (!leadership.isFromThisTerm(heartbeat.fencingToken())) {
         // It has not heard of this term, or is a late copy: it says nothing of what an old command
@@ -74,22 +74,22 @@
       machine.reconciled = true;
       requestPass.run();
     }
-    noteAlive(machine, heartbeat, received);
-    Map<AttemptId, Long> oldEnded = new HashMap<>(machine.endedAttempts);
+    updateLiveness(machine, heartbeat, reachable);
+    Map<AttemptId, Long> previouslyEnded = new HashMap<>(machine.endedAttempts);
     machine.endedAttempts.clear();
-    Map<AttemptId, Instant> oldForeign = new HashMap<>(machine.unknownAttempts);
+    Map<AttemptId, Instant> previouslyUnknown = new HashMap<>(machine.unknownAttempts);
     machine.unknownAttempts.clear();
-    Set<TaskAttempt> seen = new HashSet<>();
+    Set<TaskAttempt> reported = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.stage() == Heartbeat.Stage.ENDED) {
-        absorbEnded(machine, heartbeat, status, oldEnded);
+        applyEnded(machine, heartbeat, status, previouslyEnded);
       } else {
-        absorbPresent(machine, heartbeat, status, oldForeign).ifPresent(seen::add);
+        applyPresent(machine, heartbeat, status, previouslyUnknown).ifPresent(reported::add);
       }
     }
-    removeUnseen(machine, heartbeat, seen);
+    removeUnreported(machine, heartbeat, reported);
     if (machine.preemptionNoticeAt.isPresent()) {
-      prepareForNotice(machine);
+      prepareForPreemption(machine);
     }
     if (!machine.unknownAttempts.isEmpty()) {
       inventory.markCommandDue(machine);
@@ -97,9 +97,9 @@
   }
 
   /** Takes in what a report says of the machine itself, whatever term it has heard of. */
-  private void noteReported(Machine machine, Heartbeat heartbeat) {
+  private void updateMachine(Machine machine, Heartbeat heartbeat) {
     Instant now = clock.instant();
-    noteSession(machine, heartbeat, now);
+    updateIncarnation(machine, heartbeat, now);
     machine.observedFencingToken = Math.max(machine.observedFencingToken, heartbeat.fencingToken());
     machine.address = heartbeat.address();
     if (machine.lifecycle == Lifecycle.BOOTING) {
@@ -123,18 +123,18 @@
   }
 
   /** Takes in the session; one that was not expected is worth a line in the log. */
-  private void noteSession(Machine machine, Heartbeat heartbeat, Instant now) {
-    long former = machine.lease.incarnation();
+  private void updateIncarnation(Machine machine, Heartbeat heartbeat, Instant now) {
+    long previous = machine.lease.incarnation();
     boolean isNew = machine.lease.observe(heartbeat, now);
-    if (isNew && (machine.leaseExpired || (former > 0 && heartbeat.incarnation() > former))) {
-      decisions.incarnationBegan(machine, heartbeat, former);
+    if (isNew && (machine.leaseExpired || (previous > 0 && heartbeat.incarnation() > previous))) {
+      decisions.incarnationBegan(machine, heartbeat, previous);
     }
   }
 
   /** Notes that a machine lives, and for how long it will. */
-  private void noteAlive(Machine machine, Heartbeat heartbeat, boolean received) {
+  private void updateLiveness(Machine machine, Heartbeat heartbeat, boolean reachable) {
     Instant now = clock.instant();
-    if (received) {
+    if (reachable) {
       machine.lastReachableAt = now;
       if (machine.missedProbes > 0) {
         machine.missedProbes = 0;
@@ -159,8 +159,7 @@
   }
 
   /** What is known of a reported attempt; one that a former leader gave is known from now on. */
-  private Optional<TaskAttempt> placementOf(
-      Machine machine, Heartbeat heartbeat, TaskStatus status) {
+  private Optional<TaskAttempt> attemptOf(Machine machine, Heartbeat heartbeat, TaskStatus status) {
     TaskAttempt attempt = machine.attempts.get(status.task());
     if (attempt != null && attempt.number < 0) {
       attempt.number = status.attempt();
@@ -170,34 +169,40 @@
     return Optional.ofNullable(attempt).filter(known -> known.number == status.attempt());
   }
 
-  private void absorbEnded(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<AttemptId, Long> oldEnded) {
-    Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
+  private void applyEnded(
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      Map<AttemptId, Long> previouslyEnded) {
+    Optional<TaskAttempt> known = attemptOf(machine, heartbeat, status);
     // What is done stays done however often it is started: no token need be raised for it.
-    long started =
+    long startToken =
         status.cause().equals("done")
             ? -1
-            : placement.map(attempt -> attempt.startToken).orElse(machine.fencingToken);
+            : known.map(attempt -> attempt.startToken).orElse(machine.fencingToken);
     AttemptId key = new AttemptId(status.task(), status.attempt());
-    machine.endedAttempts.put(key, oldEnded.getOrDefault(key, started));
-    placement.ifPresent(attempt -> inventory.remove(attempt, AbsenceProof.ENDED));
-    ended(machine, jobOf(status).orElse(null), status, placement.orElse(null));
+    machine.endedAttempts.put(key, previouslyEnded.getOrDefault(key, startToken));
+    known.ifPresent(attempt -> inventory.remove(attempt, AbsenceProof.ENDED));
+    attributeEnd(machine, jobOf(status).orElse(null), status, known.orElse(null));
   }
 
   /** Takes in a task that is on the machine; empty if it must not be there. */
-  private Optional<TaskAttempt> absorbPresent(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, Map<AttemptId, Instant> oldForeign) {
+  private Optional<TaskAttempt> applyPresent(
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      Map<AttemptId, Instant> previouslyUnknown) {
     Optional<Job> job = jobOf(status);
-    Optional<TaskAttempt> placement = placementOf(machine, heartbeat, status);
-    if (placement.isEmpty() && job.isPresent() && !job.get().doneTasks.get(status.task().index())) {
-      placement = adopt(job.get(), machine, heartbeat, status);
+    Optional<TaskAttempt> known = attemptOf(machine, heartbeat, status);
+    if (known.isEmpty() && job.isPresent() && !job.get().doneTasks.get(status.task().index())) {
+      known = adopt(job.get(), machine, heartbeat, status);
     }
-    if (placement.isEmpty()) {
+    if (known.isEmpty()) {
       AttemptId key = new AttemptId(status.task(), status.attempt());
-      machine.unknownAttempts.put(key, oldForeign.getOrDefault(key, Instant.MIN));
+      machine.unknownAttempts.put(key, previouslyUnknown.getOrDefault(key, Instant.MIN));
     }
-    placement.ifPresent(attempt -> progress(attempt, status.stage()));
-    return placement;
+    known.ifPresent(attempt -> updateStage(attempt, status.stage()));
+    return known;
   }
 
   /** Takes a task over that nobody knew to be here; empty if it is known to be elsewhere. */
@@ -227,9 +232,9 @@
   }
 
   /** What is not in the report is gone only if no command for it can still be on its way. */
-  private void removeUnseen(Machine machine, Heartbeat heartbeat, Set<TaskAttempt> seen) {
+  private void removeUnreported(Machine machine, Heartbeat heartbeat, Set<TaskAttempt> reported) {
     for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
-      if (attempt.stage == Stage.PLANNED || seen.contains(attempt)) {
+      if (attempt.stage == Stage.PLANNED || reported.contains(attempt)) {
         continue;
       }
       if (attempt.startIncarnation < heartbeat.incarnation()) {
@@ -240,7 +245,7 @@
     }
   }
 
-  private void progress(TaskAttempt attempt, Heartbeat.Stage stage) {
+  private void updateStage(TaskAttempt attempt, Heartbeat.Stage stage) {
     attempt.observed = true;
     Stage before = attempt.stage;
     attempt.stage =
@@ -268,20 +273,20 @@
     }
   }
 
-  private void ended(Machine machine, Job job, TaskStatus status, TaskAttempt attempt) {
+  private void attributeEnd(Machine machine, Job job, TaskStatus status, TaskAttempt attempt) {
     if (job == null) {
       return;
     }
     switch (status.cause()) {
       case "done" -> {
-        failures.succeeded(machine, job);
+        faultAttribution.noteSuccess(machine, job);
         if (!job.spec.isService() && !job.doneTasks.get(status.task().index())) {
-          completed(job, status.task().index());
+          completeTask(job, status.task().index());
         }
       }
       case "error" -> {
         if (attempt != null) {
-          failures.failed(machine, job);
+          faultAttribution.noteFailure(machine, job);
         }
       }
       case "stopped" -> {
@@ -290,14 +295,14 @@
       case "alone", "mates_gone" -> gangs.noteBroken(job, status.attempt());
       default -> {
         if (attempt != null) {
-          refused(machine, job, status);
+          handleRefusedStart(machine, job, status);
         }
       }
     }
   }
 
   /** A task is done, for the first time as far as known here. */
-  private void completed(Job job, int index) {
+  private void completeTask(Job job, int index) {
     if (job.spec.isGang()) {
       // Its tasks complete together: whoever shows it first decides for all.
       job.doneTasks.set(0, job.spec.tasks());
@@ -319,7 +324,7 @@
   }
 
   /** The worker would not start the task: what is known of the machine or the job is wrong. */
-  private void refused(Machine machine, Job job, TaskStatus status) {
+  private void handleRefusedStart(Machine machine, Job job, TaskStatus status) {
     LOG.info(
         "event=start_refused term={} machine={} task={} attempt={} cause={}",
         leadership.term(),
@@ -327,33 +332,35 @@
         status.task(),
         status.attempt(),
         status.cause());
-    Instant later = clock.instant().plus(REFUSAL_PAUSE);
+    Instant retryAt = clock.instant().plus(REFUSED_START_BACKOFF);
     if (status.cause().equals("no_such")) {
-      job.retryNotBefore = later;
+      job.retryNotBefore = retryAt;
     } else {
-      machine.avoidUntil = later;
+      machine.avoidUntil = retryAt;
     }
   }
 
   /** A machine that will be taken: saves what can be saved and moves what can't finish. */
-  private void prepareForNotice(Machine machine) {
+  private void prepareForPreemption(Machine machine) {
     Instant now = clock.instant();
-    Duration left = Duration.between(now, machine.preemptionNoticeAt.orElse(now));
+    Duration untilPreemption = Duration.between(now, machine.preemptionNoticeAt.orElse(now));
     for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       if (attempt.stopping) {
         continue;
       }
       JobSpec spec = attempt.job.spec;
-      boolean saves = !spec.checkpointInterval().isZero();
-      Duration ran = Duration.between(attempt.stageSince, now);
+      boolean checkpoints = !spec.checkpointInterval().isZero();
+      Duration elapsed = Duration.between(attempt.stageSince, now);
       boolean running = attempt.stage == Stage.RUNNING;
-      Duration remaining = running ? spec.estimatedDuration().minus(ran) : spec.estimatedDuration();
-      if (saves
-          ? left.compareTo(spec.checkpointDuration().plusSeconds(4)) < 0 || !running
+      Duration remaining =
+          running ? spec.estimatedDuration().minus(elapsed) : spec.estimatedDuration();
+      if (checkpoints
+          ? untilPreemption.compareTo(spec.checkpointDuration().plusSeconds(4)) < 0 || !running
           : false) {
-        stops.stop(attempt);
-      } else if (spec.isService() || (!saves && remaining.compareTo(left.multipliedBy(2)) > 0)) {
-        stops.stop(attempt);
+        termination.stop(attempt);
+      } else if (spec.isService()
+          || (!checkpoints && remaining.compareTo(untilPreemption.multipliedBy(2)) > 0)) {
+        termination.stop(attempt);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -23,7 +23,7 @@
   final LeaderStatistics statistics;
   final SchemaLevelUpgrader raiser;
   final GracefulTermination stops;
-  final Gangs gangs;
+  final GangTracker gangs;
   final CommandDispatcher dispatcher;
   final HeartbeatHandler reports;
   final FailureDetector health;
@@ -111,7 +111,7 @@
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
     MachineInventory machines =
         new MachineInventory(catalogue, teams, term, table, stored, clock, requestPass, decisions);
-    Gangs attempts = new Gangs(term, clock, forming);
+    GangTracker attempts = new GangTracker(term, clock, forming);
     return new LeaderState(term, table, machines, stored, clock, requestPass, decisions, attempts);
   }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
@@ -64,7 +64,7 @@
     records.clear();
     new RecordAdoption(state).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
-    dispatcher.probeFormerMachines();
+    dispatcher.probeRecordedMachines();
     LOG.info(
         "event=takeover term={} token={} revision={} term_revision={} jobs={} roster={}"
             + " unseen_tasks={} out_of_service={}",
--- a/src/main/java/io/pearscale/scheduler/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderState.java
@@ -18,4 +18,4 @@
     InstantSource clock,
     Runnable requestPass,
     DecisionLog decisions,
-    Gangs gangs) {}
+    GangTracker gangs) {}
--- a/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
@@ -21,7 +21,7 @@
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final DecisionLog decisionLog;
-  private final Gangs gangs;
+  private final GangTracker gangs;
   private final Histogram startMillis = new Histogram(3);
   private final Histogram passMicros = new Histogram(3);
   private Instant nextLogAt = Instant.MIN;
@@ -93,6 +93,6 @@
         passMicros.getValueAtPercentile(50),
         passMicros.getValueAtPercentile(99),
         decisionLog.takeCounts(),
-        gangs.counts());
+        gangs.logFields());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -111,18 +111,18 @@
         fleet.plan(
             new Autoscaler.View(
                 inventory.all(),
-                m -> health.usable(m, now),
+                m -> health.isSchedulable(m, now),
                 jobs.all(),
                 order.waiting(jobs.queued(), order.turns(now), now),
                 inventory.quotaUsage(),
                 inventory.catalogue().types(),
-                health.silentZones(now),
+                health.unreachableZones(now),
                 drains.map(DrainCoordinator::replacements).orElse(List.of()),
                 mayGiveBack),
             now);
     plan.hires().forEach(this::hire);
     plan.moves().forEach(this::move);
-    plan.giveBack().forEach(machine -> retirement.retire(machine, Reason.SPARE));
+    plan.giveBack().forEach(machine -> retirement.retire(machine, Reason.IDLE));
   }
 
   private void hire(ScaleOutPlanner.Kind kind, int count) {
@@ -148,7 +148,7 @@
         attempt.number);
     if (drains.isEmpty()) {
       inventory.stop(attempt);
-      dispatcher.sendDue(attempt.machine);
+      dispatcher.sendDueCommands(attempt.machine);
     }
   }
 
@@ -167,7 +167,7 @@
       e.names().forEach(inventory::confirmDeleted);
       records.requestCommit();
     } else if (event instanceof CloudActor.NotDeleted e) {
-      retirement.notDeleted(e.names());
+      retirement.retryDeletion(e.names());
     } else if (event instanceof CloudActor.Listed e) {
       listed(e.hosts(), now);
     }
@@ -228,7 +228,7 @@
       machine.listedSince = now;
     }
     if (host.stage().equals("failed")) {
-      retirement.retire(machine, Reason.FAILED);
+      retirement.retire(machine, Reason.STOPPED_BY_PROVIDER);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/MachineRetirement.java
@@ -17,33 +17,33 @@
   /** Why a machine is given back. */
   enum Reason {
     /** It did not come up in several times the usual time. */
-    NEVER_CAME,
+    BOOT_TIMEOUT,
     /** The cloud has taken it, as it said it would. */
-    TAKEN,
+    PREEMPTED,
     /** It fails what it starts. */
-    FAULTY,
+    QUARANTINED,
     /** It does not answer, while others do. */
-    DEAF,
+    UNREACHABLE,
     /** It answers, but does not report. */
-    MUTE,
+    HEARTBEAT_PATH_DOWN,
     /** Nothing was heard of it for longer than any lease. */
-    SILENT,
+    MISSED_HEARTBEATS,
     /** It is not needed. */
-    SPARE,
+    IDLE,
     /** It was drained, and is not to be held. */
     DRAINED,
     /** The cloud says that it stopped. */
-    FAILED,
+    STOPPED_BY_PROVIDER,
     /** The cloud does not list it any more. */
     NOT_LISTED;
 
-    String text() {
+    String logName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /** The cloud deletes so many machines with one request. */
-  private static final int MOST_DELETED = 100;
+  private static final int MAX_DELETIONS_PER_REQUEST = 100;
 
   private final Leadership leadership;
   private final MachineInventory inventory;
@@ -66,7 +66,7 @@
         "event=give_back term={} machine={} why={}",
         leadership.term(),
         machine.name,
-        reason.text());
+        reason.logName());
     machine.lifecycle = Lifecycle.RETIRING;
     records.assignSlot(machine);
     records.recordMachineNow(machine);
@@ -79,7 +79,7 @@
       if (machine.lifecycle == Lifecycle.RETIRING
           && machine.recordedRetiring
           && !machine.deletionSent
-          && names.size() < MOST_DELETED) {
+          && names.size() < MAX_DELETIONS_PER_REQUEST) {
         machine.deletionSent = true;
         names.add(machine.name);
       }
@@ -90,7 +90,7 @@
   }
 
   /** The cloud has not deleted the machines, as far as known: it is asked again. */
-  void notDeleted(List<String> names) {
+  void retryDeletion(List<String> names) {
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/PlacementPass.java
@@ -36,7 +36,7 @@
   private final TermExecutor executor;
   private final FailureDetector health;
   private final CommandDispatcher dispatcher;
-  private final Gangs gangs;
+  private final GangTracker gangs;
   private final GracefulTermination stops;
   private final LeaderStatistics statistics;
   private final AttemptNumbers attempts = new AttemptNumbers();
@@ -105,9 +105,9 @@
           place(placer, job, touched, now);
         }
       }
-      touched.forEach(dispatcher::sendDue);
+      touched.forEach(dispatcher::sendDueCommands);
     }
-    dispatcher.sendAllDue();
+    dispatcher.sendAllDueCommands();
     lastPass = Duration.between(now, clock.instant());
     statistics.recordPass(lastPass);
   }
@@ -129,7 +129,7 @@
   private List<Machine> usable(Instant now) {
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : inventory.all()) {
-      if (health.usable(machine, now)) {
+      if (health.isSchedulable(machine, now)) {
         usable.add(machine);
       }
     }
@@ -155,7 +155,7 @@
 
   /** All tasks of a gang that are to be started find a place, or none is started. */
   private void placeGang(GangPlacement placement, Job job, Set<Machine> touched, Instant now) {
-    Action action = gangs.next(job);
+    Action action = gangs.nextAction(job);
     if (action != Action.START && action != Action.COMPLETE) {
       return;
     }
@@ -171,9 +171,9 @@
       return;
     }
     if (action == Action.START) {
-      gangs.begin(job, attempts.next());
+      gangs.beginAttempt(job, attempts.next());
     }
-    long attempt = gangs.number(job);
+    long attempt = gangs.attemptNumber(job);
     int task = job.nextPendingTask(0);
     for (Placer.Choice choice : choices) {
       start(job, task, choice, attempt, touched, now);
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -47,7 +47,7 @@
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private final Gangs gangs;
+  private final GangTracker gangs;
   private final InstantSource clock;
   private final Settings.StoreLimits limits;
   private final KeyValueStoreClient store;
@@ -240,7 +240,7 @@
     transaction.writtenMachines().forEach(this::noteMachineRecorded);
     transaction.finishedJobs().forEach(this::finishJob);
     contributors.forEach(contributor -> contributor.onApplied(transaction));
-    dispatcher.sendAllDue();
+    dispatcher.sendAllDueCommands();
     retirement.deleteRetired();
   }
 
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -137,7 +137,7 @@
   @Override
   protected void receive(Message message) {
     if (message instanceof Reported m) {
-      m.answer.accept(parts.reports.answer(m.report, m.via));
+      m.answer.accept(parts.reports.handle(m.report, m.via));
     } else if (message instanceof Continuation m) {
       if (leadership.leadsIn(m.term)) {
         m.action.run();
@@ -247,7 +247,7 @@
       attempt.stopsSent = 0;
       inventory.stop(attempt);
       inventory.markCommandDue(attempt.machine);
-      parts.dispatcher.sendDue(attempt.machine);
+      parts.dispatcher.sendDueCommands(attempt.machine);
     }
   }
 
@@ -307,14 +307,14 @@
     parts.recovery.noteProgress();
     parts.drains.ifPresent(drains -> drains.roundIfDue(now));
     parts.passes.request();
-    parts.dispatcher.sendAllDue();
+    parts.dispatcher.sendAllDueCommands();
     parts.supply.rentIfDue(now);
     if (now.isAfter(nextCounts)) {
       nextCounts = now.plus(COUNTS_SPACING);
       records.collectObsoleteValues();
       parts.counts.tellChanges();
     }
-    parts.statistics.logIfDue(now, machine -> parts.health.usable(machine, now));
+    parts.statistics.logIfDue(now, machine -> parts.health.isSchedulable(machine, now));
     parts.writer.scheduleCommitIfDue();
   }
 
--- a/src/main/java/io/pearscale/scheduler/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/StatusPublisher.java
@@ -23,7 +23,7 @@
 
   private final Leadership leadership;
   private final JobTable jobs;
-  private final Gangs gangs;
+  private final GangTracker gangs;
   private final DisruptionLedger ledger;
   private final PublishedRecords published;
   private final InstantSource timeOfDay;
@@ -103,7 +103,7 @@
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
     if (job.spec.isGang() && gangs.isHeldUp(job)) {
-      return gangs.whatHoldsUp(job);
+      return gangs.waitReason(job);
     }
     if (!job.unschedulable) {
       return "for the next pass";
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/StopCommands.java
@@ -21,19 +21,19 @@
  */
 final class StopCommands {
   /** For how long a stop that is repeated outside of answers to reports waits for its effect. */
-  private static final Duration REPEAT = Duration.ofSeconds(2);
+  private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
 
   /** What the saving of a stopped task may take beyond the time that its job names. */
-  private static final Duration SAVING_MARGIN = Duration.ofSeconds(2);
+  private static final Duration CHECKPOINT_MARGIN = Duration.ofSeconds(2);
 
   private StopCommands() {}
 
   /**
    * The stops that a machine is to be sent now; they count as sent from here on.
    *
-   * @param inAnswer whether they go with an answer that renews the machine's lease
+   * @param inHeartbeatResponse whether they go with an answer that renews the machine's lease
    */
-  static List<AgentCommand> due(Machine machine, boolean inAnswer, Instant now) {
+  static List<AgentCommand> due(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
     machine.unknownAttempts.replaceAll((attempt, sent) -> now);
     machine
@@ -41,8 +41,8 @@
         .keySet()
         .forEach(e -> stops.add(AgentCommand.stop(e.task(), e.attempt(), Duration.ZERO)));
     for (TaskAttempt placement : machine.attempts.values()) {
-      if (isDue(placement, inAnswer, now)) {
-        stops.add(stop(placement));
+      if (isDue(placement, inHeartbeatResponse, now)) {
+        stops.add(stopCommand(placement));
         placement.lastStopSentAt = now;
         placement.stopsSent++;
       }
@@ -57,11 +57,11 @@
    *
    * @param isLive whether a job is not over
    */
-  static List<AgentCommand> forUnsettled(Heartbeat heartbeat, Predicate<String> isLive) {
+  static List<AgentCommand> forUnreconciled(Heartbeat heartbeat, Predicate<String> isLive) {
     List<AgentCommand> stops = new ArrayList<>();
-    for (TaskStatus task : heartbeat.tasks()) {
-      if (task.stage() != Heartbeat.Stage.ENDED && !isLive.test(task.task().job())) {
-        stops.add(AgentCommand.stop(task.task(), task.attempt(), Duration.ZERO));
+    for (TaskStatus status : heartbeat.tasks()) {
+      if (status.stage() != Heartbeat.Stage.ENDED && !isLive.test(status.task().job())) {
+        stops.add(AgentCommand.stop(status.task(), status.attempt(), Duration.ZERO));
       }
     }
     return stops;
@@ -70,37 +70,41 @@
   /**
    * Whether a stop waits that no command has carried yet, so that a direct one is worth its cost.
    */
-  static boolean unsent(Machine machine) {
+  static boolean hasUnsent(Machine machine) {
     return machine.unknownAttempts.containsValue(Instant.MIN)
         || machine.attempts.values().stream()
             .anyMatch(attempt -> attempt.stopping && attempt.stopsSent == 0);
   }
 
-  private static boolean isDue(TaskAttempt attempt, boolean inAnswer, Instant now) {
+  private static boolean isDue(TaskAttempt attempt, boolean inHeartbeatResponse, Instant now) {
     if (!attempt.stopping || attempt.number < 0) {
       return false;
     }
-    if (attempt.stopsSent == 0 || (inAnswer && !isSaving(attempt))) {
+    if (attempt.stopsSent == 0 || (inHeartbeatResponse && !isCheckpointing(attempt))) {
       return true;
     }
-    Duration patience =
-        isSaving(attempt) ? REPEAT.plus(attempt.job.spec.checkpointDuration()) : REPEAT;
-    return Duration.between(attempt.lastStopSentAt, now).compareTo(patience) >= 0;
+    Duration resendAfter =
+        isCheckpointing(attempt)
+            ? RESEND_INTERVAL.plus(attempt.job.spec.checkpointDuration())
+            : RESEND_INTERVAL;
+    return Duration.between(attempt.lastStopSentAt, now).compareTo(resendAfter) >= 0;
   }
 
   /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
-  private static boolean isSaving(TaskAttempt attempt) {
+  private static boolean isCheckpointing(TaskAttempt attempt) {
     return attempt.stage == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint;
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
-  private static AgentCommand stop(TaskAttempt attempt) {
-    boolean mayStillSave =
+  private static AgentCommand stopCommand(TaskAttempt attempt) {
+    boolean mayStillCheckpoint =
         !attempt.stopsWithoutCheckpoint
             && !attempt.job.spec.checkpointInterval().isZero()
             && (attempt.stopsSent == 0 || attempt.stage != Stage.CHECKPOINTING);
-    Duration grace =
-        mayStillSave ? attempt.job.spec.checkpointDuration().plus(SAVING_MARGIN) : Duration.ZERO;
-    return AgentCommand.stop(attempt.task, attempt.number, grace);
+    Duration gracePeriod =
+        mayStillCheckpoint
+            ? attempt.job.spec.checkpointDuration().plus(CHECKPOINT_MARGIN)
+            : Duration.ZERO;
+    return AgentCommand.stop(attempt.task, attempt.number, gracePeriod);
   }
 }
--- a/src/test/java/io/pearscale/scheduler/GangsTest.java
+++ b/src/test/java/io/pearscale/scheduler/GangTrackerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is kept of gangs, and for how long. */
-class GangsTest {
+class GangTrackerTest {
   private static final InstantSource CLOCK = () -> Instant.EPOCH;
   private static final Duration HOLD = Duration.ofSeconds(14);
   private static final Duration FORMING = Duration.ofSeconds(40);
@@ -20,13 +20,13 @@
 
   @Test
   void aGangWhoseJobIsOverIsForgotten() {
-    Gangs gangs = new Gangs(new Leadership(CLOCK, HOLD), CLOCK, FORMING);
+    GangTracker gangs = new GangTracker(new Leadership(CLOCK, HOLD), CLOCK, FORMING);
     Job kept = job();
     Job over = job();
-    gangs.begin(kept, 1);
-    gangs.begin(over, 2);
-    assertTrue(gangs.counts().contains("gangs_forming=2"), gangs.counts());
+    gangs.beginAttempt(kept, 1);
+    gangs.beginAttempt(over, 2);
+    assertTrue(gangs.logFields().contains("gangs_forming=2"), gangs.logFields());
     gangs.forget(over);
-    assertTrue(gangs.counts().contains("gangs_forming=1"), gangs.counts());
+    assertTrue(gangs.logFields().contains("gangs_forming=1"), gangs.logFields());
   }
 }
