--- a/src/main/java/io/pearscale/gang/GangAttempt.java
+++ b/src/main/java/io/pearscale/gang/GangAttempt.java
@@ -44,34 +44,34 @@
   }
 
   /** Before their time is over, waiting tasks must hear of a replacement that has its image. */
-  private static final Duration REPLACEMENT = Duration.ofSeconds(5);
+  private static final Duration REPLACEMENT_TIME = Duration.ofSeconds(5);
 
   private static final long NO_NUMBER = -1;
 
-  private final int tasks;
-  private final Duration forming;
+  private final int taskCount;
+  private final Duration formingTimeout;
   private Phase phase = Phase.VACANT;
   private long number = NO_NUMBER;
-  private Instant since = Instant.MIN;
+  private Instant begunAt = Instant.MIN;
   private boolean broken;
-  private int ended;
+  private int endedAttempts;
 
   /**
    * A gang of which no attempt is known.
    *
-   * @param tasks how many tasks it has
-   * @param forming how long a task waits for the others
+   * @param taskCount how many tasks it has
+   * @param formingTimeout how long a task waits for the others
    */
-  public GangAttempt(int tasks, Duration forming) {
-    this.tasks = tasks;
-    this.forming = forming;
+  public GangAttempt(int taskCount, Duration formingTimeout) {
+    this.taskCount = taskCount;
+    this.formingTimeout = formingTimeout;
   }
 
   /** A new attempt is started, under that number. */
   public void begin(long attempt, Instant now) {
     phase = Phase.FORMING;
     number = attempt;
-    since = now;
+    begunAt = now;
     broken = false;
   }
 
@@ -91,15 +91,15 @@
   }
 
   /** What is to be done, given all of its tasks that are, or may be, on a machine. */
-  public Action next(Collection<Member> members, Instant now) {
+  public Action nextAction(Collection<Member> members, Instant now) {
     Phase before = phase;
     phase = phaseOf(members, now);
-    ended += before == Phase.ENDING && phase == Phase.VACANT ? 1 : 0;
+    endedAttempts += before == Phase.ENDING && phase == Phase.VACANT ? 1 : 0;
     return switch (phase) {
       case VACANT -> Action.START;
       case FORMING ->
-          members.size() < tasks && nobodyStops(members) ? Action.COMPLETE : Action.NONE;
-      case ENDING -> nobodyRemains(members) ? Action.NONE : Action.END;
+          members.size() < taskCount && noneStopping(members) ? Action.COMPLETE : Action.NONE;
+      case ENDING -> allStopping(members) ? Action.NONE : Action.END;
       default -> Action.NONE;
     };
   }
@@ -119,11 +119,11 @@
     if (phase == Phase.UNKNOWN || phase == Phase.VACANT) {
       adopt(members, now);
     }
-    boolean ofOthers = members.stream().anyMatch(member -> member.attempt() != number);
-    if (broken || ofOthers) {
+    boolean mixedAttempts = members.stream().anyMatch(member -> member.attempt() != number);
+    if (broken || mixedAttempts) {
       return Phase.ENDING;
     }
-    boolean complete = members.size() >= tasks;
+    boolean complete = members.size() >= taskCount;
     if (phase == Phase.RUNNING || members.stream().anyMatch(m -> m.stage().hasBegun())) {
       return complete ? Phase.RUNNING : Phase.ENDING;
     }
@@ -134,19 +134,19 @@
   private void adopt(Collection<Member> members, Instant now) {
     Set<Long> numbers = members.stream().map(Member::attempt).collect(Collectors.toSet());
     number = numbers.iterator().next();
-    since = now;
+    begunAt = now;
     phase = Phase.FORMING;
   }
 
   private Instant replaceableUntil() {
-    return since.plus(forming).minus(REPLACEMENT);
+    return begunAt.plus(formingTimeout).minus(REPLACEMENT_TIME);
   }
 
-  private static boolean nobodyStops(Collection<Member> members) {
+  private static boolean noneStopping(Collection<Member> members) {
     return members.stream().noneMatch(Member::stopping);
   }
 
-  private static boolean nobodyRemains(Collection<Member> members) {
+  private static boolean allStopping(Collection<Member> members) {
     return members.stream().allMatch(Member::stopping);
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** How many attempts have ended without completing the job. */
-  public int ended() {
-    return ended;
+  public int endedAttempts() {
+    return endedAttempts;
   }
 }
--- a/src/main/java/io/pearscale/gang/OrderlyStop.java
+++ b/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
@@ -8,27 +8,31 @@
  * only if all are told within the workers' time, so if one can't be reached now, none is asked: the
  * others would wait for it in vain, and keep their room meanwhile.
  */
-public final class OrderlyStop {
+public final class GangCheckpointPolicy {
   /**
    * What is known of a task that is to stop.
    *
    * @param running whether it runs; one that does not has nothing to save
    * @param reachable whether its machine can be told now
    */
-  public record Reach(boolean running, boolean reachable) {}
+  public record MemberReachability(boolean running, boolean reachable) {}
 
-  private OrderlyStop() {}
+  private GangCheckpointPolicy() {}
 
   /**
    * Whether the tasks are to save.
    *
    * @param tasks how many tasks the gang has
-   * @param left how long all of them may still run
-   * @param save how long saving takes, and zero where the job never saves
+   * @param remaining how long all of them may still run
+   * @param checkpointTime how long saving takes, and zero where the job never saves
    */
-  public static boolean saves(Collection<Reach> members, int tasks, Duration left, Duration save) {
+  public static boolean mayCheckpoint(
+      Collection<MemberReachability> members,
+      int tasks,
+      Duration remaining,
+      Duration checkpointTime) {
     return members.size() == tasks
-        && left.compareTo(save) > 0
+        && remaining.compareTo(checkpointTime) > 0
         && members.stream().allMatch(member -> member.running && member.reachable);
   }
 }
--- a/src/main/java/io/pearscale/gang/MemberStage.java
+++ b/src/main/java/io/pearscale/gang/MemberStage.java
@@ -13,10 +13,10 @@
   /** It runs, so all others have begun to run as well. */
   RUNNING,
   /** It saves its progress. */
-  SAVING;
+  CHECKPOINTING;
 
   /** Whether the attempt has begun to run. */
   boolean hasBegun() {
-    return this == RUNNING || this == SAVING;
+    return this == RUNNING || this == CHECKPOINTING;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/GangTracker.java
@@ -113,7 +113,7 @@
     }
     GangAttempt attempt = attemptOf(job);
     Phase before = attempt.phase();
-    Action action = attempt.next(membersOf(job), clock.instant());
+    Action action = attempt.nextAction(membersOf(job), clock.instant());
     notePhaseChange(job, before, /* saved= */ false);
     return action;
   }
@@ -140,7 +140,7 @@
         phase,
         attempt.number().orElse(-1L),
         job.attempts.size(),
-        attempt.ended(),
+        attempt.endedAttempts(),
         before,
         lasted.toMillis());
   }
@@ -168,7 +168,7 @@
       case FETCHING -> MemberStage.FETCHING;
       case WAITING_FOR_GANG -> MemberStage.WAITING;
       case RUNNING -> MemberStage.RUNNING;
-      case CHECKPOINTING -> MemberStage.SAVING;
+      case CHECKPOINTING -> MemberStage.CHECKPOINTING;
     };
   }
 
@@ -225,7 +225,7 @@
     int ended = 0;
     for (GangAttempt attempt : attempts.values()) {
       phases[attempt.phase().ordinal()]++;
-      ended += attempt.ended();
+      ended += attempt.endedAttempts();
     }
     return ("gangs_forming=%d gangs_running=%d gangs_ending=%d gangs_unknown=%d attempts_ended=%d"
             + " gang_work_lost_s=%d")
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/GracefulTermination.java
@@ -2,8 +2,8 @@
 
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.gang.GangAttempt.Phase;
-import io.pearscale.gang.OrderlyStop;
-import io.pearscale.gang.OrderlyStop.Reach;
+import io.pearscale.gang.GangCheckpointPolicy;
+import io.pearscale.gang.GangCheckpointPolicy.MemberReachability;
 import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.TaskAttempt.Stage;
 import java.time.Duration;
@@ -64,10 +64,12 @@
 
   private void stopGang(Job job, boolean withoutCheckpoint) {
     Instant now = clock.instant();
-    List<Reach> members = new ArrayList<>();
+    List<MemberReachability> members = new ArrayList<>();
     Duration remaining = NO_PREEMPTION;
     for (TaskAttempt attempt : job.attempts.values()) {
-      members.add(new Reach(attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
+      members.add(
+          new MemberReachability(
+              attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
       Duration untilPreemption =
           attempt
               .machine
@@ -79,7 +81,7 @@
     boolean checkpoints =
         !withoutCheckpoint
             && !job.spec.checkpointInterval().isZero()
-            && OrderlyStop.saves(
+            && GangCheckpointPolicy.mayCheckpoint(
                 members, job.spec.tasks(), remaining, job.spec.checkpointDuration());
     gangs.noteEnding(job, checkpoints);
     for (TaskAttempt attempt : List.copyOf(job.attempts.values())) {
--- a/src/test/java/io/pearscale/gang/GangAttemptTest.java
+++ b/src/test/java/io/pearscale/gang/GangAttemptTest.java
@@ -23,7 +23,7 @@
   }
 
   private Action next(MemberStage... stages) {
-    return gang.next(members(stages), START.plusSeconds(1));
+    return gang.nextAction(members(stages), START.plusSeconds(1));
   }
 
   private void formed() {
@@ -45,7 +45,7 @@
     assertEquals(Optional.of(7L), gang.number());
     assertEquals(
         Action.END,
-        gang.next(members(MemberStage.WAITING, MemberStage.WAITING), START.plusSeconds(36)),
+        gang.nextAction(members(MemberStage.WAITING, MemberStage.WAITING), START.plusSeconds(36)),
         "too late for the others");
   }
 
@@ -55,7 +55,7 @@
     List<Member> one =
         List.of(
             new Member(7, MemberStage.WAITING, true), new Member(7, MemberStage.WAITING, false));
-    assertEquals(Action.NONE, gang.next(one, START.plusSeconds(1)));
+    assertEquals(Action.NONE, gang.nextAction(one, START.plusSeconds(1)));
     assertEquals(Phase.FORMING, gang.phase());
   }
 
@@ -67,7 +67,7 @@
     assertEquals(Action.END, next(MemberStage.WAITING, MemberStage.WAITING));
     assertEquals(Action.END, next(MemberStage.WAITING));
     assertEquals(Action.START, next());
-    assertEquals(1, gang.ended());
+    assertEquals(1, gang.endedAttempts());
   }
 
   @Test
@@ -83,13 +83,16 @@
   void anEndedAttemptTakesNoMoreTasks() {
     formed();
     gang.noteEnding();
-    assertEquals(Action.NONE, gang.next(List.of(new Member(7, MemberStage.SAVING, true)), START));
+    assertEquals(
+        Action.NONE,
+        gang.nextAction(List.of(new Member(7, MemberStage.CHECKPOINTING, true)), START));
     assertEquals(Phase.ENDING, gang.phase());
-    gang.next(List.of(), START);
+    gang.nextAction(List.of(), START);
     gang.begin(8, START);
     assertEquals(Optional.of(8L), gang.number());
     gang.noteBroken(7);
-    assertEquals(Action.NONE, gang.next(all(8, MemberStage.SENT), START), "a late word of before");
+    assertEquals(
+        Action.NONE, gang.nextAction(all(8, MemberStage.SENT), START), "a late word of before");
   }
 
   private static List<Member> all(long attempt, MemberStage stage) {
@@ -101,10 +104,10 @@
   void aNewLeaderConcludesNothingBeforeAllAreShownOrGone() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     Member shown = new Member(9, MemberStage.RUNNING, false);
-    assertEquals(Action.NONE, gang.next(List.of(unknown, unknown, shown), START));
+    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, unknown, shown), START));
     assertEquals(Phase.UNKNOWN, gang.phase());
-    assertEquals(Action.NONE, gang.next(List.of(unknown, shown), START));
-    assertEquals(Action.NONE, gang.next(List.of(shown, shown, shown), START));
+    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, shown), START));
+    assertEquals(Action.NONE, gang.nextAction(List.of(shown, shown, shown), START));
     assertEquals(Phase.RUNNING, gang.phase());
   }
 
@@ -112,8 +115,8 @@
   void aNewLeaderCompletesWhatHasNotBegun() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     Member waiting = new Member(9, MemberStage.WAITING, false);
-    gang.next(List.of(unknown, waiting, waiting), START);
-    assertEquals(Action.COMPLETE, gang.next(List.of(waiting, waiting), START));
+    gang.nextAction(List.of(unknown, waiting, waiting), START);
+    assertEquals(Action.COMPLETE, gang.nextAction(List.of(waiting, waiting), START));
     assertEquals(Optional.of(9L), gang.number());
   }
 
@@ -121,31 +124,36 @@
   void aNewLeaderEndsWhatHasBegunAndLostATask() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     Member running = new Member(9, MemberStage.RUNNING, false);
-    gang.next(List.of(unknown, running), START);
-    assertEquals(Action.END, gang.next(List.of(running), START));
+    gang.nextAction(List.of(unknown, running), START);
+    assertEquals(Action.END, gang.nextAction(List.of(running), START));
   }
 
   @Test
   void tasksOfTwoAttemptsAreEnded() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
-    gang.next(List.of(unknown, unknown), START);
+    gang.nextAction(List.of(unknown, unknown), START);
     List<Member> two =
         List.of(
             new Member(9, MemberStage.WAITING, false), new Member(8, MemberStage.WAITING, false));
-    assertEquals(Action.END, gang.next(two, START));
+    assertEquals(Action.END, gang.nextAction(two, START));
   }
 
   @Test
   void savesOnlyIfAllRunAndAllCanBeToldInTime() {
-    OrderlyStop.Reach good = new OrderlyStop.Reach(true, true);
-    OrderlyStop.Reach cutOff = new OrderlyStop.Reach(true, false);
-    OrderlyStop.Reach waits = new OrderlyStop.Reach(false, true);
+    GangCheckpointPolicy.MemberReachability good =
+        new GangCheckpointPolicy.MemberReachability(true, true);
+    GangCheckpointPolicy.MemberReachability cutOff =
+        new GangCheckpointPolicy.MemberReachability(true, false);
+    GangCheckpointPolicy.MemberReachability waits =
+        new GangCheckpointPolicy.MemberReachability(false, true);
     Duration ample = Duration.ofHours(1);
     Duration save = Duration.ofSeconds(3);
-    assertTrue(OrderlyStop.saves(List.of(good, good), 2, ample, save));
-    assertFalse(OrderlyStop.saves(List.of(good, cutOff), 2, ample, save));
-    assertFalse(OrderlyStop.saves(List.of(good, waits), 2, ample, save));
-    assertFalse(OrderlyStop.saves(List.of(good), 2, ample, save), "one is gone already");
-    assertFalse(OrderlyStop.saves(List.of(good, good), 2, Duration.ofSeconds(3), save));
+    assertTrue(GangCheckpointPolicy.mayCheckpoint(List.of(good, good), 2, ample, save));
+    assertFalse(GangCheckpointPolicy.mayCheckpoint(List.of(good, cutOff), 2, ample, save));
+    assertFalse(GangCheckpointPolicy.mayCheckpoint(List.of(good, waits), 2, ample, save));
+    assertFalse(
+        GangCheckpointPolicy.mayCheckpoint(List.of(good), 2, ample, save), "one is gone already");
+    assertFalse(
+        GangCheckpointPolicy.mayCheckpoint(List.of(good, good), 2, Duration.ofSeconds(3), save));
   }
 }
