--- a/src/main/java/io/pearscale/scheduler/GangPlacement.java
+++ b/src/main/java/io/pearscale/scheduler/GangPlacer.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler;
 
-import io.pearscale.scheduler.Placer.Choice;
+import io.pearscale.scheduler.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,20 +16,22 @@
  * released when one finds no place. Of the zones that have room for all, the one with the fewest
  * victims is taken, then the one in which the slowest image is there first.
  */
-final class GangPlacement {
-  private static final Comparator<Plan> BEST =
-      Comparator.comparingInt(Plan::losses).thenComparing(Plan::slowestFetch);
+final class GangPlacer {
+  private static final Comparator<Plan> BEST_FIRST =
+      Comparator.comparingInt(Plan::tasksLost).thenComparing(Plan::slowestFetch);
 
   /** Where the tasks go. */
-  private record Plan(Job job, List<Choice> choices) {
-    int losses() {
-      return choices.stream().mapToInt(choice -> PreemptionPlanner.losses(choice.victims())).sum();
+  private record Plan(Job job, List<Assignment> assignments) {
+    int tasksLost() {
+      return assignments.stream()
+          .mapToInt(choice -> PreemptionPlanner.tasksLost(choice.victims()))
+          .sum();
     }
 
     /** The gang starts when the last of its tasks has its image. */
     Duration slowestFetch() {
-      return choices.stream()
-          .map(Choice::machine)
+      return assignments.stream()
+          .map(Assignment::machine)
           .map(
               machine ->
                   machine.cachedImages.containsKey(job.spec.image())
@@ -41,7 +43,7 @@
   }
 
   /** Gangs that have just come keep no more than this part of the fleet's places free. */
-  private static final double MOST_KEPT = 0.05;
+  private static final double MAX_RESERVED_SHARE = 0.05;
 
   private final Placer placer;
   private final Set<String> zones = new TreeSet<>();
@@ -49,17 +51,17 @@
   private final Collection<Machine> machines;
 
   /** A gang for which room was kept in this pass, since it has waited for long. */
-  private Optional<Job> held = Optional.empty();
+  private Optional<Job> longWaitingGang = Optional.empty();
 
   /** What part of the fleet's places was kept in this pass for gangs that have just come. */
-  private double keptShare;
+  private double reservedShare;
 
   /**
    * Places gangs in a pass.
    *
    * @param machines those that may take tasks now
    */
-  GangPlacement(Placer placer, Collection<Machine> machines) {
+  GangPlacer(Placer placer, Collection<Machine> machines) {
     this.placer = placer;
     this.machines = machines;
     machines.forEach(machine -> zones.add(machine.zone));
@@ -70,20 +72,20 @@
    *
    * @return a choice for each of them; none if one of them finds no place
    */
-  List<Choice> place(Job job, int tasks, boolean mayStopOthers) {
+  List<Assignment> place(Job job, int tasks, boolean mayPreempt) {
     Optional<Plan> best = Optional.empty();
-    for (Predicate<Machine> among : parts(job)) {
-      Optional<Plan> plan = tryPlace(job, tasks, mayStopOthers, among);
-      if (plan.isPresent() && (best.isEmpty() || BEST.compare(plan.get(), best.get()) < 0)) {
+    for (Predicate<Machine> among : fleetParts(job)) {
+      Optional<Plan> plan = tryPlace(job, tasks, mayPreempt, among);
+      if (plan.isPresent() && (best.isEmpty() || BEST_FIRST.compare(plan.get(), best.get()) < 0)) {
         best = plan;
       }
     }
-    best.ifPresent(plan -> plan.choices.forEach(choice -> placer.book(job, choice)));
-    return best.map(Plan::choices).orElse(List.of());
+    best.ifPresent(plan -> plan.assignments.forEach(assignment -> placer.reserve(job, assignment)));
+    return best.map(Plan::assignments).orElse(List.of());
   }
 
   /** The parts of the fleet of which one has to take all tasks. */
-  private List<Predicate<Machine>> parts(Job job) {
+  private List<Predicate<Machine>> fleetParts(Job job) {
     if (!job.spec.singleZone() || job.spec.zone().isPresent()) {
       return List.of(machine -> true);
     }
@@ -97,32 +99,33 @@
   }
 
   private Optional<Plan> tryPlace(
-      Job job, int tasks, boolean mayStopOthers, Predicate<Machine> among) {
-    List<Choice> choices = choose(job, tasks, mayStopOthers, among);
-    release(job, choices);
-    return choices.size() == tasks ? Optional.of(new Plan(job, choices)) : Optional.empty();
+      Job job, int tasks, boolean mayPreempt, Predicate<Machine> among) {
+    List<Assignment> assignments = choose(job, tasks, mayPreempt, among);
+    release(job, assignments);
+    return assignments.size() == tasks ? Optional.of(new Plan(job, assignments)) : Optional.empty();
   }
 
-  private List<Choice> choose(Job job, int tasks, boolean mayStopOthers, Predicate<Machine> among) {
-    List<Choice> choices = new ArrayList<>();
-    SpreadOfPlan spread = new SpreadOfPlan(job);
-    while (choices.size() < tasks) {
-      Optional<Choice> choice =
-          placer.place(job, mayStopOthers, among.and(machine -> spread.allows(machine.zone)));
-      if (choice.isEmpty()) {
+  private List<Assignment> choose(
+      Job job, int tasks, boolean mayPreempt, Predicate<Machine> among) {
+    List<Assignment> assignments = new ArrayList<>();
+    PlannedSpread spread = new PlannedSpread(job);
+    while (assignments.size() < tasks) {
+      Optional<Assignment> assignment =
+          placer.place(job, mayPreempt, among.and(machine -> spread.allows(machine.zone)));
+      if (assignment.isEmpty()) {
         break;
       }
-      spread.add(choice.get().machine().zone);
-      choices.add(choice.get());
+      spread.add(assignment.get().machine().zone);
+      assignments.add(assignment.get());
     }
-    return choices;
+    return assignments;
   }
 
-  private void release(Job job, List<Choice> choices) {
-    for (int i = choices.size() - 1; i >= 0; i--) {
-      placer.release(job, choices.get(i));
+  private void release(Job job, List<Assignment> assignments) {
+    for (int i = assignments.size() - 1; i >= 0; i--) {
+      placer.release(job, assignments.get(i));
     }
-    placer.forgetVisit(job);
+    placer.forgetScan(job);
   }
 
   /**
@@ -131,10 +134,10 @@
    * both need. One that the machines could not take if they were empty gets nothing: it waits for
    * other machines.
    */
-  void hold(Job job, int tasks) {
-    if (held.isEmpty() && shareOf(job, tasks) <= 1) {
-      held = Optional.of(job);
-      keep(job, tasks);
+  void reserveFor(Job job, int tasks) {
+    if (longWaitingGang.isEmpty() && shareOf(job, tasks) <= 1) {
+      longWaitingGang = Optional.of(job);
+      reserve(job, tasks);
     }
   }
 
@@ -142,18 +145,18 @@
    * The same for a gang that is expected to start soon, as long as all of them together would take
    * a small part of the fleet: its room comes free within a moment, and costs others no more.
    */
-  void holdIfSmall(Job job, int tasks) {
+  void reserveIfSmall(Job job, int tasks) {
     double share = shareOf(job, tasks);
-    if (keptShare + share <= MOST_KEPT) {
-      keptShare += share;
-      keep(job, tasks);
+    if (reservedShare + share <= MAX_RESERVED_SHARE) {
+      reservedShare += share;
+      reserve(job, tasks);
     }
   }
 
   /** What part of the places for such tasks the gang needs, in the largest part of the fleet. */
   private double shareOf(Job job, int tasks) {
     long most = 0;
-    for (Predicate<Machine> among : parts(job)) {
+    for (Predicate<Machine> among : fleetParts(job)) {
       long places =
           machines.stream()
               .filter(among)
@@ -165,22 +168,22 @@
     return most == 0 ? Double.MAX_VALUE : tasks / (double) most;
   }
 
-  private void keep(Job job, int tasks) {
-    List<Choice> most = List.of();
-    for (Predicate<Machine> among : parts(job)) {
-      List<Choice> choices = choose(job, tasks, /* mayStopOthers= */ false, among);
-      release(job, choices);
-      most = choices.size() > most.size() ? choices : most;
+  private void reserve(Job job, int tasks) {
+    List<Assignment> largest = List.of();
+    for (Predicate<Machine> among : fleetParts(job)) {
+      List<Assignment> assignments = choose(job, tasks, /* mayStopOthers= */ false, among);
+      release(job, assignments);
+      largest = assignments.size() > largest.size() ? assignments : largest;
     }
-    most.forEach(choice -> placer.book(job, choice));
+    largest.forEach(assignment -> placer.reserve(job, assignment));
   }
 
   /** How the tasks of a plan are spread over zones, beside those that are placed. */
-  private static final class SpreadOfPlan {
+  private static final class PlannedSpread {
     private final Job job;
     private final List<String> planned = new ArrayList<>();
 
-    SpreadOfPlan(Job job) {
+    PlannedSpread(Job job) {
       this.job = job;
     }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -28,7 +28,7 @@
   final HeartbeatHandler reports;
   final FailureDetector health;
   final LeaderRecovery recovery;
-  final PlacementPass passes;
+  final SchedulingPass passes;
   final Optional<DrainCoordinator> drains;
   final MachineProvisioner supply;
   final RecordWriter writer;
@@ -66,9 +66,9 @@
     MachineRetirement retirement = new MachineRetirement(shared, cloud);
     health = new FailureDetector(shared, times, dispatcher, retirement);
     recovery = new LeaderRecovery(shared, dispatcher, listener::unfit);
-    var policy = new PlacementPass.Policy(env.tuning(), env.random(), classes, order);
+    var policy = new SchedulingPass.Policy(env.tuning(), env.random(), classes, order);
     passes =
-        new PlacementPass(shared, times, policy, executor, health, dispatcher, stops, statistics);
+        new SchedulingPass(shared, times, policy, executor, health, dispatcher, stops, statistics);
     drains = drains(env, shared, times, retirement);
     Autoscaler fleet = new Autoscaler(env.tuning(), classes);
     supply =
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -113,7 +113,7 @@
                 inventory.all(),
                 m -> health.isSchedulable(m, now),
                 jobs.all(),
-                order.waiting(jobs.queued(), order.turns(now), now),
+                order.sorted(jobs.queued(), order.ranks(now), now),
                 inventory.quotaUsage(),
                 inventory.catalogue().types(),
                 health.unreachableZones(now),
--- a/src/main/java/io/pearscale/scheduler/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/PassCapacity.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Choice;
+import io.pearscale.scheduler.Placer.Assignment;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -9,20 +9,20 @@
 
 /** The room of machines, and what teams have in use, after all that was booked in a pass. */
 final class PassCapacity {
-  private final QuotaUsage use;
-  private final Map<Machine, Resources> rooms = new HashMap<>();
+  private final QuotaUsage quotaUsage;
+  private final Map<Machine, Resources> availableByMachine = new HashMap<>();
   private final Set<TaskAttempt> victims = new HashSet<>();
 
-  PassCapacity(QuotaUsage use) {
-    this.use = use;
+  PassCapacity(QuotaUsage quotaUsage) {
+    this.quotaUsage = quotaUsage;
   }
 
-  Resources of(Machine machine) {
-    return rooms.computeIfAbsent(machine, Machine::available);
+  Resources availableOn(Machine machine) {
+    return availableByMachine.computeIfAbsent(machine, Machine::available);
   }
 
-  QuotaUsage use() {
-    return use;
+  QuotaUsage quotaUsage() {
+    return quotaUsage;
   }
 
   /** Whether the pass has chosen the task to leave. */
@@ -31,20 +31,20 @@
   }
 
   /** Books a task's room, after that of its victims has become free. */
-  void book(Job job, Choice choice) {
-    Resources room = of(choice.machine());
-    choice.victims().forEach(victim -> room.add(victim.job));
-    victims.addAll(choice.victims());
-    room.subtract(job);
-    use.charge(job.spec, 1);
+  void reserve(Job job, Assignment assignment) {
+    Resources available = availableOn(assignment.machine());
+    assignment.victims().forEach(victim -> available.add(victim.job));
+    victims.addAll(assignment.victims());
+    available.subtract(job);
+    quotaUsage.charge(job.spec, 1);
   }
 
   /** Takes back what was booked for a task. */
-  void release(Job job, Choice choice) {
-    Resources room = of(choice.machine());
-    choice.victims().forEach(victim -> room.subtract(victim.job));
-    victims.removeAll(choice.victims());
-    room.add(job);
-    use.charge(job.spec, -1);
+  void release(Job job, Assignment assignment) {
+    Resources available = availableOn(assignment.machine());
+    assignment.victims().forEach(victim -> available.subtract(victim.job));
+    victims.removeAll(assignment.victims());
+    available.add(job);
+    quotaUsage.charge(job.spec, -1);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PlacementInput.java
+++ b/src/main/java/io/pearscale/scheduler/PassContext.java
@@ -13,15 +13,15 @@
  * What a pass decides by.
  *
  * @param machines those that may take tasks now
- * @param startWithin in which time tasks like these are expected to start, if any
- * @param turns the order of jobs of one priority: the last is the first to make room
- * @param heardSince machines heard since then are sure to be reached
+ * @param startObjective in which time tasks like these are expected to start, if any
+ * @param queueOrder the order of jobs of one priority: the last is the first to make room
+ * @param reachableSince machines heard since then are sure to be reached
  */
-record PlacementInput(
+record PassContext(
     Tuning tuning,
     RandomGenerator random,
     List<Machine> machines,
-    Function<JobSpec, Optional<Duration>> startWithin,
-    Comparator<Job> turns,
-    Instant heardSince,
+    Function<JobSpec, Optional<Duration>> startObjective,
+    Comparator<Job> queueOrder,
+    Instant reachableSince,
     Instant now) {}
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/Placer.java
@@ -18,125 +18,131 @@
  */
 final class Placer {
   /** Tasks that are alike for feasibility and score. */
-  private record TaskClass(EquivalenceClass shape, String team, boolean service, String image) {
-    static TaskClass of(JobSpec spec) {
-      return new TaskClass(EquivalenceClass.of(spec), spec.team(), spec.isService(), spec.image());
+  private record ScoringClass(
+      EquivalenceClass equivalenceClass, String team, boolean service, String image) {
+    static ScoringClass of(JobSpec spec) {
+      return new ScoringClass(
+          EquivalenceClass.of(spec), spec.team(), spec.isService(), spec.image());
     }
   }
 
   /** Where a task goes, and who has to leave for it. */
-  record Choice(Machine machine, List<TaskAttempt> victims) {}
+  record Assignment(Machine machine, List<TaskAttempt> victims) {}
 
   /** The machines that were met for a class in this pass. */
-  private final class Visit {
-    final int start = open.start();
+  private final class Scan {
+    final int start = openMachines.randomStart();
     int next;
-    int nextHolder;
-    final List<Machine> found = new ArrayList<>();
-    final Map<String, Double> crowding;
-    boolean noVictims;
+    int nextImageHolder;
+    final List<Machine> feasible = new ArrayList<>();
+    final Map<String, Double> zoneCrowding;
+    boolean preemptionFutile;
 
-    Visit(Job like) {
-      crowding = zones.crowding(like);
+    Scan(Job like) {
+      zoneCrowding = zoneCapacity.crowding(like);
     }
   }
 
-  private final PlacementInput input;
-  private final PassCapacity rooms;
-  private final ZoneCapacity zones;
-  private final ScoringPolicy score;
-  private final PreemptionPlanner victims;
-  private final ReplicaRelocation moves;
-  private final RandomizedMachineScan open;
-  private final Map<TaskClass, Visit> visits = new HashMap<>();
-  private final Map<String, List<Machine>> holders = new HashMap<>();
-  private Optional<RandomizedMachineScan> all = Optional.empty();
+  private final PassContext context;
+  private final PassCapacity capacity;
+  private final ZoneCapacity zoneCapacity;
+  private final ScoringPolicy scoring;
+  private final PreemptionPlanner preemption;
+  private final ReplicaRelocation relocation;
+  private final RandomizedMachineScan openMachines;
+  private final Map<ScoringClass, Scan> scans = new HashMap<>();
+  private final Map<String, List<Machine>> imageHolders = new HashMap<>();
+  private Optional<RandomizedMachineScan> allMachines = Optional.empty();
 
   /**
    * Prepares a pass.
    *
    * @param waiting the jobs that the pass is for: machines without room for the smallest task of
    *     any of them are met only in search of victims
-   * @param use what each team may have on machines
+   * @param quotaUsage what each team may have on machines
    */
-  Placer(PlacementInput input, Collection<Job> waiting, QuotaUsage use) {
-    this.input = input;
-    this.rooms = new PassCapacity(use);
-    this.zones = new ZoneCapacity(input.machines());
-    this.score = new ScoringPolicy(input, rooms);
-    this.victims = new PreemptionPlanner(input, rooms, zones, this::all);
-    this.moves = new ReplicaRelocation(input, rooms, this::all);
-    this.open = new RandomizedMachineScan(withSomeRoom(input.machines(), waiting), input.random());
-  }
-
-  private static List<Machine> withSomeRoom(List<Machine> machines, Collection<Job> waiting) {
+  Placer(PassContext context, Collection<Job> waiting, QuotaUsage quotaUsage) {
+    this.context = context;
+    this.capacity = new PassCapacity(quotaUsage);
+    this.zoneCapacity = new ZoneCapacity(context.machines());
+    this.scoring = new ScoringPolicy(context, capacity);
+    this.preemption = new PreemptionPlanner(context, capacity, zoneCapacity, this::allMachines);
+    this.relocation = new ReplicaRelocation(context, capacity, this::allMachines);
+    this.openMachines =
+        new RandomizedMachineScan(withSomeCapacity(context.machines(), waiting), context.random());
+  }
+
+  private static List<Machine> withSomeCapacity(List<Machine> machines, Collection<Job> waiting) {
     double cpus = Double.MAX_VALUE;
     double memoryGb = Double.MAX_VALUE;
     for (Job job : waiting) {
       cpus = Math.min(cpus, job.spec.cpus());
       memoryGb = Math.min(memoryGb, job.spec.memoryGb());
     }
-    List<Machine> roomy = new ArrayList<>();
+    List<Machine> withCapacity = new ArrayList<>();
     for (Machine machine : machines) {
-      Resources room = machine.availableAbove(Priority.IDLE);
-      if (room.cpus + Resources.TOLERANCE >= cpus
-          && room.memoryGb + Resources.TOLERANCE >= memoryGb) {
-        roomy.add(machine);
+      Resources available = machine.availableAbove(Priority.IDLE);
+      if (available.cpus + Resources.TOLERANCE >= cpus
+          && available.memoryGb + Resources.TOLERANCE >= memoryGb) {
+        withCapacity.add(machine);
       }
     }
-    return roomy;
+    return withCapacity;
   }
 
   /** The order for those who look for victims, on machines with room or without. */
-  private RandomizedMachineScan all() {
-    if (all.isEmpty()) {
-      all = Optional.of(new RandomizedMachineScan(input.machines(), input.random()));
+  private RandomizedMachineScan allMachines() {
+    if (allMachines.isEmpty()) {
+      allMachines = Optional.of(new RandomizedMachineScan(context.machines(), context.random()));
     }
-    return all.get();
+    return allMachines.get();
   }
 
   /** Finds a machine for one more task of the job and books the room. */
-  Optional<Choice> place(Job job, boolean mayStopOthers) {
-    return place(job, mayStopOthers, machine -> true);
+  Optional<Assignment> place(Job job, boolean mayPreempt) {
+    return place(job, mayPreempt, machine -> true);
   }
 
   /** The same, on machines of which {@code among} holds. */
-  Optional<Choice> place(Job job, boolean mayStopOthers, Predicate<Machine> among) {
-    if (rooms.use().tasksLeftWithinLimit(job.spec) < 1) {
+  Optional<Assignment> place(Job job, boolean mayPreempt, Predicate<Machine> among) {
+    if (capacity.quotaUsage().tasksLeftWithinLimit(job.spec) < 1) {
       return Optional.empty();
     }
-    Predicate<Machine> allowed = machine -> among.test(machine) && allowedNow(job, machine);
-    Visit visit = visits.computeIfAbsent(TaskClass.of(job.spec), taskClass -> new Visit(job));
-    Optional<Machine> free = bestWithRoom(job, visit, allowed);
-    if (free.isPresent()) {
-      Optional<Choice> cached =
-          mayStopOthers ? victims.evictForImage(job, free.get(), allowed) : Optional.empty();
-      return cached.or(() -> Optional.of(booked(job, free.get())));
-    }
-    return mayStopOthers && !visit.noVictims
-        ? placeByEviction(job, visit, allowed)
+    Predicate<Machine> allowed = machine -> among.test(machine) && constraintsAllow(job, machine);
+    Scan scan = scans.computeIfAbsent(ScoringClass.of(job.spec), scoringClass -> new Scan(job));
+    Optional<Machine> withoutVictims = bestFeasible(job, scan, allowed);
+    if (withoutVictims.isPresent()) {
+      Optional<Assignment> withImage =
+          mayPreempt
+              ? preemption.preemptForImage(job, withoutVictims.get(), allowed)
+              : Optional.empty();
+      return withImage.or(() -> Optional.of(reserveWithoutVictims(job, withoutVictims.get())));
+    }
+    return mayPreempt && !scan.preemptionFutile
+        ? placeByPreemption(job, scan, allowed)
         : Optional.empty();
   }
 
-  private Choice booked(Job job, Machine machine) {
-    Choice choice = new Choice(machine, List.of());
-    rooms.book(job, choice);
-    return choice;
+  private Assignment reserveWithoutVictims(Job job, Machine machine) {
+    Assignment assignment = new Assignment(machine, List.of());
+    capacity.reserve(job, assignment);
+    return assignment;
   }
 
-  private Optional<Choice> placeByEviction(Job job, Visit visit, Predicate<Machine> allowed) {
-    if (victims.isInVain(job)) {
+  private Optional<Assignment> placeByPreemption(Job job, Scan scan, Predicate<Machine> allowed) {
+    if (preemption.isFutile(job)) {
       return Optional.empty();
     }
-    Optional<Choice> choice = victims.evict(job, allowed).or(() -> moves.makeWay(job));
-    if (choice.isEmpty()) {
+    Optional<Assignment> assignment =
+        preemption.preempt(job, allowed).or(() -> relocation.makeWay(job));
+    if (assignment.isEmpty()) {
       // Like tasks are decided as a class: what found nobody to evict need not look again.
-      visit.noVictims = !job.spec.spreadAcrossZones() && !job.spec.singleZone();
+      scan.preemptionFutile = !job.spec.spreadAcrossZones() && !job.spec.singleZone();
       if (!job.spec.singleZone()) {
-        victims.noteInVain(job);
+        preemption.markFutile(job);
       }
     }
-    return choice;
+    return assignment;
   }
 
   /**
@@ -144,51 +150,51 @@
    * start soon, up to half of them are machines that have the image, if there are so many: in a
    * large fleet a random visit would hardly ever meet one.
    */
-  private Optional<Machine> bestWithRoom(Job job, Visit visit, Predicate<Machine> allowed) {
-    visit.found.removeIf(machine -> !rooms.of(machine).fits(job));
-    if (input.startWithin().apply(job.spec).isPresent()) {
-      meetHolders(job, visit, allowed);
-    }
-    long usable = visit.found.stream().filter(allowed).count();
-    while (usable < input.tuning().sampleSize() && visit.next < open.size()) {
-      Machine machine = open.get(visit.start, visit.next++);
-      if (meet(job, visit, machine) && allowed.test(machine)) {
+  private Optional<Machine> bestFeasible(Job job, Scan scan, Predicate<Machine> allowed) {
+    scan.feasible.removeIf(machine -> !capacity.availableOn(machine).fits(job));
+    if (context.startObjective().apply(job.spec).isPresent()) {
+      scanImageHolders(job, scan, allowed);
+    }
+    long usable = scan.feasible.stream().filter(allowed).count();
+    while (usable < context.tuning().sampleSize() && scan.next < openMachines.size()) {
+      Machine machine = openMachines.get(scan.start, scan.next++);
+      if (addIfFeasible(job, scan, machine) && allowed.test(machine)) {
         usable++;
       }
     }
     Machine best = null;
     double bestScore = Double.MAX_VALUE;
-    for (Machine machine : visit.found) {
-      double its =
-          allowed.test(machine) ? score.of(job, machine, visit.crowding) : Double.MAX_VALUE;
-      if (its < bestScore) {
-        bestScore = its;
+    for (Machine machine : scan.feasible) {
+      double machineScore =
+          allowed.test(machine) ? scoring.score(job, machine, scan.zoneCrowding) : Double.MAX_VALUE;
+      if (machineScore < bestScore) {
+        bestScore = machineScore;
         best = machine;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private void meetHolders(Job job, Visit visit, Predicate<Machine> allowed) {
+  private void scanImageHolders(Job job, Scan scan, Predicate<Machine> allowed) {
     String image = job.spec.image();
-    List<Machine> imageHolders = holders.computeIfAbsent(image, this::holdersOf);
+    List<Machine> candidates = imageHolders.computeIfAbsent(image, this::imageHoldersOf);
     long usable =
-        visit.found.stream()
+        scan.feasible.stream()
             .filter(m -> m.cachedImages.containsKey(image) && allowed.test(m))
             .count();
-    while (usable < input.tuning().sampleSize() / 2 && visit.nextHolder < imageHolders.size()) {
-      Machine machine = imageHolders.get(visit.nextHolder++);
-      if (meet(job, visit, machine) && allowed.test(machine)) {
+    while (usable < context.tuning().sampleSize() / 2 && scan.nextImageHolder < candidates.size()) {
+      Machine machine = candidates.get(scan.nextImageHolder++);
+      if (addIfFeasible(job, scan, machine) && allowed.test(machine)) {
         usable++;
       }
     }
   }
 
   /** The machines with some room that have the image, in the order of this pass. */
-  private List<Machine> holdersOf(String image) {
+  private List<Machine> imageHoldersOf(String image) {
     List<Machine> found = new ArrayList<>();
-    for (int i = 0; i < open.size(); i++) {
-      Machine machine = open.get(/* start= */ 0, i);
+    for (int i = 0; i < openMachines.size(); i++) {
+      Machine machine = openMachines.get(/* start= */ 0, i);
       if (machine.cachedImages.containsKey(image)) {
         found.add(machine);
       }
@@ -197,33 +203,34 @@
   }
 
   /** Adds a machine that has room for the task to those that were met for its class. */
-  private boolean meet(Job job, Visit visit, Machine machine) {
-    boolean hasRoom =
-        job.spec.allows(machine.type, machine.zone, machine.spot) && rooms.of(machine).fits(job);
-    if (!hasRoom || visit.found.contains(machine)) {
+  private boolean addIfFeasible(Job job, Scan scan, Machine machine) {
+    boolean isFeasible =
+        job.spec.allows(machine.type, machine.zone, machine.spot)
+            && capacity.availableOn(machine).fits(job);
+    if (!isFeasible || scan.feasible.contains(machine)) {
       return false;
     }
-    visit.found.add(machine);
+    scan.feasible.add(machine);
     return true;
   }
 
   /** Books a task's room, after that of its victims has become free. */
-  void book(Job job, Choice choice) {
-    rooms.book(job, choice);
+  void reserve(Job job, Assignment assignment) {
+    capacity.reserve(job, assignment);
   }
 
   /** Takes back what was booked for a task. */
-  void release(Job job, Choice choice) {
-    rooms.release(job, choice);
+  void release(Job job, Assignment assignment) {
+    capacity.release(job, assignment);
   }
 
   /** The machines met for the job's class are met anew: some were dropped for what was released. */
-  void forgetVisit(Job job) {
-    visits.remove(TaskClass.of(job.spec));
+  void forgetScan(Job job) {
+    scans.remove(ScoringClass.of(job.spec));
   }
 
   /** The rules that depend on where the job's other tasks are, all doubt counted against it. */
-  static boolean allowedNow(Job job, Machine machine) {
+  static boolean constraintsAllow(Job job, Machine machine) {
     boolean urgent = job.spec.priority().compareTo(Priority.NORMAL) > 0;
     if (urgent && machine.maintenance.stage() == Maintenance.Stage.PROBATION) {
       return false;
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
 import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Choice;
+import io.pearscale.scheduler.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -28,49 +28,53 @@
           .thenComparing(attempt -> attempt.stageSince, Comparator.reverseOrder());
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
-  private record Search(
-      EquivalenceClass shape,
+  private record SearchKey(
+      EquivalenceClass equivalenceClass,
       String team,
       boolean service,
       List<String> zones,
       Optional<String> image) {}
 
-  private final PlacementInput input;
-  private final PassCapacity rooms;
-  private final ZoneCapacity zones;
-  private final Supplier<RandomizedMachineScan> order;
-  private final Set<Search> inVain = new HashSet<>();
+  private final PassContext context;
+  private final PassCapacity capacity;
+  private final ZoneCapacity zoneCapacity;
+  private final Supplier<RandomizedMachineScan> machines;
+  private final Set<SearchKey> futileSearches = new HashSet<>();
 
   PreemptionPlanner(
-      PlacementInput input,
-      PassCapacity rooms,
-      ZoneCapacity zones,
-      Supplier<RandomizedMachineScan> order) {
-    this.input = input;
-    this.rooms = rooms;
-    this.zones = zones;
-    this.order = order;
+      PassContext context,
+      PassCapacity capacity,
+      ZoneCapacity zoneCapacity,
+      Supplier<RandomizedMachineScan> machines) {
+    this.context = context;
+    this.capacity = capacity;
+    this.zoneCapacity = zoneCapacity;
+    this.machines = machines;
   }
 
-  private Search search(Job job, Optional<String> image) {
+  private SearchKey searchKey(Job job, Optional<String> image) {
     JobSpec spec = job.spec;
-    return new Search(
-        EquivalenceClass.of(spec), spec.team(), spec.isService(), zones.left(job), image);
+    return new SearchKey(
+        EquivalenceClass.of(spec),
+        spec.team(),
+        spec.isService(),
+        zoneCapacity.zonesLeft(job),
+        image);
   }
 
   /** Whether such tasks were found to have no victims anywhere. */
-  boolean isInVain(Job job) {
-    return inVain.contains(search(job, Optional.empty()));
+  boolean isFutile(Job job) {
+    return futileSearches.contains(searchKey(job, Optional.empty()));
   }
 
   /** Such tasks have no victims anywhere. */
-  void noteInVain(Job job) {
-    inVain.add(search(job, Optional.empty()));
+  void markFutile(Job job) {
+    futileSearches.add(searchKey(job, Optional.empty()));
   }
 
   /** Books the room of victims on any machine that is allowed. */
-  Optional<Choice> evict(Job job, Predicate<Machine> allowed) {
-    return evict(job, Optional.empty(), allowed);
+  Optional<Assignment> preempt(Job job, Predicate<Machine> allowed) {
+    return preempt(job, Optional.empty(), allowed);
   }
 
   /**
@@ -80,37 +84,38 @@
    *
    * @param free the best place without victims
    */
-  Optional<Choice> evictForImage(Job job, Machine free, Predicate<Machine> allowed) {
+  Optional<Assignment> preemptForImage(Job job, Machine free, Predicate<Machine> allowed) {
     JobSpec spec = job.spec;
-    Optional<Duration> within = input.startWithin().apply(spec);
+    Optional<Duration> within = context.startObjective().apply(spec);
     if (within.isEmpty()
         || free.cachedImages.containsKey(spec.image())
         || free.type.fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
       return Optional.empty();
     }
-    Search search = search(job, Optional.of(spec.image()));
-    if (inVain.contains(search)) {
+    SearchKey search = searchKey(job, Optional.of(spec.image()));
+    if (futileSearches.contains(search)) {
       return Optional.empty();
     }
-    Optional<Choice> choice = evict(job, Optional.of(spec.image()), allowed);
+    Optional<Assignment> choice = preempt(job, Optional.of(spec.image()), allowed);
     if (choice.isEmpty()) {
-      inVain.add(search);
+      futileSearches.add(search);
     }
     return choice;
   }
 
   /** Looks for victims, on machines that have the image if one is given. */
-  private Optional<Choice> evict(Job job, Optional<String> image, Predicate<Machine> allowed) {
-    boolean guaranteed = rooms.use().isWithinGuarantee(job.spec);
-    Choice best = null;
-    RandomizedMachineScan machines = order.get();
-    int start = machines.start();
+  private Optional<Assignment> preempt(
+      Job job, Optional<String> image, Predicate<Machine> allowed) {
+    boolean guaranteed = capacity.quotaUsage().isWithinGuarantee(job.spec);
+    Assignment best = null;
+    RandomizedMachineScan scan = machines.get();
+    int start = scan.randomStart();
     int met = 0;
     // As with room, the best of the first that will do: at size, seeing all would cost more than a
     // better victim saves. Ending a gang costs all of its tasks, so then the search is longer.
-    int most = input.tuning().sampleSize();
-    for (int i = 0; i < machines.size() && met < most; i++) {
-      Machine machine = machines.get(start, i);
+    int most = context.tuning().sampleSize();
+    for (int i = 0; i < scan.size() && met < most; i++) {
+      Machine machine = scan.get(start, i);
       if (!job.spec.allows(machine.type, machine.zone, machine.spot)
           || !allowed.test(machine)
           || (image.isPresent() && !canStartAtOnce(machine, image.get()))
@@ -118,18 +123,18 @@
         continue;
       }
       List<TaskAttempt> victims = victimsOn(machine, job, guaranteed);
-      boolean endsGang = losses(victims) > victims.size();
+      boolean endsGang = tasksLost(victims) > victims.size();
       if (victims.isEmpty() || (image.isPresent() && endsGang)) {
         continue;
       }
       met++;
-      if (best == null || better(victims, machine, best, job)) {
-        best = new Choice(machine, victims);
-        most = input.tuning().sampleSize() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
+      if (best == null || isBetter(victims, machine, best, job)) {
+        best = new Assignment(machine, victims);
+        most = context.tuning().sampleSize() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
       }
     }
     if (best != null) {
-      rooms.book(job, best);
+      capacity.reserve(job, best);
     }
     return Optional.ofNullable(best);
   }
@@ -137,8 +142,8 @@
   /** Whether the machine has the image, and a kill would be carried out there at once. */
   private boolean canStartAtOnce(Machine machine, String image) {
     return machine.cachedImages.containsKey(image)
-        && machine.lastReachableAt.isAfter(input.heardSince())
-        && !input.now().isBefore(machine.directCommandsAfter);
+        && machine.lastReachableAt.isAfter(context.reachableSince())
+        && !context.now().isBefore(machine.directCommandsAfter);
   }
 
   /** Who would have to leave the machine; nobody if that would not make room enough. */
@@ -146,14 +151,14 @@
     List<TaskAttempt> candidates = new ArrayList<>();
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (!attempt.stopping
-          && !rooms.isVictim(attempt)
+          && !capacity.isVictim(attempt)
           && !isSheltered(attempt)
-          && mayEvict(job, attempt, guaranteed)) {
+          && mayPreempt(job, attempt, guaranteed)) {
         candidates.add(attempt);
       }
     }
     candidates.sort(LOWEST_AND_YOUNGEST);
-    Resources trial = rooms.of(machine).copy();
+    Resources trial = capacity.availableOn(machine).copy();
     List<TaskAttempt> victims = new ArrayList<>();
     for (TaskAttempt attempt : candidates) {
       if (trial.fits(job)) {
@@ -175,11 +180,11 @@
         && !job.hasStarted
         && job.doneTasks.isEmpty()
         && (job.spec.isGang() || job.attempts.size() == 1)
-        && job.submittedAt.isBefore(input.now().minus(Job.LONG_WAIT))
-        && attempt.runningTime(input.now()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) < 0;
+        && job.submittedAt.isBefore(context.now().minus(Job.LONG_WAIT))
+        && attempt.runningTime(context.now()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) < 0;
   }
 
-  private boolean mayEvict(Job job, TaskAttempt victim, boolean guaranteed) {
+  private boolean mayPreempt(Job job, TaskAttempt victim, boolean guaranteed) {
     JobSpec spec = victim.job.spec;
     if (spec.priority().compareTo(job.spec.priority()) < 0) {
       return true;
@@ -189,7 +194,7 @@
     }
     return guaranteed
         && !spec.team().equals(job.spec.team())
-        && rooms.use().exceedsGuarantee(spec.team());
+        && capacity.quotaUsage().exceedsGuarantee(spec.team());
   }
 
   /**
@@ -197,14 +202,14 @@
    * with its last task, so one task stopped of each of many jobs makes all of them late, where many
    * tasks of one job make one late.
    */
-  private boolean better(List<TaskAttempt> victims, Machine machine, Choice best, Job job) {
-    int losses = losses(victims);
-    int bestLosses = losses(best.victims());
+  private boolean isBetter(List<TaskAttempt> victims, Machine machine, Assignment best, Job job) {
+    int losses = tasksLost(victims);
+    int bestLosses = tasksLost(best.victims());
     if (losses != bestLosses) {
       return losses < bestLosses;
     }
-    Priority highest = highest(victims);
-    Priority bestHighest = highest(best.victims());
+    Priority highest = highestPriority(victims);
+    Priority bestHighest = highestPriority(best.victims());
     if (highest != bestHighest) {
       return highest.compareTo(bestHighest) < 0;
     }
@@ -212,11 +217,11 @@
     if (cached != best.machine().cachedImages.containsKey(job.spec.image())) {
       return cached;
     }
-    return input.turns().compare(first(victims), first(best.victims())) > 0;
+    return context.queueOrder().compare(firstInQueue(victims), firstInQueue(best.victims())) > 0;
   }
 
   /** How many tasks end with the victims: a gang that runs loses all of its tasks with one. */
-  static int losses(List<TaskAttempt> victims) {
+  static int tasksLost(List<TaskAttempt> victims) {
     int losses = 0;
     for (TaskAttempt victim : victims) {
       boolean ofRunningGang =
@@ -227,11 +232,11 @@
   }
 
   /** Of the jobs that would lose a task the one whose turn comes first. */
-  private Job first(List<TaskAttempt> victims) {
-    return victims.stream().map(victim -> victim.job).min(input.turns()).orElseThrow();
+  private Job firstInQueue(List<TaskAttempt> victims) {
+    return victims.stream().map(victim -> victim.job).min(context.queueOrder()).orElseThrow();
   }
 
-  private static Priority highest(List<TaskAttempt> victims) {
+  private static Priority highestPriority(List<TaskAttempt> victims) {
     return victims.stream()
         .map(victim -> victim.job.spec.priority())
         .max(Comparator.naturalOrder())
--- a/src/main/java/io/pearscale/scheduler/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/QueueOrder.java
@@ -22,7 +22,7 @@
   private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(6);
 
   /** A job of which nothing is expected comes after those that are due within this time. */
-  private static final Duration NO_HURRY = Duration.ofHours(1);
+  private static final Duration DEFAULT_COMPLETION_OBJECTIVE = Duration.ofHours(1);
 
   private final List<ServiceLevelObjective> objectives;
   private final JobClasses classes;
@@ -33,11 +33,11 @@
   }
 
   /** When a job should be over: its own deadline, or what its class is expected to keep. */
-  private Instant due(Job job) {
+  private Instant dueAt(Job job) {
     if (job.spec.deadline().isPresent()) {
       return job.submittedAt.plus(job.spec.deadline().get());
     }
-    Duration within = finishedWithin(job).orElse(NO_HURRY);
+    Duration within = completionObjective(job).orElse(DEFAULT_COMPLETION_OBJECTIVE);
     if (job.spec.isGang()) {
       // It can't begin in part, so a time to start says when it would be over.
       Duration ifStarted =
@@ -47,7 +47,7 @@
     return job.submittedAt.plus(within);
   }
 
-  private Optional<Duration> finishedWithin(Job job) {
+  private Optional<Duration> completionObjective(Job job) {
     return objectives.stream()
         .filter(o -> o.kind().equals("finished") && o.jobClass().equals(job.spec.jobClass()))
         .map(ServiceLevelObjective::target)
@@ -58,43 +58,44 @@
    * Whose turn it is, among jobs of one priority: first what can still be over in time, then what
    * is due first.
    */
-  record Turn(int lateness, Instant due) implements Comparable<Turn> {
+  record Rank(int lateness, Instant due) implements Comparable<Rank> {
     @Override
-    public int compareTo(Turn other) {
-      int c = Integer.compare(lateness, other.lateness);
-      return c != 0 ? c : due.compareTo(other.due);
+    public int compareTo(Rank other) {
+      int byLateness = Integer.compare(lateness, other.lateness);
+      return byLateness != 0 ? byLateness : due.compareTo(other.due);
     }
   }
 
   /** The jobs' turns as of now, each worked out when it is first asked for. */
-  Function<Job, Turn> turns(Instant now) {
-    Map<Job, Turn> known = new HashMap<>();
-    return job -> known.computeIfAbsent(job, k -> turn(k, now));
+  Function<Job, Rank> ranks(Instant now) {
+    Map<Job, Rank> known = new HashMap<>();
+    return job -> known.computeIfAbsent(job, k -> rank(k, now));
   }
 
-  private Turn turn(Job job, Instant now) {
-    Instant due = due(job);
+  private Rank rank(Job job, Instant now) {
+    Instant due = dueAt(job);
     Instant end = now.plus(job.spec.estimatedDuration());
     Duration allowed = Duration.between(job.submittedAt, due);
     int lateness =
         job.spec.isService() || !end.isAfter(due)
             ? 0
             : end.isAfter(job.submittedAt.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
-    return new Turn(lateness, job.spec.isService() ? job.submittedAt : order(job, due));
+    return new Rank(
+        lateness, job.spec.isService() ? job.submittedAt : dueAtByRemainingWork(job, due));
   }
 
   /** Waiting jobs, in the order in which they are decided. */
-  List<Job> waiting(Collection<Job> queue, Function<Job, Turn> turns, Instant now) {
-    record Ranked(Job job, int band, Turn turn) {}
+  List<Job> sorted(Collection<Job> queue, Function<Job, Rank> ranks, Instant now) {
+    record Ranked(Job job, int band, Rank turn) {}
     List<Ranked> ranked = new ArrayList<>();
     for (Job j : queue) {
       if (!now.isBefore(j.retryNotBefore) && !(j.failsEverywhere() && !j.attempts.isEmpty())) {
-        Turn turn = turns.apply(j);
-        boolean begins = begins(j, now);
+        Rank rank = ranks.apply(j);
+        boolean overdue = isFirstStartOverdue(j, now);
         // In the top band nothing goes before the order of the design; below it, what has waited
         // for long without a single task running gets one of them started first.
-        int band = j.spec.priority() == Priority.CRITICAL ? 0 : begins ? 1 : 2;
-        ranked.add(new Ranked(j, band, begins ? new Turn(0, turn.due) : turn));
+        int band = j.spec.priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
+        ranked.add(new Ranked(j, band, overdue ? new Rank(0, rank.due) : rank));
       }
     }
     ranked.sort(
@@ -108,7 +109,7 @@
   }
 
   /** Whether no task of a batch job has begun in a time in which its users expect that. */
-  static boolean begins(Job job, Instant now) {
+  static boolean isFirstStartOverdue(Job job, Instant now) {
     return !job.spec.isService()
         && !job.hasStarted
         && job.doneTasks.isEmpty()
@@ -121,7 +122,7 @@
    * that does not depend on their size come the earlier the less is left of them: so more of them
    * are over in time than if each got a part. A large one comes later, but its turn comes.
    */
-  private Instant order(Job job, Instant due) {
+  private Instant dueAtByRemainingWork(Job job, Instant due) {
     if (job.spec.deadline().isPresent()
         || job.spec.isService()
         || !classes.sized(job.spec.jobClass())) {
@@ -137,12 +138,13 @@
    * Whether the job can't wait for room to become free by itself. Work with a deadline stops others
    * only when waiting longer would put the deadline at risk, since what it stops is done again.
    */
-  static boolean pressing(Job job, Instant now) {
+  static boolean mayPreempt(Job job, Instant now) {
     if (job.spec.isService() || job.spec.deadline().isEmpty()) {
       return true;
     }
     // Estimates are often wrong by half, and an image may have to be fetched first.
-    Duration need = job.spec.estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
-    return now.plus(need).isAfter(job.submittedAt.plus(job.spec.deadline().get()));
+    Duration needed =
+        job.spec.estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
+    return now.plus(needed).isAfter(job.submittedAt.plus(job.spec.deadline().get()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
@@ -13,17 +13,17 @@
  */
 final class RandomizedMachineScan {
   private final RandomGenerator random;
-  private final List<Machine> kept = new ArrayList<>();
-  private final List<Machine> spare = new ArrayList<>();
+  private final List<Machine> preferred = new ArrayList<>();
+  private final List<Machine> leaving = new ArrayList<>();
 
   RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
       boolean stays = machine.scaleInCandidateSince.equals(Instant.MAX) && !machine.drainPlanned;
-      (stays ? kept : spare).add(machine);
+      (stays ? preferred : leaving).add(machine);
     }
-    shuffle(kept);
-    shuffle(spare);
+    shuffle(preferred);
+    shuffle(leaving);
   }
 
   private void shuffle(List<Machine> list) {
@@ -33,18 +33,18 @@
   }
 
   int size() {
-    return kept.size() + spare.size();
+    return preferred.size() + leaving.size();
   }
 
   /** A place for a visit to begin at. */
-  int start() {
-    return kept.isEmpty() ? 0 : random.nextInt(kept.size());
+  int randomStart() {
+    return preferred.isEmpty() ? 0 : random.nextInt(preferred.size());
   }
 
   /** The machine that a visit which began there meets as the one of that index. */
   Machine get(int start, int index) {
-    return index < kept.size()
-        ? kept.get((start + index) % kept.size())
-        : spare.get(index - kept.size());
+    return index < preferred.size()
+        ? preferred.get((start + index) % preferred.size())
+        : leaving.get(index - preferred.size());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -53,7 +53,7 @@
 
   private static boolean settled(TaskAttempt attempt, Instant now) {
     return attempt.stage == TaskAttempt.Stage.RUNNING
-        && !attempt.stageSince.isAfter(now.minus(ReplicaRelocation.SETTLED));
+        && !attempt.stageSince.isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
   }
 
   private boolean takes(TaskAttempt attempt) {
--- a/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Choice;
+import io.pearscale.scheduler.Placer.Assignment;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -15,51 +15,51 @@
  */
 final class ReplicaRelocation {
   /** A replica that has run for less is not moved: its start would have been in vain. */
-  static final Duration SETTLED = Duration.ofSeconds(40);
+  static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
 
-  private final PlacementInput input;
-  private final PassCapacity rooms;
-  private final Supplier<RandomizedMachineScan> order;
+  private final PassContext context;
+  private final PassCapacity capacity;
+  private final Supplier<RandomizedMachineScan> machines;
 
   ReplicaRelocation(
-      PlacementInput input, PassCapacity rooms, Supplier<RandomizedMachineScan> order) {
-    this.input = input;
-    this.rooms = rooms;
-    this.order = order;
+      PassContext context, PassCapacity capacity, Supplier<RandomizedMachineScan> machines) {
+    this.context = context;
+    this.capacity = capacity;
+    this.machines = machines;
   }
 
   /** Books the room of a replica that moves on. */
-  Optional<Choice> makeWay(Job job) {
+  Optional<Assignment> makeWay(Job job) {
     if (!job.spec.isService()) {
       return Optional.empty();
     }
-    RandomizedMachineScan machines = order.get();
-    int start = machines.start();
-    int asked = 0;
-    for (int i = 0; i < machines.size() && asked < input.tuning().sampleSize(); i++) {
-      Machine machine = machines.get(start, i);
+    RandomizedMachineScan scan = machines.get();
+    int start = scan.randomStart();
+    int candidates = 0;
+    for (int i = 0; i < scan.size() && candidates < context.tuning().sampleSize(); i++) {
+      Machine machine = scan.get(start, i);
       if (!job.spec.allows(machine.type, machine.zone, machine.spot)
-          || !Placer.allowedNow(job, machine)) {
+          || !Placer.constraintsAllow(job, machine)) {
         continue;
       }
       for (TaskAttempt replica : machine.attempts.values()) {
-        if (!isMovable(job, replica)) {
+        if (!mayBeMovedFor(job, replica)) {
           continue;
         }
-        asked++;
-        if (takesOtherPlace(replica)) {
-          Choice choice = new Choice(machine, List.of(replica));
-          rooms.book(job, choice);
-          return Optional.of(choice);
+        candidates++;
+        if (reserveElsewhere(replica)) {
+          Assignment assignment = new Assignment(machine, List.of(replica));
+          capacity.reserve(job, assignment);
+          return Optional.of(assignment);
         }
       }
     }
     return Optional.empty();
   }
 
-  private boolean isMovable(Job job, TaskAttempt replica) {
+  private boolean mayBeMovedFor(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job.spec;
-    Resources trial = rooms.of(replica.machine).copy();
+    Resources trial = capacity.availableOn(replica.machine).copy();
     trial.add(replica.job);
     return !replica.stopping
         && replica.stage == TaskAttempt.Stage.RUNNING
@@ -67,14 +67,14 @@
         && !spec.singleZone()
         && spec.priority() == job.spec.priority()
         && spec.team().equals(job.spec.team())
-        && replica.stageSince.isBefore(input.now().minus(SETTLED))
+        && replica.stageSince.isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
         && trial.fits(job);
   }
 
-  private boolean takesOtherPlace(TaskAttempt replica) {
-    for (Machine machine : input.machines()) {
-      if (mayMoveTo(replica, machine) && rooms.of(machine).fits(replica.job)) {
-        rooms.of(machine).subtract(replica.job);
+  private boolean reserveElsewhere(TaskAttempt replica) {
+    for (Machine machine : context.machines()) {
+      if (mayMoveTo(replica, machine) && capacity.availableOn(machine).fits(replica.job)) {
+        capacity.availableOn(machine).subtract(replica.job);
         return true;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -28,7 +28,7 @@
  * Receives what concerns jobs and machines, and wires the parts of a leader, each of which owns its
  * own state: {@link JobTable}, {@link MachineInventory}, {@link LeaderRecords}, {@link
  * LeaderRecovery}, {@link HeartbeatProcessor}, {@link CommandDispatcher}, {@link FailureDetector},
- * {@link PlacementPass}, {@link MachineProvisioner} and {@link RecordWriter}. On a controller that
+ * {@link SchedulingPass}, {@link MachineProvisioner} and {@link RecordWriter}. On a controller that
  * does not lead it only keeps the jobs and the stored records at hand.
  */
 public final class SchedulerActor extends Actor<SchedulerActor.Message> {
@@ -255,7 +255,7 @@
 
   private void won(Won m) {
     leadership.begin(m.term, m.termStamp, m.evidence);
-    parts.passes.begin();
+    parts.passes.beginTerm();
     parts.writer.beginTerm();
     parts.dispatcher.begin();
     parts.recovery.beginTerm();
--- a/src/main/java/io/pearscale/scheduler/PlacementPass.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulingPass.java
@@ -18,58 +18,58 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides on which machines the tasks that wait are started. */
-final class PlacementPass {
-  private static final Logger LOG = LoggerFactory.getLogger(PlacementPass.class);
-  private static final AdaptiveThrottle PACING =
+final class SchedulingPass {
+  private static final Logger LOG = LoggerFactory.getLogger(SchedulingPass.class);
+  private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   /** By what a pass decides. */
-  record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder order) {}
+  record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder queueOrder) {}
 
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final AgentTimings times;
+  private final AgentTimings timings;
   private final Policy policy;
   private final TermExecutor executor;
   private final FailureDetector health;
   private final CommandDispatcher dispatcher;
   private final GangTracker gangs;
-  private final GracefulTermination stops;
+  private final GracefulTermination termination;
   private final LeaderStatistics statistics;
-  private final AttemptNumbers attempts = new AttemptNumbers();
+  private final AttemptNumbers attemptNumbers = new AttemptNumbers();
   private boolean requested;
-  private Duration lastPass = Duration.ZERO;
+  private Duration lastPassDuration = Duration.ZERO;
 
-  PlacementPass(
+  SchedulingPass(
       LeaderState state,
-      AgentTimings times,
+      AgentTimings timings,
       Policy policy,
       TermExecutor executor,
       FailureDetector health,
       CommandDispatcher dispatcher,
-      GracefulTermination stops,
+      GracefulTermination termination,
       LeaderStatistics statistics) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = state.records();
     this.clock = state.clock();
-    this.times = times;
+    this.timings = timings;
     this.policy = policy;
     this.executor = executor;
     this.health = health;
     this.dispatcher = dispatcher;
     this.gangs = state.gangs();
-    this.stops = stops;
+    this.termination = termination;
     this.statistics = statistics;
   }
 
   /** A term has begun. */
-  void begin() {
-    attempts.beginTerm(leadership.term());
+  void beginTerm() {
+    attemptNumbers.beginTerm(leadership.term());
     requested = false;
   }
 
@@ -77,7 +77,7 @@
   void request() {
     if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
-      executor.after(PACING.restAfter(lastPass), this::run);
+      executor.after(THROTTLE.restAfter(lastPassDuration), this::run);
     }
   }
 
@@ -90,17 +90,17 @@
 
   private void pass() {
     Instant now = clock.instant();
-    stops.endBrokenGangs();
-    Function<Job, QueueOrder.Turn> turns = policy.order.turns(now);
-    List<Job> waiting = policy.order.waiting(jobs.queued(), turns, now);
+    termination.endBrokenGangs();
+    Function<Job, QueueOrder.Rank> ranks = policy.queueOrder.ranks(now);
+    List<Job> waiting = policy.queueOrder.sorted(jobs.queued(), ranks, now);
     if (!waiting.isEmpty()) {
       List<Machine> usable = usable(now);
-      Placer placer = placer(waiting, usable, turns, now);
-      GangPlacement ofGangs = new GangPlacement(placer, usable);
+      Placer placer = placer(waiting, usable, ranks, now);
+      GangPlacer gangPlacer = new GangPlacer(placer, usable);
       Set<Machine> touched = new LinkedHashSet<>();
       for (Job job : waiting) {
         if (job.spec.isGang()) {
-          placeGang(ofGangs, job, touched, now);
+          placeGang(gangPlacer, job, touched, now);
         } else {
           place(placer, job, touched, now);
         }
@@ -108,22 +108,22 @@
       touched.forEach(dispatcher::sendDueCommands);
     }
     dispatcher.sendAllDueCommands();
-    lastPass = Duration.between(now, clock.instant());
-    statistics.recordPass(lastPass);
+    lastPassDuration = Duration.between(now, clock.instant());
+    statistics.recordPass(lastPassDuration);
   }
 
   private Placer placer(
-      List<Job> waiting, List<Machine> usable, Function<Job, QueueOrder.Turn> turns, Instant now) {
-    PlacementInput input =
-        new PlacementInput(
+      List<Job> waiting, List<Machine> usable, Function<Job, QueueOrder.Rank> ranks, Instant now) {
+    PassContext context =
+        new PassContext(
             policy.tuning,
             policy.random,
             usable,
             policy.classes::startObjective,
-            Comparator.comparing(turns),
-            now.minus(times.reachableWithin()),
+            Comparator.comparing(ranks),
+            now.minus(timings.reachableWithin()),
             now);
-    return new Placer(input, waiting, inventory.quotaUsage());
+    return new Placer(context, waiting, inventory.quotaUsage());
   }
 
   private List<Machine> usable(Instant now) {
@@ -137,83 +137,90 @@
   }
 
   private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
-    boolean pressing = QueueOrder.pressing(job, now);
+    boolean mayPreempt = QueueOrder.mayPreempt(job, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
-    boolean one = QueueOrder.begins(job, now) || job.failsEverywhere();
+    boolean oneTaskOnly = QueueOrder.isFirstStartOverdue(job, now) || job.failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
-      Optional<Placer.Choice> choice = placer.place(job, pressing);
-      job.unschedulable = choice.isEmpty();
-      if (choice.isEmpty()) {
+      Optional<Placer.Assignment> assignment = placer.place(job, mayPreempt);
+      job.unschedulable = assignment.isEmpty();
+      if (assignment.isEmpty()) {
         return;
       }
-      start(job, i, choice.get(), attempts.next(), touched, now);
-      if (one) {
+      start(job, i, assignment.get(), attemptNumbers.next(), touched, now);
+      if (oneTaskOnly) {
         return;
       }
     }
   }
 
   /** All tasks of a gang that are to be started find a place, or none is started. */
-  private void placeGang(GangPlacement placement, Job job, Set<Machine> touched, Instant now) {
+  private void placeGang(GangPlacer gangPlacer, Job job, Set<Machine> touched, Instant now) {
     Action action = gangs.nextAction(job);
     if (action != Action.START && action != Action.COMPLETE) {
       return;
     }
     int tasks = job.pendingTasks();
-    List<Placer.Choice> choices = placement.place(job, tasks, QueueOrder.pressing(job, now));
-    job.unschedulable = choices.isEmpty();
-    if (choices.isEmpty()) {
-      if (QueueOrder.begins(job, now)) {
-        placement.hold(job, tasks);
+    List<Placer.Assignment> assignments =
+        gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
+    job.unschedulable = assignments.isEmpty();
+    if (assignments.isEmpty()) {
+      if (QueueOrder.isFirstStartOverdue(job, now)) {
+        gangPlacer.reserveFor(job, tasks);
       } else if (policy.classes.startObjective(job.spec).isPresent()) {
-        placement.holdIfSmall(job, tasks);
+        gangPlacer.reserveIfSmall(job, tasks);
       }
       return;
     }
     if (action == Action.START) {
-      gangs.beginAttempt(job, attempts.next());
+      gangs.beginAttempt(job, attemptNumbers.next());
     }
-    long attempt = gangs.attemptNumber(job);
+    long attemptNumber = gangs.attemptNumber(job);
     int task = job.nextPendingTask(0);
-    for (Placer.Choice choice : choices) {
-      start(job, task, choice, attempt, touched, now);
+    for (Placer.Assignment assignment : assignments) {
+      start(job, task, assignment, attemptNumber, touched, now);
       task = job.nextPendingTask(task + 1);
     }
   }
 
   private void start(
-      Job job, int task, Placer.Choice choice, long attempt, Set<Machine> touched, Instant now) {
-    Machine machine = choice.machine();
-    for (TaskAttempt victim : choice.victims()) {
-      evict(victim, job, task);
+      Job job,
+      int taskIndex,
+      Placer.Assignment assignment,
+      long attemptNumber,
+      Set<Machine> touched,
+      Instant now) {
+    Machine machine = assignment.machine();
+    for (TaskAttempt victim : assignment.victims()) {
+      preempt(victim, job, taskIndex);
       touched.add(machine);
     }
-    TaskAttempt placement =
-        new TaskAttempt(job, new TaskId(job.spec.id(), task), attempt, machine, Stage.PLANNED, now);
-    inventory.add(placement);
+    TaskAttempt planned =
+        new TaskAttempt(
+            job, new TaskId(job.spec.id(), taskIndex), attemptNumber, machine, Stage.PLANNED, now);
+    inventory.add(planned);
     LOG.debug(
         "event=placed term={} machine={} task={} attempt={} class={} image={} cached={}",
         leadership.term(),
         machine.name,
-        placement.task,
-        placement.number,
+        planned.task,
+        planned.number,
         job.spec.jobClass(),
         job.spec.image(),
         machine.cachedImages.containsKey(job.spec.image()));
-    records.recordPlacement(placement);
+    records.recordPlacement(planned);
   }
 
-  private void evict(TaskAttempt victim, Job job, int index) {
+  private void preempt(TaskAttempt victim, Job preemptor, int taskIndex) {
     LOG.info(
         "event=evict term={} machine={} task={} attempt={} for={}/{}",
         leadership.term(),
         victim.machine.name,
         victim.task,
         victim.number,
-        job.spec.id(),
-        index);
-    stops.stop(
+        preemptor.spec.id(),
+        taskIndex);
+    termination.stop(
         victim,
-        policy.classes.isLateIfCheckpointed(job.spec, victim.job.spec, victim.machine.type));
+        policy.classes.isLateIfCheckpointed(preemptor.spec, victim.job.spec, victim.machine.type));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/ProbationTest.java
@@ -30,9 +30,9 @@
     for (Priority priority : Priority.values()) {
       machine.maintenance = new Maintenance(Stage.PROBATION, "d1");
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
-      assertEquals(!urgent, Placer.allowedNow(job(priority), machine), "" + priority);
+      assertEquals(!urgent, Placer.constraintsAllow(job(priority), machine), "" + priority);
       machine.maintenance = Maintenance.IN_SERVICE;
-      assertEquals(true, Placer.allowedNow(job(priority), machine), "" + priority);
+      assertEquals(true, Placer.constraintsAllow(job(priority), machine), "" + priority);
     }
   }
 }
