--- a/src/main/java/io/pearscale/scheduler/AdaptiveThrottle.java
+++ b/src/main/java/io/pearscale/scheduler/AdaptiveThrottle.java
@@ -6,17 +6,17 @@
  * How long to leave a kind of work alone after it was done once, so that however much there is to
  * decide, most of the time is left to those who report.
  *
- * @param share the work may take one part in so many of the time
- * @param least the shortest rest
- * @param most the longest rest: a process that stood still meanwhile must not rest for minutes
+ * @param restFactor the work may take one part in so many of the time
+ * @param minRest the shortest rest
+ * @param maxRest the longest rest: a process that stood still meanwhile must not rest for minutes
  */
-record AdaptiveThrottle(int share, Duration least, Duration most) {
+record AdaptiveThrottle(int restFactor, Duration minRest, Duration maxRest) {
   /** The rest after work that took so long. */
   Duration restAfter(Duration work) {
-    Duration rest = work.multipliedBy(share);
-    if (rest.compareTo(least) < 0) {
-      return least;
+    Duration rest = work.multipliedBy(restFactor);
+    if (rest.compareTo(minRest) < 0) {
+      return minRest;
     }
-    return rest.compareTo(most) > 0 ? most : rest;
+    return rest.compareTo(maxRest) > 0 ? maxRest : rest;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.ScaleOutPlanner.Kind;
+import io.pearscale.scheduler.ScaleOutPlanner.Offering;
 import io.pearscale.storage.TokenBucket;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
@@ -23,84 +23,85 @@
  * is asked for again under the same name, so that an answer that got lost rents nothing twice.
  */
 public final class CloudActor extends Actor<CloudActor.Message> {
-  private static final Duration TIMEOUT = Duration.ofSeconds(4);
-  private static final Duration PAUSE = Duration.ofSeconds(2);
-  private static final int TRIES = 4;
-  private static final int PAGE = 500;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
+  private static final Duration ERROR_BACKOFF = Duration.ofSeconds(2);
+  private static final int MAX_TRIES = 4;
+  private static final int PAGE_SIZE = 500;
 
   /** What the actor understands. */
   public sealed interface Message {}
 
   /** Begins to call, for the given term. */
-  public record Lead(long term) implements Message {}
+  public record BeginTerm(long term) implements Message {}
 
   /** Stops to call. */
-  public record Rest() implements Message {}
+  public record EndTerm() implements Message {}
 
   /** Rents machines. */
-  record Hire(Kind kind, int count) implements Message {}
+  record ProvisionMachines(Offering offering, int count) implements Message {}
 
   /** Gives machines back. */
-  record Delete(List<String> names) implements Message {}
+  record DeleteMachines(List<String> names) implements Message {}
 
-  private record Tick(int round) implements Message {}
+  private record Tick(int generation) implements Message {}
 
-  private record Answer(int round, Runnable then) implements Message {}
+  private record CallCompleted(int generation, Runnable action) implements Message {}
 
   /** What the cloud says. */
   sealed interface Event {}
 
   /** The catalogue, with current prices. */
-  record Catalogue(List<MachineType> types) implements Event {}
+  record CatalogueReceived(List<MachineType> types) implements Event {}
 
   /** Machines were rented. */
-  record Hired(Kind kind, List<String> names) implements Event {}
+  record MachinesProvisioned(Offering offering, List<String> names) implements Event {}
 
   /**
    * None of this kind can be had now; {@code trouble} when the cloud itself did not answer well.
    */
-  record Refused(Kind kind, boolean trouble) implements Event {}
+  record ProvisioningRefused(Offering offering, boolean providerError) implements Event {}
 
   /** Machines are gone. */
-  record Deleted(List<String> names) implements Event {}
+  record MachinesDeleted(List<String> names) implements Event {}
 
   /** A deletion was not carried out, as far as known. */
-  record NotDeleted(List<String> names) implements Event {}
+  record DeletionFailed(List<String> names) implements Event {}
 
   /** The machine list, as old as it is. */
-  record Listed(List<Host> hosts) implements Event {}
+  record MachinesListed(List<ListedMachine> machines) implements Event {}
 
   /** A line of the machine list. */
-  record Host(String name, String address, String type, String zone, boolean spot, String stage) {}
+  record ListedMachine(
+      String name, String address, String type, String zone, boolean spot, String stage) {}
 
-  private record Job(Message message, String hire, int tries) {}
+  private record PendingRequest(Message message, String requestName, int tries) {}
 
   /** A machine list that is being read, a page at a time. */
-  private static final class Listing {
+  private static final class MachineListing {
     final Instant started;
-    final List<Host> hosts = new ArrayList<>();
-    String last = "";
-    boolean yields;
+    final List<ListedMachine> machines = new ArrayList<>();
+    String lastName = "";
+    boolean yieldsToRequests;
 
-    Listing(Instant started) {
+    MachineListing(Instant started) {
       this.started = started;
     }
   }
 
   private final HttpClient calls;
   private final Settings settings;
-  private final TokenBucket budget;
+  private final TokenBucket rateLimit;
   private final Consumer<Event> events;
-  private final ArrayDeque<Job> queue = new ArrayDeque<>();
-  private int round;
-  private boolean busy;
+  private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
+  private int generation;
+  private boolean callInFlight;
   private long term;
-  private long hires;
+  private long requestCount;
   private boolean haveCatalogue;
-  private Optional<Listing> listing = Optional.empty();
+  private Optional<MachineListing> listing = Optional.empty();
   private Instant nextList = Instant.MIN;
   private Instant nextCatalogue = Instant.MIN;
-  private Instant quietUntil = Instant.MIN;
+  private Instant backoffUntil = Instant.MIN;
 
   /** Calls the cloud of the settings and hands what it says to {@code events}. */
   CloudActor(EventLoop loop, HttpClient calls, Settings settings, Consumer<Event> events) {
@@ -109,93 +110,93 @@
     this.settings = settings;
     this.events = events;
     // A little under the limit: a former leader may have used some of the burst.
-    this.budget = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * 0.9);
+    this.rateLimit = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * 0.9);
   }
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof Lead m) {
-      round++;
+    if (message instanceof BeginTerm m) {
+      generation++;
       term = m.term;
-      hires = 0;
-      busy = false;
-      queue.clear();
+      requestCount = 0;
+      callInFlight = false;
+      requests.clear();
       listing = Optional.empty();
       nextList = Instant.MIN;
       nextCatalogue = Instant.MIN;
-      quietUntil = Instant.MIN;
-      tell(new Tick(round));
-    } else if (message instanceof Rest) {
-      round++;
-      queue.clear();
-    } else if (message instanceof Hire) {
-      queue.add(new Job(message, "r-" + term + "-" + (++hires), 0));
-    } else if (message instanceof Delete) {
-      queue.addFirst(new Job(message, "", 0));
-    } else if (message instanceof Answer m && m.round == round) {
-      busy = false;
-      m.then.run();
-    } else if (message instanceof Tick m && m.round == round) {
-      step();
-      int r = round;
-      loop.after(Duration.ofMillis(100), () -> tell(new Tick(r)));
+      backoffUntil = Instant.MIN;
+      tell(new Tick(generation));
+    } else if (message instanceof EndTerm) {
+      generation++;
+      requests.clear();
+    } else if (message instanceof ProvisionMachines) {
+      requests.add(new PendingRequest(message, "r-" + term + "-" + (++requestCount), 0));
+    } else if (message instanceof DeleteMachines) {
+      requests.addFirst(new PendingRequest(message, "", 0));
+    } else if (message instanceof CallCompleted m && m.generation == generation) {
+      callInFlight = false;
+      m.action.run();
+    } else if (message instanceof Tick m && m.generation == generation) {
+      nextCall();
+      int tickGeneration = generation;
+      loop.after(Duration.ofMillis(100), () -> tell(new Tick(tickGeneration)));
     }
   }
 
-  private void step() {
+  private void nextCall() {
     Instant now = loop.clock().instant();
-    if (busy || now.isBefore(quietUntil) || !budget.canAcquire(1)) {
+    if (callInFlight || now.isBefore(backoffUntil) || !rateLimit.canAcquire(1)) {
       return;
     }
-    if (!haveCatalogue || (queue.isEmpty() && now.isAfter(nextCatalogue))) {
-      budget.tryAcquire(1);
-      catalogue();
-    } else if (listing.isPresent() && (queue.isEmpty() || !listing.get().yields)) {
-      budget.tryAcquire(1);
-      nextPage(listing.get());
+    if (!haveCatalogue || (requests.isEmpty() && now.isAfter(nextCatalogue))) {
+      rateLimit.tryAcquire(1);
+      requestCatalogue();
+    } else if (listing.isPresent() && (requests.isEmpty() || !listing.get().yieldsToRequests)) {
+      rateLimit.tryAcquire(1);
+      requestNextPage(listing.get());
     } else if (listing.isEmpty() && now.isAfter(nextList)) {
-      budget.tryAcquire(1);
-      listing = Optional.of(new Listing(now));
-      nextPage(listing.get());
-    } else if (!queue.isEmpty()) {
-      budget.tryAcquire(1);
-      listing.ifPresent(l -> l.yields = false);
-      Job job = queue.poll();
-      if (job.message instanceof Hire h) {
-        hire(job, h);
-      } else if (job.message instanceof Delete d) {
-        delete(d);
+      rateLimit.tryAcquire(1);
+      listing = Optional.of(new MachineListing(now));
+      requestNextPage(listing.get());
+    } else if (!requests.isEmpty()) {
+      rateLimit.tryAcquire(1);
+      listing.ifPresent(l -> l.yieldsToRequests = false);
+      PendingRequest request = requests.poll();
+      if (request.message instanceof ProvisionMachines h) {
+        provision(request, h);
+      } else if (request.message instanceof DeleteMachines d) {
+        deleteMachines(d);
       }
     }
   }
 
-  private void call(String method, String path, JsonNode body, Consumer<Reply> then) {
-    busy = true;
-    int r = round;
+  private void call(String method, String path, JsonNode body, Consumer<Reply> onReply) {
+    callInFlight = true;
+    int callGeneration = generation;
     calls.call(
         settings.cloudAddress(),
         method,
         path,
         body,
-        TIMEOUT,
+        CALL_TIMEOUT,
         reply ->
             tell(
-                new Answer(
-                    r,
+                new CallCompleted(
+                    callGeneration,
                     () -> {
-                      if (reply.status() != 200 && !noCapacity(reply)) {
-                        quietUntil = loop.clock().instant().plus(PAUSE);
+                      if (reply.status() != 200 && !isNoCapacity(reply)) {
+                        backoffUntil = loop.clock().instant().plus(ERROR_BACKOFF);
                         log.info("event=cloud_trouble path={} status={}", path, reply.status());
                       }
-                      then.accept(reply);
+                      onReply.accept(reply);
                     })));
   }
 
-  private static boolean noCapacity(Reply r) {
-    return r.status() == 503 && r.body().path("error").asText().equals("no capacity");
+  private static boolean isNoCapacity(Reply reply) {
+    return reply.status() == 503 && reply.body().path("error").asText().equals("no capacity");
   }
 
-  private void catalogue() {
+  private void requestCatalogue() {
     call(
         "GET",
         "/catalog",
@@ -205,7 +206,7 @@
           if (!types.isEmpty()) {
             haveCatalogue = true;
             nextCatalogue = loop.clock().instant().plusSeconds(60);
-            events.accept(new Catalogue(types));
+            events.accept(new CatalogueReceived(types));
           }
         });
   }
@@ -214,59 +215,63 @@
    * Asks for the next page. The list of a large fleet takes more calls than the cloud allows at
    * once, so that each page waits for its turn, and lets what was asked for meanwhile go first.
    */
-  private void nextPage(Listing list) {
-    list.yields = true;
+  private void requestNextPage(MachineListing listing) {
+    listing.yieldsToRequests = true;
     call(
         "GET",
-        "/hosts?" + (list.last.isEmpty() ? "" : "since=" + list.last + "&") + "limit=" + PAGE,
+        "/hosts?"
+            + (listing.lastName.isEmpty() ? "" : "since=" + listing.lastName + "&")
+            + "limit="
+            + PAGE_SIZE,
         MessagePack.MISSING,
-        reply -> page(list, reply));
+        reply -> handlePage(listing, reply));
   }
 
-  private void page(Listing list, Reply reply) {
+  private void handlePage(MachineListing listing, Reply reply) {
     if (!reply.ok() || !reply.body().path("hives").isArray()) {
-      endListing(list);
+      endListing(listing);
       return;
     }
-    String before = list.last;
+    String before = listing.lastName;
     for (JsonNode n : reply.body().path("hives")) {
-      Host host = host(n);
-      list.last = host.name;
-      list.hosts.add(host);
+      ListedMachine machine = parseMachine(n);
+      listing.lastName = machine.name;
+      listing.machines.add(machine);
     }
-    if (!reply.body().path("more").asBoolean() || list.last.equals(before)) {
-      endListing(list);
-      events.accept(new Listed(list.hosts));
+    if (!reply.body().path("more").asBoolean() || listing.lastName.equals(before)) {
+      endListing(listing);
+      events.accept(new MachinesListed(listing.machines));
     }
   }
 
-  private static Host host(JsonNode n) {
-    return new Host(
-        n.path("uid").asText(),
-        n.path("address").asText(),
-        n.path("breed").asText(),
-        n.path("yard").asText(),
-        n.path("windfall").asBoolean(),
-        n.path("stage").asText());
+  private static ListedMachine parseMachine(JsonNode node) {
+    return new ListedMachine(
+        node.path("uid").asText(),
+        node.path("address").asText(),
+        node.path("breed").asText(),
+        node.path("yard").asText(),
+        node.path("windfall").asBoolean(),
+        node.path("stage").asText());
   }
 
   /** Lists of a large fleet leave at least as long between them as each of them takes. */
-  private void endListing(Listing list) {
+  private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
-    Instant due = list.started.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
-    Instant rested = now.plus(Duration.between(list.started, now));
+    Instant due =
+        finished.started.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
+    Instant rested = now.plus(Duration.between(finished.started, now));
     nextList = due.isAfter(rested) ? due : rested;
   }
 
-  private void hire(Job job, Hire h) {
+  private void provision(PendingRequest request, ProvisionMachines order) {
     JsonNode body =
         MessagePack.map()
-            .put("hire", job.hire)
-            .put("breed", h.kind.type())
-            .put("yard", h.kind.zone())
-            .put("windfall", h.kind.spot())
-            .put("count", Math.min(50, h.count));
+            .put("hire", request.requestName)
+            .put("breed", order.offering.type())
+            .put("yard", order.offering.zone())
+            .put("windfall", order.offering.spot())
+            .put("count", Math.min(50, order.count));
     call(
         "POST",
         "/hosts",
@@ -275,28 +280,30 @@
           if (reply.ok()) {
             List<String> names = new ArrayList<>();
             reply.body().path("hives").forEach(n -> names.add(n.asText()));
-            events.accept(new Hired(h.kind, names));
-            if (names.size() < Math.min(50, h.count)) {
-              events.accept(new Refused(h.kind, false));
+            events.accept(new MachinesProvisioned(order.offering, names));
+            if (names.size() < Math.min(50, order.count)) {
+              events.accept(new ProvisioningRefused(order.offering, false));
             }
-          } else if (noCapacity(reply)) {
-            events.accept(new Refused(h.kind, false));
-          } else if (reply.status() != 400 && job.tries + 1 < TRIES) {
-            queue.add(new Job(h, job.hire, job.tries + 1));
+          } else if (isNoCapacity(reply)) {
+            events.accept(new ProvisioningRefused(order.offering, false));
+          } else if (reply.status() != 400 && request.tries + 1 < MAX_TRIES) {
+            requests.add(new PendingRequest(order, request.requestName, request.tries + 1));
           } else {
-            events.accept(new Refused(h.kind, true));
+            events.accept(new ProvisioningRefused(order.offering, true));
           }
         });
   }
 
-  private void delete(Delete d) {
+  private void deleteMachines(DeleteMachines order) {
     var body = MessagePack.map();
     var names = body.putArray("hives");
-    d.names.forEach(names::add);
+    order.names.forEach(names::add);
     call(
         "POST",
         "/hosts/delete",
         body,
-        reply -> events.accept(reply.ok() ? new Deleted(d.names) : new NotDeleted(d.names)));
+        reply ->
+            events.accept(
+                reply.ok() ? new MachinesDeleted(order.names) : new DeletionFailed(order.names)));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/Headroom.java
@@ -14,27 +14,27 @@
  */
 final class Headroom {
   /** How many tasks of a class, like those of the sample job, are to have room in each zone. */
-  record Want(Job sample, int each) {}
+  record Target(Job sample, int tasksPerZone) {}
 
-  private record Part(Job sample, String zone) {}
+  private record ZoneTarget(Job sample, String zone) {}
 
-  private final Collection<Want> wants;
-  private final Map<Part, Integer> lacking = new LinkedHashMap<>();
+  private final Collection<Target> targets;
+  private final Map<ZoneTarget, Integer> deficits = new LinkedHashMap<>();
 
-  Headroom(Collection<Want> wants, Collection<String> zones, Collection<Machine> usable) {
-    this.wants = wants;
-    for (Want w : wants) {
+  Headroom(Collection<Target> targets, Collection<String> zones, Collection<Machine> schedulable) {
+    this.targets = targets;
+    for (Target w : targets) {
       Map<String, Integer> free = new HashMap<>();
-      for (Machine machine : usable) {
-        free.merge(machine.zone, places(w.sample, machine), Integer::sum);
+      for (Machine machine : schedulable) {
+        free.merge(machine.zone, slots(w.sample, machine), Integer::sum);
       }
       for (String zone : zones) {
-        lacking.put(new Part(w.sample, zone), w.each - free.getOrDefault(zone, 0));
+        deficits.put(new ZoneTarget(w.sample, zone), w.tasksPerZone - free.getOrDefault(zone, 0));
       }
     }
   }
 
-  private static int places(Job sample, Machine machine) {
+  private static int slots(Job sample, Machine machine) {
     return sample.spec.allows(machine.type, machine.zone, machine.spot)
         ? machine.capacityWithEviction(sample)
         : 0;
@@ -43,7 +43,7 @@
   /** What has to be rented so that each zone has its room. */
   List<ScaleOutPlanner.Demand> demands() {
     List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
-    lacking.forEach(
+    deficits.forEach(
         (part, n) -> {
           if (n > 0) {
             demands.add(new ScaleOutPlanner.Demand(part.sample, n, Optional.of(part.zone)));
@@ -56,10 +56,10 @@
    * Whether no zone would lack more without the machine. What no machine here can give, in a zone
    * that is full, must not keep all others.
    */
-  boolean canLose(Machine machine) {
-    for (Want w : wants) {
-      int lacks = lacking.getOrDefault(new Part(w.sample, machine.zone), 0);
-      if (Math.max(0, lacks + places(w.sample, machine)) > Math.max(0, lacks)) {
+  boolean canRelease(Machine machine) {
+    for (Target w : targets) {
+      int deficit = deficits.getOrDefault(new ZoneTarget(w.sample, machine.zone), 0);
+      if (Math.max(0, deficit + slots(w.sample, machine)) > Math.max(0, deficit)) {
         return false;
       }
     }
@@ -67,9 +67,10 @@
   }
 
   /** The machine is to be given back. */
-  void lose(Machine machine) {
-    for (Want w : wants) {
-      lacking.merge(new Part(w.sample, machine.zone), places(w.sample, machine), Integer::sum);
+  void release(Machine machine) {
+    for (Target w : targets) {
+      deficits.merge(
+          new ZoneTarget(w.sample, machine.zone), slots(w.sample, machine), Integer::sum);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.CloudActor.Host;
+import io.pearscale.scheduler.CloudActor.ListedMachine;
 import io.pearscale.scheduler.Machine.Lifecycle;
 import io.pearscale.scheduler.MachineRetirement.Reason;
 import java.time.Duration;
@@ -18,20 +18,20 @@
 /** Rents machines and gives spare ones back, and takes in what the cloud says. */
 final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
-  private static final AdaptiveThrottle PACING =
+  private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
   /** A machine may be given back while the state service can be written, as of so long ago. */
-  private static final Duration WRITABLE = Duration.ofSeconds(2);
+  private static final Duration STORE_PROOF_MAX_AGE = Duration.ofSeconds(2);
 
   /** The record of a rented machine is written within that time, long before its first start. */
-  private static final Duration RECORD_WITHIN = Duration.ofSeconds(1);
+  private static final Duration MACHINE_RECORD_DELAY = Duration.ofSeconds(1);
 
   /** A machine missing in the list is gone only if nothing was heard of it for so long. */
   private static final Duration UNLISTED_SILENCE = Duration.ofSeconds(6);
 
   /** After so many times the usual lag a list shows what was listed before. */
-  private static final int LAGS = 3;
+  private static final int LIST_LAG_FACTOR = 3;
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -40,14 +40,14 @@
   private final InstantSource clock;
   private final Settings settings;
   private final CloudActor cloud;
-  private final Autoscaler fleet;
-  private final QueueOrder order;
-  private final FailureDetector health;
+  private final Autoscaler autoscaler;
+  private final QueueOrder queueOrder;
+  private final FailureDetector failureDetector;
   private final MachineRetirement retirement;
   private final CommandDispatcher dispatcher;
   private final LeaderRecovery recovery;
   private final Optional<DrainCoordinator> drains;
-  private Instant nextRent = Instant.MIN;
+  private Instant nextScaling = Instant.MIN;
 
   /**
    * Makes a supply.
@@ -58,9 +58,9 @@
       LeaderState state,
       Settings settings,
       CloudActor cloud,
-      Autoscaler fleet,
-      QueueOrder order,
-      FailureDetector health,
+      Autoscaler autoscaler,
+      QueueOrder queueOrder,
+      FailureDetector failureDetector,
       MachineRetirement retirement,
       CommandDispatcher dispatcher,
       LeaderRecovery recovery,
@@ -72,9 +72,9 @@
     this.clock = state.clock();
     this.settings = settings;
     this.cloud = cloud;
-    this.fleet = fleet;
-    this.order = order;
-    this.health = health;
+    this.autoscaler = autoscaler;
+    this.queueOrder = queueOrder;
+    this.failureDetector = failureDetector;
     this.retirement = retirement;
     this.dispatcher = dispatcher;
     this.recovery = recovery;
@@ -83,60 +83,60 @@
 
   /** A term has begun. */
   void begin() {
-    fleet.begin();
-    cloud.tell(new CloudActor.Lead(leadership.term()));
+    autoscaler.begin();
+    cloud.tell(new CloudActor.BeginTerm(leadership.term()));
   }
 
   /** The term is over. */
   void end() {
-    cloud.tell(new CloudActor.Rest());
+    cloud.tell(new CloudActor.EndTerm());
   }
 
   /** Rents and gives back, unless that was done just now. */
-  void rentIfDue(Instant now) {
-    if (now.isAfter(nextRent)) {
-      rent(now);
-      nextRent = now.plus(PACING.restAfter(Duration.between(now, clock.instant())));
+  void scaleIfDue(Instant now) {
+    if (now.isAfter(nextScaling)) {
+      scale(now);
+      nextScaling = now.plus(THROTTLE.restAfter(Duration.between(now, clock.instant())));
     }
   }
 
-  private void rent(Instant now) {
+  private void scale(Instant now) {
     retirement.deleteRetired();
     if (inventory.catalogue().types().isEmpty()) {
       return;
     }
     // When the state service can't be written, a machine marked now would be of no use to anybody.
-    boolean mayGiveBack = recovery.isComplete() && leadership.provenWithin(WRITABLE);
-    Autoscaler.Plan plan =
-        fleet.plan(
-            new Autoscaler.View(
+    boolean mayScaleIn = recovery.isComplete() && leadership.provenWithin(STORE_PROOF_MAX_AGE);
+    Autoscaler.ScalingPlan plan =
+        autoscaler.plan(
+            new Autoscaler.ClusterView(
                 inventory.all(),
-                m -> health.isSchedulable(m, now),
+                m -> failureDetector.isSchedulable(m, now),
                 jobs.all(),
-                order.sorted(jobs.queued(), order.ranks(now), now),
+                queueOrder.sorted(jobs.queued(), queueOrder.ranks(now), now),
                 inventory.quotaUsage(),
                 inventory.catalogue().types(),
-                health.unreachableZones(now),
+                failureDetector.unreachableZones(now),
                 drains.map(DrainCoordinator::replacements).orElse(List.of()),
-                mayGiveBack),
+                mayScaleIn),
             now);
-    plan.hires().forEach(this::hire);
-    plan.moves().forEach(this::move);
-    plan.giveBack().forEach(machine -> retirement.retire(machine, Reason.IDLE));
+    plan.scaleOut().forEach(this::requestMachines);
+    plan.relocations().forEach(this::relocate);
+    plan.scaleIn().forEach(machine -> retirement.retire(machine, Reason.IDLE));
   }
 
-  private void hire(ScaleOutPlanner.Kind kind, int count) {
+  private void requestMachines(ScaleOutPlanner.Offering offering, int count) {
     LOG.info(
         "event=rent term={} type={} zone={} spot={} count={}",
         leadership.term(),
-        kind.type(),
-        kind.zone(),
-        kind.spot(),
+        offering.type(),
+        offering.zone(),
+        offering.spot(),
         count);
-    cloud.tell(new CloudActor.Hire(kind, count));
+    cloud.tell(new CloudActor.ProvisionMachines(offering, count));
   }
 
-  private void move(TaskAttempt attempt) {
+  private void relocate(TaskAttempt attempt) {
     if (drains.isPresent() && !drains.get().requestMove(attempt)) {
       return;
     }
@@ -153,59 +153,59 @@
   }
 
   /** Takes in what the cloud says. */
-  void cloudSaid(CloudActor.Event event) {
+  void handleCloudEvent(CloudActor.Event event) {
     Instant now = clock.instant();
-    if (event instanceof CloudActor.Catalogue e) {
+    if (event instanceof CloudActor.CatalogueReceived received) {
       // Kept for restarts during an outage of the cloud; prices in it may be old.
-      inventory.updateCatalogue(e.types());
+      inventory.updateCatalogue(received.types());
       records.updateCatalogue(inventory.catalogue().names());
-    } else if (event instanceof CloudActor.Hired e) {
-      hired(e, now);
-    } else if (event instanceof CloudActor.Refused e) {
-      refused(e, now);
-    } else if (event instanceof CloudActor.Deleted e) {
-      e.names().forEach(inventory::confirmDeleted);
+    } else if (event instanceof CloudActor.MachinesProvisioned received) {
+      handleProvisioned(received, now);
+    } else if (event instanceof CloudActor.ProvisioningRefused received) {
+      handleRefused(received, now);
+    } else if (event instanceof CloudActor.MachinesDeleted received) {
+      received.names().forEach(inventory::confirmDeleted);
       records.requestCommit();
-    } else if (event instanceof CloudActor.NotDeleted e) {
-      retirement.retryDeletion(e.names());
-    } else if (event instanceof CloudActor.Listed e) {
-      listed(e.hosts(), now);
+    } else if (event instanceof CloudActor.DeletionFailed received) {
+      retirement.retryDeletion(received.names());
+    } else if (event instanceof CloudActor.MachinesListed received) {
+      handleListed(received.machines(), now);
     }
   }
 
-  private void hired(CloudActor.Hired event, Instant now) {
-    ScaleOutPlanner.Kind kind = event.kind();
-    fleet.renter().noteGranted(kind);
-    Optional<MachineType> type = inventory.catalogue().find(kind.type());
+  private void handleProvisioned(CloudActor.MachinesProvisioned event, Instant now) {
+    ScaleOutPlanner.Offering offering = event.offering();
+    autoscaler.scaleOutPlanner().noteGranted(offering);
+    Optional<MachineType> type = inventory.catalogue().find(offering.type());
     for (String name : event.names()) {
       boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
       if (isNew && type.isPresent()) {
         Machine machine =
-            new Machine(name, kind.zone(), kind.spot(), type.get(), Lifecycle.BOOTING, now);
+            new Machine(name, offering.zone(), offering.spot(), type.get(), Lifecycle.BOOTING, now);
         inventory.add(machine);
         records.assignSlot(machine);
-        records.recordMachine(machine, RECORD_WITHIN);
+        records.recordMachine(machine, MACHINE_RECORD_DELAY);
       }
     }
     LOG.info(
-        "event=rented term={} kind={} count={}", leadership.term(), kind, event.names().size());
+        "event=rented term={} kind={} count={}", leadership.term(), offering, event.names().size());
   }
 
-  private void refused(CloudActor.Refused event, Instant now) {
-    if (event.trouble()) {
-      fleet.renter().noteGranted(event.kind());
+  private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
+    if (event.providerError()) {
+      autoscaler.scaleOutPlanner().noteGranted(event.offering());
     } else {
-      fleet.renter().noteRefused(event.kind(), now);
-      LOG.info("event=no_capacity term={} kind={}", leadership.term(), event.kind());
+      autoscaler.scaleOutPlanner().noteRefused(event.offering(), now);
+      LOG.info("event=no_capacity term={} kind={}", leadership.term(), event.offering());
     }
   }
 
-  private void listed(List<Host> hosts, Instant now) {
+  private void handleListed(List<ListedMachine> listing, Instant now) {
     Set<String> names = new HashSet<>();
-    for (Host host : hosts) {
-      names.add(host.name());
-      if (!inventory.isRemoved(host.name())) {
-        listed(host, now);
+    for (ListedMachine listed : listing) {
+      names.add(listed.name());
+      if (!inventory.isRemoved(listed.name())) {
+        handleListed(listed, now);
       }
     }
     for (Machine machine : inventory.all()) {
@@ -215,19 +215,20 @@
     }
   }
 
-  private void listed(Host host, Instant now) {
-    Machine machine = inventory.get(host.name());
+  private void handleListed(ListedMachine listed, Instant now) {
+    Machine machine = inventory.get(listed.name());
     if (machine == null) {
-      MachineType type = inventory.catalogue().typeOf(host.type());
-      machine = new Machine(host.name(), host.zone(), host.spot(), type, Lifecycle.BOOTING, now);
-      machine.address = host.address();
+      MachineType type = inventory.catalogue().typeOf(listed.type());
+      machine =
+          new Machine(listed.name(), listed.zone(), listed.spot(), type, Lifecycle.BOOTING, now);
+      machine.address = listed.address();
       inventory.add(machine);
     }
     if (!machine.listedByCloud) {
       machine.listedByCloud = true;
       machine.listedSince = now;
     }
-    if (host.stage().equals("failed")) {
+    if (listed.stage().equals("failed")) {
       retirement.retire(machine, Reason.STOPPED_BY_PROVIDER);
     }
   }
@@ -238,7 +239,7 @@
    * deletion makes sure.
    */
   private boolean isGone(Machine machine, Instant now) {
-    Duration lag = settings.cloudLimits().listLag().multipliedBy(LAGS);
+    Duration lag = settings.cloudLimits().listLag().multipliedBy(LIST_LAG_FACTOR);
     return machine.listedByCloud
         && machine.heartbeatEverReceived
         && now.isAfter(machine.listedSince.plus(lag))
--- a/src/main/java/io/pearscale/scheduler/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/MachineRetirement.java
@@ -85,7 +85,7 @@
       }
     }
     if (!names.isEmpty()) {
-      cloud.tell(new CloudActor.Delete(names));
+      cloud.tell(new CloudActor.DeleteMachines(names));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
@@ -13,19 +13,19 @@
  * plan are bounded by the fleet's size: what is not found by then is left for the next plan.
  */
 final class ReplicaCapacity {
-  private static final int LOOKS_PER_MACHINE = 32;
+  private static final int CHECKS_PER_MACHINE = 32;
 
   /** A small fleet is looked through as a whole. */
-  private static final int LEAST_LOOKS = 10_000;
+  private static final int MIN_CHECKS = 10_000;
 
   private final Set<Machine> machines;
-  private final Map<Machine, Machine.Resources> rooms = new HashMap<>();
-  private int looksLeft;
+  private final Map<Machine, Machine.Resources> available = new HashMap<>();
+  private int checksLeft;
 
   /** Begins with the room of machines that may take tasks. */
-  ReplicaCapacity(Collection<Machine> usable) {
-    machines = new LinkedHashSet<>(usable);
-    looksLeft = Math.max(LEAST_LOOKS, LOOKS_PER_MACHINE * usable.size());
+  ReplicaCapacity(Collection<Machine> schedulable) {
+    machines = new LinkedHashSet<>(schedulable);
+    checksLeft = Math.max(MIN_CHECKS, CHECKS_PER_MACHINE * schedulable.size());
   }
 
   /** A machine that is to be emptied is no place to move to. */
@@ -34,37 +34,37 @@
   }
 
   /** Looks that this plan may still take. */
-  int looksLeft() {
-    return looksLeft;
+  int checksLeft() {
+    return checksLeft;
   }
 
   /**
    * Whether each replica of the machine could go to one of the others that has its image; if so,
    * their room is taken.
    */
-  boolean takesReplicasOf(Machine machine, Instant now) {
+  boolean reserveForReplicasOf(Machine machine, Instant now) {
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.job.spec.isService() && !(settled(attempt, now) && takes(attempt))) {
+      if (attempt.job.spec.isService() && !(isStable(attempt, now) && reserve(attempt))) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean settled(TaskAttempt attempt, Instant now) {
+  private static boolean isStable(TaskAttempt attempt, Instant now) {
     return attempt.stage == TaskAttempt.Stage.RUNNING
         && !attempt.stageSince.isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
   }
 
-  private boolean takes(TaskAttempt attempt) {
+  private boolean reserve(TaskAttempt attempt) {
     for (Machine other : machines) {
-      if (looksLeft <= 0) {
+      if (checksLeft <= 0) {
         return false;
       }
-      looksLeft--;
+      checksLeft--;
       if (ReplicaRelocation.mayMoveTo(attempt, other)
-          && rooms.computeIfAbsent(other, Machine::available).fits(attempt.job)) {
-        rooms.get(other).subtract(attempt.job);
+          && available.computeIfAbsent(other, Machine::available).fits(attempt.job)) {
+        available.get(other).subtract(attempt.job);
         return true;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
@@ -18,13 +18,13 @@
  * for what is left over the cheapest kind that can be had is chosen.
  */
 final class ScaleOutPlanner {
-  private static final int LEAST_AT_ONCE = 12;
+  private static final int MIN_SCALE_OUT_LIMIT = 12;
 
   /** The cloud takes no more in one call. */
-  private static final int MOST_OF_A_KIND = 50;
+  private static final int MAX_PER_REQUEST = 50;
 
   /** A kind of machine: what is refused is refused for one of these. */
-  record Kind(String type, String zone, boolean spot) {}
+  record Offering(String type, String zone, boolean spot) {}
 
   /** Work to find room for. */
   record Demand(Job job, int tasks, Optional<String> zone) {}
@@ -32,113 +32,121 @@
   private record Refusal(Instant until, int times) {}
 
   private final Tuning tuning;
-  private final Map<Kind, Refusal> refused = new HashMap<>();
-  private final Map<Kind, Integer> asked = new HashMap<>();
+  private final Map<Offering, Refusal> refusals = new HashMap<>();
+  private final Map<Offering, Integer> requested = new HashMap<>();
 
   ScaleOutPlanner(Tuning tuning) {
     this.tuning = tuning;
   }
 
   /** The cloud has none of this kind now: it is left alone for a while, longer each time. */
-  void noteRefused(Kind kind, Instant now) {
-    asked.remove(kind);
-    int times = refused.containsKey(kind) ? refused.get(kind).times + 1 : 1;
-    refused.put(kind, new Refusal(now.plusSeconds(Math.min(60, 6L << Math.min(4, times))), times));
+  void noteRefused(Offering offering, Instant now) {
+    requested.remove(offering);
+    int times = refusals.containsKey(offering) ? refusals.get(offering).times + 1 : 1;
+    refusals.put(
+        offering, new Refusal(now.plusSeconds(Math.min(60, 6L << Math.min(4, times))), times));
   }
 
   /**
    * This kind was asked for: not again before there is an answer, or it is overdue. What was asked
    * for counts as coming, else the same work would ask for another kind meanwhile.
    */
-  void noteAsked(Kind kind, int count, Instant now) {
-    asked.put(kind, count);
-    int times = refused.containsKey(kind) ? refused.get(kind).times : 0;
-    refused.put(kind, new Refusal(now.plusSeconds(15), times));
+  void noteRequested(Offering offering, int count, Instant now) {
+    requested.put(offering, count);
+    int times = refusals.containsKey(offering) ? refusals.get(offering).times : 0;
+    refusals.put(offering, new Refusal(now.plusSeconds(15), times));
   }
 
   /** The cloud gave one of this kind. */
-  void noteGranted(Kind kind) {
-    asked.remove(kind);
-    refused.remove(kind);
+  void noteGranted(Offering offering) {
+    requested.remove(offering);
+    refusals.remove(offering);
   }
 
   private static final class Bin {
     final MachineType type;
     final String zone;
     final boolean spot;
-    final Resources room;
+    final Resources available;
 
     Bin(MachineType type, String zone, boolean spot) {
       this.type = type;
       this.zone = zone;
       this.spot = spot;
-      this.room = new Resources(type.cpus(), type.gpus(), type.memoryGb());
+      this.available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    int take(Demand d, int tasks) {
-      if (!d.job().spec.allows(type, zone, spot) || !d.zone().map(zone::equals).orElse(true)) {
+    int pack(Demand demand, int tasks) {
+      if (!demand.job().spec.allows(type, zone, spot)
+          || !demand.zone().map(zone::equals).orElse(true)) {
         return 0;
       }
-      int n = Math.min(tasks, room.countFitting(d.job()));
-      for (int i = 0; i < n; i++) {
-        room.subtract(d.job());
+      int fitting = Math.min(tasks, available.countFitting(demand.job()));
+      for (int i = 0; i < fitting; i++) {
+        available.subtract(demand.job());
       }
-      return n;
+      return fitting;
     }
   }
 
   /**
    * What to rent now, given what is on its way.
    *
-   * @param silentZones zones in which nothing is to be rented
-   * @param fleet how many machines there are: a large fleet may grow by more at once
+   * @param unreachableZones zones in which nothing is to be rented
+   * @param fleetSize how many machines there are: a large fleet may grow by more at once
    */
-  Map<Kind, Integer> plan(
+  Map<Offering, Integer> plan(
       List<Demand> demands,
-      Collection<Machine> coming,
+      Collection<Machine> booting,
       Collection<MachineType> types,
-      Set<String> silentZones,
-      int fleet,
+      Set<String> unreachableZones,
+      int fleetSize,
       Instant now) {
-    int most = Math.max(LEAST_AT_ONCE, fleet / 4);
+    int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / 4);
     List<Bin> bins = new ArrayList<>();
-    for (Machine machine : coming) {
+    for (Machine machine : booting) {
       bins.add(new Bin(machine.type, machine.zone, machine.spot));
     }
-    asked.forEach(
-        (kind, n) -> {
+    requested.forEach(
+        (offering, n) -> {
           for (MachineType type : types) {
-            for (int i = 0; i < n && type.name().equals(kind.type()); i++) {
-              bins.add(new Bin(type, kind.zone(), kind.spot()));
+            for (int i = 0; i < n && type.name().equals(offering.type()); i++) {
+              bins.add(new Bin(type, offering.zone(), offering.spot()));
             }
           }
         });
-    Map<Kind, Integer> hires = new LinkedHashMap<>();
+    Map<Offering, Integer> scaleOut = new LinkedHashMap<>();
     int total = 0;
     for (int i = 0; i < demands.size(); i++) {
-      Demand d = demands.get(i);
-      int left = d.tasks();
-      for (Bin b : bins) {
+      Demand demand = demands.get(i);
+      int left = demand.tasks();
+      for (Bin bin : bins) {
         if (left == 0) {
           break;
         }
-        left -= b.take(d, left);
+        left -= bin.pack(demand, left);
       }
-      while (left > 0 && total < most) {
+      while (left > 0 && total < limit) {
         Optional<Bin> best =
             cheapest(
-                d, left, demands.subList(i + 1, demands.size()), types, silentZones, hires, now);
+                demand,
+                left,
+                demands.subList(i + 1, demands.size()),
+                types,
+                unreachableZones,
+                scaleOut,
+                now);
         if (best.isEmpty()) {
           break;
         }
-        Bin b = best.get();
-        left -= b.take(d, left);
-        bins.add(b);
-        hires.merge(new Kind(b.type.name(), b.zone, b.spot), 1, Integer::sum);
+        Bin bin = best.get();
+        left -= bin.pack(demand, left);
+        bins.add(bin);
+        scaleOut.merge(new Offering(bin.type.name(), bin.zone, bin.spot), 1, Integer::sum);
         total++;
       }
     }
-    return hires;
+    return scaleOut;
   }
 
   /**
@@ -146,38 +154,38 @@
    * list counts as use too: many small jobs fill a large machine as well as one large job does.
    */
   private Optional<Bin> cheapest(
-      Demand d,
+      Demand demand,
       int tasks,
       List<Demand> later,
       Collection<MachineType> types,
-      Set<String> silentZones,
-      Map<Kind, Integer> hires,
+      Set<String> unreachableZones,
+      Map<Offering, Integer> scaleOut,
       Instant now) {
     Bin best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : types) {
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Kind kind = new Kind(type.name(), zone, spot);
-          Refusal r = refused.get(kind);
-          if (silentZones.contains(zone)
-              || (r != null && now.isBefore(r.until))
-              || hires.getOrDefault(kind, 0) >= MOST_OF_A_KIND) {
+          Offering offering = new Offering(type.name(), zone, spot);
+          Refusal refusal = refusals.get(offering);
+          if (unreachableZones.contains(zone)
+              || (refusal != null && now.isBefore(refusal.until))
+              || scaleOut.getOrDefault(offering, 0) >= MAX_PER_REQUEST) {
             continue;
           }
-          Bin b = new Bin(type, zone, spot);
+          Bin bin = new Bin(type, zone, spot);
           Bin trial = new Bin(type, zone, spot);
-          double used = trial.take(d, tasks) * size(d.job());
+          double used = trial.pack(demand, tasks) * taskSize(demand.job());
           if (used == 0) {
             continue;
           }
           for (Demand other : later) {
-            used += trial.take(other, other.tasks()) * size(other.job());
+            used += trial.pack(other, other.tasks()) * taskSize(other.job());
           }
           double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / used;
           if (cost < bestCost) {
             bestCost = cost;
-            best = b;
+            best = bin;
           }
         }
       }
@@ -186,7 +194,7 @@
   }
 
   /** A measure of a task that is comparable between machine types. */
-  private static double size(Job job) {
+  private static double taskSize(Job job) {
     return Math.max(1e-6, job.spec.cpus() + job.spec.gpus() + job.spec.memoryGb() * 1e-3);
   }
 
@@ -196,7 +204,7 @@
   }
 
   /** How long a machine may boot before it no longer counts as coming. */
-  static Duration patience(MachineType type) {
+  static Duration bootTimeout(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -162,7 +162,7 @@
     } else if (message instanceof Lost) {
       lost();
     } else if (message instanceof CloudSaid m && leadership.isLeading()) {
-      parts.supply.cloudSaid(m.event);
+      parts.supply.handleCloudEvent(m.event);
     } else if (message instanceof Beat && leadership.isReady()) {
       parts.writer.writeKeepAlive();
     }
@@ -308,7 +308,7 @@
     parts.drains.ifPresent(drains -> drains.roundIfDue(now));
     parts.passes.request();
     parts.dispatcher.sendAllDueCommands();
-    parts.supply.rentIfDue(now);
+    parts.supply.scaleIfDue(now);
     if (now.isAfter(nextCounts)) {
       nextCounts = now.plus(COUNTS_SPACING);
       records.collectObsoleteValues();
--- a/src/test/java/io/pearscale/scheduler/AdaptiveThrottleTest.java
+++ b/src/test/java/io/pearscale/scheduler/AdaptiveThrottleTest.java
@@ -7,22 +7,22 @@
 
 /** Work rests in proportion to what it took, within bounds. */
 class AdaptiveThrottleTest {
-  private final AdaptiveThrottle pacing =
+  private final AdaptiveThrottle throttle =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   @Test
   void restsInProportion() {
-    assertEquals(Duration.ofMillis(400), pacing.restAfter(Duration.ofMillis(100)));
+    assertEquals(Duration.ofMillis(400), throttle.restAfter(Duration.ofMillis(100)));
   }
 
   @Test
-  void neverRestsForLessThanTheLeast() {
-    assertEquals(Duration.ofMillis(30), pacing.restAfter(Duration.ZERO));
+  void neverRestsForLessThanTheMinimum() {
+    assertEquals(Duration.ofMillis(30), throttle.restAfter(Duration.ZERO));
   }
 
   /** A process that stood still for 35 s within a pass would place nothing for minutes. */
   @Test
   void aProcessThatStoodStillDoesNotRestForMinutes() {
-    assertEquals(Duration.ofSeconds(2), pacing.restAfter(Duration.ofSeconds(35)));
+    assertEquals(Duration.ofSeconds(2), throttle.restAfter(Duration.ofSeconds(35)));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/CloudActorTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.ScaleOutPlanner.Kind;
+import io.pearscale.scheduler.ScaleOutPlanner.Offering;
 import io.pearscale.transport.CountingLoop;
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
@@ -108,17 +108,17 @@
   }
 
   @Test
-  void theListOfALargeFleetArrivesWholeAndLeavesRoomForRentals() {
+  void theListOfALargeFleetArrivesWholeAndLetsProvisioningThrough() {
     CloudActor cloud = new CloudActor(loop, new SlowCloud(), settings(), events::add);
-    cloud.tell(new CloudActor.Lead(1));
+    cloud.tell(new CloudActor.BeginTerm(1));
     loop.pass(Duration.ofSeconds(3));
-    cloud.tell(new CloudActor.Hire(new Kind("big", "a", false), 1));
+    cloud.tell(new CloudActor.ProvisionMachines(new Offering("big", "a", false), 1));
     loop.pass(Duration.ofSeconds(3));
-    assertEquals(1, events(CloudActor.Hired.class).size());
+    assertEquals(1, events(CloudActor.MachinesProvisioned.class).size());
     loop.pass(Duration.ofSeconds(24));
-    List<CloudActor.Listed> lists = events(CloudActor.Listed.class);
+    List<CloudActor.MachinesListed> lists = events(CloudActor.MachinesListed.class);
     assertTrue(!lists.isEmpty(), "no list in 30 s");
-    lists.forEach(list -> assertEquals(MACHINES, list.hosts().size()));
+    lists.forEach(list -> assertEquals(MACHINES, list.machines().size()));
     assertEquals(0, refused);
   }
 }
--- a/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
@@ -70,34 +70,34 @@
   }
 
   /** Asks about as many machines as a plan does: a part of the fleet. */
-  private static int looks(int size) {
+  private static int checks(int size) {
     List<Machine> machines = fleet(size, 8);
-    ReplicaCapacity room = new ReplicaCapacity(machines);
-    int before = room.looksLeft();
+    ReplicaCapacity capacity = new ReplicaCapacity(machines);
+    int before = capacity.checksLeft();
     for (int i = 0; i < size / 13; i++) {
-      room.takesReplicasOf(machines.get(i), NOW);
+      capacity.reserveForReplicasOf(machines.get(i), NOW);
     }
-    return before - room.looksLeft();
+    return before - capacity.checksLeft();
   }
 
   @Test
-  void looksGrowWithTheFleetAndNotWithItsSquare() {
+  void checksGrowWithTheFleetAndNotWithItsSquare() {
     for (int size : new int[] {1000, 2000, 4000, 6000}) {
-      int looks = looks(size);
-      assertTrue(looks <= 40 * size, size + " machines: " + looks);
+      int checks = checks(size);
+      assertTrue(checks <= 40 * size, size + " machines: " + checks);
     }
   }
 
   @Test
-  void roomThatOneReplicaTookIsNotFreeForTheNext() {
+  void capacityThatOneReplicaReservedIsNotAvailableToTheNext() {
     List<Machine> machines = fleet(3, 4);
-    ReplicaCapacity room = new ReplicaCapacity(machines);
-    room.remove(machines.get(0));
-    room.remove(machines.get(1));
+    ReplicaCapacity capacity = new ReplicaCapacity(machines);
+    capacity.remove(machines.get(0));
+    capacity.remove(machines.get(1));
     assertEquals(
         List.of(true, false),
         List.of(
-            room.takesReplicasOf(machines.get(0), NOW),
-            room.takesReplicasOf(machines.get(1), NOW)));
+            capacity.reserveForReplicasOf(machines.get(0), NOW),
+            capacity.reserveForReplicasOf(machines.get(1), NOW)));
   }
 }
