--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -6,11 +6,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.cli.StateSession.Stored;
 import io.pearscale.drain.DrainRequest;
-import io.pearscale.drain.DrainRequest.Afterwards;
-import io.pearscale.drain.DrainRequest.Wish;
+import io.pearscale.drain.DrainRequest.CompletionAction;
+import io.pearscale.drain.DrainRequest.DesiredState;
 import io.pearscale.drain.DrainStatus;
 import io.pearscale.drain.MachineSelector;
-import io.pearscale.drain.MachineSelector.MachineFacts;
+import io.pearscale.drain.MachineSelector.MachineAttributes;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
@@ -184,8 +184,8 @@
       return (machines * percent + 99) / 100;
     }
 
-    private static MachineFacts facts(MachineRecordCodec.MachineRecord entry) {
-      return new MachineFacts(entry.machine(), entry.zone(), entry.type(), entry.address());
+    private static MachineAttributes facts(MachineRecordCodec.MachineRecord entry) {
+      return new MachineAttributes(entry.machine(), entry.zone(), entry.type(), entry.address());
     }
 
     private int start(
@@ -214,21 +214,22 @@
               id,
               selector.toString(),
               machinesAtOnce(machines.size()),
-              hold ? Afterwards.HOLD : Afterwards.RETURN,
-              Wish.RUN,
+              hold ? CompletionAction.HOLD : CompletionAction.RETURN,
+              DesiredState.RUN,
               now,
               now.plus(time),
               window);
       if (dryRun) {
         say(
-            "would drain %d machines, %d at a time: ".formatted(machines.size(), request.atOnce())
+            "would drain %d machines, %d at a time: "
+                    .formatted(machines.size(), request.maxConcurrentMachines())
                 + String.join(" ", machines));
         return 0;
       }
       List<Precondition> absent = List.of(new Precondition(Keys.drain(id), 0));
       int largest = files.settings().storeLimits().maxValueBytes();
       return conclude(
-          state.write(absent, request.changes(machines, largest)),
+          state.write(absent, request.toMutations(machines, largest)),
           "asked for drain %s of %d machines".formatted(id, machines.size()));
     }
   }
@@ -305,7 +306,7 @@
     @Parameters(paramLabel = "ID", description = "the drain")
     String id;
 
-    abstract Wish wish();
+    abstract DesiredState wish();
 
     @Override
     int run(StateSession state) throws IOException {
@@ -315,7 +316,7 @@
         return fail("no drain is called " + id, Main.EXIT_SETTINGS);
       }
       Mutation change =
-          Mutation.put(Keys.drain(id), DrainRequest.withWish(stored.get().value(), wish()));
+          Mutation.put(Keys.drain(id), DrainRequest.withDesiredState(stored.get().value(), wish()));
       List<Precondition> guards = List.of(new Precondition(Keys.drain(id), stored.get().stamp()));
       return conclude(state.write(guards, List.of(change)), id + ": " + wish());
     }
@@ -328,8 +329,8 @@
       mixinStandardHelpOptions = true)
   static final class Pause extends ChangeWish {
     @Override
-    Wish wish() {
-      return Wish.PAUSE;
+    DesiredState wish() {
+      return DesiredState.PAUSE;
     }
   }
 
@@ -337,8 +338,8 @@
   @Command(name = "resume", description = "Goes on with a drain.", mixinStandardHelpOptions = true)
   static final class Resume extends ChangeWish {
     @Override
-    Wish wish() {
-      return Wish.RUN;
+    DesiredState wish() {
+      return DesiredState.RUN;
     }
   }
 
@@ -350,8 +351,8 @@
       mixinStandardHelpOptions = true)
   static final class Cancel extends ChangeWish {
     @Override
-    Wish wish() {
-      return Wish.CANCEL;
+    DesiredState wish() {
+      return DesiredState.CANCEL;
     }
   }
 
--- a/src/main/java/io/pearscale/cli/OperationsReader.java
+++ b/src/main/java/io/pearscale/cli/OperationsReader.java
@@ -113,7 +113,7 @@
     if (kind.isEmpty()) {
       throw error(entry, expected);
     }
-    double most = kind.get() == Kind.MOST_DOWN_SHARE ? 1 : MOST_OF_A_BUDGET;
+    double most = kind.get() == Kind.MAX_UNAVAILABLE_SHARE ? 1 : MOST_OF_A_BUDGET;
     try {
       double amount = Double.parseDouble(entry.get(4));
       if (!(amount >= 0 && amount <= most)) {
@@ -140,7 +140,7 @@
               days(entry.get(3)),
               LocalTime.parse(entry.get(4)),
               LocalTime.parse(entry.get(5)));
-      if (window.from().equals(window.to())) {
+      if (window.startTime().equals(window.endTime())) {
         throw error(entry, expected + ", with another end than its begin");
       }
       windows.put(window.name(), window);
--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -16,27 +16,31 @@
  * A task that was stopped, or is about to be, and does not run again yet.
  *
  * @param voluntary whether it was our choice: such a one is durable before its stop is sent
- * @param lost work that is done again
+ * @param lostWork work that is done again
  */
 public record Disruption(
-    TaskId task, String team, String jobClass, boolean voluntary, Duration lost) {
-  private static final String LIST = "d";
-  private static final int FIELDS = 4;
+    TaskId task, String team, String jobClass, boolean voluntary, Duration lostWork) {
+  private static final String LIST_FIELD = "d";
+  private static final int FIELDS_PER_ENTRY = 4;
 
   /** What its entry takes beside its texts. */
-  private static final int ENTRY_SIZE = 48;
+  private static final int ENTRY_OVERHEAD = 48;
 
   /** How large its entry is at most. */
-  public int size() {
-    return ENTRY_SIZE + task.toString().length() + team.length() + jobClass.length();
+  public int maximumSize() {
+    return ENTRY_OVERHEAD + task.toString().length() + team.length() + jobClass.length();
   }
 
   /** Encodes a value that holds some. */
   public static JsonNode encode(Collection<Disruption> disruptions) {
     ObjectNode value = MessagePack.map();
-    ArrayNode list = value.putArray(LIST);
-    for (Disruption d : disruptions) {
-      list.addArray().add(d.task.toString()).add(d.team).add(d.jobClass).add(d.lost.toMillis());
+    ArrayNode list = value.putArray(LIST_FIELD);
+    for (Disruption disruption : disruptions) {
+      list.addArray()
+          .add(disruption.task.toString())
+          .add(disruption.team)
+          .add(disruption.jobClass)
+          .add(disruption.lostWork.toMillis());
     }
     return value;
   }
@@ -44,17 +48,19 @@
   /** Decodes a value. */
   public static List<Disruption> decode(JsonNode value) throws MalformedMessageException {
     List<Disruption> disruptions = new ArrayList<>();
-    for (JsonNode n : MessageFields.list(MessageFields.requireMap(value), LIST)) {
-      if (n.size() < FIELDS || !n.path(0).isTextual() || !n.path(3).isIntegralNumber()) {
-        throw new MalformedMessageException("disruption " + n);
+    for (JsonNode fields : MessageFields.list(MessageFields.requireMap(value), LIST_FIELD)) {
+      if (fields.size() < FIELDS_PER_ENTRY
+          || !fields.path(0).isTextual()
+          || !fields.path(3).isIntegralNumber()) {
+        throw new MalformedMessageException("disruption " + fields);
       }
       disruptions.add(
           new Disruption(
-              TaskId.parse(n.path(0).asText()),
-              n.path(1).asText(),
-              n.path(2).asText(),
+              TaskId.parse(fields.path(0).asText()),
+              fields.path(1).asText(),
+              fields.path(2).asText(),
               /* voluntary= */ true,
-              Duration.ofMillis(n.path(3).asLong())));
+              Duration.ofMillis(fields.path(3).asLong())));
     }
     return disruptions;
   }
--- a/src/main/java/io/pearscale/drain/DisruptionBudget.java
+++ b/src/main/java/io/pearscale/drain/DisruptionBudget.java
@@ -15,13 +15,13 @@
   /** What a budget bounds. */
   public enum Kind {
     /** Tasks that are down at once. */
-    MOST_DOWN("most-down"),
+    MAX_UNAVAILABLE("most-down"),
     /** The share of all tasks that are down at once. */
-    MOST_DOWN_SHARE("most-down-share"),
+    MAX_UNAVAILABLE_SHARE("most-down-share"),
     /** Tasks that stay up. */
-    LEAST_UP("least-up"),
+    MIN_AVAILABLE("least-up"),
     /** Seconds of work, not saved, that are lost by what is down at once. */
-    MOST_LOST_S("most-lost-s");
+    MAX_LOST_WORK_SECONDS("most-lost-s");
 
     private final String text;
 
@@ -49,16 +49,17 @@
    * What a group of tasks is like.
    *
    * @param total tasks that should run
-   * @param down those that do not, or are about to be stopped
-   * @param lost the work that is lost with them
+   * @param unavailable those that do not, or are about to be stopped
+   * @param lostWork the work that is lost with them
    */
-  public record Load(int total, int down, Duration lost) {
+  public record Availability(int total, int unavailable, Duration lostWork) {
     /** No tasks. */
-    public static final Load NONE = new Load(0, 0, Duration.ZERO);
+    public static final Availability NONE = new Availability(0, 0, Duration.ZERO);
 
     /** With another group of tasks. */
-    public Load plus(Load other) {
-      return new Load(total + other.total, down + other.down, lost.plus(other.lost));
+    public Availability plus(Availability other) {
+      return new Availability(
+          total + other.total, unavailable + other.unavailable, lostWork.plus(other.lostWork));
     }
   }
 
@@ -81,13 +82,13 @@
   }
 
   /** Why a load is more than the budget allows; empty if it is not. */
-  public Optional<String> objection(Load load) {
+  public Optional<String> objection(Availability availability) {
     boolean allowed =
         switch (kind) {
-          case MOST_DOWN -> load.down <= amount;
-          case MOST_DOWN_SHARE -> load.down <= amount * load.total;
-          case LEAST_UP -> load.total - load.down >= amount;
-          case MOST_LOST_S -> load.lost.toMillis() <= amount * 1000;
+          case MAX_UNAVAILABLE -> availability.unavailable <= amount;
+          case MAX_UNAVAILABLE_SHARE -> availability.unavailable <= amount * availability.total;
+          case MIN_AVAILABLE -> availability.total - availability.unavailable >= amount;
+          case MAX_LOST_WORK_SECONDS -> availability.lostWork.toMillis() <= amount * 1000;
         };
     return allowed ? Optional.empty() : Optional.of(this + " allows no more");
   }
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -1,6 +1,6 @@
 package io.pearscale.drain;
 
-import io.pearscale.drain.DisruptionBudget.Load;
+import io.pearscale.drain.DisruptionBudget.Availability;
 import io.pearscale.protocol.TaskId;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -24,8 +24,8 @@
 
   private final List<DisruptionBudget> budgets;
   private final Map<TaskId, Disruption> open = new LinkedHashMap<>();
-  private Map<Group, Load> loads = Map.of();
-  private Optional<String> unknown = Optional.empty();
+  private Map<Group, Availability> availabilityByGroup = Map.of();
+  private Optional<String> blockedReason = Optional.empty();
 
   /** A ledger that knows of no disruptions. */
   public DisruptionLedger(List<DisruptionBudget> budgets) {
@@ -33,16 +33,16 @@
   }
 
   /** A term begins: what a predecessor has recorded counts as spent until shown otherwise. */
-  public void begin(Collection<Disruption> recorded) {
+  public void beginTerm(Collection<Disruption> recorded) {
     open.clear();
-    loads = Map.of();
-    unknown = Optional.empty();
-    recorded.forEach(d -> open.put(d.task(), d));
+    availabilityByGroup = Map.of();
+    blockedReason = Optional.empty();
+    recorded.forEach(disruption -> open.put(disruption.task(), disruption));
   }
 
   /** What was spent can't be read: nothing more may be. */
-  public void spentIsUnknown(String reason) {
-    unknown = Optional.of(reason);
+  public void blockAll(String reason) {
+    blockedReason = Optional.of(reason);
   }
 
   /** Disruptions that count. */
@@ -56,17 +56,17 @@
   }
 
   /** Counts a disruption that nobody asked the budgets for. */
-  public void note(Disruption disruption) {
+  public void recordInvoluntary(Disruption disruption) {
     open.putIfAbsent(disruption.task(), disruption);
   }
 
   /** Ends those of tasks that run again or are over, and returns them. */
-  public List<Disruption> close(Predicate<TaskId> isOver) {
+  public List<Disruption> closeIf(Predicate<TaskId> isOver) {
     List<Disruption> closed = new ArrayList<>();
-    for (Disruption d : List.copyOf(open.values())) {
-      if (isOver.test(d.task())) {
-        open.remove(d.task());
-        closed.add(d);
+    for (Disruption disruption : List.copyOf(open.values())) {
+      if (isOver.test(disruption.task())) {
+        open.remove(disruption.task());
+        closed.add(disruption);
       }
     }
     return closed;
@@ -77,8 +77,8 @@
    *
    * @param current what is down includes all that is open here
    */
-  public void update(Map<Group, Load> current) {
-    loads = new HashMap<>(current);
+  public void updateAvailability(Map<Group, Availability> current) {
+    availabilityByGroup = new HashMap<>(current);
   }
 
   /** How the task is disrupted; empty if it is not. */
@@ -91,8 +91,8 @@
    *
    * @return why it is refused; empty if it is granted
    */
-  public Optional<String> spend(Disruption disruption) {
-    return spend(List.of(disruption));
+  public Optional<String> trySpend(Disruption disruption) {
+    return trySpend(List.of(disruption));
   }
 
   /**
@@ -100,29 +100,29 @@
    *
    * @return why they are refused; empty if they are granted
    */
-  public Optional<String> spend(List<Disruption> together) {
-    if (unknown.isPresent()) {
-      return unknown;
+  public Optional<String> trySpend(List<Disruption> together) {
+    if (blockedReason.isPresent()) {
+      return blockedReason;
     }
-    Disruption any = together.get(0);
-    Group group = new Group(any.team(), any.jobClass());
-    Load added = new Load(0, 0, Duration.ZERO);
+    Disruption first = together.get(0);
+    Group group = new Group(first.team(), first.jobClass());
+    Availability added = new Availability(0, 0, Duration.ZERO);
     for (Disruption disruption : together) {
-      added = added.plus(new Load(0, 1, disruption.lost()));
+      added = added.plus(new Availability(0, 1, disruption.lostWork()));
     }
     List<DisruptionBudget> covering = budgetsFor(group);
     if (covering.isEmpty()) {
       return Optional.of("no budget covers " + group.team + " " + group.jobClass);
     }
     for (DisruptionBudget budget : covering) {
-      Optional<String> objection = budget.objection(load(budget).plus(added));
+      Optional<String> objection = budget.objection(availabilityUnder(budget).plus(added));
       if (objection.isPresent()) {
         return objection;
       }
     }
     together.forEach(disruption -> open.put(disruption.task(), disruption));
-    loads = new HashMap<>(loads);
-    loads.merge(group, added, Load::plus);
+    availabilityByGroup = new HashMap<>(availabilityByGroup);
+    availabilityByGroup.merge(group, added, Availability::plus);
     return Optional.empty();
   }
 
@@ -142,9 +142,9 @@
   }
 
   /** What the tasks are like that a budget covers. */
-  public Load load(DisruptionBudget budget) {
-    Load sum = new Load(0, 0, Duration.ZERO);
-    for (Map.Entry<Group, Load> entry : loads.entrySet()) {
+  public Availability availabilityUnder(DisruptionBudget budget) {
+    Availability sum = new Availability(0, 0, Duration.ZERO);
+    for (Map.Entry<Group, Availability> entry : availabilityByGroup.entrySet()) {
       if (budget.covers(entry.getKey().team, entry.getKey().jobClass)) {
         sum = sum.plus(entry.getValue());
       }
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -24,50 +24,50 @@
  */
 public final class DrainPlanner {
   /** What ends by itself within that time is waited for. */
-  static final Duration WORTH_WAITING = Duration.ofSeconds(60);
+  static final Duration MAX_WAIT_FOR_COMPLETION = Duration.ofSeconds(60);
 
   /**
    * A task that is, or may be, on a machine.
    *
-   * @param up whether it is seen running
-   * @param ending whether it is about to be stopped, for whatever reason
+   * @param running whether it is seen running
+   * @param stopping whether it is about to be stopped, for whatever reason
    * @param remaining what it still takes, if that is known: services have no end
-   * @param lost the work that a stop would lose
-   * @param mates the other tasks of its gang: they end with it, wherever they are
+   * @param lostWork the work that a stop would lose
+   * @param gangMembers the other tasks of its gang: they end with it, wherever they are
    */
   public record TaskView(
       TaskId task,
       String team,
       String jobClass,
-      boolean up,
-      boolean ending,
+      boolean running,
+      boolean stopping,
       Optional<Duration> remaining,
-      Duration lost,
-      List<TaskId> mates) {
+      Duration lostWork,
+      List<TaskId> gangMembers) {
 
     /** What a stop disrupts. */
     List<Disruption> disruptions() {
       List<Disruption> all = new ArrayList<>();
       all.add(disruption(task));
-      mates.forEach(mate -> all.add(disruption(mate)));
+      gangMembers.forEach(mate -> all.add(disruption(mate)));
       return all;
     }
 
     private Disruption disruption(TaskId stopped) {
-      return new Disruption(stopped, team, jobClass, /* voluntary= */ true, lost);
+      return new Disruption(stopped, team, jobClass, /* voluntary= */ true, lostWork);
     }
   }
 
   /**
    * A machine as it is now.
    *
-   * @param recorded whether its maintenance is durable
+   * @param maintenanceDurable whether its maintenance is durable
    * @param reachable whether it is up, and heard lately
    */
   public record MachineView(
       String name,
       Maintenance maintenance,
-      boolean recorded,
+      boolean maintenanceDurable,
       boolean reachable,
       List<TaskView> tasks) {}
 
@@ -75,12 +75,13 @@
   public record Drain(DrainRequest request, List<String> machines) {
     /** Whether it goes on, now or later. */
     public boolean isActive(Instant now) {
-      return request.wish() != DrainRequest.Wish.CANCEL && now.isBefore(request.deadline());
+      return request.desiredState() != DrainRequest.DesiredState.CANCEL
+          && now.isBefore(request.deadline());
     }
   }
 
   /** Looks for room elsewhere. */
-  public interface Room {
+  public interface ReplacementCapacity {
     /** Sets room aside for the task; says why there is none. */
     Optional<String> reserve(TaskView task);
   }
@@ -88,20 +89,20 @@
   /**
    * What is to be done.
    *
-   * @param changes the maintenance that machines get
-   * @param stops tasks to be stopped, for which the ledger has granted it
-   * @param giveBack machines that are empty and not to be held
-   * @param lackingRoom tasks for which there is no room elsewhere
+   * @param maintenanceChanges the maintenance that machines get
+   * @param tasksToStop tasks to be stopped, for which the ledger has granted it
+   * @param machinesToRelease machines that are empty and not to be held
+   * @param tasksWithoutCapacity tasks for which there is no room elsewhere
    */
   public record Plan(
-      Map<String, Maintenance> changes,
-      List<TaskView> stops,
-      List<String> giveBack,
-      List<TaskView> lackingRoom,
+      Map<String, Maintenance> maintenanceChanges,
+      List<TaskView> tasksToStop,
+      List<String> machinesToRelease,
+      List<TaskView> tasksWithoutCapacity,
       Map<String, DrainStatus> statuses) {}
 
   private final Map<String, MaintenanceWindow> windows;
-  private int turn;
+  private int rotation;
 
   /** A planner for drains in those windows. */
   public DrainPlanner(Map<String, MaintenanceWindow> windows) {
@@ -118,7 +119,7 @@
       List<Drain> drains,
       Map<String, MachineView> machines,
       DisruptionLedger ledger,
-      Room room,
+      ReplacementCapacity capacity,
       Instant now) {
     Plan plan =
         new Plan(
@@ -128,32 +129,33 @@
             new ArrayList<>(),
             new LinkedHashMap<>());
     List<Round> rounds = new ArrayList<>();
-    for (Drain drain : inTurn(drains)) {
+    for (Drain drain : rotated(drains)) {
       Round round = new Round(drain, machines, plan, ledger, now);
       round.decideOnMachines();
       rounds.add(round);
     }
-    grantInTurn(rounds, ledger, room);
+    grantRoundRobin(rounds, ledger, capacity);
     rounds.forEach(round -> plan.statuses.put(round.request.id(), round.status()));
     return plan;
   }
 
-  private List<Drain> inTurn(List<Drain> drains) {
+  private List<Drain> rotated(List<Drain> drains) {
     List<Drain> ordered = new ArrayList<>(drains);
     ordered.sort(
-        Comparator.comparing((Drain d) -> d.request.requested())
-            .thenComparing(d -> d.request.id()));
-    Collections.rotate(ordered, ordered.isEmpty() ? 0 : turn++ % ordered.size());
+        Comparator.comparing((Drain drain) -> drain.request.requestedAt())
+            .thenComparing(drain -> drain.request.id()));
+    Collections.rotate(ordered, ordered.isEmpty() ? 0 : rotation++ % ordered.size());
     return ordered;
   }
 
   /** One task of each drain after the other, until none is left that the budgets allow. */
-  private static void grantInTurn(List<Round> rounds, DisruptionLedger ledger, Room room) {
+  private static void grantRoundRobin(
+      List<Round> rounds, DisruptionLedger ledger, ReplacementCapacity capacity) {
     boolean left = true;
     while (left) {
       left = false;
       for (Round round : rounds) {
-        left |= round.grantNext(ledger, room);
+        left |= round.grantNext(ledger, capacity);
       }
     }
   }
@@ -168,12 +170,12 @@
     private final Instant now;
     private final Deque<TaskView> candidates = new ArrayDeque<>();
     private final Set<String> reasons = new LinkedHashSet<>();
-    private int waiting;
+    private int inService;
     private int cordoned;
     private int drained;
-    private int gone;
-    private int tasksLeft;
-    private boolean held;
+    private int released;
+    private int remainingTasks;
+    private boolean paused;
 
     Round(
         Drain drain,
@@ -190,35 +192,35 @@
     }
 
     private boolean isCancelled() {
-      return request.wish() == DrainRequest.Wish.CANCEL;
+      return request.desiredState() == DrainRequest.DesiredState.CANCEL;
     }
 
-    private boolean isLate() {
+    private boolean isPastDeadline() {
       return !now.isBefore(request.deadline());
     }
 
     void decideOnMachines() {
-      held = holdsStill();
-      List<MachineView> inService = new ArrayList<>();
+      paused = isPaused();
+      List<MachineView> machinesInService = new ArrayList<>();
       for (String name : drain.machines) {
         MachineView machine = machines.get(name);
         if (machine == null) {
-          gone++;
+          released++;
         } else if (!machine.maintenance.drain().equals(request.id())) {
-          waiting++;
-          inService.add(machine);
+          inService++;
+          machinesInService.add(machine);
         } else {
           decideOn(machine);
         }
       }
-      if (!held && !isCancelled() && !isLate()) {
-        cordonNext(inService);
+      if (!paused && !isCancelled() && !isPastDeadline()) {
+        cordonNext(machinesInService);
       }
     }
 
     /** Whether nothing may be begun now. */
-    private boolean holdsStill() {
-      if (request.wish() == DrainRequest.Wish.PAUSE) {
+    private boolean isPaused() {
+      if (request.desiredState() == DrainRequest.DesiredState.PAUSE) {
         reasons.add("an operator has paused it");
         return true;
       }
@@ -246,53 +248,56 @@
         case CORDONED -> decideOnCordoned(machine);
         case DRAINED -> {
           if (isCancelled()) {
-            plan.changes.put(machine.name, new Maintenance(Stage.PROBATION, request.id()));
-            waiting++;
+            plan.maintenanceChanges.put(
+                machine.name, new Maintenance(Stage.PROBATION, request.id()));
+            inService++;
           } else {
             drained++;
           }
         }
-        default -> waiting++;
+        default -> inService++;
       }
     }
 
     private void decideOnCordoned(MachineView machine) {
-      if (isCancelled() || isLate()) {
-        plan.changes.put(machine.name, Maintenance.IN_SERVICE);
-        waiting++;
-      } else if (machine.recorded && machine.tasks.isEmpty()) {
+      if (isCancelled() || isPastDeadline()) {
+        plan.maintenanceChanges.put(machine.name, Maintenance.IN_SERVICE);
+        inService++;
+      } else if (machine.maintenanceDurable && machine.tasks.isEmpty()) {
         decideOnEmpty(machine);
       } else {
         cordoned++;
-        tasksLeft += machine.tasks.size();
-        if (machine.recorded && !held) {
-          lookAtTasks(machine);
+        remainingTasks += machine.tasks.size();
+        if (machine.maintenanceDurable && !paused) {
+          collectCandidates(machine);
         }
       }
     }
 
     private void decideOnEmpty(MachineView machine) {
-      if (request.afterwards() == DrainRequest.Afterwards.RETURN) {
-        plan.giveBack.add(machine.name);
-        gone++;
+      if (request.completionAction() == DrainRequest.CompletionAction.RETURN) {
+        plan.machinesToRelease.add(machine.name);
+        released++;
       } else {
-        plan.changes.put(machine.name, new Maintenance(Stage.DRAINED, request.id()));
+        plan.maintenanceChanges.put(machine.name, new Maintenance(Stage.DRAINED, request.id()));
         drained++;
       }
     }
 
-    private void lookAtTasks(MachineView machine) {
+    private void collectCandidates(MachineView machine) {
       if (!machine.reachable) {
         reasons.add("machine " + machine.name + " is silent");
         return;
       }
       for (TaskView task : machine.tasks) {
-        if (task.ending || ledger.isOpen(task.task)) {
+        if (task.stopping || ledger.isOpen(task.task)) {
           continue;
         }
-        if (!task.up) {
+        if (!task.running) {
           reasons.add(task.task + " is starting");
-        } else if (task.remaining.map(r -> r.compareTo(WORTH_WAITING) <= 0).orElse(false)) {
+        } else if (task.remaining
+            .map(r -> r.compareTo(MAX_WAIT_FOR_COMPLETION) <= 0)
+            .orElse(false)) {
           reasons.add(task.task + " ends by itself soon");
         } else {
           candidates.add(task);
@@ -301,70 +306,71 @@
     }
 
     /** The emptiest machines first, as many as may be cordoned at a time. */
-    private void cordonNext(List<MachineView> inService) {
-      inService.sort(
+    private void cordonNext(List<MachineView> machinesInService) {
+      machinesInService.sort(
           Comparator.comparingInt((MachineView m) -> m.tasks.size())
               .thenComparing(MachineView::name));
-      for (MachineView machine : inService) {
-        if (cordoned >= request.atOnce()) {
+      for (MachineView machine : machinesInService) {
+        if (cordoned >= request.maxConcurrentMachines()) {
           return;
         }
-        if (plan.changes.containsKey(machine.name) || !machine.maintenance.isInService()) {
+        if (plan.maintenanceChanges.containsKey(machine.name)
+            || !machine.maintenance.isInService()) {
           reasons.add("machine " + machine.name + " is in another drain's hands");
         } else if (!machine.reachable) {
           reasons.add("machine " + machine.name + " is silent or not up");
         } else {
-          plan.changes.put(machine.name, new Maintenance(Stage.CORDONED, request.id()));
+          plan.maintenanceChanges.put(machine.name, new Maintenance(Stage.CORDONED, request.id()));
           cordoned++;
-          waiting--;
-          tasksLeft += machine.tasks.size();
+          inService--;
+          remainingTasks += machine.tasks.size();
         }
       }
     }
 
     /** Asks for the next of its tasks; false when it has none left to ask for. */
-    boolean grantNext(DisruptionLedger budgets, Room room) {
+    boolean grantNext(DisruptionLedger disruptionLedger, ReplacementCapacity capacity) {
       TaskView task = candidates.poll();
       if (task == null) {
         return false;
       }
-      if (budgets.isOpen(task.task)) {
+      if (disruptionLedger.isOpen(task.task)) {
         return true; // It ends with another task of its gang.
       }
-      Optional<String> objection = room.reserve(task);
+      Optional<String> objection = capacity.reserve(task);
       if (objection.isPresent()) {
-        plan.lackingRoom.add(task);
+        plan.tasksWithoutCapacity.add(task);
       } else {
-        objection = budgets.spend(task.disruptions());
+        objection = disruptionLedger.trySpend(task.disruptions());
       }
       if (objection.isPresent()) {
         reasons.add(task.task + ": " + objection.get());
       } else {
-        plan.stops.add(task);
+        plan.tasksToStop.add(task);
       }
       return true;
     }
 
     DrainStatus status() {
       return new DrainStatus(
-          state(), waiting, cordoned, drained, gone, tasksLeft, List.copyOf(reasons));
+          state(), inService, cordoned, drained, released, remainingTasks, List.copyOf(reasons));
     }
 
     private DrainStatus.State state() {
       if (isCancelled()) {
         return DrainStatus.State.CANCELLED;
       }
-      if (waiting + cordoned == 0) {
+      if (inService + cordoned == 0) {
         return DrainStatus.State.DRAINED;
       }
-      if (isLate()) {
+      if (isPastDeadline()) {
         reasons.add("its time was over");
         return DrainStatus.State.FAILED;
       }
-      if (held) {
+      if (paused) {
         return DrainStatus.State.PAUSED;
       }
-      return cordoned + drained + gone == 0
+      return cordoned + drained + released == 0
           ? DrainStatus.State.REQUESTED
           : DrainStatus.State.DRAINING;
     }
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -20,22 +20,22 @@
  * record.
  *
  * @param selector how the machines were chosen, for people: the names are stored beside
- * @param atOnce so many machines are cordoned at a time
- * @param afterwards what becomes of a machine that is empty
+ * @param maxConcurrentMachines so many machines are cordoned at a time
+ * @param completionAction what becomes of a machine that is empty
  * @param window the maintenance window in which it may disrupt
  */
 public record DrainRequest(
     String id,
     String selector,
-    int atOnce,
-    Afterwards afterwards,
-    Wish wish,
-    Instant requested,
+    int maxConcurrentMachines,
+    CompletionAction completionAction,
+    DesiredState desiredState,
+    Instant requestedAt,
     Instant deadline,
     Optional<String> window) {
 
   /** What becomes of a machine that is empty. */
-  public enum Afterwards {
+  public enum CompletionAction {
     /** It is given back to the cloud; another one is rented where it is needed. */
     RETURN,
     /** It stays out of service until the drain is ended. */
@@ -43,7 +43,7 @@
   }
 
   /** What is to be done now. */
-  public enum Wish {
+  public enum DesiredState {
     /** Go on. */
     RUN,
     /** Disrupt nothing and cordon nothing; what is cordoned stays so. */
@@ -53,10 +53,10 @@
   }
 
   /** So much of a value is filled with names, in percent. */
-  private static final int FILLED = 80;
+  private static final int VALUE_FILL_PERCENT = 80;
 
   /** What a name takes in a list beside its letters. */
-  private static final int NAME_PUNCTUATION = 3;
+  private static final int NAME_PUNCTUATION_LENGTH = 3;
 
   /** Ids are part of keys and of each machine's record, so they are short. */
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
@@ -73,14 +73,14 @@
         id,
         MessageFields.text(map, "selector"),
         (int) MessageFields.integer(map, "atOnce", 1, Integer.MAX_VALUE),
-        constant(Afterwards.class, MessageFields.text(map, "afterwards")),
-        constant(Wish.class, MessageFields.text(map, "wish")),
+        parseConstant(CompletionAction.class, MessageFields.text(map, "afterwards")),
+        parseConstant(DesiredState.class, MessageFields.text(map, "wish")),
         Instant.ofEpochMilli(MessageFields.integer(map, "requestedMs", 0, Long.MAX_VALUE)),
         Instant.ofEpochMilli(MessageFields.integer(map, "deadlineMs", 0, Long.MAX_VALUE)),
         MessageFields.optionalText(map, "window"));
   }
 
-  private static <E extends Enum<E>> E constant(Class<E> type, String text)
+  private static <E extends Enum<E>> E parseConstant(Class<E> type, String text)
       throws MalformedMessageException {
     for (E each : type.getEnumConstants()) {
       if (word(each).equals(text)) {
@@ -99,10 +99,10 @@
     ObjectNode node =
         MessagePack.map()
             .put("selector", selector)
-            .put("atOnce", atOnce)
-            .put("afterwards", word(afterwards))
-            .put("wish", word(wish))
-            .put("requestedMs", requested.toEpochMilli())
+            .put("atOnce", maxConcurrentMachines)
+            .put("afterwards", word(completionAction))
+            .put("wish", word(desiredState))
+            .put("requestedMs", requestedAt.toEpochMilli())
             .put("deadlineMs", deadline.toEpochMilli());
     window.ifPresent(name -> node.put("window", name));
     return node;
@@ -112,30 +112,30 @@
    * What is written when a drain is asked for: the record, and the names of the machines in as many
    * values as they need.
    */
-  public List<Mutation> changes(List<String> machines, int largestValue) {
-    List<Mutation> changes = new ArrayList<>();
-    changes.add(Mutation.put(Keys.drain(id), toNode()));
-    int room = largestValue * FILLED / 100;
+  public List<Mutation> toMutations(List<String> machines, int maxValueBytes) {
+    List<Mutation> mutations = new ArrayList<>();
+    mutations.add(Mutation.put(Keys.drain(id), toNode()));
+    int fillLimit = maxValueBytes * VALUE_FILL_PERCENT / 100;
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray("m");
     int size = 0;
     for (String name : machines) {
-      if (size + name.length() + NAME_PUNCTUATION > room) {
-        changes.add(Mutation.put(Keys.drainMachines(id) + (changes.size() - 1), value));
+      if (size + name.length() + NAME_PUNCTUATION_LENGTH > fillLimit) {
+        mutations.add(Mutation.put(Keys.drainMachines(id) + (mutations.size() - 1), value));
         value = MessagePack.map();
         list = value.putArray("m");
         size = 0;
       }
       list.add(name);
-      size += name.length() + NAME_PUNCTUATION;
+      size += name.length() + NAME_PUNCTUATION_LENGTH;
     }
-    changes.add(Mutation.put(Keys.drainMachines(id) + (changes.size() - 1), value));
-    return changes;
+    mutations.add(Mutation.put(Keys.drainMachines(id) + (mutations.size() - 1), value));
+    return mutations;
   }
 
   /** The stored record with another wish; whatever else is stored stays. */
-  public static ObjectNode withWish(JsonNode stored, Wish wish) {
+  public static ObjectNode withDesiredState(JsonNode stored, DesiredState desiredState) {
     ObjectNode node = stored.deepCopy();
-    return node.put("wish", word(wish));
+    return node.put("wish", word(desiredState));
   }
 }
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -12,20 +12,20 @@
 /**
  * How far a drain is, and what holds it up.
  *
- * @param waiting machines that are still in service
+ * @param inService machines that are still in service
  * @param cordoned machines that get no new tasks
  * @param drained machines that are empty and held
- * @param gone machines that were given back, or are not known any more
- * @param tasksLeft tasks on cordoned machines
+ * @param released machines that were given back, or are not known any more
+ * @param remainingTasks tasks on cordoned machines
  * @param reasons what holds it up, in the planner's own words
  */
 public record DrainStatus(
     State state,
-    int waiting,
+    int inService,
     int cordoned,
     int drained,
-    int gone,
-    int tasksLeft,
+    int released,
+    int remainingTasks,
     List<String> reasons) {
 
   /** How far it is. */
@@ -52,17 +52,17 @@
   }
 
   /** The record, with so many reasons at the most. */
-  public ObjectNode toNode(int mostReasons) {
+  public ObjectNode toNode(int maxReasons) {
     ObjectNode node =
         MessagePack.map()
             .put("state", state.name().toLowerCase(Locale.ROOT))
-            .put("waiting", waiting)
+            .put("waiting", inService)
             .put("cordoned", cordoned)
             .put("drained", drained)
-            .put("gone", gone)
-            .put("tasksLeft", tasksLeft);
+            .put("gone", released)
+            .put("tasksLeft", remainingTasks);
     ArrayNode list = node.putArray("reasons");
-    reasons.stream().limit(mostReasons).forEach(list::add);
+    reasons.stream().limit(maxReasons).forEach(list::add);
     return node;
   }
 
--- a/src/main/java/io/pearscale/drain/MachineSelector.java
+++ b/src/main/java/io/pearscale/drain/MachineSelector.java
@@ -7,15 +7,15 @@
 /** Which machines a drain is asked for. */
 public sealed interface MachineSelector {
   /** Whether the machine is meant. */
-  boolean matches(MachineFacts machine);
+  boolean matches(MachineAttributes machine);
 
   /** What is known of a machine from its record. */
-  record MachineFacts(String name, String zone, String type, String address) {}
+  record MachineAttributes(String name, String zone, String type, String address) {}
 
   /** Machines of these names. */
   record Names(Set<String> names) implements MachineSelector {
     @Override
-    public boolean matches(MachineFacts machine) {
+    public boolean matches(MachineAttributes machine) {
       return names.contains(machine.name());
     }
 
@@ -28,7 +28,7 @@
   /** All machines of a zone. */
   record Zone(String zone) implements MachineSelector {
     @Override
-    public boolean matches(MachineFacts machine) {
+    public boolean matches(MachineAttributes machine) {
       return zone.equals(machine.zone());
     }
 
@@ -41,7 +41,7 @@
   /** All machines of a type. */
   record Type(String type) implements MachineSelector {
     @Override
-    public boolean matches(MachineFacts machine) {
+    public boolean matches(MachineAttributes machine) {
       return type.equals(machine.type());
     }
 
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public boolean matches(MachineFacts machine) {
+    public boolean matches(MachineAttributes machine) {
       return network.contains(machine.address());
     }
 
@@ -72,7 +72,7 @@
   /** All machines. */
   record All() implements MachineSelector {
     @Override
-    public boolean matches(MachineFacts machine) {
+    public boolean matches(MachineAttributes machine) {
       return true;
     }
 
--- a/src/main/java/io/pearscale/drain/MaintenanceWindow.java
+++ b/src/main/java/io/pearscale/drain/MaintenanceWindow.java
@@ -20,9 +20,9 @@
  * that lies in the missing hour as a whole is not open on that day.
  */
 public record MaintenanceWindow(
-    String name, ZoneId zone, Set<DayOfWeek> days, LocalTime from, LocalTime to) {
+    String name, ZoneId zone, Set<DayOfWeek> days, LocalTime startTime, LocalTime endTime) {
   /** A window is looked for on so many days: each weekday comes twice, should one be left out. */
-  private static final int DAYS_AHEAD = 14;
+  private static final int SEARCH_DAYS = 14;
 
   /** Whether drains may disrupt at that time. */
   public boolean isOpen(Instant now) {
@@ -37,7 +37,7 @@
       return Optional.of(now);
     }
     LocalDate today = now.atZone(zone).toLocalDate();
-    for (int ahead = 0; ahead <= DAYS_AHEAD; ahead++) {
+    for (int ahead = 0; ahead <= SEARCH_DAYS; ahead++) {
       Optional<Interval> next = occurrence(today.plusDays(ahead)).filter(i -> i.isAfter(now));
       if (next.isPresent()) {
         return next.map(Interval::getStart);
@@ -51,15 +51,15 @@
     if (!days.contains(day.getDayOfWeek())) {
       return Optional.empty();
     }
-    LocalDate lastDay = to.isAfter(from) ? day : day.plusDays(1);
-    Instant start = ZonedDateTime.of(day, from, zone).withEarlierOffsetAtOverlap().toInstant();
-    Instant end = ZonedDateTime.of(lastDay, to, zone).withLaterOffsetAtOverlap().toInstant();
+    LocalDate lastDay = endTime.isAfter(startTime) ? day : day.plusDays(1);
+    Instant start = ZonedDateTime.of(day, startTime, zone).withEarlierOffsetAtOverlap().toInstant();
+    Instant end = ZonedDateTime.of(lastDay, endTime, zone).withLaterOffsetAtOverlap().toInstant();
     return end.isAfter(start) ? Optional.of(Interval.of(start, end)) : Optional.empty();
   }
 
   /** How long it is open on a day without a change of clocks. */
-  public Duration length() {
-    Duration length = Duration.between(from, to);
-    return to.isAfter(from) ? length : length.plusDays(1);
+  public Duration duration() {
+    Duration length = Duration.between(startTime, endTime);
+    return endTime.isAfter(startTime) ? length : length.plusDays(1);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
@@ -21,27 +21,27 @@
  */
 final class DisruptionRecords implements TransactionContributor {
   /** Values are filled to so many bytes. */
-  private static final int VALUE_SIZE = 3000;
+  private static final int MAX_PACKED_VALUE_BYTES = 3000;
 
   private final Runnable requestCommit;
-  private final Consumer<Disruption> durable;
-  private final int valueSize;
+  private final Consumer<Disruption> onDurable;
+  private final int packedValueBytes;
   private final Map<String, JsonNode> stored = new TreeMap<>();
-  private final Set<Disruption> notDurable = new LinkedHashSet<>();
-  private final Map<LeaderTransaction, List<Disruption>> sent = new HashMap<>();
-  private final Map<LeaderTransaction, List<Integer>> values = new HashMap<>();
-  private RecordPacker<Disruption> shards;
+  private final Set<Disruption> pending = new LinkedHashSet<>();
+  private final Map<LeaderTransaction, List<Disruption>> disruptionsInFlight = new HashMap<>();
+  private final Map<LeaderTransaction, List<Integer>> valuesInFlight = new HashMap<>();
+  private RecordPacker<Disruption> packer;
 
   /**
    * Makes empty records.
    *
-   * @param durable is told of each disruption once it is durable
+   * @param onDurable is told of each disruption once it is durable
    */
-  DisruptionRecords(int largestValue, Runnable requestCommit, Consumer<Disruption> durable) {
-    this.valueSize = Math.min(VALUE_SIZE, largestValue / 2);
+  DisruptionRecords(int maxValueBytes, Runnable requestCommit, Consumer<Disruption> onDurable) {
+    this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, maxValueBytes / 2);
     this.requestCommit = requestCommit;
-    this.durable = durable;
-    this.shards = new RecordPacker<>(valueSize);
+    this.onDurable = onDurable;
+    this.packer = new RecordPacker<>(packedValueBytes);
   }
 
   /** All keys are about to be read anew. */
@@ -54,17 +54,17 @@
     change
         .entry()
         .ifPresentOrElse(
-            e -> stored.put(change.key(), e.value()), () -> stored.remove(change.key()));
+            entry -> stored.put(change.key(), entry.value()), () -> stored.remove(change.key()));
   }
 
   /** A term begins: takes over what is stored, and returns it. */
-  List<Disruption> begin() throws MalformedMessageException {
+  List<Disruption> beginTerm() throws MalformedMessageException {
     clear();
     List<Disruption> all = new ArrayList<>();
     for (Map.Entry<String, JsonNode> value : stored.entrySet()) {
       try {
         for (Disruption disruption : Disruption.decode(value.getValue())) {
-          shards.adopt(disruption, disruption.size(), Keys.valueNumber(value.getKey()));
+          packer.adopt(disruption, disruption.maximumSize(), Keys.valueNumber(value.getKey()));
           all.add(disruption);
         }
       } catch (MalformedMessageException e) {
@@ -76,73 +76,73 @@
 
   /** The term is over. */
   void clear() {
-    shards = new RecordPacker<>(valueSize);
-    notDurable.clear();
-    sent.clear();
-    values.clear();
+    packer = new RecordPacker<>(packedValueBytes);
+    pending.clear();
+    disruptionsInFlight.clear();
+    valuesInFlight.clear();
   }
 
   /** The disruption is to be recorded before it is carried out. */
   void record(Disruption disruption) {
-    shards.assignSlot(disruption, disruption.size());
-    shards.markDue(disruption);
-    notDurable.add(disruption);
+    packer.assignSlot(disruption, disruption.maximumSize());
+    packer.markDue(disruption);
+    pending.add(disruption);
     requestCommit.run();
   }
 
   /** The disruption does not count any more; its value is written without it in time. */
   void remove(Disruption disruption) {
-    notDurable.remove(disruption);
-    shards.markDue(disruption);
-    shards.remove(disruption);
+    pending.remove(disruption);
+    packer.markDue(disruption);
+    packer.remove(disruption);
   }
 
   /** Whether the task's stop waits for its record. */
   boolean isPending(TaskId task) {
-    return notDurable.stream().anyMatch(d -> d.task().equals(task));
+    return pending.stream().anyMatch(disruption -> disruption.task().equals(task));
   }
 
   @Override
   public boolean isDue() {
-    return !shards.urgentValues().isEmpty();
+    return !packer.urgentValues().isEmpty();
   }
 
   @Override
   public void contribute(LeaderTransaction transaction) {
     List<Disruption> going = new ArrayList<>();
     List<Integer> numbers = new ArrayList<>();
-    for (int number : shards.urgentValues()) {
+    for (int number : packer.urgentValues()) {
       if (!transaction.hasCapacity()) {
         break;
       }
-      List<Disruption> content = List.copyOf(shards.itemsByPosition(number).values());
+      List<Disruption> content = List.copyOf(packer.itemsByPosition(number).values());
       transaction.addUntrackedValue(
           Keys.disruptions(number),
           Disruption.encode(content),
-          content.stream().mapToInt(Disruption::size).sum());
-      shards.markSent(number);
+          content.stream().mapToInt(Disruption::maximumSize).sum());
+      packer.markSent(number);
       numbers.add(number);
-      content.stream().filter(notDurable::contains).forEach(going::add);
+      content.stream().filter(pending::contains).forEach(going::add);
     }
-    sent.put(transaction, going);
-    values.put(transaction, numbers);
+    disruptionsInFlight.put(transaction, going);
+    valuesInFlight.put(transaction, numbers);
   }
 
   @Override
   public void onApplied(LeaderTransaction transaction) {
-    values.remove(transaction);
-    for (Disruption disruption : sent.getOrDefault(transaction, List.of())) {
-      if (notDurable.remove(disruption)) {
-        durable.accept(disruption);
+    valuesInFlight.remove(transaction);
+    for (Disruption disruption : disruptionsInFlight.getOrDefault(transaction, List.of())) {
+      if (pending.remove(disruption)) {
+        onDurable.accept(disruption);
       }
     }
-    sent.remove(transaction);
+    disruptionsInFlight.remove(transaction);
   }
 
   @Override
   public void onNotApplied(LeaderTransaction transaction) {
-    sent.remove(transaction);
-    values.getOrDefault(transaction, List.of()).forEach(shards::markDue);
-    values.remove(transaction);
+    disruptionsInFlight.remove(transaction);
+    valuesInFlight.getOrDefault(transaction, List.of()).forEach(packer::markDue);
+    valuesInFlight.remove(transaction);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCapacity.java
@@ -11,21 +11,21 @@
 import java.util.Optional;
 
 /** Looks for room for tasks of machines that are drained, and sets it aside for one round. */
-final class DrainCapacity implements DrainPlanner.Room {
+final class DrainCapacity implements DrainPlanner.ReplacementCapacity {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
-  private final Map<Machine, Machine.Resources> rooms = new HashMap<>();
+  private final Map<Machine, Machine.Resources> available = new HashMap<>();
 
   DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, AgentTimings times) {
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
-      boolean heard = !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
+      boolean responsive = !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
       if (machine.maintenance.isInService()
           && machine.lifecycle == Machine.Lifecycle.UP
           && machine.reconciled
           && !machine.leaseExpired
           && !machine.quarantined
-          && heard
+          && responsive
           && machine.preemptionNoticeAt.isEmpty()) {
         usable.add(machine);
       }
@@ -42,8 +42,8 @@
       return Optional.of("it is not where it was");
     }
     for (Machine machine : usable) {
-      if (mayGo(attempt, machine) && roomOf(machine).fits(job)) {
-        roomOf(machine).subtract(job);
+      if (mayRelocate(attempt, machine) && availableOn(machine).fits(job)) {
+        availableOn(machine).subtract(job);
         return Optional.empty();
       }
     }
@@ -52,21 +52,21 @@
             + (job.spec.singleZone() ? " in zone " + attempt.machine.zone : ""));
   }
 
-  private Machine.Resources roomOf(Machine machine) {
-    return rooms.computeIfAbsent(machine, Machine::available);
+  private Machine.Resources availableOn(Machine machine) {
+    return available.computeIfAbsent(machine, Machine::available);
   }
 
-  private static boolean mayGo(TaskAttempt attempt, Machine machine) {
+  private static boolean mayRelocate(TaskAttempt attempt, Machine machine) {
     Job job = attempt.job;
-    boolean alone = job.attempts.size() == 1;
+    boolean onlyTask = job.attempts.size() == 1;
     boolean sameZone = machine.zone.equals(attempt.machine.zone);
-    boolean zoneFree =
+    boolean zoneAllowed =
         sameZone
-            || ((!job.spec.singleZone() || alone)
+            || ((!job.spec.singleZone() || onlyTask)
                 && (!job.spec.spreadAcrossZones()
                     || job.attemptsInZone(machine.zone) < job.spec.maxTasksPerZone()));
     return machine != attempt.machine
-        && zoneFree
+        && zoneAllowed
         && job.spec.allows(machine.type, machine.zone, machine.spot);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
@@ -1,7 +1,7 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.drain.Disruption;
-import io.pearscale.drain.DisruptionBudget.Load;
+import io.pearscale.drain.DisruptionBudget.Availability;
 import io.pearscale.drain.DisruptionLedger;
 import io.pearscale.drain.DisruptionLedger.Group;
 import io.pearscale.drain.DrainPlanner;
@@ -38,10 +38,10 @@
  */
 final class DrainCoordinator {
   private static final Logger LOG = LoggerFactory.getLogger(DrainCoordinator.class);
-  private static final Duration SPACING = Duration.ofSeconds(1);
+  private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
   /** A machine has shown that it works when it has reported for so many leases without trouble. */
-  private static final int LEASES_OF_PROBATION = 2;
+  private static final int PROBATION_LEASES = 2;
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -49,7 +49,7 @@
   private final LeaderRecords records;
   private final AgentTimings times;
   private final GracefulTermination stops;
-  private final LevelGate level;
+  private final LevelGate levelGate;
   private final InstantSource timeOfDay;
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
@@ -60,16 +60,16 @@
   private final PublishedRecords published;
   private final StatusPublisher status;
   private final Map<Machine, Instant> probationSince = new HashMap<>();
-  private List<TaskView> lackingRoom = List.of();
-  private Instant next = Instant.MIN;
+  private List<TaskView> tasksWithoutCapacity = List.of();
+  private Instant nextRoundAt = Instant.MIN;
 
   DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
       AgentTimings times,
       GracefulTermination stops,
-      LevelGate level,
-      int largestValue,
+      LevelGate levelGate,
+      int maxValueBytes,
       InstantSource timeOfDay,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
@@ -79,20 +79,20 @@
     this.records = state.records();
     this.times = times;
     this.stops = stops;
-    this.level = level;
+    this.levelGate = levelGate;
     this.timeOfDay = timeOfDay;
     this.dispatcher = dispatcher;
     this.retirement = retirement;
     this.planner = new DrainPlanner(settings.windows());
     this.ledger = new DisruptionLedger(settings.budgets());
-    this.disruptions = new DisruptionRecords(largestValue, records::requestCommit, this::carryOut);
-    this.published = new PublishedRecords(state.clock(), largestValue);
-    this.status = new StatusPublisher(state, ledger, published, timeOfDay, largestValue);
+    this.disruptions = new DisruptionRecords(maxValueBytes, records::requestCommit, this::carryOut);
+    this.published = new PublishedRecords(state.clock(), maxValueBytes);
+    this.status = new StatusPublisher(state, ledger, published, timeOfDay, maxValueBytes);
     inventory.onRemoved(this::noteRemoved);
   }
 
   /** What is to be written for drains. */
-  List<TransactionContributor> sources() {
+  List<TransactionContributor> contributors() {
     return List.of(disruptions, published);
   }
 
@@ -100,7 +100,7 @@
 
   /** All keys are about to be read anew. */
   void forgetStored() {
-    requests.clear();
+    requests.forgetStored();
     disruptions.forgetStored();
   }
 
@@ -109,27 +109,27 @@
     if (Keys.isDisruptions(change.key())) {
       disruptions.storedChanged(change);
     } else {
-      requests.changed(change);
+      requests.storedChanged(change);
     }
   }
 
   /** A term begins, with all that is stored at hand. */
-  void begin() {
+  void beginTerm() {
     published.clear();
     probationSince.clear();
-    lackingRoom = List.of();
-    next = Instant.MIN;
+    tasksWithoutCapacity = List.of();
+    nextRoundAt = Instant.MIN;
     try {
-      ledger.begin(disruptions.begin());
+      ledger.beginTerm(disruptions.beginTerm());
     } catch (MalformedMessageException e) {
-      ledger.begin(List.of());
-      ledger.spentIsUnknown("what is disrupted can't be read: " + e.getMessage());
+      ledger.beginTerm(List.of());
+      ledger.blockAll("what is disrupted can't be read: " + e.getMessage());
       LOG.error("event=disruptions_unreadable reason={}", e.getMessage());
     }
   }
 
   /** The term is over. */
-  void end() {
+  void endTerm() {
     disruptions.clear();
     published.clear();
   }
@@ -138,21 +138,21 @@
 
   /** Decides once a second. */
   void roundIfDue(Instant now) {
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextRoundAt)) {
       return;
     }
-    next = now.plus(SPACING);
+    nextRoundAt = now.plus(ROUND_INTERVAL);
     recordAllMachines();
     published.withdraw(key -> Keys.isDrainStatus(key) && !requests.isKnown(Keys.lastSegment(key)));
-    closeWhatIsOver(now);
-    ledger.update(loads(now));
-    if (level.isEnabled(Feature.MACHINE_MAINTENANCE)) {
+    closeFinishedDisruptions(now);
+    ledger.updateAvailability(availabilityByGroup(now));
+    if (levelGate.isEnabled(Feature.MACHINE_MAINTENANCE)) {
       endProbations(now);
-      releaseOrphans();
+      releaseOrphanedMachines();
       carryOut(decide(now));
     } else {
-      releaseAll();
-      requests.all().forEach(drain -> status.publishHeldUp(drain.request()));
+      releaseAllMachines();
+      requests.readable().forEach(drain -> status.publishBlockedByLevel(drain.request()));
     }
     status.publishCluster();
   }
@@ -169,7 +169,7 @@
 
   private Plan decide(Instant now) {
     Map<String, MachineView> machines = new HashMap<>();
-    List<Drain> drains = requests.all();
+    List<Drain> drains = requests.readable();
     if (!drains.isEmpty()) {
       inventory.all().stream()
           .filter(machine -> machine.lifecycle != Lifecycle.RETIRING)
@@ -177,12 +177,12 @@
     }
     Instant today = timeOfDay.instant();
     inventory.all().forEach(machine -> machine.drainPlanned = false);
-    drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteDrainsLater);
-    DrainCapacity room = new DrainCapacity(inventory, jobs, now, times);
-    return planner.plan(drains, machines, ledger, room, today);
+    drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
+    DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, times);
+    return planner.plan(drains, machines, ledger, capacity, today);
   }
 
-  private void noteDrainsLater(Drain drain) {
+  private void noteScheduledDrain(Drain drain) {
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
@@ -192,19 +192,19 @@
   }
 
   private void carryOut(Plan plan) {
-    plan.changes().forEach(this::change);
-    plan.giveBack().stream()
+    plan.maintenanceChanges().forEach(this::changeMaintenance);
+    plan.machinesToRelease().stream()
         .map(inventory::get)
         .forEach(machine -> retirement.retire(machine, Reason.DRAINED));
-    for (TaskView task : plan.stops()) {
+    for (TaskView task : plan.tasksToStop()) {
       ledger.find(task.task()).ifPresent(disruptions::record);
-      task.mates().forEach(mate -> ledger.find(mate).ifPresent(disruptions::record));
+      task.gangMembers().forEach(member -> ledger.find(member).ifPresent(disruptions::record));
     }
-    lackingRoom = plan.lackingRoom();
+    tasksWithoutCapacity = plan.tasksWithoutCapacity();
     status.publish(plan.statuses());
   }
 
-  private void change(String name, Maintenance maintenance) {
+  private void changeMaintenance(String name, Maintenance maintenance) {
     Machine machine = inventory.get(name);
     LOG.info(
         "event=maintenance term={} machine={} stage={} drain={}",
@@ -224,21 +224,21 @@
   }
 
   /** Machines whose drain is not known any more are in service again. */
-  private void releaseOrphans() {
+  private void releaseOrphanedMachines() {
     for (Machine machine : List.copyOf(inventory.all())) {
-      boolean orphan =
+      boolean orphaned =
           !machine.maintenance.isSchedulable() && !requests.isKnown(machine.maintenance.drain());
-      if (orphan) {
-        change(machine.name, new Maintenance(Maintenance.Stage.PROBATION, ""));
+      if (orphaned) {
+        changeMaintenance(machine.name, new Maintenance(Maintenance.Stage.PROBATION, ""));
       }
     }
   }
 
   /** Below level 1 no record can say that a machine is in maintenance: none is. */
-  private void releaseAll() {
+  private void releaseAllMachines() {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (!machine.maintenance.isInService()) {
-        change(machine.name, Maintenance.IN_SERVICE);
+        changeMaintenance(machine.name, Maintenance.IN_SERVICE);
       }
     }
   }
@@ -250,14 +250,14 @@
         probationSince.remove(machine);
         continue;
       }
-      boolean heard = isHeard(machine, now);
+      boolean responsive = isResponsive(machine, now);
       Instant since = probationSince.computeIfAbsent(machine, m -> now);
-      if (!heard) {
+      if (!responsive) {
         probationSince.put(machine, now);
       }
-      Instant proven = since.plus(times.lease().multipliedBy(LEASES_OF_PROBATION));
-      if (heard && (!machine.cachedImages.isEmpty() || now.isAfter(proven))) {
-        change(machine.name, Maintenance.IN_SERVICE);
+      Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
+      if (responsive && (!machine.cachedImages.isEmpty() || now.isAfter(provenAt))) {
+        changeMaintenance(machine.name, Maintenance.IN_SERVICE);
       }
     }
   }
@@ -265,9 +265,9 @@
   // ---- Disruptions ----
 
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
-  boolean requestMove(TaskAttempt attempt) {
+  boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
-    if (ledger.isOpen(attempt.task) || ledger.spend(disruption).isPresent()) {
+    if (ledger.isOpen(attempt.task) || ledger.trySpend(disruption).isPresent()) {
       return false;
     }
     disruptions.record(disruption);
@@ -288,12 +288,12 @@
    * for all of them.
    */
   private void carryOut(Disruption disruption) {
-    Optional<TaskAttempt> placement = placementOf(disruption.task());
-    if (placement.isEmpty() || placement.get().stopping) {
+    Optional<TaskAttempt> found = attemptOf(disruption.task());
+    if (found.isEmpty() || found.get().stopping) {
       return;
     }
-    TaskAttempt attempt = placement.get();
-    if (matesOf(attempt).stream().anyMatch(disruptions::isPending)) {
+    TaskAttempt attempt = found.get();
+    if (gangMembersOf(attempt).stream().anyMatch(disruptions::isPending)) {
       return;
     }
     LOG.info(
@@ -309,36 +309,36 @@
   }
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
-  private static List<TaskId> matesOf(TaskAttempt attempt) {
+  private static List<TaskId> gangMembersOf(TaskAttempt attempt) {
     if (!attempt.job.spec.isGang()) {
       return List.of();
     }
     return attempt.job.attempts.values().stream()
-        .filter(mate -> mate != attempt)
-        .map(mate -> mate.task)
+        .filter(member -> member != attempt)
+        .map(member -> member.task)
         .toList();
   }
 
-  private Optional<TaskAttempt> placementOf(TaskId task) {
+  private Optional<TaskAttempt> attemptOf(TaskId task) {
     return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts.get(task.index()));
   }
 
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
   private void noteRemoved(TaskAttempt attempt) {
-    boolean wasUp = attempt.stage == Stage.RUNNING || attempt.stage == Stage.CHECKPOINTING;
-    if (wasUp && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
-      ledger.note(disruption(attempt, /* voluntary= */ false));
+    boolean wasRunning = attempt.stage == Stage.RUNNING || attempt.stage == Stage.CHECKPOINTING;
+    if (wasRunning && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
+      ledger.recordInvoluntary(disruption(attempt, /* voluntary= */ false));
     }
   }
 
-  private void closeWhatIsOver(Instant now) {
+  private void closeFinishedDisruptions(Instant now) {
     List<Disruption> closed =
-        ledger.close(
+        ledger.closeIf(
             task -> {
               Job job = jobs.get(task.job());
               return job == null
                   || job.doneTasks.get(task.index())
-                  || placementOf(task).map(attempt -> runsOn(attempt, now)).orElse(false);
+                  || attemptOf(task).map(attempt -> isRunning(attempt, now)).orElse(false);
             });
     closed.stream().filter(Disruption::voluntary).forEach(disruptions::remove);
   }
@@ -348,37 +348,37 @@
    * as heard only once it has shown a token of this term, after which no stop of a former leader
    * can reach it: so a new leader takes all as down that it has not heard.
    */
-  private boolean runsOn(TaskAttempt attempt, Instant now) {
+  private boolean isRunning(TaskAttempt attempt, Instant now) {
     return attempt.stage == Stage.RUNNING
         && attempt.observed
         && !attempt.stopping
-        && isHeard(attempt.machine, now)
+        && isResponsive(attempt.machine, now)
         && !disruptions.isPending(attempt.task);
   }
 
-  private boolean isHeard(Machine machine, Instant now) {
+  private boolean isResponsive(Machine machine, Instant now) {
     return !machine.leaseExpired
         && !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
   }
 
   // ---- Views ----
 
-  private Map<Group, Load> loads(Instant now) {
+  private Map<Group, Availability> availabilityByGroup(Instant now) {
     Map<String, Integer> openByJob = new HashMap<>();
     ledger.open().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
-    Map<Group, Load> loads = new HashMap<>();
+    Map<Group, Availability> availability = new HashMap<>();
     for (Job job : jobs.all()) {
       if (!job.failsEverywhere()) {
         Group group = new Group(job.spec.team(), job.spec.jobClass());
         int open = openByJob.getOrDefault(job.spec.id(), 0);
-        loads.merge(group, load(job, open, now), Load::plus);
+        availability.merge(group, availabilityOf(job, open, now), Availability::plus);
       }
     }
     for (Disruption disruption : ledger.open()) {
       Group group = new Group(disruption.team(), disruption.jobClass());
-      loads.merge(group, new Load(0, 0, disruption.lost()), Load::plus);
+      availability.merge(group, new Availability(0, 0, disruption.lostWork()), Availability::plus);
     }
-    return loads;
+    return availability;
   }
 
   /**
@@ -387,18 +387,18 @@
    *
    * @param open how many of its tasks count as disrupted
    */
-  private Load load(Job job, int open, Instant now) {
-    int up = 0;
-    int ending = 0;
+  private Availability availabilityOf(Job job, int open, Instant now) {
+    int running = 0;
+    int stopping = 0;
     for (TaskAttempt attempt : job.attempts.values()) {
       boolean disrupted = ledger.isOpen(attempt.task);
-      up += runsOn(attempt, now) && !disrupted ? 1 : 0;
-      ending += attempt.stopping && !disrupted ? 1 : 0;
+      running += isRunning(attempt, now) && !disrupted ? 1 : 0;
+      stopping += attempt.stopping && !disrupted ? 1 : 0;
     }
     if (job.spec.isService()) {
-      return new Load(job.spec.tasks(), job.spec.tasks() - up, Duration.ZERO);
+      return new Availability(job.spec.tasks(), job.spec.tasks() - running, Duration.ZERO);
     }
-    return new Load(up + ending + open, ending + open, Duration.ZERO);
+    return new Availability(running + stopping + open, stopping + open, Duration.ZERO);
   }
 
   private MachineView view(Machine machine, Instant now) {
@@ -406,7 +406,7 @@
     boolean reachable =
         machine.lifecycle == Lifecycle.UP
             && machine.reconciled
-            && isHeard(machine, now)
+            && isResponsive(machine, now)
             && !machine.quarantined;
     for (TaskAttempt attempt : machine.attempts.values()) {
       tasks.add(view(attempt, now));
@@ -426,19 +426,19 @@
         attempt.task,
         attempt.job.spec.team(),
         attempt.job.spec.jobClass(),
-        runsOn(attempt, now),
+        isRunning(attempt, now),
         attempt.stopping,
         attempt.job.spec.isService() || attempt.job.spec.estimatedDuration().minus(ran).isNegative()
             ? Optional.empty()
             : Optional.of(attempt.job.spec.estimatedDuration().minus(ran)),
         attempt.job.spec.isService() || saves ? Duration.ZERO : ran,
-        matesOf(attempt));
+        gangMembersOf(attempt));
   }
 
   /** What should be rented so that drains find room. */
-  List<ScaleOutPlanner.Demand> replacements() {
+  List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
-    for (TaskView task : lackingRoom) {
+    for (TaskView task : tasksWithoutCapacity) {
       Job job = jobs.get(task.task().job());
       if (job != null) {
         tasks.merge(job, 1, Integer::sum);
--- a/src/main/java/io/pearscale/scheduler/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/DrainRequests.java
@@ -21,21 +21,21 @@
   private static final Logger LOG = LoggerFactory.getLogger(DrainRequests.class);
 
   private final Map<String, JsonNode> requests = new TreeMap<>();
-  private final Map<String, JsonNode> machines = new TreeMap<>();
+  private final Map<String, JsonNode> machineNames = new TreeMap<>();
 
   /** All keys are about to be read anew. */
-  void clear() {
+  void forgetStored() {
     requests.clear();
-    machines.clear();
+    machineNames.clear();
   }
 
   /** A stored value has changed. */
-  void changed(KeyChange change) {
-    Map<String, JsonNode> values = Keys.isDrain(change.key()) ? requests : machines;
+  void storedChanged(KeyChange change) {
+    Map<String, JsonNode> values = Keys.isDrain(change.key()) ? requests : machineNames;
     change
         .entry()
         .ifPresentOrElse(
-            e -> values.put(change.key(), e.value()), () -> values.remove(change.key()));
+            entry -> values.put(change.key(), entry.value()), () -> values.remove(change.key()));
   }
 
   /** Whether the drain is stored, even if it can't be read. */
@@ -44,12 +44,12 @@
   }
 
   /** All drains that can be read; one that can't be read does nothing and releases nothing. */
-  List<Drain> all() {
+  List<Drain> readable() {
     List<Drain> drains = new ArrayList<>();
     for (Map.Entry<String, JsonNode> request : requests.entrySet()) {
       String id = Keys.lastSegment(request.getKey());
       try {
-        drains.add(new Drain(DrainRequest.parse(id, request.getValue()), namesOf(id)));
+        drains.add(new Drain(DrainRequest.parse(id, request.getValue()), machineNamesOf(id)));
       } catch (MalformedMessageException e) {
         LOG.warn("event=drain_unreadable drain={} reason={}", id, e.getMessage());
       }
@@ -57,10 +57,10 @@
     return drains;
   }
 
-  private List<String> namesOf(String id) {
+  private List<String> machineNamesOf(String id) {
     List<String> names = new ArrayList<>();
     String prefix = Keys.drainMachines(id);
-    machines.forEach(
+    machineNames.forEach(
         (key, value) -> {
           if (key.startsWith(prefix)) {
             value.path("m").forEach(name -> names.add(name.asText()));
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -139,7 +139,7 @@
     if (env.operations().automaticLevel()) {
       sources.add(raiser);
     }
-    drains.ifPresent(coordinator -> sources.addAll(coordinator.sources()));
+    drains.ifPresent(coordinator -> sources.addAll(coordinator.contributors()));
     return sources;
   }
 
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
@@ -117,7 +117,7 @@
                 inventory.quotaUsage(),
                 inventory.catalogue().types(),
                 failureDetector.unreachableZones(now),
-                drains.map(DrainCoordinator::replacements).orElse(List.of()),
+                drains.map(DrainCoordinator::replacementDemands).orElse(List.of()),
                 mayScaleIn),
             now);
     plan.scaleOut().forEach(this::requestMachines);
@@ -137,7 +137,7 @@
   }
 
   private void relocate(TaskAttempt attempt) {
-    if (drains.isPresent() && !drains.get().requestMove(attempt)) {
+    if (drains.isPresent() && !drains.get().requestRelocation(attempt)) {
       return;
     }
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/PublishedRecords.java
@@ -19,27 +19,27 @@
  */
 final class PublishedRecords implements TransactionContributor {
   /** A value is written at this distance at the least. */
-  static final Duration SPACING = Duration.ofSeconds(5);
+  static final Duration WRITE_INTERVAL = Duration.ofSeconds(5);
 
   private static final Logger LOG = LoggerFactory.getLogger(PublishedRecords.class);
 
   private final InstantSource clock;
-  private final int largestValue;
+  private final int maxValueBytes;
   private final Map<String, JsonNode> latest = new LinkedHashMap<>();
-  private final Map<String, JsonNode> written = new HashMap<>();
-  private final Map<LeaderTransaction, Map<String, JsonNode>> sent = new HashMap<>();
-  private Instant next = Instant.MIN;
+  private final Map<String, JsonNode> lastWritten = new HashMap<>();
+  private final Map<LeaderTransaction, Map<String, JsonNode>> inFlight = new HashMap<>();
+  private Instant nextWriteAt = Instant.MIN;
 
   /** Publishes values of that length at the most. */
-  PublishedRecords(InstantSource clock, int largestValue) {
+  PublishedRecords(InstantSource clock, int maxValueBytes) {
     this.clock = clock;
-    this.largestValue = largestValue;
+    this.maxValueBytes = maxValueBytes;
   }
 
   /** The value is to be seen under the key; one that is too long would refuse the transaction. */
   void publish(String key, JsonNode value) {
     int length = value.toString().length();
-    if (length <= largestValue) {
+    if (length <= maxValueBytes) {
       latest.put(key, value);
     } else {
       LOG.warn("event=status_too_long key={} length={}", key, length);
@@ -49,21 +49,21 @@
   /** Values under such keys are not published any more. */
   void withdraw(Predicate<String> keys) {
     latest.keySet().removeIf(keys);
-    written.keySet().removeIf(keys);
+    lastWritten.keySet().removeIf(keys);
   }
 
   /** The term is over. */
   void clear() {
     latest.clear();
-    written.clear();
-    sent.clear();
+    lastWritten.clear();
+    inFlight.clear();
   }
 
-  private List<String> changed() {
+  private List<String> changedKeys() {
     List<String> keys = new ArrayList<>();
     latest.forEach(
         (key, value) -> {
-          if (!value.equals(written.get(key))) {
+          if (!value.equals(lastWritten.get(key))) {
             keys.add(key);
           }
         });
@@ -72,7 +72,7 @@
 
   @Override
   public boolean isDue() {
-    return !clock.instant().isBefore(next) && !changed().isEmpty();
+    return !clock.instant().isBefore(nextWriteAt) && !changedKeys().isEmpty();
   }
 
   @Override
@@ -80,26 +80,26 @@
     if (!isDue()) {
       return;
     }
-    next = clock.instant().plus(SPACING);
+    nextWriteAt = clock.instant().plus(WRITE_INTERVAL);
     Map<String, JsonNode> going = new HashMap<>();
-    for (String key : changed()) {
+    for (String key : changedKeys()) {
       if (transaction.hasCapacity()) {
         JsonNode value = latest.get(key);
         transaction.addUntrackedValue(key, value, value.toString().length());
         going.put(key, value);
       }
     }
-    sent.put(transaction, going);
+    inFlight.put(transaction, going);
   }
 
   @Override
   public void onApplied(LeaderTransaction transaction) {
-    written.putAll(sent.getOrDefault(transaction, Map.of()));
-    sent.remove(transaction);
+    lastWritten.putAll(inFlight.getOrDefault(transaction, Map.of()));
+    inFlight.remove(transaction);
   }
 
   @Override
   public void onNotApplied(LeaderTransaction transaction) {
-    sent.remove(transaction);
+    inFlight.remove(transaction);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -272,7 +272,7 @@
     records.clear();
     parts.counts.clear();
     parts.gangs.clear();
-    parts.drains.ifPresent(DrainCoordinator::end);
+    parts.drains.ifPresent(DrainCoordinator::endTerm);
     parts.supply.end();
     jobs.forgetLeaderState();
   }
@@ -284,7 +284,7 @@
   private void takeOverWhenPossible() {
     boolean possible = leadership.isLeading() && loaded && epoch >= leadership.termRevision();
     if (possible && !leadership.isReady() && parts.recovery.recover(epoch)) {
-      parts.drains.ifPresent(DrainCoordinator::begin);
+      parts.drains.ifPresent(DrainCoordinator::beginTerm);
       parts.passes.request();
     }
   }
--- a/src/main/java/io/pearscale/scheduler/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/StatusPublisher.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.drain.DisruptionBudget;
-import io.pearscale.drain.DisruptionBudget.Load;
+import io.pearscale.drain.DisruptionBudget.Availability;
 import io.pearscale.drain.DisruptionLedger;
 import io.pearscale.drain.DrainRequest;
 import io.pearscale.drain.DrainStatus;
@@ -16,10 +16,10 @@
 /** What operators' commands show: budgets, what is disrupted, drains, and why jobs wait. */
 final class StatusPublisher {
   /** The time in what is published changes in such steps. */
-  private static final Duration STATUS_STEP = Duration.ofSeconds(10);
+  private static final Duration TIMESTAMP_GRANULARITY = Duration.ofSeconds(10);
 
   /** What a reason takes of a value, with the job's id: half of a value is for reasons. */
-  private static final int REASON_SIZE = 200;
+  private static final int REASON_BYTES = 200;
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -27,31 +27,31 @@
   private final DisruptionLedger ledger;
   private final PublishedRecords published;
   private final InstantSource timeOfDay;
-  private final int mostReasons;
+  private final int maxReasons;
 
   StatusPublisher(
       LeaderState state,
       DisruptionLedger ledger,
       PublishedRecords published,
       InstantSource timeOfDay,
-      int largestValue) {
+      int maxValueBytes) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.gangs = state.gangs();
     this.ledger = ledger;
     this.published = published;
     this.timeOfDay = timeOfDay;
-    this.mostReasons = Math.max(1, largestValue / 2 / REASON_SIZE);
+    this.maxReasons = Math.max(1, maxValueBytes / 2 / REASON_BYTES);
   }
 
   /** Publishes how drains stand. */
   void publish(Map<String, DrainStatus> drains) {
     drains.forEach(
-        (id, status) -> published.publish(Keys.drainStatus(id), status.toNode(mostReasons)));
+        (id, status) -> published.publish(Keys.drainStatus(id), status.toNode(maxReasons)));
   }
 
   /** Publishes that a drain can't go on before the level of stored state is raised. */
-  void publishHeldUp(DrainRequest request) {
+  void publishBlockedByLevel(DrainRequest request) {
     DrainStatus status =
         new DrainStatus(
             DrainStatus.State.REQUESTED,
@@ -67,19 +67,19 @@
   /** Publishes the state of the cluster. */
   void publishCluster() {
     // In steps, so that an unchanged cluster costs a write a step and no more.
-    long step = STATUS_STEP.toMillis();
+    long step = TIMESTAMP_GRANULARITY.toMillis();
     long at = timeOfDay.instant().toEpochMilli() / step * step;
     ObjectNode node = MessagePack.map().put("term", leadership.term()).put("atMs", at);
     var list = node.putArray("budgets");
     for (DisruptionBudget budget : ledger.budgets()) {
-      Load load = ledger.load(budget);
+      Availability availability = ledger.availabilityUnder(budget);
       list.addObject()
           .put("budget", budget.toString())
-          .put("tasks", load.total())
-          .put("down", load.down());
+          .put("tasks", availability.total())
+          .put("down", availability.unavailable());
     }
-    var down = node.putArray("disrupted");
-    ledger.open().stream().limit(mostReasons).forEach(d -> down.add(d.task().toString()));
+    var disrupted = node.putArray("disrupted");
+    ledger.open().stream().limit(maxReasons).forEach(d -> disrupted.add(d.task().toString()));
     ObjectNode waiting = node.putObject("waiting");
     for (Job job : jobs.queued()) {
       putReason(waiting, job);
@@ -93,12 +93,12 @@
   }
 
   private void putReason(ObjectNode waiting, Job job) {
-    if (waiting.size() < mostReasons) {
-      waiting.put(job.spec.id(), reasonToWait(job));
+    if (waiting.size() < maxReasons) {
+      waiting.put(job.spec.id(), waitReason(job));
     }
   }
 
-  private String reasonToWait(Job job) {
+  private String waitReason(Job job) {
     if (job.failsEverywhere()) {
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -5,15 +5,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.pearscale.drain.DisruptionBudget.Availability;
 import io.pearscale.drain.DisruptionBudget.Kind;
-import io.pearscale.drain.DisruptionBudget.Load;
 import io.pearscale.drain.DisruptionLedger.Group;
 import io.pearscale.drain.DrainPlanner.Drain;
 import io.pearscale.drain.DrainPlanner.MachineView;
 import io.pearscale.drain.DrainPlanner.Plan;
 import io.pearscale.drain.DrainPlanner.TaskView;
-import io.pearscale.drain.DrainRequest.Afterwards;
-import io.pearscale.drain.DrainRequest.Wish;
+import io.pearscale.drain.DrainRequest.CompletionAction;
+import io.pearscale.drain.DrainRequest.DesiredState;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.Maintenance;
@@ -61,7 +61,8 @@
     return new Maintenance(Stage.CORDONED, drain);
   }
 
-  private void drain(String id, Afterwards then, Wish wish, Optional<String> window, String... on) {
+  private void drain(
+      String id, CompletionAction then, DesiredState wish, Optional<String> window, String... on) {
     drains.add(
         new Drain(
             new DrainRequest(
@@ -77,13 +78,14 @@
   void twoDrainsShareABudgetTaskByTask() {
     machine("m-1", cordoned("d1"), 5);
     machine("m-2", cordoned("d2"), 5);
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1");
-    drain("d2", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-2");
-    DisruptionLedger ledger = ledger(Kind.MOST_DOWN, 4);
-    ledger.update(Map.of(GROUP, new Load(10, 0, Duration.ZERO)));
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    drain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-2");
+    DisruptionLedger ledger = ledger(Kind.MAX_UNAVAILABLE, 4);
+    ledger.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
     Plan plan = plan(ledger, NOW);
-    assertEquals(4, plan.stops().size());
-    assertEquals(2, plan.stops().stream().filter(machines.get("m-1").tasks()::contains).count());
+    assertEquals(4, plan.tasksToStop().size());
+    assertEquals(
+        2, plan.tasksToStop().stream().filter(machines.get("m-1").tasks()::contains).count());
     assertTrue(
         plan.statuses().get("d1").reasons().get(0).contains("budget t * most-down 4"),
         "" + plan.statuses());
@@ -101,40 +103,40 @@
       here.add(new TaskView(task, "t", "c", true, false, Optional.empty(), Duration.ZERO, mates));
     }
     machines.put("m-1", new MachineView("m-1", cordoned("d1"), true, true, here));
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1");
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
   }
 
   @Test
   void aGangIsDisruptedWholeOrNotAtAll() {
     gangOfFour();
-    DisruptionLedger tooFew = ledger(Kind.MOST_DOWN, 3);
-    tooFew.update(Map.of(GROUP, new Load(10, 0, Duration.ZERO)));
-    assertEquals(0, plan(tooFew, NOW).stops().size());
+    DisruptionLedger tooFew = ledger(Kind.MAX_UNAVAILABLE, 3);
+    tooFew.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
+    assertEquals(0, plan(tooFew, NOW).tasksToStop().size());
     assertEquals(0, tooFew.open().size());
 
-    DisruptionLedger enough = ledger(Kind.MOST_DOWN, 4);
-    enough.update(Map.of(GROUP, new Load(10, 0, Duration.ZERO)));
-    assertEquals(1, plan(enough, NOW).stops().size());
+    DisruptionLedger enough = ledger(Kind.MAX_UNAVAILABLE, 4);
+    enough.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
+    assertEquals(1, plan(enough, NOW).tasksToStop().size());
     assertEquals(4, enough.open().size());
   }
 
   @Test
   void whatIsDownAlreadyUsesTheBudgetUp() {
     machine("m-1", cordoned("d1"), 2);
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1");
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
     for (Kind kind : Kind.values()) {
       double amount =
           switch (kind) {
-            case MOST_DOWN -> 1;
-            case MOST_DOWN_SHARE -> 0.1;
-            case LEAST_UP -> 9;
-            case MOST_LOST_S -> 5;
+            case MAX_UNAVAILABLE -> 1;
+            case MAX_UNAVAILABLE_SHARE -> 0.1;
+            case MIN_AVAILABLE -> 9;
+            case MAX_LOST_WORK_SECONDS -> 5;
           };
       DisruptionLedger ledger = ledger(kind, amount);
-      ledger.update(Map.of(GROUP, new Load(10, 1, Duration.ofSeconds(6))));
-      assertEquals(0, plan(ledger, NOW).stops().size(), "" + kind);
-      ledger.update(Map.of(GROUP, new Load(10, 0, Duration.ZERO)));
-      assertFalse(plan(ledger, NOW).stops().isEmpty(), "" + kind);
+      ledger.updateAvailability(Map.of(GROUP, new Availability(10, 1, Duration.ofSeconds(6))));
+      assertEquals(0, plan(ledger, NOW).tasksToStop().size(), "" + kind);
+      ledger.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
+      assertFalse(plan(ledger, NOW).tasksToStop().isEmpty(), "" + kind);
     }
   }
 
@@ -142,29 +144,29 @@
   void teamsWithoutABudgetOfTheirOwnHaveTheDefaultEach() {
     DisruptionLedger none = new DisruptionLedger(List.of());
     Disruption first = new Disruption(new TaskId("wk-1", 0), "x", "c", true, Duration.ZERO);
-    assertEquals(Optional.of("no budget covers x c"), none.spend(first));
-    DisruptionLedger ledger = ledger(Kind.MOST_DOWN, 5);
+    assertEquals(Optional.of("no budget covers x c"), none.trySpend(first));
+    DisruptionLedger ledger = ledger(Kind.MAX_UNAVAILABLE, 5);
     ledger =
         new DisruptionLedger(
             List.of(
                 ledger.budgets().get(0),
-                new DisruptionBudget("*", Optional.empty(), Kind.MOST_DOWN, 1)));
-    assertEquals(Optional.empty(), ledger.spend(first));
+                new DisruptionBudget("*", Optional.empty(), Kind.MAX_UNAVAILABLE, 1)));
+    assertEquals(Optional.empty(), ledger.trySpend(first));
     assertTrue(
         ledger
-            .spend(new Disruption(new TaskId("wk-2", 0), "x", "c", true, Duration.ZERO))
+            .trySpend(new Disruption(new TaskId("wk-2", 0), "x", "c", true, Duration.ZERO))
             .isPresent());
     assertEquals(
         Optional.empty(),
-        ledger.spend(new Disruption(new TaskId("wk-3", 0), "y", "c", true, Duration.ZERO)));
+        ledger.trySpend(new Disruption(new TaskId("wk-3", 0), "y", "c", true, Duration.ZERO)));
   }
 
   @Test
   void anUnreadableRecordOfWhatWasSpentStopsAll() {
-    DisruptionLedger ledger = ledger(Kind.MOST_DOWN, 5);
-    ledger.spentIsUnknown("c/disrupted/0");
+    DisruptionLedger ledger = ledger(Kind.MAX_UNAVAILABLE, 5);
+    ledger.blockAll("c/disrupted/0");
     Disruption disruption = new Disruption(new TaskId("wk-1", 0), "t", "c", true, Duration.ZERO);
-    assertEquals(Optional.of("c/disrupted/0"), ledger.spend(disruption));
+    assertEquals(Optional.of("c/disrupted/0"), ledger.trySpend(disruption));
   }
 
   @Test
@@ -172,22 +174,30 @@
     machine("m-1", Maintenance.IN_SERVICE, 3);
     machine("m-2", Maintenance.IN_SERVICE, 0);
     machine("m-3", Maintenance.IN_SERVICE, 1);
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1", "m-2", "m-3", "m-gone");
-    Plan plan = plan(ledger(Kind.MOST_DOWN, 5), NOW);
-    assertEquals(Map.of("m-2", cordoned("d1"), "m-3", cordoned("d1")), plan.changes());
-    assertEquals(List.of(), plan.stops(), "cordoned durably first");
-    assertEquals(1, plan.statuses().get("d1").gone());
+    drain(
+        "d1",
+        CompletionAction.HOLD,
+        DesiredState.RUN,
+        Optional.empty(),
+        "m-1",
+        "m-2",
+        "m-3",
+        "m-gone");
+    Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
+    assertEquals(Map.of("m-2", cordoned("d1"), "m-3", cordoned("d1")), plan.maintenanceChanges());
+    assertEquals(List.of(), plan.tasksToStop(), "cordoned durably first");
+    assertEquals(1, plan.statuses().get("d1").released());
   }
 
   @Test
   void emptyMachinesAreHeldOrGivenBack() {
     machine("m-1", cordoned("d1"), 0);
     machine("m-2", cordoned("d2"), 0);
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1");
-    drain("d2", Afterwards.RETURN, Wish.RUN, Optional.empty(), "m-2");
-    Plan plan = plan(ledger(Kind.MOST_DOWN, 5), NOW);
-    assertEquals(Map.of("m-1", new Maintenance(Stage.DRAINED, "d1")), plan.changes());
-    assertEquals(List.of("m-2"), plan.giveBack());
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    drain("d2", CompletionAction.RETURN, DesiredState.RUN, Optional.empty(), "m-2");
+    Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
+    assertEquals(Map.of("m-1", new Maintenance(Stage.DRAINED, "d1")), plan.maintenanceChanges());
+    assertEquals(List.of("m-2"), plan.machinesToRelease());
     assertEquals(DrainStatus.State.DRAINED, plan.statuses().get("d1").state());
   }
 
@@ -195,16 +205,16 @@
   void aDrainThatIsTakenBackOrLatePutsMachinesBack() {
     machine("m-1", cordoned("d1"), 2);
     machine("m-2", new Maintenance(Stage.DRAINED, "d1"), 0);
-    drain("d1", Afterwards.HOLD, Wish.CANCEL, Optional.empty(), "m-1", "m-2");
-    Plan cancelled = plan(ledger(Kind.MOST_DOWN, 5), NOW);
+    drain("d1", CompletionAction.HOLD, DesiredState.CANCEL, Optional.empty(), "m-1", "m-2");
+    Plan cancelled = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(
         Map.of("m-1", Maintenance.IN_SERVICE, "m-2", new Maintenance(Stage.PROBATION, "d1")),
-        cancelled.changes());
-    assertEquals(List.of(), cancelled.stops());
+        cancelled.maintenanceChanges());
+    assertEquals(List.of(), cancelled.tasksToStop());
     drains.clear();
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1", "m-2");
-    Plan late = plan(ledger(Kind.MOST_DOWN, 5), NOW.plusSeconds(61));
-    assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), late.changes());
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
+    Plan late = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW.plusSeconds(61));
+    assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), late.maintenanceChanges());
     assertEquals(DrainStatus.State.FAILED, late.statuses().get("d1").state());
     assertTrue(late.statuses().get("d1").reasons().contains("its time was over"));
   }
@@ -221,11 +231,11 @@
             EnumSet.allOf(DayOfWeek.class),
             LocalTime.of(22, 0),
             LocalTime.of(4, 0)));
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.of("night"), "m-1", "m-2");
-    drain("d2", Afterwards.HOLD, Wish.RUN, Optional.of("other"), "m-2");
-    Plan plan = plan(ledger(Kind.MOST_DOWN, 5), NOW);
-    assertEquals(Map.of(), plan.changes());
-    assertEquals(List.of(), plan.stops());
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.of("night"), "m-1", "m-2");
+    drain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.of("other"), "m-2");
+    Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
+    assertEquals(Map.of(), plan.maintenanceChanges());
+    assertEquals(List.of(), plan.tasksToStop());
     assertEquals(DrainStatus.State.PAUSED, plan.statuses().get("d1").state());
     assertEquals(
         List.of("window night opens at 2026-12-02T22:00:00Z"), plan.statuses().get("d1").reasons());
@@ -243,9 +253,9 @@
     machines.put(
         "m-2",
         new MachineView("m-2", cordoned("d1"), true, false, List.of(task(true, Optional.empty()))));
-    drain("d1", Afterwards.HOLD, Wish.RUN, Optional.empty(), "m-1", "m-2");
-    Plan plan = plan(ledger(Kind.MOST_DOWN, 5), NOW);
-    assertEquals(List.of(longer), plan.stops());
+    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
+    Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
+    assertEquals(List.of(longer), plan.tasksToStop());
     assertEquals(
         List.of(
             starting.task() + " is starting",
--- a/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
+++ b/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
@@ -46,7 +46,7 @@
     assertFalse(night.isOpen(utc("2026-12-06T05:00:00Z")), "Saturday night");
     assertEquals(
         Optional.of(utc("2026-12-12T04:00:00Z")), night.nextOpening(utc("2026-12-05T10:00:00Z")));
-    assertEquals(Duration.ofHours(6), night.length());
+    assertEquals(Duration.ofHours(6), night.duration());
   }
 
   @Test
--- a/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
@@ -81,10 +81,10 @@
     JsonNode value = valueIn(transaction());
     DisruptionRecords successor = new DisruptionRecords(8192, () -> {}, durable::add);
     successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(value, 7))));
-    assertEquals(List.of(disruption(1)), successor.begin());
-    assertEquals(Duration.ofSeconds(3), successor.begin().get(0).lost());
+    assertEquals(List.of(disruption(1)), successor.beginTerm());
+    assertEquals(Duration.ofSeconds(3), successor.beginTerm().get(0).lostWork());
     JsonNode bad = MessagePack.map().put("d", "?");
     successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(bad, 8))));
-    assertThrows(MalformedMessageException.class, successor::begin);
+    assertThrows(MalformedMessageException.class, successor::beginTerm);
   }
 }
--- a/src/test/java/io/pearscale/sim/DisruptionChecker.java
+++ b/src/test/java/io/pearscale/sim/DisruptionChecker.java
@@ -90,10 +90,10 @@
     int down = voluntary + lost;
     boolean kept =
         switch (budget.kind()) {
-          case MOST_DOWN -> down <= budget.amount();
-          case MOST_DOWN_SHARE -> down <= budget.amount() * total;
-          case LEAST_UP -> total - down >= budget.amount();
-          case MOST_LOST_S -> true;
+          case MAX_UNAVAILABLE -> down <= budget.amount();
+          case MAX_UNAVAILABLE_SHARE -> down <= budget.amount() * total;
+          case MIN_AVAILABLE -> total - down >= budget.amount();
+          case MAX_LOST_WORK_SECONDS -> true;
         };
     if (!kept) {
       world.breaks(
--- a/src/test/java/io/pearscale/sim/DrainRunsTest.java
+++ b/src/test/java/io/pearscale/sim/DrainRunsTest.java
@@ -125,7 +125,7 @@
     scenario
         .world()
         .disruptions
-        .add(new DisruptionBudget("t", Optional.empty(), DisruptionBudget.Kind.MOST_DOWN, 1));
+        .add(new DisruptionBudget("t", Optional.empty(), DisruptionBudget.Kind.MAX_UNAVAILABLE, 1));
     scenario.run();
     assertTrue(
         scenario.world().broken.stream().anyMatch(b -> b.startsWith("over_budget")),
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -314,9 +314,9 @@
       case "drain-wish" ->
           world.state.set(
               "c/drain/" + w.get(1),
-              DrainRequest.withWish(
+              DrainRequest.withDesiredState(
                   world.state.under("c/drain/" + w.get(1)).get("c/drain/" + w.get(1)),
-                  DrainRequest.Wish.valueOf(w.get(2))));
+                  DrainRequest.DesiredState.valueOf(w.get(2))));
       case "level-back" -> {
         int level = world.state.level().level();
         world.state.set("c/level", world.state.level().rollingBack().toNode(World.map()));
@@ -401,13 +401,15 @@
             w.get(1),
             String.join(" ", w),
             (int) number(o, "at-once", 1),
-            o.containsKey("hold") ? DrainRequest.Afterwards.HOLD : DrainRequest.Afterwards.RETURN,
-            DrainRequest.Wish.RUN,
+            o.containsKey("hold")
+                ? DrainRequest.CompletionAction.HOLD
+                : DrainRequest.CompletionAction.RETURN,
+            DrainRequest.DesiredState.RUN,
             world.now,
             world.now.plus(seconds(o.getOrDefault("for", "3600"))),
             Optional.empty());
     request
-        .changes(machines, world.valueBytes)
+        .toMutations(machines, world.valueBytes)
         .forEach(change -> world.state.set(change.key(), change.value().orElseThrow()));
   }
 
