--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -43,168 +43,172 @@
  * began after it. What can't be told so is answered 503 at once.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
-  private static final int REMEMBERED = 20_000;
-  private static final int MOST_LIVE = 20_000;
-  private static final Duration SOON = Duration.ofSeconds(1);
+  private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
+  private static final int MAX_LIVE_JOBS = 20_000;
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   /** The level rises within about a second of when the last controller says what it supports. */
-  private static final Duration UPGRADED_LATER = Duration.ofSeconds(2);
+  private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
 
   /** What the actor understands. */
   public sealed interface Message {}
 
   /** A user submits. */
-  public record Submit(Optional<JsonNode> body, Consumer<Response> answer) implements Message {}
+  public record Submit(Optional<JsonNode> body, Consumer<Response> respond) implements Message {}
 
   /** A user asks for a job. */
-  public record Query(String id, Consumer<Response> answer) implements Message {}
+  public record Query(String jobId, Consumer<Response> respond) implements Message {}
 
   /** A user cancels a job. */
-  public record Cancel(String id, Consumer<Response> answer) implements Message {}
+  public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
   /** The replica was loaded. */
-  public record Loaded(Map<String, Entry> all) implements Message {}
+  public record Loaded(Map<String, Entry> entries) implements Message {}
 
   /** Keys changed. */
-  public record Changed(List<KeyChange> changes) implements Message {}
+  public record KeysChanged(List<KeyChange> changes) implements Message {}
 
   /** Asks which jobs this controller has told as cancelled lately, and which are live. */
-  public record Recent(BiConsumer<List<String>, List<String>> answer) implements Message {}
+  public record RecentCancellations(BiConsumer<List<String>, List<String>> respond)
+      implements Message {}
 
   /** A peer says that it tells a job as cancelled: durable, so it may be told here as well. */
-  public record Cancelled(String job) implements Message {}
+  public record JobCancelled(String job) implements Message {}
 
   /** The leader's counts, for display. */
-  public record Counts(List<JobTaskCount> jobs) implements Message {}
-
-  private record Created(JobSpec spec, Consumer<Response> answer, Reply reply) implements Message {}
+  public record TaskCountsChanged(List<JobTaskCount> jobs) implements Message {}
 
-  private record Withdrawn(String id, int pieces, int tries, Consumer<Response> answer, Reply reply)
+  private record SubmissionCommitted(JobSpec spec, Consumer<Response> respond, Reply reply)
       implements Message {}
 
-  private record Found(String id, Optional<Optional<Entry>> entry, Consumer<Lookup> then)
+  private record CancellationCommitted(
+      String jobId, int tasks, int retries, Consumer<Response> respond, Reply reply)
       implements Message {}
 
-  private record PastRead(String id, Reply reply, Consumer<Lookup> then) implements Message {}
+  private record LiveRecordRead(
+      String jobId, Optional<Optional<Entry>> entry, Consumer<Lookup> then) implements Message {}
+
+  private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> then)
+      implements Message {}
 
   /** What is known of a job, as fresh as the question. */
   private sealed interface Lookup {}
 
-  private record Live(Entry entry) implements Lookup {}
+  private record LiveJob(Entry entry) implements Lookup {}
 
-  private record Over(Past past) implements Lookup {}
+  private record FinishedJob(JobOutcome outcome) implements Lookup {}
 
-  private record Nothing() implements Lookup {}
+  private record NoSuchJob() implements Lookup {}
 
-  private record Unknown() implements Lookup {}
+  private record Undetermined() implements Lookup {}
 
   /** How a job ended. */
-  private record Past(String stage, int pieces) {}
+  private record JobOutcome(String stage, int tasks) {}
 
-  private final KeyValueStoreClient state;
+  private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
   private final Settings settings;
-  private final InstantSource timeOfDay;
-  private final LevelGate level;
-  private final Consumer<String> cancelled;
+  private final InstantSource wallClock;
+  private final LevelGate levelGate;
+  private final Consumer<String> cancellationListener;
   private final Map<String, Team> teams = new HashMap<>();
-  private final Map<String, JobTaskCount> counts = new HashMap<>();
-  private final Set<String> live = new HashSet<>();
-  private List<MachineType> types = List.of();
+  private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
+  private final Set<String> liveJobs = new HashSet<>();
+  private List<MachineType> machineTypes = List.of();
   private boolean loaded;
-  private int open;
-  private final Map<String, Instant> withdrawn = new LinkedHashMap<>();
-  private final Map<String, Past> past =
+  private int openRequests;
+  private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
+  private final Map<String, JobOutcome> outcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Past> eldest) {
-          return size() > REMEMBERED;
+        protected boolean removeEldestEntry(Map.Entry<String, JobOutcome> eldest) {
+          return size() > MAX_REMEMBERED_OUTCOMES;
         }
       };
 
   /**
    * Answers from the state service and its replica.
    *
-   * @param level says whether gang jobs can be stored yet
-   * @param cancelled is told of each job that users are about to be told as cancelled
+   * @param levelGate says whether gang jobs can be stored yet
+   * @param cancellationListener is told of each job that users are about to be told as cancelled
    */
   public ApiActor(
       EventLoop loop,
-      KeyValueStoreClient state,
+      KeyValueStoreClient store,
       StoreReplicaActor replica,
       Settings settings,
-      InstantSource timeOfDay,
-      LevelGate level,
-      Consumer<String> cancelled) {
+      InstantSource wallClock,
+      LevelGate levelGate,
+      Consumer<String> cancellationListener) {
     super(loop);
-    this.state = state;
+    this.store = store;
     this.replica = replica;
     this.settings = settings;
-    this.timeOfDay = timeOfDay;
-    this.level = level;
-    this.cancelled = cancelled;
+    this.wallClock = wallClock;
+    this.levelGate = levelGate;
+    this.cancellationListener = cancellationListener;
     settings.teams().forEach(t -> teams.put(t.name(), t));
   }
 
   @Override
   protected void receive(Message message) {
     if (message instanceof Submit m) {
-      submit(m.body, limited(m.answer));
+      submit(m.body, countOpen(m.respond));
     } else if (message instanceof Query m) {
-      Consumer<Response> answer = limited(m.answer);
-      lookup(m.id, l -> answer.accept(show(m.id, l)));
+      Consumer<Response> answer = countOpen(m.respond);
+      lookup(m.jobId, lookup -> answer.accept(statusResponse(m.jobId, lookup)));
     } else if (message instanceof Cancel m) {
-      cancel(m.id, limited(m.answer), 0);
+      cancel(m.jobId, countOpen(m.respond), 0);
     } else if (message instanceof Loaded m) {
       loaded = true;
-      live.clear();
-      m.all.forEach((k, e) -> changed(new KeyChange(k, Optional.of(e))));
-    } else if (message instanceof Changed m) {
-      m.changes.forEach(this::changed);
-    } else if (message instanceof Counts m) {
-      m.jobs.forEach(c -> counts.put(c.job(), c));
-      if (counts.size() > 2 * MOST_LIVE) {
-        counts.keySet().retainAll(live);
+      liveJobs.clear();
+      m.entries.forEach((k, e) -> applyChange(new KeyChange(k, Optional.of(e))));
+    } else if (message instanceof KeysChanged m) {
+      m.changes.forEach(this::applyChange);
+    } else if (message instanceof TaskCountsChanged m) {
+      m.jobs.forEach(c -> taskCounts.put(c.job(), c));
+      if (taskCounts.size() > 2 * MAX_LIVE_JOBS) {
+        taskCounts.keySet().retainAll(liveJobs);
       }
-    } else if (message instanceof Recent m) {
-      m.answer.accept(recent(), List.copyOf(live));
-    } else if (message instanceof Cancelled m) {
-      past.put(m.job, new Past("withdrawn", 0));
-      live.remove(m.job);
-      withdrawn.put(m.job, loop.clock().instant());
-    } else if (message instanceof Created m) {
-      created(m);
-    } else if (message instanceof Withdrawn m) {
-      withdrawn(m);
-    } else if (message instanceof Found m) {
-      found(m);
-    } else if (message instanceof PastRead m) {
-      pastRead(m);
+    } else if (message instanceof RecentCancellations m) {
+      m.respond.accept(recentCancellations(), List.copyOf(liveJobs));
+    } else if (message instanceof JobCancelled m) {
+      outcomes.put(m.job, new JobOutcome("withdrawn", 0));
+      liveJobs.remove(m.job);
+      acknowledgedCancellations.put(m.job, loop.clock().instant());
+    } else if (message instanceof SubmissionCommitted m) {
+      submissionCommitted(m);
+    } else if (message instanceof CancellationCommitted m) {
+      cancellationCommitted(m);
+    } else if (message instanceof LiveRecordRead m) {
+      liveRecordRead(m);
+    } else if (message instanceof FinishedRecordRead m) {
+      finishedRecordRead(m);
     }
   }
 
   /** Counts open requests, so that a flood is refused while it can still be refused quickly. */
-  private Consumer<Response> limited(Consumer<Response> answer) {
-    open++;
+  private Consumer<Response> countOpen(Consumer<Response> answer) {
+    openRequests++;
     return r -> {
-      open--;
+      openRequests--;
       answer.accept(r);
     };
   }
 
-  private void changed(KeyChange c) {
-    if (Keys.isLiveJob(c.key())) {
-      String id = Keys.lastSegment(c.key());
-      if (c.entry().isPresent()) {
-        live.add(id);
+  private void applyChange(KeyChange change) {
+    if (Keys.isLiveJob(change.key())) {
+      String jobId = Keys.lastSegment(change.key());
+      if (change.entry().isPresent()) {
+        liveJobs.add(jobId);
       } else {
-        live.remove(id);
-        counts.remove(id);
+        liveJobs.remove(jobId);
+        taskCounts.remove(jobId);
       }
-    } else if (c.key().equals(Keys.CATALOGUE) && c.entry().isPresent()) {
-      types = MachineType.parseAll(c.entry().get().value());
+    } else if (change.key().equals(Keys.CATALOGUE) && change.entry().isPresent()) {
+      machineTypes = MachineType.parseAll(change.entry().get().value());
     }
   }
 
@@ -223,89 +227,92 @@
       answer.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
       return;
     }
-    Past known = past.get(spec.id());
-    if (known != null) {
-      answer.accept(Response.of(200, stage(spec.id(), known.stage)));
+    JobOutcome outcome = outcomes.get(spec.id());
+    if (outcome != null) {
+      answer.accept(Response.of(200, stageBody(spec.id(), outcome.stage)));
       return;
     }
-    if (!loaded || open > settings.connectionLimits().openUserRequests()) {
-      answer.accept(Response.later(SOON, loaded ? "busy" : "starting"));
+    if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
+      answer.accept(Response.later(RETRY_AFTER, loaded ? "busy" : "starting"));
       return;
     }
-    if (live.contains(spec.id())) {
-      lookup(spec.id(), l -> answer.accept(known(spec.id(), l, Optional.empty())));
+    if (liveJobs.contains(spec.id())) {
+      lookup(
+          spec.id(),
+          lookup -> answer.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
       return;
     }
-    Optional<Response> refusal = judge(spec);
+    Optional<Response> refusal = validate(spec);
     if (refusal.isPresent()) {
       // An id that is known already is not judged again.
-      lookup(spec.id(), l -> answer.accept(known(spec.id(), l, refusal)));
+      lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
-    ObjectNode value = MessagePack.map().put("at", timeOfDay.instant().toEpochMilli());
+    ObjectNode value = MessagePack.map().put("at", wallClock.instant().toEpochMilli());
     value.set("spec", spec.toNode());
-    state.compareAndSwap(
+    store.compareAndSwap(
         List.of(
             new Precondition(Keys.liveJob(spec.id()), 0),
             new Precondition(Keys.finishedJob(spec.id()), 0)),
         List.of(Mutation.put(Keys.liveJob(spec.id()), value)),
-        reply -> tell(new Created(spec, answer, reply)));
+        reply -> tell(new SubmissionCommitted(spec, answer, reply)));
   }
 
   /** What stands against a new job; empty when it can be accepted. */
-  private Optional<Response> judge(JobSpec spec) {
-    if (types.isEmpty()) {
+  private Optional<Response> validate(JobSpec spec) {
+    if (machineTypes.isEmpty()) {
       return Optional.of(Response.later(Duration.ofSeconds(2), "machine types unknown as yet"));
     }
-    if (live.size() >= MOST_LIVE) {
+    if (liveJobs.size() >= MAX_LIVE_JOBS) {
       return Optional.of(Response.later(Duration.ofSeconds(30), "too many jobs"));
     }
-    Team t = teams.get(spec.team());
-    if (t == null) {
-      return refuse("unknown team");
+    Team team = teams.get(spec.team());
+    if (team == null) {
+      return reject("unknown team");
     }
     if (spec.isGang()) {
-      Optional<Response> refusal = judgeGang();
+      Optional<Response> refusal = validateGangSupport();
       if (refusal.isPresent()) {
         return refusal;
       }
     }
-    int n = spec.isService() || spec.isGang() ? spec.tasks() : 1;
-    if ((t.cpuLimit() > 0 && n * spec.cpus() > t.cpuLimit() + 1e-6)
-        || (t.gpuLimit() > 0 && n * spec.gpus() > t.gpuLimit() + 1e-6)) {
-      return refuse("beyond the team's limit");
+    int simultaneousTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
+    if ((team.cpuLimit() > 0 && simultaneousTasks * spec.cpus() > team.cpuLimit() + 1e-6)
+        || (team.gpuLimit() > 0 && simultaneousTasks * spec.gpus() > team.gpuLimit() + 1e-6)) {
+      return reject("beyond the team's limit");
     }
     if (spec.spreadAcrossZones()
         && spec.tasks() > 1
         && (spec.singleZone() || spec.zone().isPresent())) {
-      return refuse("tasks must spread over zones and stay in one");
+      return reject("tasks must spread over zones and stay in one");
     }
-    Optional<Response> unrecordable = judgeSize(spec);
+    Optional<Response> unrecordable = validateRecordSize(spec);
     if (unrecordable.isPresent()) {
       return unrecordable;
     }
-    if (types.stream().anyMatch(spec::allowsInSomeZone)) {
+    if (machineTypes.stream().anyMatch(spec::allowsInSomeZone)) {
       return Optional.empty();
     }
-    return refuse("no allowed machine type is large enough");
+    return reject("no allowed machine type is large enough");
   }
 
   /**
    * A job whose tasks can't be recorded could never start one of them. Where a later level takes
    * smaller parts of jobs, it is only a matter of time.
    */
-  private Optional<Response> judgeSize(JobSpec spec) {
+  private Optional<Response> validateRecordSize(JobSpec spec) {
     int longest = settings.storeLimits().maxValueBytes();
-    if (longestRecord(spec, RecordLayout.ofLevel(level.inForce().writtenLevel())) <= longest) {
+    if (maxRecordSize(spec, RecordLayout.ofLevel(levelGate.inForce().writtenLevel())) <= longest) {
       return Optional.empty();
     }
-    return longestRecord(spec, RecordLayout.INDEXED) <= longest
-            && level.supports(Feature.SMALL_VALUES)
-        ? Optional.of(Response.later(UPGRADED_LATER, "not all controllers take so many tasks yet"))
-        : refuse("its tasks can't be recorded in values of " + longest + " bytes");
+    return maxRecordSize(spec, RecordLayout.INDEXED) <= longest
+            && levelGate.supports(Feature.SMALL_VALUES)
+        ? Optional.of(
+            Response.later(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
+        : reject("its tasks can't be recorded in values of " + longest + " bytes");
   }
 
-  private int longestRecord(JobSpec spec, RecordLayout layout) {
+  private int maxRecordSize(JobSpec spec, RecordLayout layout) {
     Team team = teams.get(spec.team());
     int claim =
         team != null && team.hasQuotaLimit()
@@ -319,88 +326,89 @@
   }
 
   /** What stands against any gang job. */
-  private Optional<Response> judgeGang() {
+  private Optional<Response> validateGangSupport() {
     if (settings.agents().gangs().isEmpty()) {
-      return refuse("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
+      return reject("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
     }
-    return level.isEnabled(Feature.GANG_JOBS)
+    return levelGate.isEnabled(Feature.GANG_JOBS)
         ? Optional.empty()
-        : Optional.of(Response.later(UPGRADED_LATER, "not all controllers serve gangs yet"));
+        : Optional.of(Response.later(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
   }
 
-  private static Optional<Response> refuse(String why) {
-    return Optional.of(Response.of(422, MessagePack.map().put("error", why)));
+  private static Optional<Response> reject(String reason) {
+    return Optional.of(Response.of(422, MessagePack.map().put("error", reason)));
   }
 
-  private void created(Created m) {
-    String id = m.spec.id();
+  private void submissionCommitted(SubmissionCommitted m) {
+    String jobId = m.spec.id();
     if (m.reply.ok()) {
-      live.add(id);
-      log.info("event=accepted job={} class={} tasks={}", id, m.spec.jobClass(), m.spec.tasks());
-      m.answer.accept(Response.of(201, stage(id, "pending")));
+      liveJobs.add(jobId);
+      log.info("event=accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
+      m.respond.accept(Response.of(201, stageBody(jobId, "pending")));
     } else if (m.reply.status() == 409) {
-      lookup(id, l -> m.answer.accept(known(id, l, Optional.empty())));
+      lookup(jobId, lookup -> m.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
-      log.info("event=refused job={} status={}", id, m.reply.status());
-      m.answer.accept(Response.later(SOON, "state service"));
+      log.info("event=refused job={} status={}", jobId, m.reply.status());
+      m.respond.accept(Response.later(RETRY_AFTER, "state service"));
     }
   }
 
-  private Response known(String id, Lookup l, Optional<Response> otherwise) {
-    if (l instanceof Live) {
-      return Response.of(200, stage(id, liveStage(id)));
-    } else if (l instanceof Over o) {
-      return Response.of(200, stage(id, o.past.stage));
-    } else if (l instanceof Nothing && otherwise.isPresent()) {
+  private Response knownJobResponse(String jobId, Lookup lookup, Optional<Response> otherwise) {
+    if (lookup instanceof LiveJob) {
+      return Response.of(200, stageBody(jobId, liveStage(jobId)));
+    } else if (lookup instanceof FinishedJob o) {
+      return Response.of(200, stageBody(jobId, o.outcome.stage));
+    } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
       return otherwise.get();
     }
-    return Response.later(SOON, "state service");
+    return Response.later(RETRY_AFTER, "state service");
   }
 
   // ---- Asking ----
 
-  private void lookup(String id, Consumer<Lookup> then) {
-    Past known = past.get(id);
-    if (known != null) {
-      then.accept(new Over(known));
+  private void lookup(String jobId, Consumer<Lookup> then) {
+    JobOutcome outcome = outcomes.get(jobId);
+    if (outcome != null) {
+      then.accept(new FinishedJob(outcome));
       return;
     }
-    if (open > settings.connectionLimits().openUserRequests() || !JobSpec.isId(id)) {
-      then.accept(JobSpec.isId(id) ? new Unknown() : new Nothing());
+    if (openRequests > settings.connectionLimits().openUserRequests() || !JobSpec.isId(jobId)) {
+      then.accept(JobSpec.isId(jobId) ? new Undetermined() : new NoSuchJob());
       return;
     }
     replica.tell(
         new StoreReplicaActor.LinearizableRead(
-            Keys.liveJob(id), e -> tell(new Found(id, e, then))));
+            Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, then))));
   }
 
-  private void found(Found m) {
-    Past told = past.get(m.id);
-    if (told != null) {
+  private void liveRecordRead(LiveRecordRead m) {
+    JobOutcome outcome = outcomes.get(m.jobId);
+    if (outcome != null) {
       // It ended while the question was under way, and this controller has said so.
-      m.then.accept(new Over(told));
+      m.then.accept(new FinishedJob(outcome));
     } else if (m.entry.isEmpty()) {
-      m.then.accept(new Unknown());
+      m.then.accept(new Undetermined());
     } else if (m.entry.get().isPresent()) {
-      m.then.accept(new Live(m.entry.get().get()));
+      m.then.accept(new LiveJob(m.entry.get().get()));
     } else {
       // Not live at a time after the question: over by then, or never accepted by then.
-      state.get(Keys.finishedJob(m.id), r -> tell(new PastRead(m.id, r, m.then)));
+      store.get(Keys.finishedJob(m.jobId), r -> tell(new FinishedRecordRead(m.jobId, r, m.then)));
     }
   }
 
-  private void pastRead(PastRead m) {
+  private void finishedRecordRead(FinishedRecordRead m) {
     if (m.reply.ok()) {
-      JsonNode v = m.reply.body().path("value");
-      Past p = new Past(v.path("stage").asText(), v.path("pieces").asInt());
-      past.put(m.id, p);
-      noteWithdrawn(m.id, p);
-      m.then.accept(new Over(p));
+      JsonNode value = m.reply.body().path("value");
+      JobOutcome outcome =
+          new JobOutcome(value.path("stage").asText(), value.path("pieces").asInt());
+      outcomes.put(m.jobId, outcome);
+      acknowledgeCancellation(m.jobId, outcome);
+      m.then.accept(new FinishedJob(outcome));
     } else if (m.reply.status() == 404) {
-      m.then.accept(new Nothing());
+      m.then.accept(new NoSuchJob());
     } else {
-      m.then.accept(new Unknown());
+      m.then.accept(new Undetermined());
     }
   }
 
@@ -409,82 +417,87 @@
    * the leader may not hear of it from the state service, and should this process end, another
    * still knows.
    */
-  private void noteWithdrawn(String id, Past p) {
-    if (p.stage.equals("withdrawn") && withdrawn.put(id, loop.clock().instant()) == null) {
-      cancelled.accept(id);
+  private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
+    if (outcome.stage.equals("withdrawn")
+        && acknowledgedCancellations.put(jobId, loop.clock().instant()) == null) {
+      cancellationListener.accept(jobId);
     }
   }
 
   /** What a leader may not know although it has a proof: that is never older than hold. */
-  private List<String> recent() {
+  private List<String> recentCancellations() {
     Instant limit =
         loop.clock().instant().minus(settings.renewalAuthorityTimeout().multipliedBy(2));
-    withdrawn.values().removeIf(t -> t.isBefore(limit));
-    return List.copyOf(withdrawn.keySet());
+    acknowledgedCancellations.values().removeIf(t -> t.isBefore(limit));
+    return List.copyOf(acknowledgedCancellations.keySet());
   }
 
-  private String liveStage(String id) {
-    JobTaskCount c = counts.get(id);
-    return c != null && c.running() > 0 ? "running" : "pending";
+  private String liveStage(String jobId) {
+    JobTaskCount count = taskCounts.get(jobId);
+    return count != null && count.running() > 0 ? "running" : "pending";
   }
 
-  private static ObjectNode stage(String id, String stage) {
-    return MessagePack.map().put("uid", id).put("stage", stage);
+  private static ObjectNode stageBody(String jobId, String stage) {
+    return MessagePack.map().put("uid", jobId).put("stage", stage);
   }
 
-  private Response show(String id, Lookup l) {
-    if (l instanceof Live) {
-      JobTaskCount c = counts.getOrDefault(id, new JobTaskCount(id, 0, 0));
+  private Response statusResponse(String jobId, Lookup lookup) {
+    if (lookup instanceof LiveJob) {
+      JobTaskCount count = taskCounts.getOrDefault(jobId, new JobTaskCount(jobId, 0, 0));
+      return Response.of(
+          200,
+          stageBody(jobId, liveStage(jobId))
+              .put("done", count.done())
+              .put("running", count.running()));
+    } else if (lookup instanceof FinishedJob o) {
+      int done = o.outcome.stage.equals("done") ? o.outcome.tasks : 0;
       return Response.of(
-          200, stage(id, liveStage(id)).put("done", c.done()).put("running", c.running()));
-    } else if (l instanceof Over o) {
-      int done = o.past.stage.equals("done") ? o.past.pieces : 0;
-      return Response.of(200, stage(id, o.past.stage).put("done", done).put("running", 0));
-    } else if (l instanceof Nothing) {
+          200, stageBody(jobId, o.outcome.stage).put("done", done).put("running", 0));
+    } else if (lookup instanceof NoSuchJob) {
       return Response.of(404, MessagePack.map().put("error", "no such job"));
     }
-    return Response.later(SOON, "state service");
+    return Response.later(RETRY_AFTER, "state service");
   }
 
   // ---- Cancelling ----
 
-  private void cancel(String id, Consumer<Response> answer, int tries) {
+  private void cancel(String jobId, Consumer<Response> answer, int retries) {
     lookup(
-        id,
-        l -> {
-          if (l instanceof Live x) {
-            int pieces = x.entry.value().path("spec").path("pieces").asInt();
-            state.compareAndSwap(
+        jobId,
+        lookup -> {
+          if (lookup instanceof LiveJob x) {
+            int tasks = x.entry.value().path("spec").path("pieces").asInt();
+            store.compareAndSwap(
                 List.of(
-                    new Precondition(Keys.liveJob(id), x.entry.revision()),
-                    new Precondition(Keys.finishedJob(id), 0)),
+                    new Precondition(Keys.liveJob(jobId), x.entry.revision()),
+                    new Precondition(Keys.finishedJob(jobId), 0)),
                 List.of(
-                    Mutation.delete(Keys.liveJob(id)),
+                    Mutation.delete(Keys.liveJob(jobId)),
                     Mutation.put(
-                        Keys.finishedJob(id),
-                        MessagePack.map().put("stage", "withdrawn").put("pieces", pieces))),
-                reply -> tell(new Withdrawn(id, pieces, tries, answer, reply)));
-          } else if (l instanceof Over o) {
-            answer.accept(Response.of(200, stage(id, o.past.stage)));
+                        Keys.finishedJob(jobId),
+                        MessagePack.map().put("stage", "withdrawn").put("pieces", tasks))),
+                reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
+          } else if (lookup instanceof FinishedJob o) {
+            answer.accept(Response.of(200, stageBody(jobId, o.outcome.stage)));
           } else {
-            answer.accept(show(id, l));
+            answer.accept(statusResponse(jobId, lookup));
           }
         });
   }
 
-  private void withdrawn(Withdrawn m) {
+  private void cancellationCommitted(CancellationCommitted m) {
     if (m.reply.ok()) {
-      Past p = new Past("withdrawn", m.pieces);
-      past.put(m.id, p);
-      noteWithdrawn(m.id, p);
-      live.remove(m.id);
-      log.info("event=withdrawn job={}", m.id);
-      m.answer.accept(Response.of(200, stage(m.id, "withdrawn")));
-    } else if (m.reply.status() == 409 && m.tries < 3) {
+      JobOutcome outcome = new JobOutcome("withdrawn", m.tasks);
+      outcomes.put(m.jobId, outcome);
+      acknowledgeCancellation(m.jobId, outcome);
+      liveJobs.remove(m.jobId);
+      log.info("event=withdrawn job={}", m.jobId);
+      m.respond.accept(Response.of(200, stageBody(m.jobId, "withdrawn")));
+    } else if (m.reply.status() == 409 && m.retries < 3) {
       // Done or cancelled meanwhile: look again.
-      cancel(m.id, m.answer, m.tries + 1);
+      cancel(m.jobId, m.respond, m.retries + 1);
     } else {
-      m.answer.accept(Response.later(SOON, "state service"));
+      m.respond.accept(Response.later(RETRY_AFTER, "state service"));
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -200,7 +200,7 @@
       changes.stream().filter(c -> c.key().equals(Keys.LEVEL)).forEach(c -> updateLevel(c.entry()));
       copyEpoch = epoch;
       scheduler.tell(new SchedulerActor.Changed(changes, epoch));
-      api.tell(new ApiActor.Changed(changes));
+      api.tell(new ApiActor.KeysChanged(changes));
       election.tell(new ElectionActor.KeysChanged(changes));
     }
 
@@ -241,7 +241,7 @@
       // What this controller told itself counts as well: the watch may not have shown it yet.
       long known = term;
       api.tell(
-          new ApiActor.Recent(
+          new ApiActor.RecentCancellations(
               (cancelled, live) ->
                   tellElection(
                       new ElectionActor.PeerConfirmed(
@@ -274,7 +274,7 @@
 
     @Override
     public void counts(List<PeerMessage.JobTaskCount> jobs) {
-      api.tell(new ApiActor.Counts(jobs));
+      api.tell(new ApiActor.TaskCountsChanged(jobs));
       sendAll(new TaskCounts(jobs));
     }
   }
@@ -351,7 +351,7 @@
           new ElectionActor.PeerConfirmed(
               peer, m.nonce(), m.term(), m.cancelledJobs(), m.liveJobs()));
     } else if (message instanceof PeerMessage.JobCancelled m) {
-      api.tell(new ApiActor.Cancelled(m.job()));
+      api.tell(new ApiActor.JobCancelled(m.job()));
       cancelled(m.job());
     } else if (message instanceof ForwardedHeartbeat m) {
       local(
@@ -363,7 +363,7 @@
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       relay.tell(new HeartbeatRelayActor.LeaderResponded(m));
     } else if (message instanceof TaskCounts m) {
-      api.tell(new ApiActor.Counts(m.jobs()));
+      api.tell(new ApiActor.TaskCountsChanged(m.jobs()));
     }
   }
 
@@ -377,7 +377,7 @@
     long epoch = copyEpoch;
     boolean older = q.storeRevision() < loadEpoch;
     api.tell(
-        new ApiActor.Recent(
+        new ApiActor.RecentCancellations(
             (cancelled, live) ->
                 links.send(
                     peer,
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -32,7 +32,7 @@
   final Optional<DrainCoordinator> drains;
   final MachineProvisioner supply;
   final RecordWriter writer;
-  final TaskCounts counts;
+  final TaskCountPublisher counts;
 
   /**
    * Makes all parts.
@@ -85,7 +85,7 @@
             drains);
     raiser = new SchemaLevelUpgrader(env.level(), settings.hosts(), shared.clock());
     writer = new RecordWriter(shared, env, sources(env), executor, dispatcher, retirement);
-    counts = new TaskCounts(jobs, listener::counts);
+    counts = new TaskCountPublisher(jobs, listener::counts);
   }
 
   private static Map<String, Team> teams(Settings settings) {
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -312,7 +312,7 @@
     if (now.isAfter(nextCounts)) {
       nextCounts = now.plus(COUNTS_SPACING);
       records.collectObsoleteValues();
-      parts.counts.tellChanges();
+      parts.counts.publishChanges();
     }
     parts.statistics.logIfDue(now, machine -> parts.health.isSchedulable(machine, now));
     parts.writer.scheduleCommitIfDue();
--- a/src/main/java/io/pearscale/scheduler/TaskCounts.java
+++ b/src/main/java/io/pearscale/scheduler/TaskCountPublisher.java
@@ -10,40 +10,40 @@
 /**
  * Tells all controllers how many tasks of each job are done and run, for their users' questions.
  */
-final class TaskCounts {
+final class TaskCountPublisher {
   /** So many jobs that are over may be remembered beside those that are not. */
-  private static final int MOST_FORMER = 1000;
+  private static final int MAX_FINISHED_JOBS = 1000;
 
   private final JobTable jobs;
   private final Consumer<List<JobTaskCount>> listener;
-  private final Map<String, JobTaskCount> known = new HashMap<>();
+  private final Map<String, JobTaskCount> lastPublished = new HashMap<>();
 
   /** The listener is told of counts that changed. */
-  TaskCounts(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
+  TaskCountPublisher(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
     this.jobs = jobs;
     this.listener = listener;
   }
 
   /** Forgets what was told. */
   void clear() {
-    known.clear();
+    lastPublished.clear();
   }
 
   /** Tells what has changed since the last time. */
-  void tellChanges() {
+  void publishChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
       int done = job.doneTasks.cardinality();
       int running = job.runningTasks();
-      JobTaskCount before = known.get(job.spec.id());
+      JobTaskCount before = lastPublished.get(job.spec.id());
       if (before == null || before.done() != done || before.running() != running) {
         JobTaskCount count = new JobTaskCount(job.spec.id(), done, running);
-        known.put(job.spec.id(), count);
+        lastPublished.put(job.spec.id(), count);
         changed.add(count);
       }
     }
-    if (known.size() > jobs.size() + MOST_FORMER) {
-      known.keySet().removeIf(id -> !jobs.isLive(id));
+    if (lastPublished.size() > jobs.size() + MAX_FINISHED_JOBS) {
+      lastPublished.keySet().removeIf(id -> !jobs.isLive(id));
     }
     if (!changed.isEmpty()) {
       listener.accept(changed);
