--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -118,7 +118,7 @@
   }
 
   private static boolean hasFormOf(JsonNode roster, int written) {
-    return RecordLayout.ofLevel(written) == RecordLayout.INDEXED
+    return RecordLayout.ofLevel(written) == RecordLayout.NUMBERED
         || MachineRecordCodec.levelOf(roster).orElse(written) == written;
   }
 
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -305,7 +305,7 @@
     if (maxRecordSize(spec, RecordLayout.ofLevel(levelGate.inForce().writtenLevel())) <= longest) {
       return Optional.empty();
     }
-    return maxRecordSize(spec, RecordLayout.INDEXED) <= longest
+    return maxRecordSize(spec, RecordLayout.NUMBERED) <= longest
             && levelGate.supports(Feature.SMALL_VALUES)
         ? Optional.of(
             Response.later(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
@@ -319,7 +319,7 @@
     if (job.isComplete()) {
       records.recordJobFinished(job);
     } else {
-      records.recordTaskCompleted(job, index);
+      records.recordTaskDone(job, index);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/JobPartition.java
@@ -57,13 +57,13 @@
   }
 
   /** Its tasks that are done, numbered from its first. */
-  BitSet completedTasks() {
+  BitSet doneTasks() {
     return job.doneTasks.get(firstTask, firstTask + taskCount);
   }
 
   /** Its tasks were written as done. */
-  void noteDurable(BitSet completed) {
-    job.recordDurablyDone(firstTask, completed);
+  void noteDurable(BitSet doneTasks) {
+    job.recordDurablyDone(firstTask, doneTasks);
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderRecords.java
@@ -36,7 +36,7 @@
   private final InstantSource clock;
   private final Runnable requestCommit;
   private final StoredValues storedValues = new StoredValues();
-  private final MachineIndexAllocator machineIndexes = new MachineIndexAllocator();
+  private final MachineRecordNumbers recordNumbers = new MachineRecordNumbers();
   private final PreviousLayoutRecords previousLayout = new PreviousLayoutRecords();
   private final RecordMigration migration;
   private final RejectedValues rejectedValues = new RejectedValues();
@@ -72,7 +72,7 @@
     layout = layoutInForce();
     createPackers();
     previousLayout.clear();
-    machineIndexes.reset();
+    recordNumbers.reset();
     rejectedValues.clear();
     finishedJobs.clear();
     foundPartitions.clear();
@@ -110,20 +110,20 @@
       return;
     }
     MachineRecordCodec.MachineRecord record = stored.record();
-    if (layout == RecordLayout.INDEXED) {
-      machine.recordNumber = record.index();
+    if (layout == RecordLayout.NUMBERED) {
+      machine.recordNumber = record.number();
       machineRecords.adopt(machine, MachineRecordCodec.maximumSize(record), stored.value());
     } else {
       machineRecords.adopt(
-          machine, MachineRecordCodec.maximumSize(record), stored.value(), record.index());
+          machine, MachineRecordCodec.maximumSize(record), stored.value(), record.number());
     }
     machine.recorded = true;
   }
 
   /** The number of a stored machine is taken. */
-  void reserveIndex(StoredRecords.StoredMachine stored) {
-    if (stored.layout() == RecordLayout.INDEXED) {
-      machineIndexes.reserve(stored.record().index());
+  void reserveRecordNumber(StoredRecords.StoredMachine stored) {
+    if (stored.layout() == RecordLayout.NUMBERED) {
+      recordNumbers.reserve(stored.record().number());
     }
   }
 
@@ -233,7 +233,7 @@
   }
 
   /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
-  void recordTaskCompleted(Job job, int task) {
+  void recordTaskDone(Job job, int task) {
     JobPartition partition = JobPartition.containing(job, task, layout);
     placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
     placementRecords.markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
@@ -252,8 +252,8 @@
 
   /** Gives the machine a place in the roster, unless it has one. */
   void assignSlot(Machine machine) {
-    if (layout == RecordLayout.INDEXED && machine.recordNumber == 0) {
-      machine.recordNumber = machineIndexes.allocate();
+    if (layout == RecordLayout.NUMBERED && machine.recordNumber == 0) {
+      machine.recordNumber = recordNumbers.allocate();
     }
     machineRecords.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
   }
@@ -439,7 +439,7 @@
     if (slot.isEmpty()) {
       return 0;
     }
-    return layout == RecordLayout.INDEXED
+    return layout == RecordLayout.NUMBERED
         ? machine.recordNumber
         : PlacementRecordCodec.positionalReference(
             slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
@@ -460,7 +460,7 @@
   void onApplied(LeaderTransaction transaction) {
     transaction.newlyRecordedAttempts().forEach(attempt -> attempt.placementRecorded = true);
     transaction
-        .completedTasks()
+        .doneTasksByPartition()
         .forEach(
             (partition, doneTasks) -> {
               partition.noteDurable(doneTasks);
@@ -487,10 +487,11 @@
   /** Whether that is the machine's place in the roster. */
   boolean hasSlot(Machine machine, LeaderTransaction.WrittenMachine stored) {
     Optional<RecordPacker.Slot> slot = machineRecords.slotOf(machine);
-    int index = stored.record().index();
+    int number = stored.record().number();
     return slot.isPresent()
         && slot.get().value() == stored.value()
-        && index == (layout == RecordLayout.INDEXED ? machine.recordNumber : slot.get().position());
+        && number
+            == (layout == RecordLayout.NUMBERED ? machine.recordNumber : slot.get().position());
   }
 
   /** Whether the roster has a place for the machine. */
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
@@ -52,7 +52,7 @@
   private final List<WrittenMachine> writtenMachines = new ArrayList<>();
   private final Set<Integer> placementValues = new LinkedHashSet<>();
   private final List<TaskAttempt> newlyRecordedAttempts = new ArrayList<>();
-  private final Map<JobPartition, BitSet> completedTasks = new HashMap<>();
+  private final Map<JobPartition, BitSet> doneTasksByPartition = new HashMap<>();
   private final List<Job> finishedJobs = new ArrayList<>();
   private final List<String> deletedKeys = new ArrayList<>();
   private final Map<String, Integer> valueLengths = new HashMap<>();
@@ -109,13 +109,13 @@
 
   /** Adds a value of the roster. */
   void addMachineValue(RecordLayout layout, int valueNumber, RecordPacker<Machine> packer) {
-    boolean indexed = layout == RecordLayout.INDEXED;
+    boolean numbered = layout == RecordLayout.NUMBERED;
     List<MachineRecordCodec.MachineRecord> records = new ArrayList<>();
     packer
         .itemsByPosition(valueNumber)
         .forEach(
             (position, machine) ->
-                records.add(machine.machineRecord(indexed ? machine.recordNumber : position)));
+                records.add(machine.machineRecord(numbered ? machine.recordNumber : position)));
     machineValues.add(valueNumber);
     records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
     JsonNode encodedValue = MachineRecordCodec.encode(records, level);
@@ -167,8 +167,8 @@
         }
       }
     }
-    BitSet doneTasks = partition.completedTasks();
-    completedTasks.put(partition, doneTasks);
+    BitSet doneTasks = partition.doneTasks();
+    doneTasksByPartition.put(partition, doneTasks);
     return new PlacementRecordCodec.PartitionRecord(
         job.spec.id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
   }
@@ -258,8 +258,8 @@
   }
 
   /** Tasks that are done, by part of their job. */
-  Map<JobPartition, BitSet> completedTasks() {
-    return completedTasks;
+  Map<JobPartition, BitSet> doneTasksByPartition() {
+    return doneTasksByPartition;
   }
 
   /** Jobs that it ends. */
--- a/src/main/java/io/pearscale/scheduler/MachineIndexAllocator.java
+++ b/src/main/java/io/pearscale/scheduler/MachineRecordNumbers.java
@@ -8,31 +8,31 @@
  * any record may name its machine by it: within a term none is given twice, and a new leader begins
  * above all numbers that it finds.
  */
-final class MachineIndexAllocator {
+final class MachineRecordNumbers {
   /** Marks have three bytes for a number, and 0 stands for none. */
-  private static final int MAX_INDEX = 0xffffff;
+  private static final int MAX_NUMBER = 0xffffff;
 
   private final Set<Integer> reserved = new HashSet<>();
-  private int lastIndex;
+  private int lastAllocated;
 
   /** A term begins, of whose records nothing is known. */
   void reset() {
     reserved.clear();
-    lastIndex = 0;
+    lastAllocated = 0;
   }
 
   /** A stored record has that number. */
-  void reserve(int index) {
-    reserved.add(index);
-    lastIndex = Math.max(lastIndex, index);
+  void reserve(int number) {
+    reserved.add(number);
+    lastAllocated = Math.max(lastAllocated, number);
   }
 
   /** The next number; beyond the highest one it goes on with low ones that no record had. */
   int allocate() {
-    for (int tried = 0; tried < MAX_INDEX; tried++) {
-      lastIndex = lastIndex >= MAX_INDEX ? 1 : lastIndex + 1;
-      if (reserved.add(lastIndex)) {
-        return lastIndex;
+    for (int tried = 0; tried < MAX_NUMBER; tried++) {
+      lastAllocated = lastAllocated >= MAX_NUMBER ? 1 : lastAllocated + 1;
+      if (reserved.add(lastAllocated)) {
+        return lastAllocated;
       }
     }
     throw new IllegalStateException("all numbers of machines are in use");
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/RecordAdoption.java
@@ -46,7 +46,7 @@
 
   /** Takes all of it over. */
   void adopt(StoredRecords stored) {
-    stored.machines().forEach(records::reserveIndex);
+    stored.machines().forEach(records::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
     stored.partitions().forEach(this::noteOrphanedJob);
     stored.partitions().forEach(this::adopt);
@@ -128,11 +128,11 @@
     BitSet alreadyAdopted = tasksInCurrentLayout.computeIfAbsent(job.spec.id(), id -> new BitSet());
     boolean currentLayout = records.isCurrentLayout(stored.layout());
     int firstTask = record.firstTask();
-    record.completed().stream()
+    record.doneTasks().stream()
         .map(i -> firstTask + i)
         .filter(task -> task < job.spec.tasks())
         .forEach(job.doneTasks::set);
-    job.recordDurablyDone(firstTask, record.completed());
+    job.recordDurablyDone(firstTask, record.doneTasks());
     if (job.spec.isGang() && !job.doneTasks.isEmpty()) {
       // Its tasks complete together, also those of parts that were not written again.
       job.doneTasks.set(0, job.spec.tasks());
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/StoredRecords.java
@@ -31,10 +31,10 @@
 
     /** The number by which marks of the same layout name it. */
     int reference() {
-      return layout == RecordLayout.INDEXED
-          ? record.index()
+      return layout == RecordLayout.NUMBERED
+          ? record.number()
           : PlacementRecordCodec.positionalReference(
-              value, record.index(), RecordPacker.SLOTS_PER_VALUE);
+              value, record.number(), RecordPacker.SLOTS_PER_VALUE);
     }
   }
 
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -20,14 +20,14 @@
   /**
    * A machine of the roster.
    *
-   * @param index by which marks of tasks name it: in the layout by place where it stands in its
+   * @param number by which marks of tasks name it: in the layout by place where it stands in its
    *     value, else a number of its own
    * @param address empty until the machine has reported
    * @param retiring whether it may be under deletion and must never be used again
    * @param maintenance whether it is in maintenance; not stored below level 1
    */
   public record MachineRecord(
-      int index,
+      int number,
       String machine,
       String address,
       String type,
@@ -63,7 +63,7 @@
     for (MachineRecord record : records) {
       ArrayNode fields = list.addArray();
       fields
-          .add(record.index)
+          .add(record.number)
           .add(record.machine)
           .add(record.address)
           .add(record.type)
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -36,7 +36,7 @@
    * One part of a job.
    *
    * @param firstTask the part's first task
-   * @param completed tasks that are done, numbered from the first
+   * @param doneTasks tasks that are done, numbered from the first
    * @param machineReferences for each task the number of the machine that it may be on, or 0
    * @param quotaClaim what each task takes of its team's limit, if there is one: a job that is
    *     cancelled is described nowhere else, while its tasks still count
@@ -44,7 +44,7 @@
   public record PartitionRecord(
       String job,
       int firstTask,
-      BitSet completed,
+      BitSet doneTasks,
       int[] machineReferences,
       Optional<QuotaClaim> quotaClaim) {}
 
@@ -92,7 +92,7 @@
     for (PartitionRecord partition : partitions) {
       value.put(
           fieldName(partition, layout),
-          base64.encodeToString(partition.completed.toByteArray())
+          base64.encodeToString(partition.doneTasks.toByteArray())
               + "|"
               + base64.encodeToString(
                   encodeReferences(partition.machineReferences, layout.machineReferenceBytes()))
@@ -153,7 +153,7 @@
 
   private static PartitionRecord decode(String name, String entry) {
     boolean positional = name.indexOf(PARTITION_NUMBER_SEPARATOR) >= 0;
-    RecordLayout layout = positional ? RecordLayout.POSITIONAL : RecordLayout.INDEXED;
+    RecordLayout layout = positional ? RecordLayout.POSITIONAL : RecordLayout.NUMBERED;
     int separator =
         name.lastIndexOf(positional ? PARTITION_NUMBER_SEPARATOR : FIRST_TASK_SEPARATOR);
     int number = Integer.parseInt(name.substring(separator + 1));
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -19,9 +19,9 @@
    * From level 2 on. Each machine has a number of its own, by which marks name it, so machines can
    * be recorded anywhere; parts of jobs are small enough for values of 2 KiB.
    */
-  INDEXED("c/placements/", "c/machines/", 256, 3);
+  NUMBERED("c/placements/", "c/machines/", 256, 3);
 
-  private static final int FIRST_INDEXED_LEVEL = 2;
+  private static final int FIRST_NUMBERED_LEVEL = 2;
 
   private final String placementPrefix;
   private final String machinePrefix;
@@ -37,7 +37,7 @@
 
   /** The layout that is written at a level. */
   public static RecordLayout ofLevel(int level) {
-    return level < FIRST_INDEXED_LEVEL ? POSITIONAL : INDEXED;
+    return level < FIRST_NUMBERED_LEVEL ? POSITIONAL : NUMBERED;
   }
 
   /** The layout whose marks the key holds; empty for another key. */
@@ -87,6 +87,6 @@
 
   /** The other layout. */
   public RecordLayout other() {
-    return this == POSITIONAL ? INDEXED : POSITIONAL;
+    return this == POSITIONAL ? NUMBERED : POSITIONAL;
   }
 }
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -249,7 +249,7 @@
       } else {
         MachineRecordCodec.MachineRecord e =
             hosts.stream().filter(h -> h.machine().equals(parts[1])).findFirst().orElseThrow();
-        on[task] = PlacementRecordCodec.positionalReference(0, e.index(), PLACES);
+        on[task] = PlacementRecordCodec.positionalReference(0, e.number(), PLACES);
       }
     }
     changed(
@@ -287,12 +287,13 @@
     for (Map.Entry<String, JsonNode> value : world.state.under("c/roster/").entrySet()) {
       int number = Keys.valueNumber(value.getKey());
       for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value.getValue())) {
-        names.put(PlacementRecordCodec.positionalReference(number, e.index(), PLACES), e.machine());
+        names.put(
+            PlacementRecordCodec.positionalReference(number, e.number(), PLACES), e.machine());
       }
     }
     for (JsonNode value : world.state.under("c/marks/").values()) {
       for (PlacementRecordCodec.PartitionRecord p : PlacementRecordCodec.decode(value)) {
-        if (p.job().equals(job) && p.completed().get(index)) {
+        if (p.job().equals(job) && p.doneTasks().get(index)) {
           return "done";
         } else if (p.job().equals(job) && index < p.machineReferences().length) {
           return names.getOrDefault(p.machineReferences()[index], "none");
--- a/src/test/java/io/pearscale/sim/SimState.java
+++ b/src/test/java/io/pearscale/sim/SimState.java
@@ -284,14 +284,14 @@
   private void checkNumbers(JsonNode body) {
     try {
       for (JsonNode change : body.path("then")) {
-        if (change.path("write").asText().startsWith(RecordLayout.INDEXED.machinePrefix())) {
+        if (change.path("write").asText().startsWith(RecordLayout.NUMBERED.machinePrefix())) {
           MachineRecordCodec.decode(change.path("value"))
-              .forEach(entry -> numbers.add(entry.index()));
+              .forEach(entry -> numbers.add(entry.number()));
         }
       }
       for (JsonNode change : body.path("then")) {
         String key = change.path("write").asText();
-        if (key.startsWith(RecordLayout.INDEXED.placementPrefix())) {
+        if (key.startsWith(RecordLayout.NUMBERED.placementPrefix())) {
           for (PlacementRecordCodec.PartitionRecord part :
               PlacementRecordCodec.decode(change.path("value"))) {
             for (int host : part.machineReferences()) {
