--- /dev/null
+++ b/src/test/java/io/pearscale/golden/GoldenFile.java
@@ -0,0 +1,39 @@
+package io.pearscale.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.fail;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+
+/**
+ * A file under {@code src/test/resources/golden} that says what must not change. It is compared
+ * byte by byte; one that is missing is a failure. It is written by hand alone, with {@code
+ * -Dgolden.write=true}, and the test that writes it fails, so that no build passes while writing.
+ */
+public final class GoldenFile {
+  private static final Path FOLDER = Path.of("src/test/resources/golden");
+  private static final String WRITE = "golden.write";
+
+  private GoldenFile() {}
+
+  /** Compares the lines with those of the file. */
+  public static void check(String name, List<String> lines) {
+    Path file = FOLDER.resolve(name);
+    String found = String.join("\n", lines) + "\n";
+    try {
+      if (Boolean.getBoolean(WRITE)) {
+        Files.createDirectories(FOLDER);
+        Files.writeString(file, found);
+        fail(file + " was written; run without -D" + WRITE);
+      }
+      assertTrue(Files.exists(file), file + " is missing");
+      assertEquals(Files.readString(file), found, file.toString());
+    } catch (IOException e) {
+      fail(file + " can't be read or written", e);
+    }
+  }
+}
