--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/io/pearscale/scheduler/TaskCountPublisher.java
+++ b/src/main/java/io/pearscale/api/TaskCountPublisher.java
@@ -1,6 +1,8 @@
-package io.pearscale.scheduler;
+package io.pearscale.api;
 
 import io.pearscale.protocol.PeerMessage.JobTaskCount;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,7 +12,7 @@
 /**
  * Tells all controllers how many tasks of each job are done and run, for their users' questions.
  */
-final class TaskCountPublisher {
+public final class TaskCountPublisher {
   /** So many jobs that are over may be remembered beside those that are not. */
   private static final int MAX_FINISHED_JOBS = 1000;
 
@@ -19,18 +21,18 @@
   private final Map<String, JobTaskCount> lastPublished = new HashMap<>();
 
   /** The listener is told of counts that changed. */
-  TaskCountPublisher(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
+  public TaskCountPublisher(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
     this.jobs = jobs;
     this.listener = listener;
   }
 
   /** Forgets what was told. */
-  void clear() {
+  public void clear() {
     lastPublished.clear();
   }
 
   /** Tells what has changed since the last time. */
-  void publishChanges() {
+  public void publishChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
       int done = job.doneTasks.cardinality();
--- /dev/null
+++ b/src/main/java/io/pearscale/api/package-info.java
@@ -0,0 +1,2 @@
+/** The users' interface: submissions, queries, cancellations and task counts. */
+package io.pearscale.api;
--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.ConnectionLimits;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.upgrade.Release;
 import java.nio.file.Path;
 import java.util.Optional;
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -4,7 +4,7 @@
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.Controller;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.transport.HttpServer;
 import io.pearscale.transport.PeerTransport;
 import io.pearscale.transport.TcpPeerTransport;
--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -1,6 +1,6 @@
 package io.pearscale.cli;
 
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -1,5 +1,6 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.api.ApiActor;
 import io.pearscale.coordination.ElectionActor;
 import io.pearscale.coordination.HeartbeatRelayActor;
 import io.pearscale.coordination.LeaderLeaseRenewer;
@@ -15,6 +16,7 @@
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.PeerMessage.TaskCounts;
 import io.pearscale.protocol.Settings;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor;
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -1,10 +1,40 @@
 package io.pearscale.scheduler;
 
+import io.pearscale.api.TaskCountPublisher;
 import io.pearscale.protocol.Settings;
 import io.pearscale.protocol.Settings.GangTimeouts;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.agents.FailureDetector;
+import io.pearscale.scheduler.agents.FaultAttribution;
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.agents.GracefulTermination;
+import io.pearscale.scheduler.agents.HeartbeatHandler;
+import io.pearscale.scheduler.agents.HeartbeatProcessor;
+import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.autoscaling.Autoscaler;
+import io.pearscale.scheduler.autoscaling.CloudActor;
+import io.pearscale.scheduler.autoscaling.MachineProvisioner;
+import io.pearscale.scheduler.maintenance.DrainCoordinator;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.JobClasses;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.LeaderStatistics;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.MachineCatalogue;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TermExecutor;
+import io.pearscale.scheduler.placement.QueueOrder;
+import io.pearscale.scheduler.placement.SchedulingPass;
+import io.pearscale.scheduler.records.LeaderRecords;
+import io.pearscale.scheduler.records.LeaderRecovery;
+import io.pearscale.scheduler.records.RecordWriter;
+import io.pearscale.scheduler.records.SchemaLevelUpgrader;
+import io.pearscale.scheduler.records.TransactionContributor;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.ArrayList;
@@ -44,12 +74,11 @@
       Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
     Settings settings = environment.settings();
     Listener listener = environment.listener();
-    Map<String, Team> teams = teams(settings);
     AgentTimings times = AgentTimings.of(settings.agents());
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
-    LeaderState leaderState = leaderState(environment, teams, classes, catalogue);
+    LeaderState leaderState = leaderState(environment, teams(settings), classes, catalogue);
     leadership = leaderState.leadership();
     records = leaderState.records();
     jobs = leaderState.jobs();
@@ -76,32 +105,10 @@
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
     recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
-    var policy =
-        new SchedulingPass.Policy(environment.tuning(), environment.random(), classes, order);
-    placementPass =
-        new SchedulingPass(
-            leaderState,
-            times,
-            policy,
-            executor,
-            failureDetector,
-            dispatcher,
-            gracefulTermination,
-            statistics);
+    placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
-    Autoscaler fleet = new Autoscaler(environment.tuning(), classes);
     machineProvisioner =
-        new MachineProvisioner(
-            leaderState,
-            settings,
-            cloud,
-            fleet,
-            order,
-            failureDetector,
-            retirement,
-            dispatcher,
-            recovery,
-            drainCoordinator);
+        machineProvisioner(environment, leaderState, cloud, retirement, classes, order);
     levelRaiser =
         new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
     recordWriter =
@@ -115,6 +122,46 @@
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
+  private SchedulingPass schedulingPass(
+      Environment environment,
+      LeaderState leaderState,
+      AgentTimings times,
+      TermExecutor executor,
+      JobClasses classes,
+      QueueOrder order) {
+    var policy =
+        new SchedulingPass.Policy(environment.tuning(), environment.random(), classes, order);
+    return new SchedulingPass(
+        leaderState,
+        times,
+        policy,
+        executor,
+        failureDetector,
+        dispatcher,
+        gracefulTermination,
+        statistics);
+  }
+
+  private MachineProvisioner machineProvisioner(
+      Environment environment,
+      LeaderState leaderState,
+      CloudActor cloud,
+      MachineRetirement retirement,
+      JobClasses classes,
+      QueueOrder order) {
+    return new MachineProvisioner(
+        leaderState,
+        environment.settings(),
+        cloud,
+        new Autoscaler(environment.tuning(), classes),
+        order,
+        failureDetector,
+        retirement,
+        dispatcher,
+        recovery,
+        drainCoordinator);
+  }
+
   private static Map<String, Team> teams(Settings settings) {
     Map<String, Team> teams = new HashMap<>();
     settings.teams().forEach(team -> teams.put(team.name(), team));
--- a/src/main/java/io/pearscale/scheduler/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.AgentCommand;
@@ -6,10 +6,21 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.DecisionLog.Channel;
-import io.pearscale.scheduler.Machine.AttemptId;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.AbsenceProof;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.DecisionLog.Channel;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.AttemptId;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.TermExecutor;
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.MessagePack;
@@ -33,7 +44,7 @@
  * command without an answer is in doubt: it may yet be carried out, until the worker has seen a
  * higher token.
  */
-final class CommandDispatcher {
+public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
   private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
   private static final Duration PROBE_TIMEOUT = Duration.ofMillis(1000);
@@ -87,7 +98,7 @@
    * @param onHigherTerm is told of a higher term than ours
    * @param heartbeatProcessor takes in what workers answer
    */
-  CommandDispatcher(
+  public CommandDispatcher(
       LeaderState state,
       Settings settings,
       AgentTimings agentTimeouts,
@@ -109,17 +120,17 @@
   }
 
   /** A term has begun: nothing is under way in it. */
-  void begin() {
+  public void begin() {
     probesInFlight = 0;
   }
 
   /** The term is over. */
-  void end() {
+  public void end() {
     unprobed.clear();
   }
 
   /** Sends all that is decided, durable and has its room free. */
-  void sendAllDueCommands() {
+  public void sendAllDueCommands() {
     inventory.forEachWithDueCommands(
         this::sendDueCommands,
         machine -> hasPlannedAttempt(machine) || justifiesDirectCommand(machine));
@@ -248,7 +259,7 @@
   }
 
   /** Sends what is due straight to the worker, unless a call is under way or just failed. */
-  void sendDueCommands(Machine machine) {
+  public void sendDueCommands(Machine machine) {
     if (!maySendDirectCommand(machine)
         || !leadership.mayRenewLeases()
         || !justifiesDirectCommand(machine)) {
@@ -276,7 +287,7 @@
    * them the new token. Asking each is sooner only where the processor can open so many connections
    * in less time than that; elsewhere it delays the answers to those reports, and leases run out.
    */
-  void probeRecordedMachines() {
+  public void probeRecordedMachines() {
     unprobed.clear();
     unprobed.addAll(inventory.all());
     Duration asking = PROBE_CPU_TIME.multipliedBy(inventory.size());
--- a/src/main/java/io/pearscale/scheduler/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -1,7 +1,15 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.MachineRetirement.Reason;
+import io.pearscale.scheduler.agents.MachineRetirement.Reason;
+import io.pearscale.scheduler.model.AbsenceProof;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.records.LeaderRecords;
 import io.pearscale.storage.Maintenance;
 import java.time.Duration;
 import java.time.Instant;
@@ -13,7 +21,7 @@
  * Looks after machines one by one: finds those that are silent, that hear nothing, that do not
  * report, that fail what they start or that never came up.
  */
-final class FailureDetector {
+public final class FailureDetector {
   /**
    * A cut-off zone is waited for so many leases, since its machines come back with their images.
    */
@@ -44,7 +52,8 @@
   private final DecisionLog decisions;
   private Optional<FleetReachability> reachability = Optional.empty();
 
-  FailureDetector(
+  /** Creates a detector over the machines of the given leader. */
+  public FailureDetector(
       LeaderState state,
       AgentTimings agentTimeouts,
       CommandDispatcher dispatcher,
@@ -60,7 +69,7 @@
   }
 
   /** Whether tasks may be placed on the machine. */
-  boolean isSchedulable(Machine machine, Instant now) {
+  public boolean isSchedulable(Machine machine, Instant now) {
     return machine.lifecycle == Lifecycle.UP
         && machine.reconciled
         && !machine.leaseExpired
@@ -92,12 +101,12 @@
   }
 
   /** A round over the machines begins: how many are silent is counted anew. */
-  void beginRound() {
+  public void beginRound() {
     reachability = Optional.empty();
   }
 
   /** Looks after one machine. */
-  void check(Machine machine, Instant now) {
+  public void check(Machine machine, Instant now) {
     if (isHealthy(machine, now)) {
       return;
     }
@@ -236,7 +245,7 @@
   }
 
   /** Zones of which nothing is heard. */
-  Set<String> unreachableZones(Instant now) {
+  public Set<String> unreachableZones(Instant now) {
     return reachability(now).unreachableZones();
   }
 
--- a/src/main/java/io/pearscale/scheduler/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -1,5 +1,10 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineInventory;
 import java.time.Instant;
 import java.time.InstantSource;
 import java.util.Optional;
@@ -7,14 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells faulty machines from mistaken jobs, by counting on both sides what failed. */
-final class FaultAttribution {
+public final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final InstantSource clock;
 
-  FaultAttribution(LeaderState state) {
+  /** Creates the attribution over the jobs and machines of the given leader. */
+  public FaultAttribution(LeaderState state) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.clock = state.clock();
--- a/src/main/java/io/pearscale/scheduler/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -1,6 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
-import io.pearscale.scheduler.Machine.Lifecycle;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
 import java.time.Instant;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/pearscale/scheduler/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
@@ -1,11 +1,14 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import io.pearscale.gang.GangAttempt;
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.Member;
 import io.pearscale.gang.MemberStage;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -20,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The present attempt of each gang job that has, or had, tasks on machines. */
-final class GangTracker {
+public final class GangTracker {
   private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
   /** So many machines are named at the most where a gang is held up. */
@@ -38,21 +41,21 @@
    *
    * @param formingTimeout how long a task of a gang waits for the others
    */
-  GangTracker(Leadership leadership, InstantSource clock, Duration formingTimeout) {
+  public GangTracker(Leadership leadership, InstantSource clock, Duration formingTimeout) {
     this.leadership = leadership;
     this.clock = clock;
     this.formingTimeout = formingTimeout;
   }
 
   /** Forgets all gangs. */
-  void clear() {
+  public void clear() {
     attempts.clear();
     phaseSince.clear();
     lostWork = Duration.ZERO;
   }
 
   /** The job is over. */
-  void forget(Job job) {
+  public void forget(Job job) {
     attempts.remove(job);
     phaseSince.remove(job);
   }
@@ -68,13 +71,13 @@
   }
 
   /** Whether tasks of the gang have machines, but do not run. */
-  boolean isHeldUp(Job job) {
+  public boolean isHeldUp(Job job) {
     Phase phase = phase(job);
     return phase != Phase.VACANT && phase != Phase.RUNNING;
   }
 
   /** What a gang that is held up waits for, in words for operators. */
-  String waitReason(Job job) {
+  public String waitReason(Job job) {
     return switch (phase(job)) {
       case FORMING ->
           "%d of the %d tasks of its gang have their image, and wait for the others: %s"
@@ -107,7 +110,7 @@
   }
 
   /** What is to be done for the gang now. */
-  Action nextAction(Job job) {
+  public Action nextAction(Job job) {
     if (!job.doneTasks.isEmpty()) {
       return Action.NONE; // One task that is done makes all done: what is left exits by itself.
     }
@@ -173,14 +176,14 @@
   }
 
   /** An attempt is started under that number. */
-  void beginAttempt(Job job, long number) {
+  public void beginAttempt(Job job, long number) {
     Phase before = phase(job);
     attemptOf(job).begin(number, clock.instant());
     notePhaseChange(job, before, /* saved= */ false);
   }
 
   /** The number under which missing tasks of the present attempt are started. */
-  long attemptNumber(Job job) {
+  public long attemptNumber(Job job) {
     return attemptOf(job).number().orElseThrow();
   }
 
@@ -220,7 +223,7 @@
    * How many gangs are in each phase, how many attempts have ended, and the work that was lost, as
    * fields of a log line.
    */
-  String logFields() {
+  public String logFields() {
     int[] phases = new int[Phase.values().length];
     int ended = 0;
     for (GangAttempt attempt : attempts.values()) {
--- a/src/main/java/io/pearscale/scheduler/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -1,11 +1,18 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.GangCheckpointPolicy;
 import io.pearscale.gang.GangCheckpointPolicy.MemberReachability;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -17,7 +24,7 @@
  * on. Whether they save is decided for all of them before the first one is told. A task of a gang
  * that has not begun is stopped alone, since another one can take its place.
  */
-final class GracefulTermination {
+public final class GracefulTermination {
   private static final Duration NO_PREEMPTION = Duration.ofDays(365);
 
   private final JobTable jobs;
@@ -26,7 +33,8 @@
   private final InstantSource clock;
   private final AgentTimings agentTimeouts;
 
-  GracefulTermination(LeaderState state, AgentTimings agentTimeouts) {
+  /** Creates the planner of terminations; the timings bound how long a checkpoint may take. */
+  public GracefulTermination(LeaderState state, AgentTimings agentTimeouts) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.gangs = state.gangs();
@@ -35,7 +43,7 @@
   }
 
   /** Stops a task; what it has done is saved if that is possible. */
-  void stop(TaskAttempt attempt) {
+  public void stop(TaskAttempt attempt) {
     stop(attempt, /* atOnce= */ false);
   }
 
@@ -44,7 +52,7 @@
    *
    * @param withoutCheckpoint whether what is to start instead can't wait until it has saved
    */
-  void stop(TaskAttempt attempt, boolean withoutCheckpoint) {
+  public void stop(TaskAttempt attempt, boolean withoutCheckpoint) {
     if (attempt.job.spec.isGang() && gangs.phase(attempt.job) == Phase.RUNNING) {
       stopGang(attempt.job, withoutCheckpoint);
     } else {
@@ -54,7 +62,7 @@
   }
 
   /** Ends attempts that lost a task after they had begun, or that can't be completed in time. */
-  void endBrokenGangs() {
+  public void endBrokenGangs() {
     for (Job job : jobs.gangs()) {
       if (gangs.nextAction(job) == Action.END) {
         stopGang(job, /* atOnce= */ true);
--- a/src/main/java/io/pearscale/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -1,10 +1,15 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.HeartbeatResponse;
 import io.pearscale.protocol.MachineType;
-import io.pearscale.scheduler.Machine.Lifecycle;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
 import java.time.InstantSource;
 import java.util.List;
 import java.util.Optional;
@@ -13,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers the reports of workers, each answer renewing a lease. */
-final class HeartbeatHandler {
+public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
   private final Leadership leadership;
   private final JobTable jobs;
@@ -28,7 +33,7 @@
    *
    * @param onHigherTerm is told of a higher term than ours
    */
-  HeartbeatHandler(
+  public HeartbeatHandler(
       LeaderState state,
       HeartbeatProcessor processor,
       CommandDispatcher dispatcher,
@@ -47,7 +52,7 @@
    *
    * @param relay the controller that it came to
    */
-  HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
+  public HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
     if (!leadership.isReady() || !leadership.mayRenewLeases()) {
       return HeartbeatResponse.UNAVAILABLE;
     }
--- a/src/main/java/io/pearscale/scheduler/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -1,11 +1,22 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.scheduler.Machine.AttemptId;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.AbsenceProof;
+import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.LeaderStatistics;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.AttemptId;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -22,7 +33,7 @@
  * Takes in what workers say, from whichever way it came, and with it the proofs of where tasks are
  * and are not.
  */
-final class HeartbeatProcessor {
+public final class HeartbeatProcessor {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /** Whoever refused a start is left alone for so long. */
@@ -40,7 +51,8 @@
   private final LeaderStatistics statistics;
   private final DecisionLog decisions;
 
-  HeartbeatProcessor(
+  /** Creates a processor over the state of the given leader. */
+  public HeartbeatProcessor(
       LeaderState state,
       FaultAttribution faultAttribution,
       GracefulTermination termination,
--- a/src/main/java/io/pearscale/scheduler/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -1,6 +1,12 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
-import io.pearscale.scheduler.Machine.Lifecycle;
+import io.pearscale.scheduler.autoscaling.CloudActor;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.records.LeaderRecords;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -11,11 +17,11 @@
  * Gives machines back: first it is recorded that they are never used again, since a late deletion
  * may still reach them, then the cloud is asked.
  */
-final class MachineRetirement {
+public final class MachineRetirement {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRetirement.class);
 
   /** Why a machine is given back. */
-  enum Reason {
+  public enum Reason {
     /** It did not come up in several times the usual time. */
     BOOT_TIMEOUT,
     /** The cloud has taken it, as it said it would. */
@@ -50,7 +56,8 @@
   private final LeaderRecords records;
   private final CloudActor cloud;
 
-  MachineRetirement(LeaderState state, CloudActor cloud) {
+  /** Creates the retirement of machines, which deletes them through the given cloud. */
+  public MachineRetirement(LeaderState state, CloudActor cloud) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
@@ -58,7 +65,7 @@
   }
 
   /** The machine is not used any more; it is deleted once that is durable. */
-  void retire(Machine machine, Reason reason) {
+  public void retire(Machine machine, Reason reason) {
     if (machine.lifecycle == Lifecycle.RETIRING) {
       return;
     }
@@ -73,7 +80,7 @@
   }
 
   /** Asks the cloud to delete what is durably recorded as retiring. */
-  void deleteRetired() {
+  public void deleteRetired() {
     List<String> names = new ArrayList<>();
     for (Machine machine : inventory.all()) {
       if (machine.lifecycle == Lifecycle.RETIRING
@@ -90,7 +97,7 @@
   }
 
   /** The cloud has not deleted the machines, as far as known: it is asked again. */
-  void retryDeletion(List<String> names) {
+  public void retryDeletion(List<String> names) {
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
--- a/src/main/java/io/pearscale/scheduler/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
@@ -1,9 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/agents/package-info.java
@@ -0,0 +1,2 @@
+/** What is said to and heard from agents: heartbeats, commands, failure detection, retirement. */
+package io.pearscale.scheduler.agents;
--- a/src/main/java/io/pearscale/scheduler/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -1,9 +1,16 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.ScaleOutPlanner.Offering;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner.Offering;
+import io.pearscale.scheduler.model.EquivalenceClass;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobClasses;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.QuotaUsage;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.Tuning;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -23,7 +30,7 @@
  * Decides what to rent, which machines to empty and which to give back, from what waits, runs and
  * is on its way. It only says what to do; the leader does it.
  */
-final class Autoscaler {
+public final class Autoscaler {
   private static final Duration RELOCATION_INTERVAL = Duration.ofSeconds(3);
 
   /** Shares of room to keep are meant for a fleet of so many machines. */
@@ -61,7 +68,8 @@
   private Instant nextRelocations = Instant.MIN;
   private int relocationsLeft;
 
-  Autoscaler(Tuning tuning, JobClasses classes) {
+  /** Creates an autoscaler that remembers nothing of an earlier term. */
+  public Autoscaler(Tuning tuning, JobClasses classes) {
     this.tuning = tuning;
     this.classes = classes;
     this.scaleOutPlanner = new ScaleOutPlanner(tuning);
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -1,9 +1,9 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.ScaleOutPlanner.Offering;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner.Offering;
 import io.pearscale.storage.TokenBucket;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
@@ -41,14 +41,14 @@
   record ProvisionMachines(Offering offering, int count) implements Message {}
 
   /** Gives machines back. */
-  record DeleteMachines(List<String> names) implements Message {}
+  public record DeleteMachines(List<String> names) implements Message {}
 
   private record Tick(int generation) implements Message {}
 
   private record CallCompleted(int generation, Runnable action) implements Message {}
 
   /** What the cloud says. */
-  sealed interface Event {}
+  public sealed interface Event {}
 
   /** The catalogue, with current prices. */
   record CatalogueReceived(List<MachineType> types) implements Event {}
@@ -104,7 +104,7 @@
   private Instant backoffUntil = Instant.MIN;
 
   /** Calls the cloud of the settings and hands what it says to {@code events}. */
-  CloudActor(EventLoop loop, HttpClient calls, Settings settings, Consumer<Event> events) {
+  public CloudActor(EventLoop loop, HttpClient calls, Settings settings, Consumer<Event> events) {
     super(loop);
     this.calls = calls;
     this.settings = settings;
--- a/src/main/java/io/pearscale/scheduler/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -1,5 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/pearscale/scheduler/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -1,10 +1,24 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.CloudActor.ListedMachine;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.MachineRetirement.Reason;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.agents.FailureDetector;
+import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.agents.MachineRetirement.Reason;
+import io.pearscale.scheduler.autoscaling.CloudActor.ListedMachine;
+import io.pearscale.scheduler.maintenance.DrainCoordinator;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.placement.AdaptiveThrottle;
+import io.pearscale.scheduler.placement.QueueOrder;
+import io.pearscale.scheduler.records.LeaderRecords;
+import io.pearscale.scheduler.records.LeaderRecovery;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -16,7 +30,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents machines and gives spare ones back, and takes in what the cloud says. */
-final class MachineProvisioner {
+public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
@@ -54,7 +68,7 @@
    *
    * @param drains if they are switched on, is asked before a replica is moved, and stops it
    */
-  MachineProvisioner(
+  public MachineProvisioner(
       LeaderState state,
       Settings settings,
       CloudActor cloud,
@@ -82,18 +96,18 @@
   }
 
   /** A term has begun. */
-  void begin() {
+  public void begin() {
     autoscaler.begin();
     cloud.tell(new CloudActor.BeginTerm(leadership.term()));
   }
 
   /** The term is over. */
-  void end() {
+  public void end() {
     cloud.tell(new CloudActor.EndTerm());
   }
 
   /** Rents and gives back, unless that was done just now. */
-  void scaleIfDue(Instant now) {
+  public void scaleIfDue(Instant now) {
     if (now.isAfter(nextScaling)) {
       scale(now);
       nextScaling = now.plus(THROTTLE.restAfter(Duration.between(now, clock.instant())));
@@ -153,7 +167,7 @@
   }
 
   /** Takes in what the cloud says. */
-  void handleCloudEvent(CloudActor.Event event) {
+  public void handleCloudEvent(CloudActor.Event event) {
     Instant now = clock.instant();
     if (event instanceof CloudActor.CatalogueReceived received) {
       // Kept for restarts during an outage of the cloud; prices in it may be old.
--- a/src/main/java/io/pearscale/scheduler/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -1,5 +1,8 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.placement.ReplicaRelocation;
 import java.time.Instant;
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,7 +15,7 @@
  * about and how many have to be looked at for each grow with the fleet, so that the looks of one
  * plan are bounded by the fleet's size: what is not found by then is left for the next plan.
  */
-final class ReplicaCapacity {
+public final class ReplicaCapacity {
   private static final int CHECKS_PER_MACHINE = 32;
 
   /** A small fleet is looked through as a whole. */
@@ -23,18 +26,18 @@
   private int checksLeft;
 
   /** Begins with the room of machines that may take tasks. */
-  ReplicaCapacity(Collection<Machine> schedulable) {
+  public ReplicaCapacity(Collection<Machine> schedulable) {
     machines = new LinkedHashSet<>(schedulable);
     checksLeft = Math.max(MIN_CHECKS, CHECKS_PER_MACHINE * schedulable.size());
   }
 
   /** A machine that is to be emptied is no place to move to. */
-  void remove(Machine machine) {
+  public void remove(Machine machine) {
     machines.remove(machine);
   }
 
   /** Looks that this plan may still take. */
-  int checksLeft() {
+  public int checksLeft() {
     return checksLeft;
   }
 
@@ -42,7 +45,7 @@
    * Whether each replica of the machine could go to one of the others that has its image; if so,
    * their room is taken.
    */
-  boolean reserveForReplicasOf(Machine machine, Instant now) {
+  public boolean reserveForReplicasOf(Machine machine, Instant now) {
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.job.spec.isService() && !(isStable(attempt, now) && reserve(attempt))) {
         return false;
--- a/src/main/java/io/pearscale/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -1,7 +1,10 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import io.pearscale.protocol.MachineType;
-import io.pearscale.scheduler.Machine.Resources;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.Tuning;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -17,7 +20,7 @@
  * Decides what to rent: work that finds no room is packed into machines that are on their way, and
  * for what is left over the cheapest kind that can be had is chosen.
  */
-final class ScaleOutPlanner {
+public final class ScaleOutPlanner {
   private static final int MIN_SCALE_OUT_LIMIT = 12;
 
   /** The cloud takes no more in one call. */
@@ -27,7 +30,7 @@
   record Offering(String type, String zone, boolean spot) {}
 
   /** Work to find room for. */
-  record Demand(Job job, int tasks, Optional<String> zone) {}
+  public record Demand(Job job, int tasks, Optional<String> zone) {}
 
   private record Refusal(Instant until, int times) {}
 
@@ -199,7 +202,7 @@
   }
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
-  static Duration bootTime(MachineType type) {
+  public static Duration bootTime(MachineType type) {
     return type.bootTime().multipliedBy(3).dividedBy(2);
   }
 
--- a/src/main/java/io/pearscale/scheduler/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -1,9 +1,12 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.drain.Disruption;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.scheduler.records.LeaderTransaction;
+import io.pearscale.scheduler.records.RecordPacker;
+import io.pearscale.scheduler.records.TransactionContributor;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
 import java.util.ArrayList;
--- a/src/main/java/io/pearscale/scheduler/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -1,7 +1,13 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import io.pearscale.drain.DrainPlanner;
 import io.pearscale.drain.DrainPlanner.TaskView;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/pearscale/scheduler/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import io.pearscale.drain.Disruption;
 import io.pearscale.drain.DisruptionBudget.Availability;
@@ -12,9 +12,23 @@
 import io.pearscale.drain.DrainSettings;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.MachineRetirement.Reason;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.agents.GracefulTermination;
+import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.agents.MachineRetirement.Reason;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.records.LeaderRecords;
+import io.pearscale.scheduler.records.TransactionContributor;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -36,7 +50,7 @@
  * Carries drains out: shows the planner the jobs and machines as they are, and does what it
  * decides. All that is voluntary asks here before a task is stopped.
  */
-final class DrainCoordinator {
+public final class DrainCoordinator {
   private static final Logger LOG = LoggerFactory.getLogger(DrainCoordinator.class);
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
@@ -63,7 +77,8 @@
   private List<TaskView> tasksWithoutCapacity = List.of();
   private Instant nextRoundAt = Instant.MIN;
 
-  DrainCoordinator(
+  /** Creates a coordinator that has read no stored drains yet. */
+  public DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
       AgentTimings times,
@@ -92,20 +107,20 @@
   }
 
   /** What is to be written for drains. */
-  List<TransactionContributor> contributors() {
+  public List<TransactionContributor> contributors() {
     return List.of(disruptions, published);
   }
 
   // ---- What is stored ----
 
   /** All keys are about to be read anew. */
-  void forgetStored() {
+  public void forgetStored() {
     requests.forgetStored();
     disruptions.forgetStored();
   }
 
   /** A stored value has changed. */
-  void storedChanged(KeyChange change) {
+  public void storedChanged(KeyChange change) {
     if (Keys.isDisruptions(change.key())) {
       disruptions.storedChanged(change);
     } else {
@@ -114,7 +129,7 @@
   }
 
   /** A term begins, with all that is stored at hand. */
-  void beginTerm() {
+  public void beginTerm() {
     published.clear();
     probationSince.clear();
     tasksWithoutCapacity = List.of();
@@ -129,7 +144,7 @@
   }
 
   /** The term is over. */
-  void endTerm() {
+  public void endTerm() {
     disruptions.clear();
     published.clear();
   }
@@ -137,7 +152,7 @@
   // ---- Rounds ----
 
   /** Decides once a second. */
-  void roundIfDue(Instant now) {
+  public void roundIfDue(Instant now) {
     if (now.isBefore(nextRoundAt)) {
       return;
     }
@@ -265,7 +280,7 @@
   // ---- Disruptions ----
 
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
-  boolean requestRelocation(TaskAttempt attempt) {
+  public boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
     if (ledger.isOpen(attempt.task) || ledger.trySpend(disruption).isPresent()) {
       return false;
@@ -436,7 +451,7 @@
   }
 
   /** What should be rented so that drains find room. */
-  List<ScaleOutPlanner.Demand> replacementDemands() {
+  public List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
     for (TaskView task : tasksWithoutCapacity) {
       Job job = jobs.get(task.task().job());
--- a/src/main/java/io/pearscale/scheduler/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
@@ -1,6 +1,8 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pearscale.scheduler.records.LeaderTransaction;
+import io.pearscale.scheduler.records.TransactionContributor;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
--- a/src/main/java/io/pearscale/scheduler/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.drain.DisruptionBudget;
@@ -6,6 +6,11 @@
 import io.pearscale.drain.DisruptionLedger;
 import io.pearscale.drain.DrainRequest;
 import io.pearscale.drain.DrainStatus;
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.storage.Keys;
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/maintenance/package-info.java
@@ -0,0 +1,2 @@
+/** Drains, disruption budgets' records and the status that operators are shown. */
+package io.pearscale.scheduler.maintenance;
--- a/src/main/java/io/pearscale/scheduler/AbsenceProof.java
+++ b/src/main/java/io/pearscale/scheduler/model/AbsenceProof.java
@@ -1,7 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 /** Why a task is known not to be on a machine, nor to come there by a command that is late. */
-enum AbsenceProof {
+public enum AbsenceProof {
   /** It was decided, but no command was sent. */
   NOT_SENT,
   /** The worker refused the command that would have started it. */
--- a/src/main/java/io/pearscale/scheduler/AgentTimings.java
+++ b/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.Settings;
 import java.time.Duration;
@@ -18,7 +18,7 @@
  * @param withdrawPlannedAfter what was only planned for a machine that says nothing for so long is
  *     taken back
  */
-record AgentTimings(
+public record AgentTimings(
     Duration lease,
     Duration halfLease,
     Duration leaseExpiryBound,
@@ -29,7 +29,7 @@
     Duration withdrawPlannedAfter) {
 
   /** Works them out. */
-  static AgentTimings of(Settings.AgentSettings agents) {
+  public static AgentTimings of(Settings.AgentSettings agents) {
     Duration heartbeatInterval = agents.heartbeatInterval();
     Duration lease = agents.leaseTtl();
     return new AgentTimings(
--- a/src/main/java/io/pearscale/scheduler/AttemptNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 /**
  * Numbers of attempts, which no two leaders may ever share: the term stands above the count. A
@@ -6,7 +6,7 @@
  * hours, after which the numbers would run into those of the next term; 40 bits last for years at
  * ten thousand a second, and leave room for millions of terms.
  */
-final class AttemptNumbers {
+public final class AttemptNumbers {
   private static final int TERM_SHIFT = 40;
   private static final long MAX_COUNT = (1L << TERM_SHIFT) - 1;
 
@@ -14,13 +14,13 @@
   private long count;
 
   /** Begins a term. */
-  void beginTerm(long newTerm) {
+  public void beginTerm(long newTerm) {
     term = newTerm;
     count = 0;
   }
 
   /** A number that was not used before. */
-  long next() {
+  public long next() {
     if (count == MAX_COUNT) {
       throw new IllegalStateException("all attempts of term " + term + " are used up");
     }
--- a/src/main/java/io/pearscale/scheduler/CancelledJobs.java
+++ b/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import java.time.Instant;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/pearscale/scheduler/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.Heartbeat;
@@ -14,9 +14,9 @@
  * and token that the machine has shown, and what its lease is counted from. With it the log alone
  * tells why a task was started elsewhere.
  */
-final class DecisionLog {
+public final class DecisionLog {
   /** How starts are brought to a worker. */
-  enum Channel {
+  public enum Channel {
     COMMAND,
     HEARTBEAT_RESPONSE
   }
@@ -30,13 +30,13 @@
   private int incarnationsBegun;
 
   /** Makes a log for the decisions of a leader. */
-  DecisionLog(Leadership leadership, InstantSource clock) {
+  public DecisionLog(Leadership leadership, InstantSource clock) {
     this.leadership = leadership;
     this.clock = clock;
   }
 
   /** Starts are being sent; orders of other kinds among them are not counted. */
-  void sendingStarts(Machine machine, List<AgentCommand> orders, Channel channel) {
+  public void sendingStarts(Machine machine, List<AgentCommand> orders, Channel channel) {
     int before = startsByChannel[channel.ordinal()];
     for (AgentCommand command : orders) {
       startsByChannel[channel.ordinal()] += command.verb() == AgentCommand.Verb.START ? 1 : 0;
@@ -61,7 +61,7 @@
   }
 
   /** A machine shows a session that was not expected of it, or the one after a loss. */
-  void incarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
+  public void incarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
     incarnationsBegun++;
     LOG.info(
         "event=session_began term={} machine={} former_session={} token={} {}",
@@ -73,7 +73,7 @@
   }
 
   /** The machine's lease is over, and with it all that was there. */
-  void leaseExpired(Machine machine, int tasks, Duration bound) {
+  public void leaseExpired(Machine machine, int tasks, Duration bound) {
     LOG.warn(
         "event=machine_lost term={} machine={} tasks={} bound_ms={} {}",
         leadership.term(),
--- a/src/main/java/io/pearscale/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/pearscale/scheduler/model/EquivalenceClass.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /** What decides where a task may go and whom it may evict. */
-record EquivalenceClass(
+public record EquivalenceClass(
     Priority priority,
     double cpus,
     double gpus,
@@ -15,7 +15,8 @@
     Optional<String> zone,
     boolean spotAllowed) {
 
-  static EquivalenceClass of(JobSpec spec) {
+  /** Returns the class of the tasks of a job. */
+  public static EquivalenceClass of(JobSpec spec) {
     return new EquivalenceClass(
         spec.priority(),
         spec.cpus(),
--- a/src/main/java/io/pearscale/scheduler/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.Heartbeat;
 import java.time.Duration;
@@ -14,7 +14,7 @@
  * session a shown one, and it counts that session's lease: so nothing can be started in a session
  * whose lease is not counted.
  */
-final class IncarnationLease {
+public final class IncarnationLease {
   /** What the lease was last counted from. */
   enum Basis {
     /** Nothing was heard of the worker, and nobody can have started anything there. */
@@ -37,7 +37,7 @@
   private Basis basis = Basis.NONE;
 
   /** A stored record names the session: what is older is not believed. */
-  void acceptFromRecorded(long incarnation) {
+  public void acceptFromRecorded(long incarnation) {
     leastAcceptableIncarnation = incarnation;
   }
 
@@ -50,14 +50,14 @@
   }
 
   /** Former leaders renew nothing any more. */
-  void previousLeadersEnded(Instant now) {
+  public void previousLeadersEnded(Instant now) {
     if (countedFrom.isAfter(now)) {
       countedFrom = now;
     }
   }
 
   /** Whether the message is later than all that were taken in, and of a session to be believed. */
-  boolean isNewer(Heartbeat message) {
+  public boolean isNewer(Heartbeat message) {
     return observedIncarnation == NO_INCARNATION
         ? message.incarnation() >= leastAcceptableIncarnation
         : message.isNewerThan(observedIncarnation, observedSequence);
@@ -68,7 +68,7 @@
    *
    * @return whether it shows a session that was not seen before, which counts its lease from now
    */
-  boolean observe(Heartbeat message, Instant now) {
+  public boolean observe(Heartbeat message, Instant now) {
     boolean incarnationIsNew =
         observedIncarnation == NO_INCARNATION || message.incarnation() > observedIncarnation;
     observedIncarnation = message.incarnation();
@@ -81,7 +81,7 @@
   }
 
   /** A report of the present session is answered: its lease may last for its time from now. */
-  void renew(Instant now) {
+  public void renew(Instant now) {
     countedFrom = now;
     basis = Basis.HEARTBEAT_RESPONSE;
   }
@@ -91,23 +91,23 @@
    *
    * @param bound a lease, with what clocks may differ by
    */
-  boolean isExpired(Instant now, Duration bound) {
+  public boolean isExpired(Instant now, Duration bound) {
     return basis != Basis.NONE && now.isAfter(countedFrom.plus(bound));
   }
 
   /** Whether the lease was renewed so lately that the worker still has it. */
-  boolean isHeld(Instant now, Duration lease) {
+  public boolean isHeld(Instant now, Duration lease) {
     return basis != Basis.NONE && now.isBefore(countedFrom.plus(lease));
   }
 
   /** The present session is proven to be over; the worker has yet to show a later one. */
-  void endIncarnation() {
+  public void endIncarnation() {
     leastAcceptableIncarnation = incarnation() + 1;
     observedIncarnation = NO_INCARNATION;
   }
 
   /** The session that commands name: the one shown, or else the least that may be believed. */
-  long incarnation() {
+  public long incarnation() {
     return observedIncarnation == NO_INCARNATION ? leastAcceptableIncarnation : observedIncarnation;
   }
 
--- a/src/main/java/io/pearscale/scheduler/Job.java
+++ b/src/main/java/io/pearscale/scheduler/model/Job.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
@@ -14,19 +14,19 @@
 import java.util.Set;
 
 /** A job that is not over, as the leader sees it. */
-final class Job {
+public final class Job {
   /** A batch job of which nothing runs for so long gets a task started before others. */
-  static final Duration LONG_WAIT = Duration.ofSeconds(75);
+  public static final Duration LONG_WAIT = Duration.ofSeconds(75);
 
   /** What is stopped sooner is no start in its user's eyes. */
-  static final Duration MIN_RUN_TO_COUNT_AS_START = Duration.ofSeconds(30);
+  public static final Duration MIN_RUN_TO_COUNT_AS_START = Duration.ofSeconds(30);
 
   /** On so many machines a job must fail before it is thought to be its own fault. */
   private static final int MACHINES_TO_BLAME_JOB = 3;
 
-  final JobSpec spec;
-  final long revision;
-  final Instant submittedAt;
+  public final JobSpec spec;
+  public final long revision;
+  public final Instant submittedAt;
 
   /** Whether its team may use only so much at any time. */
   private final boolean quotaLimited;
@@ -34,30 +34,30 @@
   /**
    * Tasks that are done; {@link #durablyDoneTasks} says for which of them a successor would know.
    */
-  final BitSet doneTasks = new BitSet();
+  public final BitSet doneTasks = new BitSet();
 
-  final BitSet durablyDoneTasks = new BitSet();
+  public final BitSet durablyDoneTasks = new BitSet();
 
   /**
    * Where each task is, or may be: also such as were not seen since the takeover, each on the
    * machine that its mark names.
    */
-  final Map<Integer, TaskAttempt> attempts = new HashMap<>();
+  public final Map<Integer, TaskAttempt> attempts = new HashMap<>();
 
   private final Map<String, Integer> attemptsByZone = new HashMap<>();
-  final Set<String> machinesFailedOn = new HashSet<>();
-  Instant retryNotBefore = Instant.MIN;
+  public final Set<String> machinesFailedOn = new HashSet<>();
+  public Instant retryNotBefore = Instant.MIN;
 
   /** How often it was put off since it seems to be mistaken. */
-  int retries;
+  public int retries;
 
-  boolean taskSucceeded;
+  public boolean taskSucceeded;
 
   /** Whether any of its tasks ran for long enough to count as a start. */
-  boolean hasStarted;
+  public boolean hasStarted;
 
   /** Whether the last pass found no place for one of its tasks. */
-  boolean unschedulable;
+  public boolean unschedulable;
 
   /** Whether it is known that its tasks can run: one was done, or a replica ran for a while. */
   boolean hasSucceeded() {
@@ -65,18 +65,20 @@
   }
 
   /** Whether it seems to have been submitted with a mistake: it failed wherever it was tried. */
-  boolean failsEverywhere() {
+  public boolean failsEverywhere() {
     return !hasSucceeded() && machinesFailedOn.size() >= MACHINES_TO_BLAME_JOB;
   }
 
-  Job(JobSpec spec, long stamp, Instant submitted, boolean limited) {
+  /** Creates a job that is known from its stored record, with nothing placed. */
+  public Job(JobSpec spec, long stamp, Instant submitted, boolean limited) {
     this.quotaLimited = limited;
     this.spec = spec;
     this.revision = stamp;
     this.submittedAt = submitted;
   }
 
-  void add(TaskAttempt attempt) {
+  /** Adds an attempt; its task counts as placed from now on. */
+  public void add(TaskAttempt attempt) {
     attempts.put(attempt.task.index(), attempt);
     attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
   }
@@ -95,16 +97,18 @@
     durablyDoneTasks.clear();
   }
 
-  int pendingTasks() {
+  /** Returns how many tasks are neither done nor placed. */
+  public int pendingTasks() {
     return spec.tasks() - doneTasks.cardinality() - attempts.size();
   }
 
-  boolean isComplete() {
+  /** Returns whether all tasks are done. */
+  public boolean isComplete() {
     return !spec.isService() && doneTasks.cardinality() >= spec.tasks();
   }
 
   /** The next task that waits for a machine, from {@code from} on, or -1. */
-  int nextPendingTask(int from) {
+  public int nextPendingTask(int from) {
     for (int i = from; i < spec.tasks(); i++) {
       if (!doneTasks.get(i) && !attempts.containsKey(i)) {
         return i;
@@ -113,7 +117,8 @@
     return -1;
   }
 
-  int runningTasks() {
+  /** Returns how many tasks run or write a checkpoint. */
+  public int runningTasks() {
     int count = 0;
     for (TaskAttempt attempt : attempts.values()) {
       if (attempt.stage == TaskAttempt.Stage.RUNNING
@@ -124,17 +129,18 @@
     return count;
   }
 
-  int attemptsInZone(String zone) {
+  /** Returns how many tasks may be on machines of the zone. */
+  public int attemptsInZone(String zone) {
     return attemptsByZone.getOrDefault(zone, 0);
   }
 
   /** Whether no task is placed outside of the zone. */
-  boolean isOnlyInZone(String zone) {
+  public boolean isOnlyInZone(String zone) {
     return attemptsByZone.getOrDefault(zone, 0) == attempts.size();
   }
 
   /** What its tasks take of their team's limit. */
-  Optional<PlacementRecordCodec.QuotaClaim> quotaClaim() {
+  public Optional<PlacementRecordCodec.QuotaClaim> quotaClaim() {
     return quotaLimited
         ? Optional.of(
             new PlacementRecordCodec.QuotaClaim(
@@ -146,7 +152,7 @@
    * What a former leader started of a job that is over by now. Nothing is known of it but the marks
    * of one part; its tasks count for their team's limit until they are known to be gone.
    */
-  static Job orphaned(
+  public static Job orphaned(
       PlacementRecordCodec.PartitionRecord part,
       PlacementRecordCodec.QuotaClaim claim,
       Instant now) {
@@ -176,7 +182,7 @@
   }
 
   /** The tasks were written as done; they are numbered from the first one. */
-  void recordDurablyDone(int firstTask, BitSet written) {
+  public void recordDurablyDone(int firstTask, BitSet written) {
     for (int i = written.nextSetBit(0); i >= 0; i = written.nextSetBit(i + 1)) {
       if (firstTask + i < spec.tasks()) {
         durablyDoneTasks.set(firstTask + i);
--- a/src/main/java/io/pearscale/scheduler/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -1,8 +1,9 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings.ServiceLevelObjective;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -14,7 +15,7 @@
 import java.util.Set;
 
 /** What is expected of each class of jobs, and what its jobs were like lately. */
-final class JobClasses {
+public final class JobClasses {
   private static final int RECENT_JOBS_KEPT = 40;
 
   /**
@@ -32,13 +33,13 @@
    *
    * @param types the machine types as they are known at any time
    */
-  JobClasses(List<ServiceLevelObjective> objectives, Collection<MachineType> types) {
+  public JobClasses(List<ServiceLevelObjective> objectives, Collection<MachineType> types) {
     this.objectives = objectives;
     this.types = types;
   }
 
   /** In which time tasks of the class are expected to start; the shortest, if several are said. */
-  Optional<Duration> startObjective(JobSpec spec) {
+  public Optional<Duration> startObjective(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
         .map(ServiceLevelObjective::target)
@@ -50,7 +51,7 @@
    * be up, with its image, in the time that its tasks have to start. Batch work that has a minute
    * or two needs no room of its own.
    */
-  boolean needsHeadroom(JobSpec spec) {
+  public boolean needsHeadroom(JobSpec spec) {
     Optional<Duration> within = startObjective(spec);
     if (within.isEmpty()) {
       return false;
@@ -66,35 +67,35 @@
   }
 
   /** Whether a start on a machine of the type would be late if it waited for the victim to save. */
-  boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
+  public boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
     Duration needed =
         victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGING_OVERHEAD);
     return startObjective(spec).filter(w -> w.compareTo(needed) < 0).isPresent();
   }
 
   /** Tasks of a large job of the class, as seen lately: nine of ten have no more. */
-  int largeJobTasks(String jobClass) {
+  public int largeJobTasks(String jobClass) {
     int[] sorted = recentSizes.get(jobClass).stream().mapToInt(n -> n).sorted().toArray();
     return sorted.length == 0 ? 0 : sorted[sorted.length * 9 / 10];
   }
 
   /** Whether sizes of its jobs are kept: it has batch jobs and a time to keep. */
-  boolean sized(String jobClass) {
+  public boolean sized(String jobClass) {
     return recentSizes.containsKey(jobClass);
   }
 
   /** The classes with batch jobs and a time to keep. */
-  Set<String> sized() {
+  public Set<String> sized() {
     return recentSizes.keySet();
   }
 
   /** A job of the class, if one was seen. */
-  Optional<Job> latestJob(String jobClass) {
+  public Optional<Job> latestJob(String jobClass) {
     return Optional.ofNullable(latestJobs.get(jobClass));
   }
 
   /** The classes whose tasks are expected to start at once. */
-  List<String> classesNeedingHeadroom() {
+  public List<String> classesNeedingHeadroom() {
     return latestJobs.entrySet().stream()
         .filter(e -> needsHeadroom(e.getValue().spec))
         .map(Map.Entry::getKey)
@@ -103,7 +104,7 @@
   }
 
   /** Remembers what jobs of classes with a time to keep are like. */
-  void observe(Job job) {
+  public void observe(Job job) {
     JobSpec spec = job.spec;
     if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
       return;
--- a/src/main/java/io/pearscale/scheduler/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MalformedMessageException;
@@ -29,7 +29,7 @@
  * tasks that wait for a machine. A job that was cancelled never comes back: an end is final, even
  * where a late change or an older copy of the keys still shows the job.
  */
-final class JobTable {
+public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
 
   private final Map<String, Team> teams;
@@ -55,7 +55,7 @@
    * @param jobAdded is told of each new job
    * @param requestPass asks for a pass over the jobs that wait
    */
-  JobTable(
+  public JobTable(
       Map<String, Team> teams,
       Leadership leadership,
       InstantSource clock,
@@ -73,35 +73,37 @@
   }
 
   /** The job of that id; null when it is over or was never there. */
-  Job get(String id) {
+  public Job get(String id) {
     return jobs.get(id);
   }
 
   /** Whether the job is not over. */
-  boolean isLive(String id) {
+  public boolean isLive(String id) {
     return jobs.containsKey(id);
   }
 
   /** Whether the table still has this very job. */
-  boolean contains(Job job) {
+  public boolean contains(Job job) {
     return jobs.get(job.spec.id()) == job;
   }
 
-  Collection<Job> all() {
+  /** Returns all jobs that are not over. */
+  public Collection<Job> all() {
     return all;
   }
 
-  int size() {
+  /** Returns how many jobs are not over. */
+  public int size() {
     return jobs.size();
   }
 
   /** The gang jobs among them. */
-  Collection<Job> gangs() {
+  public Collection<Job> gangs() {
     return List.copyOf(gangs);
   }
 
   /** Takes a stored job in; one that can't be read is remembered as such, not as absent. */
-  void add(String key, Entry entry) {
+  public void add(String key, Entry entry) {
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
       if (spec.isGang() && !levelGate.supports(Feature.GANG_JOBS)) {
@@ -129,22 +131,22 @@
   }
 
   /** The key of a job was removed; what could not be read there is no obstacle any more. */
-  void forgetUnreadable(String key) {
+  public void forgetUnreadable(String key) {
     unreadableKeys.remove(key);
   }
 
   /** All keys are about to be read anew. */
-  void forgetUnreadable() {
+  public void forgetUnreadable() {
     unreadableKeys.clear();
   }
 
   /** The key of a job that can't be read, if there is one. */
-  Optional<String> unreadableKey() {
+  public Optional<String> unreadableKey() {
     return unreadableKeys.stream().findFirst();
   }
 
   /** The job is over. */
-  Optional<Job> remove(String id) {
+  public Optional<Job> remove(String id) {
     Optional<Job> job = Optional.ofNullable(jobs.remove(id));
     job.ifPresent(queued::remove);
     job.ifPresent(gangs::remove);
@@ -152,17 +154,17 @@
   }
 
   /** The job is over although the copy of the keys may not show it yet. */
-  void markCancelled(String id) {
+  public void markCancelled(String id) {
     cancelled.add(id, clock.instant());
   }
 
   /** The copy of the keys has all changes that were made before that time. */
-  void replicaCaughtUpTo(Instant asOf) {
+  public void replicaCaughtUpTo(Instant asOf) {
     cancelled.replicaCaughtUpTo(asOf);
   }
 
   /** Jobs that are not among the keys. */
-  List<String> absentFrom(Set<String> keys) {
+  public List<String> absentFrom(Set<String> keys) {
     List<String> absent = new ArrayList<>();
     for (String id : jobs.keySet()) {
       if (!keys.contains(Keys.liveJob(id))) {
@@ -173,12 +175,12 @@
   }
 
   /** Jobs with tasks that wait for a machine: a pass looks at these alone. */
-  Collection<Job> queued() {
+  public Collection<Job> queued() {
     return queuedView;
   }
 
   /** Keeps the jobs that wait true after a job's tasks changed. */
-  void requeue(Job job) {
+  public void requeue(Job job) {
     if (leadership.isReady() && contains(job) && job.pendingTasks() > 0) {
       queued.add(job);
       requestPass.run();
@@ -188,12 +190,12 @@
   }
 
   /** Nothing waits any more, since this controller does not lead. */
-  void clearQueue() {
+  public void clearQueue() {
     queued.clear();
   }
 
   /** Forgets of all jobs what only a leader knows. */
-  void forgetLeaderState() {
+  public void forgetLeaderState() {
     jobs.values().forEach(Job::forgetLeaderState);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -1,5 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.InstantSource;
 
 /**
@@ -10,7 +12,7 @@
  * @param gangs the attempts of gang jobs
  * @param decisions is told what starts and proofs rest on
  */
-record LeaderState(
+public record LeaderState(
     Leadership leadership,
     JobTable jobs,
     MachineInventory inventory,
--- a/src/main/java/io/pearscale/scheduler/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -1,6 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Arrays;
@@ -10,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Figures for operators, and counts of tasks for users' questions. */
-final class LeaderStatistics {
+public final class LeaderStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderStatistics.class);
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
 
@@ -26,7 +27,8 @@
   private final Histogram passMicros = new Histogram(3);
   private Instant nextLogAt = Instant.MIN;
 
-  LeaderStatistics(LeaderState state) {
+  /** Creates empty statistics of the given leader. */
+  public LeaderStatistics(LeaderState state) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
@@ -35,17 +37,17 @@
   }
 
   /** A task runs, so long after its start was decided. */
-  void recordStart(Duration afterDecision) {
+  public void recordStart(Duration afterDecision) {
     startMillis.recordValue(Math.max(0, Math.min(LONGEST_RECORDED_MS, afterDecision.toMillis())));
   }
 
   /** A pass took so long. */
-  void recordPass(Duration time) {
+  public void recordPass(Duration time) {
     passMicros.recordValue(Math.min(LONGEST_RECORDED_MS * 1000, time.toNanos() / 1000));
   }
 
   /** Logs the figures, unless that was done within a minute. */
-  void logIfDue(Instant now, Predicate<Machine> usable) {
+  public void logIfDue(Instant now, Predicate<Machine> usable) {
     if (now.isAfter(nextLogAt)) {
       nextLogAt = now.plus(LOG_INTERVAL);
       log(now, usable);
--- a/src/main/java/io/pearscale/scheduler/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -8,7 +8,7 @@
  * What the scheduler knows of its controller's leadership: the term, and until when it may act in
  * it. Every start, every renewal of a worker's lease and every token rests on this.
  */
-final class Leadership {
+public final class Leadership {
   /** A token carries the term above a count of 24 bits for each machine. */
   private static final int FENCING_TOKEN_TERM_SHIFT = 24;
 
@@ -28,7 +28,7 @@
   private Instant replicaAsOf = Instant.MIN;
 
   /** Leadership that a proof extends by the hold. */
-  Leadership(InstantSource clock, Duration renewalAuthorityTimeout) {
+  public Leadership(InstantSource clock, Duration renewalAuthorityTimeout) {
     this.clock = clock;
     this.renewalAuthorityTimeout = renewalAuthorityTimeout;
     Duration half = renewalAuthorityTimeout.dividedBy(2);
@@ -36,7 +36,7 @@
   }
 
   /** Begins a term; nothing may be decided in it before {@link #becomeReady}. */
-  void begin(long newTerm, long newTermRevision, Instant proof) {
+  public void begin(long newTerm, long newTermRevision, Instant proof) {
     leading = true;
     ready = false;
     term = newTerm;
@@ -47,46 +47,48 @@
   }
 
   /** Ends the term. */
-  void end() {
+  public void end() {
     leading = false;
     ready = false;
   }
 
   /** All that the predecessors recorded has been taken over. */
-  void becomeReady() {
+  public void becomeReady() {
     ready = true;
   }
 
   /** Whether this controller leads, ready or not. */
-  boolean isLeading() {
+  public boolean isLeading() {
     return leading;
   }
 
   /** Whether it leads and has taken over what its predecessors recorded. */
-  boolean isReady() {
+  public boolean isReady() {
     return ready;
   }
 
   /** Whether it leads in that term. */
-  boolean leadsIn(long thatTerm) {
+  public boolean leadsIn(long thatTerm) {
     return leading && term == thatTerm;
   }
 
-  long term() {
+  /** Returns the current term, or the last one in which this controller led. */
+  public long term() {
     return term;
   }
 
   /** The stamp of the term's key after this leader's last transaction. */
-  long termRevision() {
+  public long termRevision() {
     return termRevision;
   }
 
   /** The term's key has that stamp now. */
-  void recordTermRevision(long revision) {
+  public void recordTermRevision(long revision) {
     termRevision = revision;
   }
 
-  Instant electedAt() {
+  /** Returns when this controller knew that it was elected. */
+  public Instant electedAt() {
     return electedAt;
   }
 
@@ -100,7 +102,7 @@
    *
    * @return whether that is sooner than was known
    */
-  boolean endPreviousLeaders() {
+  public boolean endPreviousLeaders() {
     Instant now = clock.instant();
     if (!now.isBefore(previousLeadersUntil)) {
       return false;
@@ -110,12 +112,12 @@
   }
 
   /** It is proven that no other controller led at that time. */
-  void recordProof(Instant time) {
+  public void recordProof(Instant time) {
     leadershipProvenAt = later(leadershipProvenAt, time);
   }
 
   /** All changes of the stored keys that were made by then are known. */
-  void recordReplicaAsOf(Instant time) {
+  public void recordReplicaAsOf(Instant time) {
     replicaAsOf = later(replicaAsOf, time);
   }
 
@@ -124,7 +126,7 @@
    * holds. That makes good a copy that has been as new as the state service within one hold; an
    * older one is made good by the state service alone.
    */
-  void recordPeerConfirmation(Instant time) {
+  public void recordPeerConfirmation(Instant time) {
     if (time.isBefore(replicaAsOf.plus(renewalAuthorityTimeout))) {
       recordProof(time);
       recordReplicaAsOf(time);
@@ -132,7 +134,7 @@
   }
 
   /** Whether the last proof is younger than the age. */
-  boolean provenWithin(Duration age) {
+  public boolean provenWithin(Duration age) {
     return !clock.instant().isAfter(leadershipProvenAt.plus(age));
   }
 
@@ -141,7 +143,7 @@
    * and of which jobs were cancelled, as of at most hold ago. A renewal of the grant shows the
    * former alone: a leader whose watch is stuck would keep cancelled tasks alive.
    */
-  boolean mayRenewLeases() {
+  public boolean mayRenewLeases() {
     Instant now = clock.instant();
     return leading
         && now.isBefore(leadershipProvenAt.plus(renewalAuthorityTimeout))
@@ -154,27 +156,27 @@
    * the state service, looks again first. Half of the hold leaves time to a leader that has just
    * taken over and hears everything late.
    */
-  boolean mayStartTasks() {
+  public boolean mayStartTasks() {
     return mayRenewLeases() && clock.instant().isBefore(replicaAsOf.plus(startAuthorityTimeout));
   }
 
   /** The token with which a machine is commanded first in this term. */
-  long firstFencingToken() {
+  public long firstFencingToken() {
     return (term << FENCING_TOKEN_TERM_SHIFT) + 1;
   }
 
   /** Whether the token was given in this term. */
-  boolean isFromThisTerm(long fencingToken) {
+  public boolean isFromThisTerm(long fencingToken) {
     return termOf(fencingToken) == term;
   }
 
   /** Whether a leader of a later term gave the token. */
-  boolean isFromLaterTerm(long fencingToken) {
+  public boolean isFromLaterTerm(long fencingToken) {
     return termOf(fencingToken) > term;
   }
 
   /** The term of the leader that gave the token. */
-  static long termOf(long fencingToken) {
+  public static long termOf(long fencingToken) {
     return fencingToken >> FENCING_TOKEN_TERM_SHIFT;
   }
 
--- a/src/main/java/io/pearscale/scheduler/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
@@ -14,8 +14,9 @@
 import java.util.Set;
 
 /** A machine, as the leader sees it. */
-final class Machine {
-  enum Lifecycle {
+public final class Machine {
+  /** Where a machine stands between scale out and termination. */
+  public enum Lifecycle {
     BOOTING,
     UP,
     /** To be given back; never used again, since a late deletion may still reach it. */
@@ -23,7 +24,7 @@
   }
 
   /** An attempt that ended, until the worker has forgotten it. */
-  record AttemptId(TaskId task, long attempt) {
+  public record AttemptId(TaskId task, long attempt) {
     @Override
     public boolean equals(Object other) {
       return other instanceof AttemptId that && attempt == that.attempt && task.equals(that.task);
@@ -37,102 +38,104 @@
 
   private static final int MANY_FAILING_JOBS = 5;
 
-  final String name;
-  final String zone;
-  final boolean spot;
+  public final String name;
+  public final String zone;
+  public final boolean spot;
 
   /** As the catalogue has it; without any room until the catalogue is known. */
-  MachineType type;
+  public MachineType type;
 
-  Lifecycle lifecycle;
-  String address;
-  Instant provisionedAt;
+  public Lifecycle lifecycle;
+  public String address;
+  public Instant provisionedAt;
 
   /** Its sessions, and until when anything in them can be alive. */
-  final IncarnationLease lease = new IncarnationLease();
+  public final IncarnationLease lease = new IncarnationLease();
 
   /** Highest token that a report has shown, and the one that we command with. */
-  long observedFencingToken;
+  public long observedFencingToken;
 
-  long fencingToken;
+  public long fencingToken;
 
   /** The token of the last answer to a report, and the controller through which it went. */
-  long lastResponseToken = -1;
+  public long lastResponseToken = -1;
 
-  String lastResponseController = "";
+  public String lastResponseController = "";
 
   /** Reports in a row that did not show what the one before was answered with. */
-  int unacknowledgedResponses;
+  public int unacknowledgedResponses;
 
   /**
    * A command with this token got no answer: it may yet be executed, until a higher one is seen.
    */
-  long unknownOutcomeToken = -1;
+  public long unknownOutcomeToken = -1;
 
   /** Whether a report has shown a token of this term: from then on reports tell all. */
-  boolean reconciled;
+  public boolean reconciled;
 
   /** Nothing can be alive here: the lease ran out, and it has shown no sign of life since. */
-  boolean leaseExpired;
+  public boolean leaseExpired;
 
   /** Whether the roster durably names the machine, and as what. */
-  boolean recorded;
+  public boolean recorded;
 
-  boolean recordedRetiring;
+  public boolean recordedRetiring;
 
   /** By which marks name it in the layout by number; 0 while it has none. */
-  int recordNumber;
+  public int recordNumber;
 
   /** What the roster has as the machine's address. */
-  String recordedAddress = "";
+  public String recordedAddress = "";
 
   /** Whether a drain will come to it: what is placed there would soon be moved again. */
-  boolean drainPlanned;
+  public boolean drainPlanned;
 
-  boolean deletionSent;
+  public boolean deletionSent;
 
   /** Whether it is in maintenance, and what of that is durably recorded. */
-  Maintenance maintenance = Maintenance.IN_SERVICE;
+  public Maintenance maintenance = Maintenance.IN_SERVICE;
 
-  Maintenance recordedMaintenance = Maintenance.IN_SERVICE;
-  Instant lastReachableAt = Instant.MIN;
+  public Maintenance recordedMaintenance = Maintenance.IN_SERVICE;
+  public Instant lastReachableAt = Instant.MIN;
 
   /** When it first answered a command since its last report; only reports renew its lease. */
-  Optional<Instant> answersWithoutHeartbeatSince = Optional.empty();
+  public Optional<Instant> answersWithoutHeartbeatSince = Optional.empty();
 
-  boolean heartbeatEverReceived;
-  boolean commandInFlight;
+  public boolean heartbeatEverReceived;
+  public boolean commandInFlight;
 
   /** Probes without an answer since it was last heard. */
-  int missedProbes;
+  public int missedProbes;
 
-  Instant directCommandsAfter = Instant.MIN;
-  Optional<Instant> preemptionNoticeAt = Optional.empty();
-  boolean quarantined;
+  public Instant directCommandsAfter = Instant.MIN;
+  public Optional<Instant> preemptionNoticeAt = Optional.empty();
+  public boolean quarantined;
 
   /** Jobs whose tasks failed here since one last was done here, and how often. */
   private final Map<Job, Integer> failuresByJob = new HashMap<>();
 
-  Instant avoidUntil = Instant.MIN;
+  public Instant avoidUntil = Instant.MIN;
 
   /** Since when the machine can be spared; far in the future when it can't. */
-  Instant scaleInCandidateSince = Instant.MAX;
+  public Instant scaleInCandidateSince = Instant.MAX;
 
-  boolean listedByCloud;
-  Instant listedSince = Instant.MIN;
+  public boolean listedByCloud;
+  public Instant listedSince = Instant.MIN;
 
-  final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
+  public final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
   private Resources[] availableByPriority;
 
   /** Attempts that ended, each with a token that no start command for it was above. */
-  final Map<AttemptId, Long> endedAttempts = new HashMap<>();
+  public final Map<AttemptId, Long> endedAttempts = new HashMap<>();
 
-  final Map<AttemptId, Instant> unknownAttempts = new HashMap<>();
+  public final Map<AttemptId, Instant> unknownAttempts = new HashMap<>();
 
   /** Images used here, the latest last, with their sizes. */
-  final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
+  public final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
 
-  Machine(String name, String zone, boolean spot, MachineType type, Lifecycle life, Instant now) {
+  /** Creates a machine that has sent no heartbeat yet. */
+  public Machine(
+      String name, String zone, boolean spot, MachineType type, Lifecycle life, Instant now) {
     this.name = name;
     this.zone = zone;
     this.spot = spot;
@@ -143,7 +146,7 @@
   }
 
   /** What the roster is to say of the machine, with the number by which marks name it. */
-  MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
+  public MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
     return new MachineRecordCodec.MachineRecord(
         numberInRecords,
         name,
@@ -157,17 +160,17 @@
   }
 
   /** A task failed here. */
-  void recordFailure(Job job) {
+  public void recordFailure(Job job) {
     failuresByJob.merge(job, 1, Integer::sum);
   }
 
   /** A task was done here: what failed before did not fail for the machine. */
-  void recordSuccess() {
+  public void recordSuccess() {
     failuresByJob.clear();
   }
 
   /** How often tasks failed here that did not fail for their own job. */
-  int failureCount() {
+  public int failureCount() {
     int count = 0;
     for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
       count += failure.getKey().failsEverywhere() ? 0 : failure.getValue();
@@ -179,7 +182,7 @@
    * Whether what failed here points at the machine: twice a job that runs elsewhere, or two jobs of
    * which it is not known that they fail everywhere. Of those that do, it takes many at once.
    */
-  boolean failuresPointToMachine() {
+  public boolean failuresPointToMachine() {
     int failuresOfSucceedingJobs = 0;
     int suspectJobs = 0;
     for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
@@ -191,7 +194,8 @@
         || failuresByJob.size() >= MANY_FAILING_JOBS;
   }
 
-  void recordImageUse(String image, double sizeGb) {
+  /** Records that a task used an image here, which may evict the least recently used ones. */
+  public void recordImageUse(String image, double sizeGb) {
     cachedImages.put(image, sizeGb);
     double totalGb = 0;
     for (double cachedGb : cachedImages.values()) {
@@ -209,7 +213,7 @@
   }
 
   /** How many images beside that one are fetched, or are to be, for tasks that are placed here. */
-  int otherImageFetches(String image) {
+  public int otherImageFetches(String image) {
     Set<String> others = new HashSet<>();
     for (TaskAttempt attempt : attempts.values()) {
       String other = attempt.job.spec.image();
@@ -221,7 +225,8 @@
     return others.size();
   }
 
-  void add(TaskAttempt attempt) {
+  /** Adds an attempt that may be on this machine from now on. */
+  public void add(TaskAttempt attempt) {
     attempts.put(attempt.task, attempt);
     invalidateAvailable();
   }
@@ -237,7 +242,7 @@
   }
 
   /** What is left, when everything decided has come to pass; the caller may change it. */
-  Resources available() {
+  public Resources available() {
     return availableAbove(Priority.IDLE).copy();
   }
 
@@ -245,7 +250,7 @@
    * What would be left if all below the priority were evicted. Kept from one question to the next,
    * since every pass asks every machine and most have not changed. Not to be changed.
    */
-  Resources availableAbove(Priority priority) {
+  public Resources availableAbove(Priority priority) {
     if (availableByPriority == null) {
       availableByPriority = new Resources[Priority.values().length];
       for (Priority floor : Priority.values()) {
@@ -262,7 +267,7 @@
   }
 
   /** What is left now, counting all that may be on the machine. */
-  Resources physicallyAvailable() {
+  public Resources physicallyAvailable() {
     Resources available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     for (TaskAttempt attempt : attempts.values()) {
       if (attempt.stage != TaskAttempt.Stage.PLANNED) {
@@ -273,12 +278,12 @@
   }
 
   /** How many more tasks like these the machine could take, evicting lower ones if need be. */
-  int capacityWithEviction(Job like) {
+  public int capacityWithEviction(Job like) {
     return availableAbove(like.spec.priority()).countFitting(like);
   }
 
   /** Tasks of services here. */
-  int replicaCount() {
+  public int replicaCount() {
     int count = 0;
     for (TaskAttempt attempt : attempts.values()) {
       if (attempt.job.spec.isService()) {
@@ -289,56 +294,62 @@
   }
 
   /** From when the machine has seen the next token, no command with an older one is executed. */
-  void incrementFencingToken() {
+  public void incrementFencingToken() {
     fencingToken++;
   }
 
-  boolean commandOutcomeUnknown() {
+  /** Returns whether a command without an answer may still be executed. */
+  public boolean commandOutcomeUnknown() {
     return unknownOutcomeToken >= observedFencingToken;
   }
 
   /** Room in all resources. */
-  static final class Resources {
-    static final double TOLERANCE = 1e-6;
-    double cpus;
-    double gpus;
-    double memoryGb;
-
-    Resources(double cpus, double gpus, double memoryGb) {
+  public static final class Resources {
+    public static final double TOLERANCE = 1e-6;
+    public double cpus;
+    public double gpus;
+    public double memoryGb;
+
+    /** Creates an amount of resources: cores, devices and gigabytes. */
+    public Resources(double cpus, double gpus, double memoryGb) {
       this.cpus = cpus;
       this.gpus = gpus;
       this.memoryGb = memoryGb;
     }
 
     /** All that a machine of the type has. */
-    static Resources of(MachineType type) {
+    public static Resources of(MachineType type) {
       return new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    Resources copy() {
+    /** Returns an independent copy. */
+    public Resources copy() {
       return new Resources(cpus, gpus, memoryGb);
     }
 
-    void subtract(Job job) {
+    /** Takes away what one task of the job needs. */
+    public void subtract(Job job) {
       cpus -= job.spec.cpus();
       gpus -= job.spec.gpus();
       memoryGb -= job.spec.memoryGb();
     }
 
-    void add(Job job) {
+    /** Adds what one task of the job needs. */
+    public void add(Job job) {
       cpus += job.spec.cpus();
       gpus += job.spec.gpus();
       memoryGb += job.spec.memoryGb();
     }
 
-    boolean fits(Job job) {
+    /** Returns whether one task of the job fits. */
+    public boolean fits(Job job) {
       return cpus + TOLERANCE >= job.spec.cpus()
           && gpus + TOLERANCE >= job.spec.gpus()
           && memoryGb + TOLERANCE >= job.spec.memoryGb();
     }
 
     /** How many tasks like these fit. */
-    int countFitting(Job job) {
+    public int countFitting(Job job) {
       double count = 100_000;
       if (job.spec.cpus() > 0) {
         count = Math.min(count, (cpus + TOLERANCE) / job.spec.cpus());
--- a/src/main/java/io/pearscale/scheduler/MachineCatalogue.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineCatalogue.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.MachineType;
 import java.time.Duration;
@@ -11,26 +11,26 @@
 import java.util.Set;
 
 /** The machine types that the cloud offers, as they were last heard of. */
-final class MachineCatalogue {
+public final class MachineCatalogue {
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
   /** All types, as they are known at any time. */
-  Collection<MachineType> types() {
+  public Collection<MachineType> types() {
     return Collections.unmodifiableCollection(types.values());
   }
 
   /** The names of all types. */
-  Set<String> names() {
+  public Set<String> names() {
     return Collections.unmodifiableSet(types.keySet());
   }
 
   /** The type of that name. */
-  Optional<MachineType> find(String name) {
+  public Optional<MachineType> find(String name) {
     return Optional.ofNullable(types.get(name));
   }
 
   /** The type of that name; one without any room while it is not known. */
-  MachineType typeOf(String name) {
+  public MachineType typeOf(String name) {
     return find(name).orElseGet(() -> withoutCapacity(name));
   }
 
--- a/src/main/java/io/pearscale/scheduler/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -1,8 +1,9 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings.Team;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.InstantSource;
 import java.util.Collection;
 import java.util.Collections;
@@ -22,7 +23,7 @@
  * sent until one of the proofs of {@link AbsenceProof} says that it is gone. Whoever calls {@link
  * #remove} has that proof.
  */
-final class MachineInventory {
+public final class MachineInventory {
   private final MachineCatalogue catalogue;
   private final Map<String, Team> teams;
   private final Leadership leadership;
@@ -38,7 +39,7 @@
   private final Set<Machine> withDueCommands = new LinkedHashSet<>();
 
   /** Makes an empty inventory. */
-  MachineInventory(
+  public MachineInventory(
       MachineCatalogue catalogue,
       Map<String, Team> teams,
       Leadership leadership,
@@ -58,12 +59,12 @@
   }
 
   /** The machine types that are known. */
-  MachineCatalogue catalogue() {
+  public MachineCatalogue catalogue() {
     return catalogue;
   }
 
   /** Takes a catalogue in. A worker may have reported before its type was known. */
-  void updateCatalogue(List<MachineType> types) {
+  public void updateCatalogue(List<MachineType> types) {
     catalogue.update(types);
     for (Machine machine : machines.values()) {
       machine.type = catalogue.find(machine.type.name()).orElse(machine.type);
@@ -74,30 +75,32 @@
   // ---- Machines ----
 
   /** The machine of that name; null when there is none. */
-  Machine get(String name) {
+  public Machine get(String name) {
     return machines.get(name);
   }
 
   /** Whether it still has this very machine. */
-  boolean contains(Machine machine) {
+  public boolean contains(Machine machine) {
     return machines.get(machine.name) == machine;
   }
 
-  Collection<Machine> all() {
+  /** Returns all machines known to the leader. */
+  public Collection<Machine> all() {
     return all;
   }
 
-  int size() {
+  /** Returns how many machines the leader knows. */
+  public int size() {
     return machines.size();
   }
 
   /** Whether a machine of this name is known to be gone. */
-  boolean isRemoved(String name) {
+  public boolean isRemoved(String name) {
     return tombstones.contains(name);
   }
 
   /** Adds a machine that was not there in this term before. */
-  void add(Machine machine) {
+  public void add(Machine machine) {
     machine.fencingToken = leadership.firstFencingToken();
     machines.put(machine.name, machine);
   }
@@ -105,13 +108,13 @@
   /**
    * Adds a machine that a former leader may have known, and on which it may have renewed leases.
    */
-  void addFromPreviousLeader(Machine machine) {
+  public void addFromPreviousLeader(Machine machine) {
     add(machine);
     machine.lease.previousLeadersRenewUntil(leadership.previousLeadersUntil());
   }
 
   /** The cloud says that the machine, and all that was on it, is gone. */
-  void confirmDeleted(String name) {
+  public void confirmDeleted(String name) {
     Machine machine = machines.remove(name);
     tombstones.add(name, clock.instant());
     if (machine == null) {
@@ -123,7 +126,7 @@
   }
 
   /** Forgets all, since this controller does not lead any more. */
-  void clear() {
+  public void clear() {
     machines.clear();
     withDueCommands.clear();
   }
@@ -131,7 +134,7 @@
   // ---- Tasks on machines ----
 
   /** From now on the task may be on the machine. */
-  void add(TaskAttempt attempt) {
+  public void add(TaskAttempt attempt) {
     attempt.machine.add(attempt);
     attempt.job.add(attempt);
     jobs.requeue(attempt.job);
@@ -141,17 +144,17 @@
   }
 
   /** The listener is told of each task that is proven not to be on its machine any more. */
-  void onRemoved(Consumer<TaskAttempt> listener) {
+  public void onRemoved(Consumer<TaskAttempt> listener) {
     removedListener = listener;
   }
 
   /** It is proven that none of the machine's tasks is there any more. */
-  void removeAll(Machine machine, AbsenceProof proof) {
+  public void removeAll(Machine machine, AbsenceProof proof) {
     List.copyOf(machine.attempts.values()).forEach(attempt -> remove(attempt, proof));
   }
 
   /** It is proven that the task is not on the machine. */
-  void remove(TaskAttempt attempt, AbsenceProof proof) {
+  public void remove(TaskAttempt attempt, AbsenceProof proof) {
     Job job = attempt.job;
     decisionLog.absenceProved(attempt, proof);
     removedListener.accept(attempt);
@@ -168,7 +171,7 @@
   }
 
   /** Decides that a task must go from where it is. */
-  void stop(TaskAttempt attempt) {
+  public void stop(TaskAttempt attempt) {
     if (attempt.stage == Stage.PLANNED) {
       remove(attempt, AbsenceProof.NOT_SENT);
       return;
@@ -186,7 +189,7 @@
   }
 
   /** Takes back what was decided for a machine that turned bad before the start was sent. */
-  void withdrawPlanned(Machine machine) {
+  public void withdrawPlanned(Machine machine) {
     for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
       if (attempt.stage == Stage.PLANNED) {
         remove(attempt, AbsenceProof.NOT_SENT);
@@ -195,7 +198,7 @@
   }
 
   /** What each team has in use, counting all that may be on a machine. */
-  QuotaUsage quotaUsage() {
+  public QuotaUsage quotaUsage() {
     QuotaUsage usage = new QuotaUsage(teams);
     if (teams.values().stream().noneMatch(Team::hasQuota)) {
       return usage;
@@ -211,7 +214,7 @@
   // ---- Commands that wait ----
 
   /** Something is to be told to the machine. */
-  void markCommandDue(Machine machine) {
+  public void markCommandDue(Machine machine) {
     withDueCommands.add(machine);
   }
 
@@ -221,7 +224,7 @@
    * @param send sends what may be sent now
    * @param stillDue whether something still waits afterwards
    */
-  void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
+  public void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
     for (Iterator<Machine> iterator = withDueCommands.iterator(); iterator.hasNext(); ) {
       Machine machine = iterator.next();
       if (contains(machine)) {
--- a/src/main/java/io/pearscale/scheduler/QuotaUsage.java
+++ b/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Settings.Team;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** What teams have in use, all doubt counted as use, against their limits and guarantees. */
-final class QuotaUsage {
+public final class QuotaUsage {
   private static final double TOLERANCE = 1e-6;
 
   private static final class Usage {
@@ -27,7 +27,7 @@
   }
 
   /** Notes so many more tasks as in use, or fewer. */
-  void charge(JobSpec spec, int tasks) {
+  public void charge(JobSpec spec, int tasks) {
     Usage usage = usageOf(spec.team());
     usage.cpus += tasks * spec.cpus();
     usage.gpus += tasks * spec.gpus();
@@ -36,7 +36,7 @@
   /**
    * How many more tasks like these the team's limit allows. A limit of 0 means that there is none.
    */
-  int tasksLeftWithinLimit(JobSpec spec) {
+  public int tasksLeftWithinLimit(JobSpec spec) {
     Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
@@ -56,12 +56,12 @@
   }
 
   /** Whether the team knows a guarantee, and one more task like these is within it. */
-  boolean isWithinGuarantee(JobSpec spec) {
+  public boolean isWithinGuarantee(JobSpec spec) {
     return !exceedsGuarantee(spec.team(), spec.cpus(), spec.gpus());
   }
 
   /** Whether a team of the settings has more in use than it is guaranteed. */
-  boolean exceedsGuarantee(String team) {
+  public boolean exceedsGuarantee(String team) {
     return teams.containsKey(team) && exceedsGuarantee(team, 0, 0);
   }
 
--- a/src/main/java/io/pearscale/scheduler/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
@@ -1,12 +1,13 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.protocol.TaskId;
 import java.time.Duration;
 import java.time.Instant;
 
 /** One attempt of a task on one machine, from the decision until it is known to be gone. */
-final class TaskAttempt {
-  enum Stage {
+public final class TaskAttempt {
+  /** How far an attempt has come, in the order in which a task goes through the stages. */
+  public enum Stage {
     /** Decided, no command sent: can be taken back. */
     PLANNED,
     /** A command was sent; whether it arrived is open. */
@@ -18,47 +19,49 @@
     CHECKPOINTING
   }
 
-  final Job job;
-  final TaskId task;
+  public final Job job;
+  public final TaskId task;
 
   /**
    * The attempt's number; below 0 when a former leader gave it and no report has shown it: the task
    * is taken to be where its mark says until a report of that machine, or a proof, tells more.
    */
-  long number;
+  public long number;
 
-  final Machine machine;
-  Stage stage;
+  public final Machine machine;
+  public Stage stage;
 
   /** Highest token and the session of any start command for this attempt. */
-  long startToken;
+  public long startToken;
 
-  long startIncarnation;
+  public long startIncarnation;
 
   /** Whether the mark that names the machine is durable: no start is sent before. */
-  boolean placementRecorded;
+  public boolean placementRecorded;
 
   /** Whether a report has shown the attempt. */
-  boolean observed;
+  public boolean observed;
 
   /** To be stopped. */
-  boolean stopping;
+  public boolean stopping;
 
   /** To be stopped without saving: what is to start instead can't wait for that. */
-  boolean stopsWithoutCheckpoint;
+  public boolean stopsWithoutCheckpoint;
 
-  Instant lastStopSentAt = Instant.MIN;
-  int stopsSent;
-  Instant stageSince;
+  public Instant lastStopSentAt = Instant.MIN;
+  public int stopsSent;
+  public Instant stageSince;
 
   /** How long it has been running by now; nothing if it is not. */
-  Duration runningTime(Instant now) {
+  public Duration runningTime(Instant now) {
     return stage == Stage.RUNNING || stage == Stage.CHECKPOINTING
         ? Duration.between(stageSince, now)
         : Duration.ZERO;
   }
 
-  TaskAttempt(Job job, TaskId task, long attempt, Machine machine, Stage stage, Instant since) {
+  /** Creates an attempt that has been observed by no heartbeat. */
+  public TaskAttempt(
+      Job job, TaskId task, long attempt, Machine machine, Stage stage, Instant since) {
     this.job = job;
     this.task = task;
     this.number = attempt;
--- a/src/main/java/io/pearscale/scheduler/TermExecutor.java
+++ b/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import java.time.Duration;
 import java.util.function.Consumer;
@@ -8,7 +8,7 @@
  * other, and only if the term in which it was put off still lasts. A timer or an answer of a former
  * term never acts in a later one.
  */
-interface TermExecutor {
+public interface TermExecutor {
   /** Runs the action after the message that is being handled now. */
   void execute(Runnable action);
 
--- a/src/main/java/io/pearscale/scheduler/AdaptiveThrottle.java
+++ b/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import java.time.Duration;
 
@@ -10,9 +10,9 @@
  * @param minRest the shortest rest
  * @param maxRest the longest rest: a process that stood still meanwhile must not rest for minutes
  */
-record AdaptiveThrottle(int restFactor, Duration minRest, Duration maxRest) {
+public record AdaptiveThrottle(int restFactor, Duration minRest, Duration maxRest) {
   /** The rest after work that took so long. */
-  Duration restAfter(Duration work) {
+  public Duration restAfter(Duration work) {
     Duration rest = work.multipliedBy(restFactor);
     if (rest.compareTo(minRest) < 0) {
       return minRest;
--- a/src/main/java/io/pearscale/scheduler/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -1,6 +1,8 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
-import io.pearscale.scheduler.Placer.Assignment;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/io/pearscale/scheduler/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
@@ -1,7 +1,11 @@
-package io.pearscale.scheduler;
-
-import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Assignment;
+package io.pearscale.scheduler.placement;
+
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.QuotaUsage;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/io/pearscale/scheduler/PassContext.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassContext.java
@@ -1,6 +1,9 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.JobSpec;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Tuning;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Comparator;
--- a/src/main/java/io/pearscale/scheduler/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -1,8 +1,13 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Resources;
+import io.pearscale.scheduler.model.EquivalenceClass;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.QuotaUsage;
+import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.Maintenance;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,7 +21,7 @@
  * One pass of the design's placement: machines in random order, one check per task class, the best
  * score among the first few that fit, and if none fits the fewest, lowest victims.
  */
-final class Placer {
+public final class Placer {
   /** Tasks that are alike for feasibility and score. */
   private record ScoringClass(
       EquivalenceClass equivalenceClass, String team, boolean service, String image) {
@@ -230,7 +235,7 @@
   }
 
   /** The rules that depend on where the job's other tasks are, all doubt counted against it. */
-  static boolean constraintsAllow(Job job, Machine machine) {
+  public static boolean constraintsAllow(Job job, Machine machine) {
     boolean urgent = job.spec.priority().compareTo(Priority.NORMAL) > 0;
     if (urgent && machine.maintenance.stage() == Maintenance.Stage.PROBATION) {
       return false;
--- a/src/main/java/io/pearscale/scheduler/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -1,9 +1,13 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Assignment;
+import io.pearscale.scheduler.model.EquivalenceClass;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/pearscale/scheduler/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -1,7 +1,9 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.Settings.ServiceLevelObjective;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobClasses;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -17,7 +19,7 @@
  * The order in which a pass decides jobs: by priority, then by what can still be over in time, then
  * by when it is due.
  */
-final class QueueOrder {
+public final class QueueOrder {
   /** An image may have to be fetched before a task runs. */
   private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(6);
 
@@ -27,7 +29,8 @@
   private final List<ServiceLevelObjective> objectives;
   private final JobClasses classes;
 
-  QueueOrder(List<ServiceLevelObjective> objectives, JobClasses classes) {
+  /** Creates the order for the given service-level objectives. */
+  public QueueOrder(List<ServiceLevelObjective> objectives, JobClasses classes) {
     this.objectives = objectives;
     this.classes = classes;
   }
@@ -67,7 +70,7 @@
   }
 
   /** The jobs' turns as of now, each worked out when it is first asked for. */
-  Function<Job, Rank> ranks(Instant now) {
+  public Function<Job, Rank> ranks(Instant now) {
     Map<Job, Rank> known = new HashMap<>();
     return job -> known.computeIfAbsent(job, k -> rank(k, now));
   }
@@ -85,7 +88,7 @@
   }
 
   /** Waiting jobs, in the order in which they are decided. */
-  List<Job> sorted(Collection<Job> queue, Function<Job, Rank> ranks, Instant now) {
+  public List<Job> sorted(Collection<Job> queue, Function<Job, Rank> ranks, Instant now) {
     record Ranked(Job job, int band, Rank turn) {}
     List<Ranked> ranked = new ArrayList<>();
     for (Job j : queue) {
--- a/src/main/java/io/pearscale/scheduler/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -1,5 +1,6 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
+import io.pearscale.scheduler.model.Machine;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/io/pearscale/scheduler/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -1,8 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.JobSpec;
-import io.pearscale.scheduler.Machine.Resources;
-import io.pearscale.scheduler.Placer.Assignment;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -13,9 +16,9 @@
  * its image: a job that must spread can't go anywhere else, while the replica that fills its zone
  * often can. The move costs a moment of one replica, waiting would cost the whole time.
  */
-final class ReplicaRelocation {
+public final class ReplicaRelocation {
   /** A replica that has run for less is not moved: its start would have been in vain. */
-  static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
+  public static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
 
   private final PassContext context;
   private final PassCapacity capacity;
@@ -82,7 +85,7 @@
   }
 
   /** Whether a replica could run on another machine without waiting for its image. */
-  static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
+  public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job.spec;
     boolean zoneFree =
         machine.zone.equals(replica.machine.zone)
--- a/src/main/java/io/pearscale/scheduler/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -1,8 +1,26 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.agents.FailureDetector;
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.agents.GracefulTermination;
+import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.AttemptNumbers;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobClasses;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.LeaderStatistics;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.TermExecutor;
+import io.pearscale.scheduler.model.Tuning;
+import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -18,13 +36,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides on which machines the tasks that wait are started. */
-final class SchedulingPass {
+public final class SchedulingPass {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingPass.class);
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   /** By what a pass decides. */
-  record Policy(Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder queueOrder) {}
+  public record Policy(
+      Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder queueOrder) {}
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -43,7 +62,8 @@
   private boolean requested;
   private Duration lastPassDuration = Duration.ZERO;
 
-  SchedulingPass(
+  /** Creates the pass over the jobs and machines of the given leader. */
+  public SchedulingPass(
       LeaderState state,
       AgentTimings timings,
       Policy policy,
@@ -68,13 +88,13 @@
   }
 
   /** A term has begun. */
-  void beginTerm() {
+  public void beginTerm() {
     attemptNumbers.beginTerm(leadership.term());
     requested = false;
   }
 
   /** Asks for a pass, if a job waits. */
-  void request() {
+  public void request() {
     if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
       executor.after(THROTTLE.restAfter(lastPassDuration), this::run);
--- a/src/main/java/io/pearscale/scheduler/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -1,8 +1,12 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MessageFields;
-import io.pearscale.scheduler.Machine.Resources;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.Tuning;
 import java.util.Map;
 
 /** The score of a machine for a task of a job; the lowest is the best. */
--- a/src/main/java/io/pearscale/scheduler/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -1,5 +1,8 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.placement;
 
+import io.pearscale.scheduler.model.EquivalenceClass;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/placement/package-info.java
@@ -0,0 +1,2 @@
+/** The scheduling pass: queue order, bin packing, scoring, preemption, gangs. */
+package io.pearscale.scheduler.placement;
--- a/src/main/java/io/pearscale/scheduler/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -1,5 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import java.util.ArrayList;
--- a/src/main/java/io/pearscale/scheduler/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -1,8 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings.StoreLimits;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -23,7 +26,7 @@
  * each task may be. It keeps what is stored, what is to be stored, and which values wait to be
  * written; {@link RecordWriter} writes them.
  */
-final class LeaderRecords {
+public final class LeaderRecords {
   /** Changes that nobody waits for are written with others within this time. */
   private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
@@ -57,7 +60,8 @@
    * @param gate says in the forms of which level records are written
    * @param requestCommit asks for a transaction
    */
-  LeaderRecords(StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
+  public LeaderRecords(
+      StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
     this.gate = gate;
     this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, limits.maxValueBytes() * 3 / 4);
     this.maxValueBytes = limits.maxValueBytes();
@@ -68,7 +72,7 @@
   }
 
   /** Forgets what is to be written; what is stored stays known. */
-  void clear() {
+  public void clear() {
     layout = layoutInForce();
     createPackers();
     previousLayout.clear();
@@ -91,7 +95,7 @@
   // ---- What is stored ----
 
   /** What is stored, as the watch tells it. */
-  StoredValues storedValues() {
+  public StoredValues storedValues() {
     return storedValues;
   }
 
@@ -221,7 +225,7 @@
   // ---- What is to be written ----
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
-  void recordPlacement(TaskAttempt attempt) {
+  public void recordPlacement(TaskAttempt attempt) {
     JobPartition partition = JobPartition.containing(attempt.job, attempt.task.index(), layout);
     assignSlot(attempt.machine);
     if (!attempt.machine.recorded) {
@@ -233,14 +237,14 @@
   }
 
   /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
-  void recordTaskDone(Job job, int task) {
+  public void recordTaskDone(Job job, int task) {
     JobPartition partition = JobPartition.containing(job, task, layout);
     placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
     placementRecords.markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
   }
 
   /** All tasks of the job are done. */
-  void recordJobFinished(Job job) {
+  public void recordJobFinished(Job job) {
     finishedJobs.add(job);
     requestCommit.run();
   }
@@ -251,7 +255,7 @@
   }
 
   /** Gives the machine a place in the roster, unless it has one. */
-  void assignSlot(Machine machine) {
+  public void assignSlot(Machine machine) {
     if (layout == RecordLayout.NUMBERED && machine.recordNumber == 0) {
       machine.recordNumber = recordNumbers.allocate();
     }
@@ -259,23 +263,23 @@
   }
 
   /** The machine's record is to be written within that time. */
-  void recordMachine(Machine machine, Duration within) {
+  public void recordMachine(Machine machine, Duration within) {
     machineRecords.markDue(machine, clock.instant().plus(within));
   }
 
   /** The machine's record has changed, but nobody waits for it. */
-  void recordMachineDeferred(Machine machine) {
+  public void recordMachineDeferred(Machine machine) {
     recordMachine(machine, DEFERRED_WRITE_DELAY);
   }
 
   /** The machine's record is to be written as soon as possible. */
-  void recordMachineNow(Machine machine) {
+  public void recordMachineNow(Machine machine) {
     machineRecords.markDue(machine);
     requestCommit.run();
   }
 
   /** The machine is gone, or nothing can be alive on it: the roster need not name it any more. */
-  void removeMachine(Machine machine) {
+  public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
     machineRecords.remove(machine);
     previousLayout.noteCopied(machine);
@@ -284,7 +288,7 @@
   }
 
   /** The records of a job's tasks need no room any more. */
-  void removeJob(Job job) {
+  public void removeJob(Job job) {
     for (JobPartition partition : JobPartition.allOf(job, layout)) {
       placementRecords.remove(partition);
       previousLayout.noteCopied(partition);
@@ -295,7 +299,7 @@
    * A job is over. Tasks of it that may still be somewhere count for their team's limit: until the
    * last is gone the marks go on to name them, as a successor finds them nowhere else.
    */
-  void closeJob(Job job) {
+  public void closeJob(Job job) {
     finishedJobs.remove(job);
     if (job.quotaClaim().isEmpty() || job.attempts.isEmpty()) {
       removeJob(job);
@@ -303,18 +307,18 @@
   }
 
   /** The cloud offers these types; the catalogue is stored if it has others. */
-  void updateCatalogue(Set<String> typeNames) {
+  public void updateCatalogue(Set<String> typeNames) {
     catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
     requestCommit.run();
   }
 
   /** Asks for a transaction. */
-  void requestCommit() {
+  public void requestCommit() {
     requestCommit.run();
   }
 
   /** Finds stored values in which nothing lives any more. */
-  void collectObsoleteValues() {
+  public void collectObsoleteValues() {
     obsoleteValues.collect(storedValues, this::isObsolete);
     previousLayout.forEachDeletable(obsoleteValues::add);
   }
@@ -495,7 +499,7 @@
   }
 
   /** Whether the roster has a place for the machine. */
-  boolean hasSlot(Machine machine) {
+  public boolean hasSlot(Machine machine) {
     return machineRecords.slotOf(machine).isPresent();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -1,6 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import io.pearscale.protocol.MalformedMessageException;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.MachineInventory;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -10,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Rebuilds what a new leader has to know from the records that its predecessors left. */
-final class LeaderRecovery {
+public final class LeaderRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
   private final LeaderState state;
   private final Leadership leadership;
@@ -27,7 +32,8 @@
    *
    * @param onUnfitToLead is told why this controller can't lead, of a record that it can't read
    */
-  LeaderRecovery(LeaderState state, CommandDispatcher dispatcher, Consumer<String> onUnfitToLead) {
+  public LeaderRecovery(
+      LeaderState state, CommandDispatcher dispatcher, Consumer<String> onUnfitToLead) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -39,12 +45,12 @@
   }
 
   /** A term has begun, in which nothing was taken over yet. */
-  void beginTerm() {
+  public void beginTerm() {
     complete = false;
   }
 
   /** Whether all machines that could hold what a former leader started have spoken. */
-  boolean isComplete() {
+  public boolean isComplete() {
     return complete;
   }
 
@@ -54,7 +60,7 @@
    * @param storeRevision the revision up to which all changes of the keys are known
    * @return whether that could be done; if not, this controller is unfit to lead
    */
-  boolean recover(long storeRevision) {
+  public boolean recover(long storeRevision) {
     Optional<StoredRecords> stored = readStoredRecords();
     if (stored.isEmpty()) {
       return false;
@@ -101,7 +107,7 @@
    * tasks of a machine that nobody hears are over a lease from now, not a lease after the hold:
    * whole zones that are cut off while their leader's process ends are done without so much sooner.
    */
-  void notePreviousLeadersEnded() {
+  public void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
       inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
@@ -113,7 +119,7 @@
   }
 
   /** Notes when all machines that could hold what a former leader started have spoken. */
-  void noteProgress() {
+  public void noteProgress() {
     if (complete
         || inventory.all().stream()
             .anyMatch(machine -> !machine.reconciled && !machine.attempts.isEmpty())) {
--- a/src/main/java/io/pearscale/scheduler/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -1,8 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.protocol.MachineType;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
@@ -24,7 +27,7 @@
  * A leader's transaction while it is put together, and what it makes durable once it is applied.
  * The caller adds what is most urgent first; what finds no room any more is left for the next one.
  */
-final class LeaderTransaction {
+public final class LeaderTransaction {
   /** Well below the 64 KiB that the state service takes. */
   private static final int MAX_BODY_BYTES = 40 * 1024;
 
@@ -66,7 +69,7 @@
    * @param number how many this term has had
    * @param level the level in whose forms records are written
    */
-  LeaderTransaction(int maxMutations, long term, long termRevision, long number, int level) {
+  public LeaderTransaction(int maxMutations, long term, long termRevision, long number, int level) {
     this.maxMutations = maxMutations;
     this.level = level;
     preconditions.add(new Precondition(Keys.TERM, termRevision));
@@ -75,7 +78,7 @@
   }
 
   /** Whether another value can go along. */
-  boolean hasCapacity() {
+  public boolean hasCapacity() {
     return mutations.size() < maxMutations && bodyBytes < MAX_BODY_BYTES;
   }
 
@@ -187,7 +190,7 @@
   }
 
   /** Adds a value that the transaction does not keep book of. */
-  void addUntrackedValue(String key, JsonNode value, int bytes) {
+  public void addUntrackedValue(String key, JsonNode value, int bytes) {
     addPut(key, value);
     bodyBytes += bytes;
   }
@@ -223,7 +226,8 @@
     return preconditions;
   }
 
-  List<Mutation> mutations() {
+  /** Returns the changes to be made, in the order in which they were added. */
+  public List<Mutation> mutations() {
     return mutations;
   }
 
--- a/src/main/java/io/pearscale/scheduler/ObsoleteValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
--- a/src/main/java/io/pearscale/scheduler/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import io.pearscale.storage.RecordLayout;
 import java.util.ArrayList;
--- a/src/main/java/io/pearscale/scheduler/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -1,11 +1,17 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.StoredRecords.StoredMachine;
-import io.pearscale.scheduler.StoredRecords.StoredPartition;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
+import io.pearscale.scheduler.records.StoredRecords.StoredMachine;
+import io.pearscale.scheduler.records.StoredRecords.StoredPartition;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
--- a/src/main/java/io/pearscale/scheduler/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import java.time.Instant;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  *
  * @param <T> what is kept
  */
-final class RecordPacker<T> {
+public final class RecordPacker<T> {
   /** Places in a value. */
   static final int SLOTS_PER_VALUE = 64;
 
@@ -39,7 +39,7 @@
   private final Map<Integer, Instant> deadlines = new LinkedHashMap<>();
 
   /** Values may grow up to so many bytes. */
-  RecordPacker(int maxValueBytes) {
+  public RecordPacker(int maxValueBytes) {
     this.maxValueBytes = maxValueBytes;
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** As above, when the place does not matter. */
-  void adopt(T item, int bytes, int value) {
+  public void adopt(T item, int bytes, int value) {
     adopt(item, bytes, value, freePosition(value));
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Gives an item a home, unless it has one. */
-  void assignSlot(T item, int bytes) {
+  public void assignSlot(T item, int bytes) {
     if (slots.containsKey(item)) {
       return;
     }
@@ -98,7 +98,7 @@
   }
 
   /** Lets go of an item; its value shows it until it is written for another reason. */
-  void remove(T item) {
+  public void remove(T item) {
     Slot slot = slots.remove(item);
     if (slot != null) {
       PackedValue<T> packed = packedValue(slot.value);
@@ -108,11 +108,13 @@
   }
 
   /** The item's value is to be written now. */
-  void markDue(T item) {
+  /** Marks a value to be written with the next transaction. */
+  public void markDue(T item) {
     slotOf(item).ifPresent(slot -> markDue(slot.value));
   }
 
-  void markDue(int value) {
+  /** Marks a value to be written by the given time at the latest. */
+  public void markDue(int value) {
     urgentValues.add(value);
     deadlines.remove(value);
   }
@@ -130,7 +132,7 @@
   }
 
   /** Values to be written now. */
-  List<Integer> urgentValues() {
+  public List<Integer> urgentValues() {
     return List.copyOf(urgentValues);
   }
 
@@ -147,13 +149,13 @@
   }
 
   /** The value is on its way; whoever finds that it did not arrive says so by {@link #markDue}. */
-  void markSent(int value) {
+  public void markSent(int value) {
     urgentValues.remove(value);
     deadlines.remove(value);
   }
 
   /** What lives in a value, by place. */
-  Map<Integer, T> itemsByPosition(int value) {
+  public Map<Integer, T> itemsByPosition(int value) {
     return packedValue(value).items;
   }
 
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -1,10 +1,20 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import io.pearscale.protocol.MessageFields;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.LeaderTransaction.WrittenMachine;
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
+import io.pearscale.scheduler.agents.CommandDispatcher;
+import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.JobTable;
+import io.pearscale.scheduler.model.LeaderState;
+import io.pearscale.scheduler.model.Leadership;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.TermExecutor;
+import io.pearscale.scheduler.records.LeaderTransaction.WrittenMachine;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
@@ -23,7 +33,7 @@
  * transaction of unknown outcome is followed by a look at the term's key, which every transaction
  * changes.
  */
-final class RecordWriter {
+public final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
   /** A commit follows the one before after this time at the earliest. */
@@ -70,7 +80,7 @@
    *
    * @param contributors have more to write, behind the records of jobs and machines
    */
-  RecordWriter(
+  public RecordWriter(
       LeaderState leaderState,
       Environment environment,
       List<TransactionContributor> contributors,
@@ -95,20 +105,20 @@
   }
 
   /** A term has begun: nothing is under way in it. */
-  void beginTerm() {
+  public void beginTerm() {
     commitCount = 0;
     commitInFlight = false;
     commitScheduled = false;
   }
 
   /** The leader is to show that it lives, by a write if there is none to be made anyway. */
-  void writeKeepAlive() {
+  public void writeKeepAlive() {
     keepAliveDue = true;
     scheduleCommit();
   }
 
   /** Asks for a transaction. */
-  void scheduleCommit() {
+  public void scheduleCommit() {
     if (commitScheduled || commitInFlight || !leadership.isLeading()) {
       return;
     }
@@ -123,7 +133,7 @@
   }
 
   /** Asks for a transaction if something is due. */
-  void scheduleCommitIfDue() {
+  public void scheduleCommitIfDue() {
     if (records.isDue() || contributors.stream().anyMatch(TransactionContributor::isDue)) {
       scheduleCommit();
     }
--- a/src/main/java/io/pearscale/scheduler/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/io/pearscale/scheduler/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MalformedMessageException;
@@ -24,7 +24,7 @@
  * term and the level that it knows, and besides by the words on which it rests: should one of them
  * have changed, nothing is written. From then on whoever does not support the level is kept out.
  */
-final class SchemaLevelUpgrader implements TransactionContributor {
+public final class SchemaLevelUpgrader implements TransactionContributor {
   private static final Logger LOG = LoggerFactory.getLogger(SchemaLevelUpgrader.class);
   private static final Duration ATTEMPT_INTERVAL = Duration.ofSeconds(1);
 
@@ -42,19 +42,19 @@
    *
    * @param hosts all configured controllers
    */
-  SchemaLevelUpgrader(LevelGate gate, Set<String> hosts, InstantSource clock) {
+  public SchemaLevelUpgrader(LevelGate gate, Set<String> hosts, InstantSource clock) {
     this.gate = gate;
     this.hosts = Set.copyOf(hosts);
     this.clock = clock;
   }
 
   /** All keys are about to be read anew. */
-  void forgetStored() {
+  public void forgetStored() {
     announcements.clear();
   }
 
   /** The word of a controller has changed; one that can't be read says nothing. */
-  void storedChanged(KeyChange change) {
+  public void storedChanged(KeyChange change) {
     String host = Keys.lastSegment(change.key());
     announcements.remove(host);
     change
--- a/src/main/java/io/pearscale/scheduler/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MalformedMessageException;
--- a/src/main/java/io/pearscale/scheduler/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredValues.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
@@ -12,19 +12,19 @@
 import java.util.TreeMap;
 
 /** A leader's records as the state service holds them, so far as the watch has told. */
-final class StoredValues {
+public final class StoredValues {
   private final Map<String, JsonNode> placementValues = new TreeMap<>();
   private final Map<String, JsonNode> machineValues = new TreeMap<>();
   private final Set<String> machineTypeNames = new HashSet<>();
 
   /** All keys are about to be read anew. */
-  void clear() {
+  public void clear() {
     placementValues.clear();
     machineValues.clear();
   }
 
   /** A value of marks or of the roster has changed. */
-  void apply(KeyChange change) {
+  public void apply(KeyChange change) {
     Map<String, JsonNode> stored =
         Keys.isPlacementRecords(change.key()) ? placementValues : machineValues;
     change
@@ -34,7 +34,7 @@
   }
 
   /** The catalogue has these types. */
-  void updateCatalogue(List<MachineType> stored) {
+  public void updateCatalogue(List<MachineType> stored) {
     machineTypeNames.clear();
     stored.forEach(type -> machineTypeNames.add(type.name()));
   }
--- a/src/main/java/io/pearscale/scheduler/TransactionContributor.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
@@ -1,7 +1,7 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 /** Something that has records to write, which go along with the leader's transactions. */
-interface TransactionContributor {
+public interface TransactionContributor {
   /** Whether something waits to be written now. */
   boolean isDue();
 
--- a/src/test/java/io/pearscale/cli/GoldenTest.java
+++ b/src/test/java/io/pearscale/cli/GoldenTest.java
@@ -3,7 +3,7 @@
 import io.pearscale.golden.GoldenFile;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/io/pearscale/cli/LoopbackTest.java
+++ b/src/test/java/io/pearscale/cli/LoopbackTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.transport.MessagePack;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -6,7 +6,7 @@
 
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/src/test/java/io/pearscale/scheduler/GangTrackerTest.java
+++ b/src/test/java/io/pearscale/scheduler/agents/GangTrackerTest.java
@@ -1,8 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.agents;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pearscale.protocol.Priority;
+import io.pearscale.scheduler.autoscaling.ReplicaCapacityTest;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Leadership;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
--- a/src/test/java/io/pearscale/scheduler/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/CloudActorTest.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.ScaleOutPlanner.Offering;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner.Offering;
 import io.pearscale.transport.CountingEventLoop;
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
--- a/src/test/java/io/pearscale/scheduler/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,11 @@
 import io.pearscale.protocol.Priority;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.protocol.WorkloadType;
-import io.pearscale.scheduler.Machine.Lifecycle;
-import io.pearscale.scheduler.TaskAttempt.Stage;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -18,12 +21,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Emptying machines of a fleet that is full, where every look is in vain. */
-class ReplicaCapacityTest {
+public class ReplicaCapacityTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
   private static final MachineType BIG =
       new MachineType("big", 8, 0, 64, 100, 1, 1, 0.4, Duration.ofSeconds(20), List.of("a"));
 
-  static JobSpec replica(int cpus, Priority priority) {
+  public static JobSpec replica(int cpus, Priority priority) {
     return new JobSpec(
         "wk-1",
         "web",
--- a/src/test/java/io/pearscale/scheduler/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.maintenance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,6 +9,7 @@
 import io.pearscale.drain.Disruption;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.TaskId;
+import io.pearscale.scheduler.records.LeaderTransaction;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
--- a/src/test/java/io/pearscale/scheduler/AttemptNumbersTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/AttemptNumbersTest.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/io/pearscale/scheduler/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
@@ -1,11 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
-import io.pearscale.scheduler.DecisionLog.Channel;
+import io.pearscale.scheduler.model.DecisionLog.Channel;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
--- a/src/test/java/io/pearscale/scheduler/IncarnationLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
@@ -1,11 +1,11 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pearscale.protocol.Heartbeat;
-import io.pearscale.scheduler.IncarnationLease.Basis;
+import io.pearscale.scheduler.model.IncarnationLease.Basis;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
--- a/src/test/java/io/pearscale/scheduler/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/ProbationTest.java
@@ -1,10 +1,12 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.scheduler.Machine.Lifecycle;
+import io.pearscale.scheduler.autoscaling.ReplicaCapacityTest;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.placement.Placer;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.Maintenance.Stage;
 import java.time.Duration;
--- a/src/test/java/io/pearscale/scheduler/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
@@ -1,4 +1,4 @@
-package io.pearscale.scheduler;
+package io.pearscale.scheduler.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -13,7 +13,7 @@
 import io.pearscale.protocol.WorkloadType;
 import io.pearscale.scheduler.OperatorSettings;
 import io.pearscale.scheduler.SchedulerActor;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.scheduler.Controller;
 import io.pearscale.scheduler.OperatorSettings;
-import io.pearscale.scheduler.Tuning;
+import io.pearscale.scheduler.model.Tuning;
 import io.pearscale.transport.Body;
 import io.pearscale.transport.EventLoop;
 import io.pearscale.transport.HttpClient;
