--- a/src/main/java/io/pearscale/api/TaskCountPublisher.java
+++ b/src/main/java/io/pearscale/api/TaskCountPublisher.java
@@ -35,12 +35,12 @@
   public void publishChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
-      int done = job.doneTasks.cardinality();
+      int done = job.doneCount();
       int running = job.runningTasks();
-      JobTaskCount before = lastPublished.get(job.spec.id());
+      JobTaskCount before = lastPublished.get(job.spec().id());
       if (before == null || before.done() != done || before.running() != running) {
-        JobTaskCount count = new JobTaskCount(job.spec.id(), done, running);
-        lastPublished.put(job.spec.id(), count);
+        JobTaskCount count = new JobTaskCount(job.spec().id(), done, running);
+        lastPublished.put(job.spec().id(), count);
         changed.add(count);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -239,8 +239,8 @@
     for (LiveJobs list : m.liveJobs) {
       Set<String> live = Set.copyOf(list.jobs());
       List.copyOf(jobs.all()).stream()
-          .filter(job -> job.revision <= list.storeRevision() && !live.contains(job.spec.id()))
-          .forEach(job -> jobCancelled(job.spec.id()));
+          .filter(job -> job.revision() <= list.storeRevision() && !live.contains(job.spec().id()))
+          .forEach(job -> jobCancelled(job.spec().id()));
     }
     leadership.recordPeerConfirmation(m.provenAt);
   }
@@ -258,14 +258,14 @@
     }
     records.closeJob(job.get());
     components.gangs.forget(job.get());
-    for (TaskAttempt attempt : List.copyOf(job.get().attempts.values())) {
+    for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
       // saves already, for whatever reason it was stopped, is told to end.
-      attempt.stopsWithoutCheckpoint = true;
-      attempt.stopsSent = 0;
+      attempt.forbidCheckpoint();
+      attempt.forgetStopsSent();
       inventory.stop(attempt);
-      inventory.markCommandDue(attempt.machine);
-      components.dispatcher.sendDueCommands(attempt.machine);
+      inventory.markCommandDue(attempt.machine());
+      components.dispatcher.sendDueCommands(attempt.machine());
     }
   }
 
@@ -344,7 +344,7 @@
     int slices = Math.min(MAX_SLICES, 1 + inventory.size() / MACHINES_PER_SLICE);
     int i = ++ticks;
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (++i % slices == 0 || !machine.reconciled) {
+      if (++i % slices == 0 || !machine.reconciled()) {
         components.failureDetector.check(machine, now);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -8,6 +8,7 @@
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.model.AbsenceProof;
 import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.AttemptId;
 import io.pearscale.scheduler.model.DecisionLog;
 import io.pearscale.scheduler.model.DecisionLog.Channel;
 import io.pearscale.scheduler.model.Job;
@@ -15,9 +16,9 @@
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.AttemptId;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import io.pearscale.scheduler.model.TermExecutor;
@@ -32,7 +33,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
@@ -137,7 +137,8 @@
   }
 
   private static boolean hasPlannedAttempt(Machine machine) {
-    return machine.attempts.values().stream().anyMatch(attempt -> attempt.stage == Stage.PLANNED);
+    return machine.attempts().values().stream()
+        .anyMatch(attempt -> attempt.stage() == Stage.PLANNED);
   }
 
   /** All that goes with the answer to a report of the machine. */
@@ -162,16 +163,15 @@
   /** Starts that seem to be lost. The same attempt can't run twice, whatever comes late. */
   private List<AgentCommand> resentStarts(Machine machine) {
     List<AgentCommand> commands = new ArrayList<>();
-    for (TaskAttempt attempt : machine.attempts.values()) {
+    for (TaskAttempt attempt : machine.attempts().values()) {
       boolean seemsLost =
-          attempt.stage == Stage.START_SENT
-              && !attempt.observed
-              && !attempt.stopping
-              && !machine.commandInFlight;
+          attempt.stage() == Stage.START_SENT
+              && !attempt.observed()
+              && !attempt.stopping()
+              && !machine.reachability().commandInFlight();
       if (seemsLost && leadership.mayStartTasks()) {
-        attempt.startToken = machine.fencingToken;
-        attempt.startIncarnation = machine.lease.incarnation();
-        commands.add(AgentCommand.start(attempt.task, attempt.number));
+        attempt.startResent(machine.fencing().current(), machine.lease().incarnation());
+        commands.add(AgentCommand.start(attempt.task(), attempt.number()));
       }
     }
     return commands;
@@ -182,23 +182,25 @@
    */
   private Set<AttemptId> forgettableAttempts(Machine machine) {
     Set<AttemptId> forgettable = new LinkedHashSet<>();
-    for (Map.Entry<AttemptId, Long> entry : machine.endedAttempts.entrySet()) {
+    for (Map.Entry<AttemptId, Long> entry : machine.reportedAttempts().ended().entrySet()) {
       AttemptId attempt = entry.getKey();
       Job job = jobs.get(attempt.task().job());
       if (job != null
-          && job.doneTasks.get(attempt.task().index())
-          && !job.durablyDoneTasks.get(attempt.task().index())) {
+          && job.isDone(attempt.task().index())
+          && !job.isDurablyDone(attempt.task().index())) {
         continue;
       }
       // After a clear the worker would take a late start command for a new one, be it in doubt, on
       // its way or a copy. So what clears an attempt carries a higher token than any start of it
       // did: from then on the worker refuses those. Only what is done may be started again: it
       // stays done.
-      if (entry.getValue() < 0 && (machine.commandInFlight || machine.commandOutcomeUnknown())) {
+      if (entry.getValue() < 0
+          && (machine.reachability().commandInFlight()
+              || machine.fencing().isCommandOutcomeUnknown())) {
         continue;
       }
-      if (machine.fencingToken <= entry.getValue()) {
-        machine.incrementFencingToken();
+      if (machine.fencing().current() <= entry.getValue()) {
+        machine.fencing().increment();
       }
       forgettable.add(attempt);
     }
@@ -208,32 +210,30 @@
   /** Placements that may be started now; they count as sent from here on. */
   private List<AgentCommand> dueStarts(Machine machine, Set<AttemptId> forgotten) {
     List<AgentCommand> commands = new ArrayList<>();
-    if (!machine.recorded
-        || machine.lifecycle != Lifecycle.UP
-        || !machine.reconciled
-        || machine.leaseExpired) {
+    if (!machine.record().isRecorded()
+        || machine.lifecycle() != Lifecycle.UP
+        || !machine.reconciled()
+        || machine.leaseExpired()) {
       return commands;
     }
-    Machine.Resources available = null;
-    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
+    Resources available = null;
+    for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
       boolean durable =
-          attempt.stage == Stage.PLANNED
-              && attempt.placementRecorded
-              && GangTracker.mayStart(attempt.job);
+          attempt.stage() == Stage.PLANNED
+              && attempt.placementRecorded()
+              && GangTracker.mayStart(attempt.job());
       if (!durable || mayBeRefusedAsBusy(machine, attempt, forgotten)) {
         continue;
       }
       if (available == null) {
         available = machine.physicallyAvailable();
       }
-      if (!available.fits(attempt.job) || !leadership.mayStartTasks()) {
+      if (!available.fits(attempt.job().spec()) || !leadership.mayStartTasks()) {
         continue;
       }
-      available.subtract(attempt.job);
-      attempt.stage = Stage.START_SENT;
-      attempt.startToken = machine.fencingToken;
-      attempt.startIncarnation = machine.lease.incarnation();
-      commands.add(AgentCommand.start(attempt.task, attempt.number));
+      available.subtract(attempt.job().spec());
+      attempt.startSent(machine.fencing().current(), machine.lease().incarnation());
+      commands.add(AgentCommand.start(attempt.task(), attempt.number()));
     }
     return commands;
   }
@@ -241,8 +241,8 @@
   /** Whether the worker still knows another attempt of the task, and might refuse this one. */
   private static boolean mayBeRefusedAsBusy(
       Machine machine, TaskAttempt attempt, Set<AttemptId> forgotten) {
-    return machine.endedAttempts.keySet().stream()
-        .anyMatch(e -> e.task().equals(attempt.task) && !forgotten.contains(e));
+    return machine.reportedAttempts().ended().keySet().stream()
+        .anyMatch(e -> e.task().equals(attempt.task()) && !forgotten.contains(e));
   }
 
   /** Whether something waits that is worth a command of its own. */
@@ -250,8 +250,10 @@
     if (StopCommands.hasUnsent(machine)) {
       return true;
     }
-    for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.stage == Stage.PLANNED && attempt.placementRecorded && machine.recorded) {
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (attempt.stage() == Stage.PLANNED
+          && attempt.placementRecorded()
+          && machine.record().isRecorded()) {
         return true;
       }
     }
@@ -274,12 +276,12 @@
 
   private boolean maySendDirectCommand(Machine machine) {
     return leadership.isReady()
-        && !machine.commandInFlight
-        && machine.reconciled
-        && !machine.leaseExpired
-        && !machine.address.isEmpty()
-        && machine.lifecycle == Lifecycle.UP
-        && !clock.instant().isBefore(machine.directCommandsAfter);
+        && !machine.reachability().commandInFlight()
+        && machine.reconciled()
+        && !machine.leaseExpired()
+        && !machine.address().isEmpty()
+        && machine.lifecycle() == Lifecycle.UP
+        && !clock.instant().isBefore(machine.reachability().directCommandsAfter());
   }
 
   /**
@@ -309,10 +311,10 @@
     }
     while (probesInFlight < MAX_CONCURRENT_PROBES && !unprobed.isEmpty()) {
       Machine machine = unprobed.poll();
-      if (!machine.reconciled
-          && !machine.commandInFlight
+      if (!machine.reconciled()
+          && !machine.reachability().commandInFlight()
           && inventory.contains(machine)
-          && !machine.address.isEmpty()) {
+          && !machine.address().isEmpty()) {
         send(machine, List.of());
       }
     }
@@ -320,7 +322,7 @@
 
   /** Asks a machine of the roster for its state, and shows it our token on the way. */
   void probe(Machine machine) {
-    if (!machine.commandInFlight && !machine.address.isEmpty()) {
+    if (!machine.reachability().commandInFlight() && !machine.address().isEmpty()) {
       send(machine, List.of());
     }
   }
@@ -336,23 +338,23 @@
   }
 
   private void send(Machine machine, List<AgentCommand> commands) {
-    CommandCall call = new CommandCall(machine, machine.fencingToken, commands);
-    machine.commandInFlight = true;
+    CommandCall call = new CommandCall(machine, machine.fencing().current(), commands);
+    machine.reachability().commandSent();
     probesInFlight += call.isProbe() ? 1 : 0;
     ObjectNode body =
         MessagePack.map()
-            .put("baton", machine.fencingToken)
-            .put("stint", machine.lease.incarnation());
+            .put("baton", machine.fencing().current())
+            .put("stint", machine.lease().incarnation());
     var list = body.putArray("orders");
     commands.forEach(command -> list.add(command.toNode()));
     Duration timeout = call.isProbe() ? PROBE_TIMEOUT : COMMAND_TIMEOUT;
     Consumer<Reply> handler = executor.callback(reply -> handleReply(call, reply));
-    calls.call(machine.address, "POST", "/do", body, timeout, handler);
+    calls.call(machine.address(), "POST", "/do", body, timeout, handler);
   }
 
   private void handleReply(CommandCall call, Reply reply) {
     Machine machine = call.machine;
-    machine.commandInFlight = false;
+    machine.reachability().commandEnded();
     probesInFlight -= call.isProbe() ? 1 : 0;
     if (!unprobed.isEmpty()) {
       sendMoreProbes();
@@ -368,22 +370,26 @@
     if (reply.notSent()) {
       // Not a sign of anything about the machine: the next report or moment brings another chance.
       revertUnexecuted(call);
-      machine.directCommandsAfter = clock.instant().plus(INITIAL_BACKOFF);
+      machine.reachability().pauseDirectCommandsUntil(clock.instant().plus(INITIAL_BACKOFF));
     } else if (call.isProbe()) {
       // Each miss doubles the pause: a zone that is cut off must not keep us busy.
-      machine.missedProbes++;
-      long backoffFactor = 1L << Math.min(MAX_BACKOFF_DOUBLINGS, machine.missedProbes);
-      machine.directCommandsAfter =
-          clock.instant().plus(INITIAL_BACKOFF.multipliedBy(backoffFactor));
+      machine.reachability().probeMissed();
+      long backoffFactor =
+          1L << Math.min(MAX_BACKOFF_DOUBLINGS, machine.reachability().missedProbes());
+      machine
+          .reachability()
+          .pauseDirectCommandsUntil(
+              clock.instant().plus(INITIAL_BACKOFF.multipliedBy(backoffFactor)));
     } else {
       // It may have been executed, or be executed later: a higher token puts an end to that.
-      machine.unknownOutcomeToken = Math.max(machine.unknownOutcomeToken, call.fencingToken);
-      machine.incrementFencingToken();
-      machine.directCommandsAfter = clock.instant().plus(OUTCOME_UNKNOWN_BACKOFF);
+      machine.fencing().commandOutcomeUnknown(call.fencingToken);
+      machine
+          .reachability()
+          .pauseDirectCommandsUntil(clock.instant().plus(OUTCOME_UNKNOWN_BACKOFF));
       LOG.info(
           "event=command_in_doubt term={} machine={} token={}",
           leadership.term(),
-          machine.name,
+          machine.name(),
           call.fencingToken);
     }
   }
@@ -393,7 +399,7 @@
     Machine machine = call.machine;
     try {
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
-      if (!heartbeat.machine().equals(machine.name)) {
+      if (!heartbeat.machine().equals(machine.name())) {
         throw new MalformedMessageException("answer of another machine");
       }
       if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
@@ -403,13 +409,12 @@
       if (refused) {
         revertUnexecuted(call);
       }
-      boolean wasReconciled = machine.reconciled;
-      if (machine.lease.isNewer(heartbeat)) {
+      boolean wasReconciled = machine.reconciled();
+      if (machine.lease().isNewer(heartbeat)) {
         heartbeatProcessor.process(machine, heartbeat, true);
-        machine.answersWithoutHeartbeatSince =
-            machine.answersWithoutHeartbeatSince.or(() -> Optional.of(clock.instant()));
+        machine.reachability().commandAnswered(clock.instant());
       }
-      if (!wasReconciled && !machine.reconciled && refused) {
+      if (!wasReconciled && !machine.reconciled() && refused) {
         probe(machine);
       } else {
         sendDueCommands(machine);
@@ -418,7 +423,7 @@
     } catch (MalformedMessageException malformed) {
       LOG.warn(
           "event=worker_answer_malformed machine={} reason={}",
-          machine.name,
+          machine.name(),
           malformed.getMessage());
       return false;
     }
@@ -430,26 +435,26 @@
    */
   private void revertUnexecuted(CommandCall call) {
     for (AgentCommand command : call.commands) {
-      TaskAttempt attempt = call.machine.attempts.get(command.task());
-      if (attempt == null || attempt.number != command.attempt()) {
+      TaskAttempt attempt = call.machine.attempts().get(command.task());
+      if (attempt == null || attempt.number() != command.attempt()) {
         continue;
       }
       if (command.verb() == AgentCommand.Verb.STOP) {
-        attempt.stopsSent = 0;
+        attempt.forgetStopsSent();
       } else if (command.verb() == AgentCommand.Verb.START
-          && !attempt.observed
-          && attempt.startToken == call.fencingToken) {
+          && !attempt.observed()
+          && attempt.startToken() == call.fencingToken) {
         revertStart(attempt);
       }
     }
   }
 
   private void revertStart(TaskAttempt attempt) {
-    if (attempt.stopping) {
+    if (attempt.stopping()) {
       inventory.remove(attempt, AbsenceProof.NOT_EXECUTED);
     } else {
-      attempt.stage = Stage.PLANNED;
-      inventory.markCommandDue(attempt.machine);
+      attempt.startNotExecuted();
+      inventory.markCommandDue(attempt.machine());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -70,17 +70,17 @@
 
   /** Whether tasks may be placed on the machine. */
   public boolean isSchedulable(Machine machine, Instant now) {
-    return machine.lifecycle == Lifecycle.UP
-        && machine.reconciled
-        && !machine.leaseExpired
-        && !machine.quarantined
-        && machine.preemptionNoticeAt.isEmpty()
-        && machine.maintenance.isSchedulable()
-        && machine.heartbeatEverReceived
-        && machine.unacknowledgedResponses == 0
+    return machine.lifecycle() == Lifecycle.UP
+        && machine.reconciled()
+        && !machine.leaseExpired()
+        && !machine.failures().isQuarantined()
+        && machine.preemptionNoticeAt().isEmpty()
+        && machine.maintenance().isSchedulable()
+        && machine.reachability().heartbeatEverReceived()
+        && machine.fencing().unacknowledgedResponses() == 0
         && !isHeartbeatPathDown(machine, now)
-        && !now.isBefore(machine.avoidUntil)
-        && Duration.between(machine.lastReachableAt, now)
+        && !now.isBefore(machine.failures().avoidUntil())
+        && Duration.between(machine.reachability().lastReachableAt(), now)
                 .compareTo(agentTimeouts.schedulableWithin())
             < 0;
   }
@@ -90,14 +90,14 @@
    * stay. Nearly all machines are like this nearly always, so this is asked before all else.
    */
   private boolean isHealthy(Machine machine, Instant now) {
-    return machine.lifecycle == Lifecycle.UP
-        && machine.reconciled
-        && !machine.leaseExpired
-        && !machine.quarantined
-        && machine.preemptionNoticeAt.isEmpty()
-        && machine.answersWithoutHeartbeatSince.isEmpty()
-        && now.isBefore(machine.lastReachableAt.plus(agentTimeouts.heartbeatDue()))
-        && machine.lease.isHeld(now, agentTimeouts.lease());
+    return machine.lifecycle() == Lifecycle.UP
+        && machine.reconciled()
+        && !machine.leaseExpired()
+        && !machine.failures().isQuarantined()
+        && machine.preemptionNoticeAt().isEmpty()
+        && machine.reachability().answersWithoutHeartbeatSince().isEmpty()
+        && now.isBefore(machine.reachability().lastReachableAt().plus(agentTimeouts.heartbeatDue()))
+        && machine.lease().isHeld(now, agentTimeouts.lease());
   }
 
   /** A round over the machines begins: how many are silent is counted anew. */
@@ -125,23 +125,18 @@
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
   private boolean isLeaseExpired(Machine machine, Instant now) {
-    return machine.heartbeatEverReceived
-        && !machine.leaseExpired
-        && machine.lease.isExpired(now, agentTimeouts.leaseExpiryBound());
+    return machine.reachability().heartbeatEverReceived()
+        && !machine.leaseExpired()
+        && machine.lease().isExpired(now, agentTimeouts.leaseExpiryBound());
   }
 
   /** Nothing can be alive on the machine. */
   private void expireLease(Machine machine) {
-    machine.leaseExpired = true;
-    decisions.leaseExpired(machine, machine.attempts.size(), agentTimeouts.leaseExpiryBound());
-    // Its worker has gone on to another session, and has to show that, with our token: reports of
-    // this one that a cut had held back say only what was.
-    machine.reconciled = false;
-    machine.endedAttempts.clear();
-    machine.unknownAttempts.clear();
+    machine.expireLease();
+    decisions.leaseExpired(machine, machine.attempts().size(), agentTimeouts.leaseExpiryBound());
     inventory.removeAll(machine, AbsenceProof.LEASE_EXPIRED);
-    machine.lease.endIncarnation();
-    if (machine.lifecycle == Lifecycle.UP && machine.maintenance.isInService()) {
+    machine.lease().endIncarnation();
+    if (machine.lifecycle() == Lifecycle.UP && machine.maintenance().isInService()) {
       // A successor need not wait for it again. Before its next start it is recorded anew.
       records.removeMachine(machine);
     }
@@ -149,14 +144,14 @@
 
   private void probeIfSilent(Machine machine, Instant now) {
     boolean silent = sinceLastContact(machine, now).compareTo(agentTimeouts.heartbeatDue()) > 0;
-    boolean unreconciled = !machine.reconciled && dispatcher.hasProbedAllRecorded();
-    if (machine.lifecycle == Lifecycle.UP
-        && machine.heartbeatEverReceived
-        && !machine.leaseExpired
+    boolean unreconciled = !machine.reconciled() && dispatcher.hasProbedAllRecorded();
+    if (machine.lifecycle() == Lifecycle.UP
+        && machine.reachability().heartbeatEverReceived()
+        && !machine.leaseExpired()
         && (unreconciled || silent)
-        && !machine.commandInFlight
+        && !machine.reachability().commandInFlight()
         && dispatcher.mayProbe()
-        && now.isAfter(machine.directCommandsAfter)) {
+        && now.isAfter(machine.reachability().directCommandsAfter())) {
       dispatcher.probe(machine);
     }
   }
@@ -168,30 +163,32 @@
    * Other work is done again, the sooner the better.
    */
   private boolean isUnreachable(Machine machine, Instant now) {
-    boolean serves = machine.replicaCount() > 0;
+    boolean serves = machine.attempts().replicaCount() > 0;
     boolean few = reachability(now).fewUnreachable();
     Duration patience =
-        serves && (machine.reconciled || !few)
+        serves && (machine.reconciled() || !few)
             ? agentTimeouts.halfLease()
             : agentTimeouts.unresponsiveAfter();
-    return machine.lifecycle == Lifecycle.UP
-        && !machine.leaseExpired
-        && machine.missedProbes >= UNREACHABLE_AFTER_PROBES
+    return machine.lifecycle() == Lifecycle.UP
+        && !machine.leaseExpired()
+        && machine.reachability().missedProbes() >= UNREACHABLE_AFTER_PROBES
         && sinceLastContact(machine, now).compareTo(patience) > 0
-        && (!machine.attempts.isEmpty() || !machine.reconciled)
+        && (!machine.attempts().isEmpty() || !machine.reconciled())
         && (few || (serves && reachability(now).minorityUnreachable()));
   }
 
   /** Whether what was decided for the machine, but not sent, may stay decided. */
   private boolean mayKeepPlanned(Machine machine, Instant now) {
-    return !machine.quarantined
-        && machine.preemptionNoticeAt.isEmpty()
-        && machine.lifecycle == Lifecycle.UP
-        && !now.isAfter(machine.lastReachableAt.plus(agentTimeouts.withdrawPlannedAfter()));
+    return !machine.failures().isQuarantined()
+        && machine.preemptionNoticeAt().isEmpty()
+        && machine.lifecycle() == Lifecycle.UP
+        && !now.isAfter(
+            machine.reachability().lastReachableAt().plus(agentTimeouts.withdrawPlannedAfter()));
   }
 
   private Optional<Reason> reasonToRetire(Machine machine, boolean unreachable, Instant now) {
-    if (machine.maintenance.stage() == Maintenance.Stage.DRAINED && machine.attempts.isEmpty()) {
+    if (machine.maintenance().stage() == Maintenance.Stage.DRAINED
+        && machine.attempts().isEmpty()) {
       // Whoever maintains it may switch it off; what the cloud says of it counts all the same.
       return Optional.empty();
     }
@@ -201,8 +198,8 @@
     if (wasPreempted(machine, now)) {
       return Optional.of(Reason.PREEMPTED);
     }
-    boolean empty = machine.lifecycle == Lifecycle.UP && machine.attempts.isEmpty();
-    if (machine.quarantined && empty) {
+    boolean empty = machine.lifecycle() == Lifecycle.UP && machine.attempts().isEmpty();
+    if (machine.failures().isQuarantined() && empty) {
       return Optional.of(Reason.QUARANTINED);
     }
     if (unreachable) {
@@ -218,15 +215,15 @@
 
   private static boolean exceededBootTimeout(Machine machine, Instant now) {
     Duration bootTimeout =
-        machine.type.bootTime().multipliedBy(BOOT_TIMEOUT_FACTOR).plus(BOOT_TIMEOUT_MARGIN);
-    return machine.lifecycle == Lifecycle.BOOTING
-        && now.isAfter(machine.provisionedAt.plus(bootTimeout));
+        machine.type().bootTime().multipliedBy(BOOT_TIMEOUT_FACTOR).plus(BOOT_TIMEOUT_MARGIN);
+    return machine.lifecycle() == Lifecycle.BOOTING
+        && now.isAfter(machine.provisionedAt().plus(bootTimeout));
   }
 
   private static boolean wasPreempted(Machine machine, Instant now) {
-    return machine.preemptionNoticeAt.isPresent()
-        && now.isAfter(machine.preemptionNoticeAt.get().plus(PREEMPTION_MARGIN))
-        && now.isAfter(machine.lastReachableAt.plus(PREEMPTED_SILENCE));
+    return machine.preemptionNoticeAt().isPresent()
+        && now.isAfter(machine.preemptionNoticeAt().get().plus(PREEMPTION_MARGIN))
+        && now.isAfter(machine.reachability().lastReachableAt().plus(PREEMPTED_SILENCE));
   }
 
   /**
@@ -236,11 +233,11 @@
    */
   private boolean missedHeartbeatsForLong(Machine machine, Instant now) {
     int leases =
-        reachability(now).unreachableZones().contains(machine.zone)
+        reachability(now).unreachableZones().contains(machine.zone())
             ? ZONE_OUTAGE_LEASES
             : SILENT_MACHINE_LEASES;
-    return machine.leaseExpired
-        && machine.lifecycle == Lifecycle.UP
+    return machine.leaseExpired()
+        && machine.lifecycle() == Lifecycle.UP
         && now.isAfter(lastContact(machine).plus(agentTimeouts.lease().multipliedBy(leases)));
   }
 
@@ -261,8 +258,13 @@
    * report may find nobody for as long, and comes in time.
    */
   private boolean isHeartbeatPathDown(Machine machine, Instant now) {
-    return machine.answersWithoutHeartbeatSince.isPresent()
-        && now.isAfter(machine.answersWithoutHeartbeatSince.get().plus(agentTimeouts.halfLease()));
+    return machine.reachability().answersWithoutHeartbeatSince().isPresent()
+        && now.isAfter(
+            machine
+                .reachability()
+                .answersWithoutHeartbeatSince()
+                .get()
+                .plus(agentTimeouts.halfLease()));
   }
 
   /**
@@ -285,8 +287,8 @@
 
   /** When a machine was last heard; one that a new leader has not heard yet counts from its win. */
   private Instant lastContact(Machine machine) {
-    return machine.lastReachableAt.isAfter(leadership.electedAt())
-        ? machine.lastReachableAt
+    return machine.reachability().lastReachableAt().isAfter(leadership.electedAt())
+        ? machine.reachability().lastReachableAt()
         : leadership.electedAt();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -34,44 +34,42 @@
    */
   void noteFailure(Machine machine, Job job) {
     Instant now = clock.instant();
-    job.machinesFailedOn.add(machine.name);
-    machine.recordFailure(job);
-    if (job.failsEverywhere()) {
-      if (!now.isBefore(job.retryNotBefore)) {
-        job.retryNotBefore = now.plusSeconds(Math.min(60, 4L << Math.min(4, job.retries++)));
-      }
-      for (String name : job.machinesFailedOn) {
+    job.failures().recordFailure(machine.name());
+    machine.failures().recordFailure(job.failures());
+    if (job.failures().failsEverywhere()) {
+      job.failures().backOff(now);
+      for (String name : job.failures().machinesFailedOn()) {
         Machine other = inventory.get(name);
-        if (other != null && other.failureCount() == 0) {
-          other.avoidUntil = Instant.MIN;
+        if (other != null && other.failures().count() == 0) {
+          other.failures().avoidUntil(Instant.MIN);
         }
       }
     } else {
-      machine.avoidUntil = now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.failureCount())));
+      machine
+          .failures()
+          .avoidUntil(now.plusSeconds(Math.min(60, 5L << Math.min(4, machine.failures().count()))));
     }
     quarantineIfFaulty(machine);
   }
 
   /** A task of the job was done. Where others failed before, the machine was at fault. */
   void noteSuccess(Machine machine, Job job) {
-    if (!job.taskSucceeded) {
-      job.taskSucceeded = true;
-      job.retryNotBefore = Instant.MIN;
-      for (String name : job.machinesFailedOn) {
+    if (job.failures().recordSuccess()) {
+      for (String name : job.failures().machinesFailedOn()) {
         Optional.ofNullable(inventory.get(name)).ifPresent(this::quarantineIfFaulty);
       }
     }
-    machine.recordSuccess();
+    machine.failures().recordSuccess();
   }
 
   private void quarantineIfFaulty(Machine machine) {
-    if (!machine.quarantined && machine.failuresPointToMachine()) {
-      machine.quarantined = true;
+    if (!machine.failures().isQuarantined() && machine.failures().pointToMachine()) {
+      machine.failures().quarantine();
       LOG.warn(
           "event=machine_faulty term={} machine={} strikes={}",
           leadership.term(),
-          machine.name,
-          machine.failureCount());
+          machine.name(),
+          machine.failures().count());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -35,12 +35,14 @@
     int silent = 0;
     Map<String, Integer> silentMinusHeardByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (machine.lifecycle == Lifecycle.UP && machine.heartbeatEverReceived) {
+      if (machine.lifecycle() == Lifecycle.UP && machine.reachability().heartbeatEverReceived()) {
         silentMinusHeardByZone.merge(
-            machine.zone, lastContact.apply(machine).isBefore(silentSince) ? 1 : -1, Integer::sum);
-        if (!machine.leaseExpired) {
+            machine.zone(),
+            lastContact.apply(machine).isBefore(silentSince) ? 1 : -1,
+            Integer::sum);
+        if (!machine.leaseExpired()) {
           up++;
-          silent += machine.lastReachableAt.isBefore(silentSince) ? 1 : 0;
+          silent += machine.reachability().lastReachableAt().isBefore(silentSince) ? 1 : 0;
         }
       }
     }
--- a/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
@@ -62,7 +62,7 @@
 
   private GangAttempt attemptOf(Job job) {
     phaseSince.putIfAbsent(job, clock.instant());
-    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec.tasks(), formingTimeout));
+    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formingTimeout));
   }
 
   /** What the job's attempt is at. */
@@ -82,36 +82,36 @@
       case FORMING ->
           "%d of the %d tasks of its gang have their image, and wait for the others: %s"
               .formatted(
-                  countInStage(job, Stage.WAITING_FOR_GANG), job.spec.tasks(), stragglers(job));
+                  countInStage(job, Stage.WAITING_FOR_GANG), job.spec().tasks(), stragglers(job));
       case ENDING ->
           "tasks of the attempt before are not yet proven gone: " + machinesOf(job, placed -> true);
       case UNKNOWN ->
           "tasks that a former leader placed were not shown yet: "
-              + machinesOf(job, placed -> !placed.observed);
+              + machinesOf(job, placed -> !placed.observed());
       case VACANT, RUNNING -> "it does not wait";
     };
   }
 
   private static long countInStage(Job job, Stage stage) {
-    return job.attempts.values().stream().filter(placed -> placed.stage == stage).count();
+    return job.attempts().values().stream().filter(placed -> placed.stage() == stage).count();
   }
 
   private static String stragglers(Job job) {
-    return machinesOf(job, placed -> placed.stage.compareTo(Stage.WAITING_FOR_GANG) < 0);
+    return machinesOf(job, placed -> placed.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
   private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
-    return job.attempts.values().stream()
+    return job.attempts().values().stream()
         .filter(which)
         .limit(MAX_MACHINES_NAMED)
-        .map(placed -> placed.machine.name)
+        .map(placed -> placed.machine().name())
         .distinct()
         .collect(Collectors.joining(", "));
   }
 
   /** What is to be done for the gang now. */
   public Action nextAction(Job job) {
-    if (!job.doneTasks.isEmpty()) {
+    if (job.hasDoneTasks()) {
       return Action.NONE; // One task that is done makes all done: what is left exits by itself.
     }
     GangAttempt attempt = attemptOf(job);
@@ -130,19 +130,16 @@
     }
     Instant now = clock.instant();
     Duration lasted = Duration.between(phaseSince.put(job, now), now);
-    if (before == Phase.RUNNING
-        && phase == Phase.ENDING
-        && job.doneTasks.isEmpty()
-        && !checkpointed) {
+    if (before == Phase.RUNNING && phase == Phase.ENDING && !job.hasDoneTasks() && !checkpointed) {
       lostWork = lostWork.plus(workSinceCheckpoint(job, lasted));
     }
     LOG.info(
         "event=gang term={} job={} phase={} attempt={} tasks={} ended={} before={} lasted_ms={}",
         leadership.term(),
-        job.spec.id(),
+        job.spec().id(),
         phase,
         attempt.number().orElse(-1L),
-        job.attempts.size(),
+        job.attempts().size(),
         attempt.endedAttempts(),
         before,
         lasted.toMillis());
@@ -150,16 +147,16 @@
 
   /** The work since the last checkpoint, of all tasks, as far as this leader saw them run. */
   private static Duration workSinceCheckpoint(Job job, Duration ran) {
-    long checkpointMillis = job.spec.checkpointInterval().toMillis();
+    long checkpointMillis = job.spec().checkpointInterval().toMillis();
     long sinceCheckpoint =
         checkpointMillis == 0 ? ran.toMillis() : ran.toMillis() % checkpointMillis;
-    return Duration.ofMillis(sinceCheckpoint * job.spec.tasks());
+    return Duration.ofMillis(sinceCheckpoint * job.spec().tasks());
   }
 
   private static Collection<Member> membersOf(Job job) {
-    List<Member> members = new ArrayList<>(job.attempts.size());
-    for (TaskAttempt attempt : job.attempts.values()) {
-      members.add(new Member(attempt.number, stageOf(attempt.stage), attempt.stopping));
+    List<Member> members = new ArrayList<>(job.attempts().size());
+    for (TaskAttempt attempt : job.attempts().values()) {
+      members.add(new Member(attempt.number(), stageOf(attempt.stage()), attempt.stopping()));
     }
     return members;
   }
@@ -208,15 +205,16 @@
    * and all marks are durable, so that none is started in vain and a successor knows of each.
    */
   static boolean mayStart(Job job) {
-    if (!job.spec.isGang()) {
+    if (!job.spec().isGang()) {
       return true;
     }
-    return job.attempts.size() == job.spec.tasks()
-        && job.attempts.values().stream()
+    return job.attempts().size() == job.spec().tasks()
+        && job.attempts().values().stream()
             .allMatch(
                 attempt ->
-                    attempt.stage != Stage.PLANNED
-                        || (attempt.placementRecorded && attempt.machine.recorded));
+                    attempt.stage() != Stage.PLANNED
+                        || (attempt.placementRecorded()
+                            && attempt.machine().record().isRecorded()));
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -53,10 +53,12 @@
    * @param withoutCheckpoint whether what is to start instead can't wait until it has saved
    */
   public void stop(TaskAttempt attempt, boolean withoutCheckpoint) {
-    if (attempt.job.spec.isGang() && gangs.phase(attempt.job) == Phase.RUNNING) {
-      stopGang(attempt.job, withoutCheckpoint);
+    if (attempt.job().spec().isGang() && gangs.phase(attempt.job()) == Phase.RUNNING) {
+      stopGang(attempt.job(), withoutCheckpoint);
     } else {
-      attempt.stopsWithoutCheckpoint |= withoutCheckpoint;
+      if (withoutCheckpoint) {
+        attempt.forbidCheckpoint();
+      }
       inventory.stop(attempt);
     }
   }
@@ -74,38 +76,41 @@
     Instant now = clock.instant();
     List<MemberReachability> members = new ArrayList<>();
     Duration remaining = NO_PREEMPTION;
-    for (TaskAttempt attempt : job.attempts.values()) {
+    for (TaskAttempt attempt : job.attempts().values()) {
       members.add(
           new MemberReachability(
-              attempt.stage == Stage.RUNNING, isReachable(attempt.machine, now)));
+              attempt.stage() == Stage.RUNNING, isReachable(attempt.machine(), now)));
       Duration untilPreemption =
           attempt
-              .machine
-              .preemptionNoticeAt
+              .machine()
+              .preemptionNoticeAt()
               .map(taken -> Duration.between(now, taken))
               .orElse(NO_PREEMPTION);
       remaining = untilPreemption.compareTo(remaining) < 0 ? untilPreemption : remaining;
     }
     boolean checkpoints =
         !withoutCheckpoint
-            && !job.spec.checkpointInterval().isZero()
+            && !job.spec().checkpointInterval().isZero()
             && GangCheckpointPolicy.mayCheckpoint(
-                members, job.spec.tasks(), remaining, job.spec.checkpointDuration());
+                members, job.spec().tasks(), remaining, job.spec().checkpointDuration());
     gangs.noteEnding(job, checkpoints);
-    for (TaskAttempt attempt : List.copyOf(job.attempts.values())) {
-      attempt.stopsWithoutCheckpoint |= !checkpoints;
+    for (TaskAttempt attempt : List.copyOf(job.attempts().values())) {
+      if (!checkpoints) {
+        attempt.forbidCheckpoint();
+      }
       inventory.stop(attempt);
     }
   }
 
   /** Whether a command reaches the machine within a moment, as far as can be known. */
   private boolean isReachable(Machine machine, Instant now) {
-    return machine.lifecycle == Lifecycle.UP
-        && machine.reconciled
-        && !machine.leaseExpired
-        && !machine.commandOutcomeUnknown()
-        && !machine.address.isEmpty()
-        && !now.isBefore(machine.directCommandsAfter)
-        && now.isBefore(machine.lastReachableAt.plus(agentTimeouts.reachableWithin()));
+    return machine.lifecycle() == Lifecycle.UP
+        && machine.reconciled()
+        && !machine.leaseExpired()
+        && !machine.fencing().isCommandOutcomeUnknown()
+        && !machine.address().isEmpty()
+        && !now.isBefore(machine.reachability().directCommandsAfter())
+        && now.isBefore(
+            machine.reachability().lastReachableAt().plus(agentTimeouts.reachableWithin()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -12,7 +12,6 @@
 import io.pearscale.scheduler.model.MachineInventory;
 import java.time.InstantSource;
 import java.util.List;
-import java.util.Optional;
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -65,52 +64,31 @@
       return HeartbeatResponse.UNAVAILABLE;
     }
     Machine machine = machineOf(heartbeat);
-    if (machine == null || !machine.lease.isNewer(heartbeat)) {
+    if (machine == null || !machine.lease().isNewer(heartbeat)) {
       LOG.debug("event=report_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
     }
-    processor.process(machine, heartbeat, receivedLastResponse(machine, heartbeat, relay));
-    machine.answersWithoutHeartbeatSince = Optional.empty();
-    machine.lease.renew(clock.instant());
-    machine.lastResponseController = relay;
+    boolean reachable = machine.fencing().acknowledgeResponse(heartbeat.fencingToken(), relay);
+    processor.process(machine, heartbeat, reachable);
+    machine.reachability().heartbeatAccepted();
+    machine.lease().renew(clock.instant());
     List<AgentCommand> commands = commandsForResponse(machine, heartbeat);
     dispatcher.sendDueCommands(machine);
-    machine.lastResponseToken = machine.fencingToken;
-    return new HeartbeatResponse(200, machine.fencingToken, commands);
+    machine.fencing().responseSent(relay);
+    return new HeartbeatResponse(200, machine.fencing().current(), commands);
   }
 
   /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
   private List<AgentCommand> commandsForResponse(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.fencingToken() > machine.fencingToken) {
+    if (heartbeat.fencingToken() > machine.fencing().current()) {
       // The machine drops the answer, so that nothing is renewed.
       return List.of();
     }
-    return machine.reconciled
+    return machine.reconciled()
         ? dispatcher.commandsForHeartbeatResponse(machine)
         : StopCommands.forUnreconciled(heartbeat, jobs::isLive);
   }
 
-  /**
-   * Whether the machine has got the last answer, as far as its report can tell. One whose reports
-   * come while answers and commands don't reach it has a voice, but its lease runs out all the
-   * same: it shows an older token than it was answered with, or turns to another controller
-   * although it was answered, as workers do when no answer comes. A higher token makes sure.
-   */
-  private boolean receivedLastResponse(Machine machine, Heartbeat heartbeat, String relay) {
-    if (heartbeat.fencingToken() < machine.lastResponseToken) {
-      machine.unacknowledgedResponses++;
-      return false;
-    }
-    machine.unacknowledgedResponses = 0;
-    if (machine.lastResponseController.isEmpty() || machine.lastResponseController.equals(relay)) {
-      return true;
-    }
-    if (machine.fencingToken <= heartbeat.fencingToken()) {
-      machine.incrementFencingToken();
-    }
-    return false;
-  }
-
   private Machine machineOf(Heartbeat heartbeat) {
     Machine machine = inventory.get(heartbeat.machine());
     if (machine == null) {
@@ -127,7 +105,7 @@
               Lifecycle.UP,
               clock.instant());
       inventory.addFromPreviousLeader(machine);
-      LOG.info("event=machine_unexpected term={} machine={}", leadership.term(), machine.name);
+      LOG.info("event=machine_unexpected term={} machine={}", leadership.term(), machine.name());
     }
     return machine;
   }
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -66,15 +66,15 @@
 
   /** The machine is not used any more; it is deleted once that is durable. */
   public void retire(Machine machine, Reason reason) {
-    if (machine.lifecycle == Lifecycle.RETIRING) {
+    if (machine.lifecycle() == Lifecycle.RETIRING) {
       return;
     }
     LOG.info(
         "event=give_back term={} machine={} why={}",
         leadership.term(),
-        machine.name,
+        machine.name(),
         reason.logName());
-    machine.lifecycle = Lifecycle.RETIRING;
+    machine.beginRetirement();
     records.assignSlot(machine);
     records.recordMachineNow(machine);
   }
@@ -83,12 +83,12 @@
   public void deleteRetired() {
     List<String> names = new ArrayList<>();
     for (Machine machine : inventory.all()) {
-      if (machine.lifecycle == Lifecycle.RETIRING
-          && machine.recordedRetiring
-          && !machine.deletionSent
+      if (machine.lifecycle() == Lifecycle.RETIRING
+          && machine.record().isRetiring()
+          && !machine.cloud().isDeletionRequested()
           && names.size() < MAX_DELETIONS_PER_REQUEST) {
-        machine.deletionSent = true;
-        names.add(machine.name);
+        machine.cloud().deletionRequested();
+        names.add(machine.name());
       }
     }
     if (!names.isEmpty()) {
@@ -101,7 +101,7 @@
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.deletionSent = false;
+        machine.cloud().deletionFailed();
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
@@ -37,16 +37,16 @@
    */
   static List<AgentCommand> due(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
-    machine.unknownAttempts.replaceAll((attempt, sent) -> now);
+    machine.reportedAttempts().unknownStopsSent(now);
     machine
-        .unknownAttempts
+        .reportedAttempts()
+        .unknown()
         .keySet()
         .forEach(e -> stops.add(AgentCommand.stop(e.task(), e.attempt(), Duration.ZERO)));
-    for (TaskAttempt placement : machine.attempts.values()) {
+    for (TaskAttempt placement : machine.attempts().values()) {
       if (isDue(placement, inHeartbeatResponse, now)) {
         stops.add(stopCommand(placement));
-        placement.lastStopSentAt = now;
-        placement.stopsSent++;
+        placement.stopSent(now);
       }
     }
     return stops;
@@ -73,40 +73,40 @@
    * Whether a stop waits that no command has carried yet, so that a direct one is worth its cost.
    */
   static boolean hasUnsent(Machine machine) {
-    return machine.unknownAttempts.containsValue(Instant.MIN)
-        || machine.attempts.values().stream()
-            .anyMatch(attempt -> attempt.stopping && attempt.stopsSent == 0);
+    return machine.reportedAttempts().unknown().containsValue(Instant.MIN)
+        || machine.attempts().values().stream()
+            .anyMatch(attempt -> attempt.stopping() && attempt.stopsSent() == 0);
   }
 
   private static boolean isDue(TaskAttempt attempt, boolean inHeartbeatResponse, Instant now) {
-    if (!attempt.stopping || attempt.number < 0) {
+    if (!attempt.stopping() || attempt.number() < 0) {
       return false;
     }
-    if (attempt.stopsSent == 0 || (inHeartbeatResponse && !isCheckpointing(attempt))) {
+    if (attempt.stopsSent() == 0 || (inHeartbeatResponse && !isCheckpointing(attempt))) {
       return true;
     }
     Duration resendAfter =
         isCheckpointing(attempt)
-            ? RESEND_INTERVAL.plus(attempt.job.spec.checkpointDuration())
+            ? RESEND_INTERVAL.plus(attempt.job().spec().checkpointDuration())
             : RESEND_INTERVAL;
-    return Duration.between(attempt.lastStopSentAt, now).compareTo(resendAfter) >= 0;
+    return Duration.between(attempt.lastStopSentAt(), now).compareTo(resendAfter) >= 0;
   }
 
   /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
   private static boolean isCheckpointing(TaskAttempt attempt) {
-    return attempt.stage == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint;
+    return attempt.stage() == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint();
   }
 
   /** The command itself. A task that was given its time to save is told to end at once. */
   private static AgentCommand stopCommand(TaskAttempt attempt) {
     boolean mayStillCheckpoint =
-        !attempt.stopsWithoutCheckpoint
-            && !attempt.job.spec.checkpointInterval().isZero()
-            && (attempt.stopsSent == 0 || attempt.stage != Stage.CHECKPOINTING);
+        !attempt.stopsWithoutCheckpoint()
+            && !attempt.job().spec().checkpointInterval().isZero()
+            && (attempt.stopsSent() == 0 || attempt.stage() != Stage.CHECKPOINTING);
     Duration gracePeriod =
         mayStillCheckpoint
-            ? attempt.job.spec.checkpointDuration().plus(CHECKPOINT_MARGIN)
+            ? attempt.job().spec().checkpointDuration().plus(CHECKPOINT_MARGIN)
             : Duration.ZERO;
-    return AgentCommand.stop(attempt.task, attempt.number, gracePeriod);
+    return AgentCommand.stop(attempt.task(), attempt.number(), gracePeriod);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -90,8 +90,9 @@
     List<Machine> booting = new ArrayList<>();
     List<Machine> schedulable = new ArrayList<>();
     for (Machine machine : view.machines) {
-      if (machine.lifecycle == Lifecycle.BOOTING
-          && now.isBefore(machine.provisionedAt.plus(ScaleOutPlanner.bootTimeout(machine.type)))) {
+      if (machine.lifecycle() == Lifecycle.BOOTING
+          && now.isBefore(
+              machine.provisionedAt().plus(ScaleOutPlanner.bootTimeout(machine.type())))) {
         booting.add(machine);
       } else if (view.schedulable.test(machine)) {
         schedulable.add(machine);
@@ -111,7 +112,7 @@
       // Some tasks wait at any moment for the next pass; what counts is whether it finds room.
       planScaleIn(
           schedulable,
-          view.waiting.stream().anyMatch(job -> job.unschedulable),
+          view.waiting.stream().anyMatch(job -> job.isUnschedulable()),
           headroom,
           plan,
           now);
@@ -125,18 +126,18 @@
     Map<DemandKey, ScaleOutPlanner.Demand> demands = new LinkedHashMap<>();
     for (Job job : view.waiting) {
       // What the team's limit keeps waiting would wait on rented machines as well.
-      int tasks = Math.min(job.pendingTasks(), view.quotaUsage.tasksLeftWithinLimit(job.spec));
-      if (tasks == 0 || (job.spec.isGang() && tasks < job.pendingTasks())) {
+      int tasks = Math.min(job.pendingTasks(), view.quotaUsage.tasksLeftWithinLimit(job.spec()));
+      if (tasks == 0 || (job.spec().isGang() && tasks < job.pendingTasks())) {
         continue;
       }
-      view.quotaUsage.charge(job.spec, tasks);
-      if (job.spec.isGang() && job.spec.singleZone()) {
+      view.quotaUsage.charge(job.spec(), tasks);
+      if (job.spec().isGang() && job.spec().singleZone()) {
         addOneZoneDemand(demands, job, tasks, schedulable);
-      } else if (job.spec.spreadAcrossZones()) {
+      } else if (job.spec().spreadAcrossZones()) {
         // Each zone may take its part only.
         int left = tasks;
         for (String zone : zones(view)) {
-          int n = Math.min(left, job.spec.maxTasksPerZone() - job.attemptsInZone(zone));
+          int n = Math.min(left, job.spec().maxTasksPerZone() - job.attemptsInZone(zone));
           if (n > 0) {
             addDemand(demands, job, n, Optional.of(zone));
             left -= n;
@@ -157,17 +158,19 @@
       List<Machine> schedulable) {
     Map<String, Integer> slotsByZone = new TreeMap<>();
     for (Machine machine : schedulable) {
-      if (job.spec.allows(machine.type, machine.zone, machine.spot)
-          && job.isOnlyInZone(machine.zone)) {
+      if (job.spec().allows(machine.type(), machine.zone(), machine.spot())
+          && job.isOnlyInZone(machine.zone())) {
         slotsByZone.merge(
-            machine.zone, machine.availableAbove(Priority.IDLE).countFitting(job), Integer::sum);
+            machine.zone(),
+            machine.availableAbove(Priority.IDLE).countFitting(job.spec()),
+            Integer::sum);
       }
     }
     Optional<Map.Entry<String, Integer>> most =
         slotsByZone.entrySet().stream().max(Map.Entry.comparingByValue());
     int lacking = tasks - most.map(Map.Entry::getValue).orElse(0);
     if (lacking > 0) {
-      addDemand(demands, job, lacking, most.map(Map.Entry::getKey).or(job.spec::zone));
+      addDemand(demands, job, lacking, most.map(Map.Entry::getKey).or(job.spec()::zone));
     }
   }
 
@@ -176,7 +179,7 @@
   private static void addDemand(
       Map<DemandKey, ScaleOutPlanner.Demand> demands, Job job, int tasks, Optional<String> zone) {
     demands.merge(
-        new DemandKey(EquivalenceClass.of(job.spec), zone),
+        new DemandKey(EquivalenceClass.of(job.spec()), zone),
         new ScaleOutPlanner.Demand(job, tasks, zone),
         (a, b) -> new ScaleOutPlanner.Demand(a.job(), a.tasks() + b.tasks(), zone));
   }
@@ -192,8 +195,8 @@
   private Headroom headroom(ClusterView view, List<Machine> schedulable) {
     Map<String, Integer> running = new HashMap<>();
     for (Job job : view.jobs) {
-      if (classes.needsHeadroom(job.spec)) {
-        running.merge(job.spec.jobClass(), job.attempts.size(), Integer::sum);
+      if (classes.needsHeadroom(job.spec())) {
+        running.merge(job.spec().jobClass(), job.attempts().size(), Integer::sum);
       }
     }
     Set<String> zones = zones(view);
@@ -213,8 +216,8 @@
   private int slotsFor(String jobClass, Machine machine) {
     return classes
         .latestJob(jobClass)
-        .filter(job -> job.spec.allows(machine.type, machine.zone, machine.spot))
-        .map(job -> machine.available().countFitting(job))
+        .filter(job -> job.spec().allows(machine.type(), machine.zone(), machine.spot()))
+        .map(job -> machine.available().countFitting(job.spec()))
         .orElse(0);
   }
 
@@ -234,18 +237,18 @@
     double free = 0;
     double used = 0;
     for (Machine m : schedulable) {
-      double mine = m.type.cpus() - m.availableAbove(Priority.IDLE).cpus;
-      double price = m.type.hourlyPrice(m.spot) / Math.max(1e-9, m.type.cpus());
-      candidates.add(new Candidate(m, m.replicaCount(), price, mine));
+      double mine = m.type().cpus() - m.availableAbove(Priority.IDLE).cpus();
+      double price = m.type().hourlyPrice(m.spot()) / Math.max(1e-9, m.type().cpus());
+      candidates.add(new Candidate(m, m.attempts().replicaCount(), price, mine));
       used += mine;
-      free += m.type.cpus() - mine;
+      free += m.type().cpus() - mine;
     }
     // Without replicas first, since those have to be moved; then the dearest and the emptiest.
     candidates.sort(
         Comparator.comparingInt(Candidate::replicas)
             .thenComparing(Candidate::price, Comparator.reverseOrder())
             .thenComparingDouble(Candidate::used)
-            .thenComparing(c -> c.machine.name));
+            .thenComparing(c -> c.machine.name()));
     Map<String, Integer> slots = new HashMap<>();
     Map<String, Integer> large = new HashMap<>();
     for (String c : classes.sized()) {
@@ -268,7 +271,7 @@
     int tried = 0;
     for (Candidate c : candidates) {
       Machine m = c.machine;
-      double after = free - m.type.cpus();
+      double after = free - m.type().cpus();
       boolean room = !lacking && after >= reserve && headroom.canRelease(m);
       for (String jobClass : classes.sized()) {
         int lost = room ? slotsFor(jobClass, m) : 0;
@@ -281,20 +284,18 @@
         emptied += room ? 1 : 0;
       }
       if (!room) {
-        m.scaleInCandidateSince = Instant.MAX;
+        m.cloud().clearScaleInCandidate();
         continue;
       }
       free = after;
       rest.remove(m);
       headroom.release(m);
       classes.sized().forEach(k -> slots.merge(k, -slotsFor(k, m), Integer::sum));
-      if (m.scaleInCandidateSince.equals(Instant.MAX)) {
-        m.scaleInCandidateSince = now;
-      }
-      boolean due = now.isAfter(m.scaleInCandidateSince.plus(tuning.scaleInAfterIdle()));
+      m.cloud().markScaleInCandidate(now);
+      boolean due = now.isAfter(m.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle()));
       if (due && replicas > 0) {
         relocateOneReplica(m, plan);
-      } else if (due && m.attempts.isEmpty() && now.isAfter(m.provisionedAt.plusSeconds(60))) {
+      } else if (due && m.attempts().isEmpty() && now.isAfter(m.provisionedAt().plusSeconds(60))) {
         plan.scaleIn.add(m);
       }
     }
@@ -305,8 +306,8 @@
     if (relocationsLeft <= 0) {
       return;
     }
-    for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.job.spec.isService() && !attempt.stopping) {
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (attempt.job().spec().isService() && !attempt.stopping()) {
         relocationsLeft--;
         plan.relocations.add(attempt);
         return;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -28,7 +28,7 @@
     for (Target w : targets) {
       Map<String, Integer> free = new HashMap<>();
       for (Machine machine : schedulable) {
-        free.merge(machine.zone, slots(w.sample, machine), Integer::sum);
+        free.merge(machine.zone(), slots(w.sample, machine), Integer::sum);
       }
       for (String zone : zones) {
         deficits.put(new ZoneTarget(w.sample, zone), w.tasksPerZone - free.getOrDefault(zone, 0));
@@ -37,8 +37,8 @@
   }
 
   private static int slots(Job sample, Machine machine) {
-    return sample.spec.allows(machine.type, machine.zone, machine.spot)
-        ? machine.capacityWithEviction(sample)
+    return sample.spec().allows(machine.type(), machine.zone(), machine.spot())
+        ? machine.capacityWithPreemption(sample.spec())
         : 0;
   }
 
@@ -60,7 +60,7 @@
    */
   boolean canRelease(Machine machine) {
     for (Target w : targets) {
-      int deficit = deficits.getOrDefault(new ZoneTarget(w.sample, machine.zone), 0);
+      int deficit = deficits.getOrDefault(new ZoneTarget(w.sample, machine.zone()), 0);
       if (Math.max(0, deficit + slots(w.sample, machine)) > Math.max(0, deficit)) {
         return false;
       }
@@ -72,7 +72,7 @@
   void release(Machine machine) {
     for (Target w : targets) {
       deficits.merge(
-          new ZoneTarget(w.sample, machine.zone), slots(w.sample, machine), Integer::sum);
+          new ZoneTarget(w.sample, machine.zone()), slots(w.sample, machine), Integer::sum);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -157,12 +157,12 @@
     LOG.info(
         "event=move term={} machine={} task={} attempt={}",
         leadership.term(),
-        attempt.machine.name,
-        attempt.task,
-        attempt.number);
+        attempt.machine().name(),
+        attempt.task(),
+        attempt.number());
     if (drains.isEmpty()) {
       inventory.stop(attempt);
-      dispatcher.sendDueCommands(attempt.machine);
+      dispatcher.sendDueCommands(attempt.machine());
     }
   }
 
@@ -223,7 +223,7 @@
       }
     }
     for (Machine machine : inventory.all()) {
-      if (!names.contains(machine.name) && isGone(machine, now)) {
+      if (!names.contains(machine.name()) && isGone(machine, now)) {
         retirement.retire(machine, Reason.NOT_LISTED);
       }
     }
@@ -235,13 +235,10 @@
       MachineType type = inventory.catalogue().typeOf(listed.type());
       machine =
           new Machine(listed.name(), listed.zone(), listed.spot(), type, Lifecycle.BOOTING, now);
-      machine.address = listed.address();
+      machine.updateAddress(listed.address());
       inventory.add(machine);
     }
-    if (!machine.listedByCloud) {
-      machine.listedByCloud = true;
-      machine.listedSince = now;
-    }
+    machine.cloud().recordListed(now);
     if (listed.stage().equals("failed")) {
       retirement.retire(machine, Reason.STOPPED_BY_PROVIDER);
     }
@@ -254,9 +251,9 @@
    */
   private boolean isGone(Machine machine, Instant now) {
     Duration lag = settings.cloudLimits().listLag().multipliedBy(LIST_LAG_FACTOR);
-    return machine.listedByCloud
-        && machine.heartbeatEverReceived
-        && now.isAfter(machine.listedSince.plus(lag))
-        && now.isAfter(machine.lastReachableAt.plus(UNLISTED_SILENCE));
+    return machine.cloud().isListed()
+        && machine.reachability().heartbeatEverReceived()
+        && now.isAfter(machine.cloud().listedSince().plus(lag))
+        && now.isAfter(machine.reachability().lastReachableAt().plus(UNLISTED_SILENCE));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -1,6 +1,7 @@
 package io.pearscale.scheduler.autoscaling;
 
 import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.placement.ReplicaRelocation;
 import java.time.Instant;
@@ -22,7 +23,7 @@
   private static final int MIN_CHECKS = 10_000;
 
   private final Set<Machine> machines;
-  private final Map<Machine, Machine.Resources> available = new HashMap<>();
+  private final Map<Machine, Resources> available = new HashMap<>();
   private int checksLeft;
 
   /** Begins with the room of machines that may take tasks. */
@@ -46,8 +47,8 @@
    * their room is taken.
    */
   public boolean reserveForReplicasOf(Machine machine, Instant now) {
-    for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.job.spec.isService() && !(isStable(attempt, now) && reserve(attempt))) {
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (attempt.job().spec().isService() && !(isStable(attempt, now) && reserve(attempt))) {
         return false;
       }
     }
@@ -55,8 +56,8 @@
   }
 
   private static boolean isStable(TaskAttempt attempt, Instant now) {
-    return attempt.stage == TaskAttempt.Stage.RUNNING
-        && !attempt.stageSince.isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
+    return attempt.stage() == TaskAttempt.Stage.RUNNING
+        && !attempt.stageSince().isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
   }
 
   private boolean reserve(TaskAttempt attempt) {
@@ -66,8 +67,8 @@
       }
       checksLeft--;
       if (ReplicaRelocation.mayMoveTo(attempt, other)
-          && available.computeIfAbsent(other, Machine::available).fits(attempt.job)) {
-        available.get(other).subtract(attempt.job);
+          && available.computeIfAbsent(other, Machine::available).fits(attempt.job().spec())) {
+        available.get(other).subtract(attempt.job().spec());
         return true;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.Tuning;
 import java.time.Duration;
 import java.time.Instant;
@@ -80,13 +80,13 @@
     }
 
     int pack(Demand demand, int tasks) {
-      if (!demand.job().spec.allows(type, zone, spot)
+      if (!demand.job().spec().allows(type, zone, spot)
           || !demand.zone().map(zone::equals).orElse(true)) {
         return 0;
       }
-      int fitting = Math.min(tasks, available.countFitting(demand.job()));
+      int fitting = Math.min(tasks, available.countFitting(demand.job().spec()));
       for (int i = 0; i < fitting; i++) {
-        available.subtract(demand.job());
+        available.subtract(demand.job().spec());
       }
       return fitting;
     }
@@ -108,7 +108,7 @@
     int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / 4);
     List<Bin> bins = new ArrayList<>();
     for (Machine machine : booting) {
-      bins.add(new Bin(machine.type, machine.zone, machine.spot));
+      bins.add(new Bin(machine.type(), machine.zone(), machine.spot()));
     }
     requested.forEach(
         (offering, n) -> {
@@ -198,7 +198,7 @@
 
   /** A measure of a task that is comparable between machine types. */
   private static double taskSize(Job job) {
-    return Math.max(1e-6, job.spec.cpus() + job.spec.gpus() + job.spec.memoryGb() * 1e-3);
+    return Math.max(1e-6, job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * 1e-3);
   }
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -7,6 +7,7 @@
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.MachineInventory;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -20,59 +21,60 @@
 final class DrainCapacity implements DrainPlanner.ReplacementCapacity {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
-  private final Map<Machine, Machine.Resources> available = new HashMap<>();
+  private final Map<Machine, Resources> available = new HashMap<>();
 
   DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, AgentTimings times) {
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
-      boolean responsive = !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
-      if (machine.maintenance.isInService()
-          && machine.lifecycle == Machine.Lifecycle.UP
-          && machine.reconciled
-          && !machine.leaseExpired
-          && !machine.quarantined
+      boolean responsive =
+          !now.isAfter(machine.reachability().lastReachableAt().plus(times.unresponsiveAfter()));
+      if (machine.maintenance().isInService()
+          && machine.lifecycle() == Machine.Lifecycle.UP
+          && machine.reconciled()
+          && !machine.leaseExpired()
+          && !machine.failures().isQuarantined()
           && responsive
-          && machine.preemptionNoticeAt.isEmpty()) {
+          && machine.preemptionNoticeAt().isEmpty()) {
         usable.add(machine);
       }
     }
     // What goes to a machine that is drained later has to move once more.
-    usable.sort(Comparator.comparing(machine -> machine.drainPlanned));
+    usable.sort(Comparator.comparing(machine -> machine.isDrainPlanned()));
   }
 
   @Override
   public Optional<String> reserve(TaskView task) {
     Job job = jobs.get(task.task().job());
-    TaskAttempt attempt = job == null ? null : job.attempts.get(task.task().index());
+    TaskAttempt attempt = job == null ? null : job.attempts().get(task.task().index());
     if (attempt == null) {
       return Optional.of("it is not where it was");
     }
     for (Machine machine : usable) {
-      if (mayRelocate(attempt, machine) && availableOn(machine).fits(job)) {
-        availableOn(machine).subtract(job);
+      if (mayRelocate(attempt, machine) && availableOn(machine).fits(job.spec())) {
+        availableOn(machine).subtract(job.spec());
         return Optional.empty();
       }
     }
     return Optional.of(
         "no other machine in service has room for it"
-            + (job.spec.singleZone() ? " in zone " + attempt.machine.zone : ""));
+            + (job.spec().singleZone() ? " in zone " + attempt.machine().zone() : ""));
   }
 
-  private Machine.Resources availableOn(Machine machine) {
+  private Resources availableOn(Machine machine) {
     return available.computeIfAbsent(machine, Machine::available);
   }
 
   private static boolean mayRelocate(TaskAttempt attempt, Machine machine) {
-    Job job = attempt.job;
-    boolean onlyTask = job.attempts.size() == 1;
-    boolean sameZone = machine.zone.equals(attempt.machine.zone);
+    Job job = attempt.job();
+    boolean onlyTask = job.attempts().size() == 1;
+    boolean sameZone = machine.zone().equals(attempt.machine().zone());
     boolean zoneAllowed =
         sameZone
-            || ((!job.spec.singleZone() || onlyTask)
-                && (!job.spec.spreadAcrossZones()
-                    || job.attemptsInZone(machine.zone) < job.spec.maxTasksPerZone()));
-    return machine != attempt.machine
+            || ((!job.spec().singleZone() || onlyTask)
+                && (!job.spec().spreadAcrossZones()
+                    || job.attemptsInZone(machine.zone()) < job.spec().maxTasksPerZone()));
+    return machine != attempt.machine()
         && zoneAllowed
-        && job.spec.allows(machine.type, machine.zone, machine.spot);
+        && job.spec().allows(machine.type(), machine.zone(), machine.spot());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -175,7 +175,9 @@
   /** Operators choose machines from the records: idle ones have to be in them as well. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
-      if (machine.lifecycle == Lifecycle.UP && machine.reconciled && !records.hasSlot(machine)) {
+      if (machine.lifecycle() == Lifecycle.UP
+          && machine.reconciled()
+          && !records.hasSlot(machine)) {
         records.assignSlot(machine);
         records.recordMachineDeferred(machine);
       }
@@ -187,11 +189,11 @@
     List<Drain> drains = requests.readable();
     if (!drains.isEmpty()) {
       inventory.all().stream()
-          .filter(machine -> machine.lifecycle != Lifecycle.RETIRING)
-          .forEach(machine -> machines.put(machine.name, view(machine, now)));
+          .filter(machine -> machine.lifecycle() != Lifecycle.RETIRING)
+          .forEach(machine -> machines.put(machine.name(), view(machine, now)));
     }
     Instant today = timeOfDay.instant();
-    inventory.all().forEach(machine -> machine.drainPlanned = false);
+    inventory.all().forEach(machine -> machine.planDrain(false));
     drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
     DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, times);
     return planner.plan(drains, machines, ledger, capacity, today);
@@ -201,7 +203,7 @@
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.drainPlanned = true;
+        machine.planDrain(true);
       }
     }
   }
@@ -227,10 +229,7 @@
         name,
         maintenance.stage(),
         maintenance.drain());
-    machine.maintenance = maintenance;
-    if (maintenance.stage() == Maintenance.Stage.PROBATION) {
-      machine.cachedImages.clear();
-    }
+    machine.changeMaintenance(maintenance);
     if (!maintenance.isSchedulable()) {
       inventory.withdrawPlanned(machine);
     }
@@ -242,9 +241,10 @@
   private void releaseOrphanedMachines() {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphaned =
-          !machine.maintenance.isSchedulable() && !requests.isKnown(machine.maintenance.drain());
+          !machine.maintenance().isSchedulable()
+              && !requests.isKnown(machine.maintenance().drain());
       if (orphaned) {
-        changeMaintenance(machine.name, new Maintenance(Maintenance.Stage.PROBATION, ""));
+        changeMaintenance(machine.name(), new Maintenance(Maintenance.Stage.PROBATION, ""));
       }
     }
   }
@@ -252,8 +252,8 @@
   /** Below level 1 no record can say that a machine is in maintenance: none is. */
   private void releaseAllMachines() {
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (!machine.maintenance.isInService()) {
-        changeMaintenance(machine.name, Maintenance.IN_SERVICE);
+      if (!machine.maintenance().isInService()) {
+        changeMaintenance(machine.name(), Maintenance.IN_SERVICE);
       }
     }
   }
@@ -261,7 +261,7 @@
   /** Ends the probation of machines that have shown that they work. */
   private void endProbations(Instant now) {
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (machine.maintenance.stage() != Maintenance.Stage.PROBATION) {
+      if (machine.maintenance().stage() != Maintenance.Stage.PROBATION) {
         probationSince.remove(machine);
         continue;
       }
@@ -271,8 +271,8 @@
         probationSince.put(machine, now);
       }
       Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
-      if (responsive && (!machine.cachedImages.isEmpty() || now.isAfter(provenAt))) {
-        changeMaintenance(machine.name, Maintenance.IN_SERVICE);
+      if (responsive && (!machine.images().isEmpty() || now.isAfter(provenAt))) {
+        changeMaintenance(machine.name(), Maintenance.IN_SERVICE);
       }
     }
   }
@@ -282,7 +282,7 @@
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
   public boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
-    if (ledger.isOpen(attempt.task) || ledger.trySpend(disruption).isPresent()) {
+    if (ledger.isOpen(attempt.task()) || ledger.trySpend(disruption).isPresent()) {
       return false;
     }
     disruptions.record(disruption);
@@ -291,9 +291,9 @@
 
   private static Disruption disruption(TaskAttempt attempt, boolean voluntary) {
     return new Disruption(
-        attempt.task,
-        attempt.job.spec.team(),
-        attempt.job.spec.jobClass(),
+        attempt.task(),
+        attempt.job().spec().team(),
+        attempt.job().spec().jobClass(),
         voluntary,
         Duration.ZERO);
   }
@@ -304,7 +304,7 @@
    */
   private void carryOut(Disruption disruption) {
     Optional<TaskAttempt> found = attemptOf(disruption.task());
-    if (found.isEmpty() || found.get().stopping) {
+    if (found.isEmpty() || found.get().stopping()) {
       return;
     }
     TaskAttempt attempt = found.get();
@@ -314,34 +314,34 @@
     LOG.info(
         "event=drain_stop term={} machine={} task={} attempt={}",
         leadership.term(),
-        attempt.machine.name,
-        attempt.task,
-        attempt.number);
+        attempt.machine().name(),
+        attempt.task(),
+        attempt.number());
     stops.stop(attempt);
-    List.copyOf(attempt.job.attempts.values()).stream()
-        .filter(stopped -> stopped.stopping)
-        .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine));
+    List.copyOf(attempt.job().attempts().values()).stream()
+        .filter(stopped -> stopped.stopping())
+        .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine()));
   }
 
   /** The other tasks of the placement's gang; none if it is of no gang. */
   private static List<TaskId> gangMembersOf(TaskAttempt attempt) {
-    if (!attempt.job.spec.isGang()) {
+    if (!attempt.job().spec().isGang()) {
       return List.of();
     }
-    return attempt.job.attempts.values().stream()
+    return attempt.job().attempts().values().stream()
         .filter(member -> member != attempt)
-        .map(member -> member.task)
+        .map(member -> member.task())
         .toList();
   }
 
   private Optional<TaskAttempt> attemptOf(TaskId task) {
-    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts.get(task.index()));
+    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts().get(task.index()));
   }
 
   /** What is lost otherwise counts as well, so that what is our choice waits for it. */
   private void noteRemoved(TaskAttempt attempt) {
-    boolean wasRunning = attempt.stage == Stage.RUNNING || attempt.stage == Stage.CHECKPOINTING;
-    if (wasRunning && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
+    boolean wasRunning = attempt.stage() == Stage.RUNNING || attempt.stage() == Stage.CHECKPOINTING;
+    if (wasRunning && jobs.contains(attempt.job()) && !attempt.job().spec().isService()) {
       ledger.recordInvoluntary(disruption(attempt, /* voluntary= */ false));
     }
   }
@@ -352,7 +352,7 @@
             task -> {
               Job job = jobs.get(task.job());
               return job == null
-                  || job.doneTasks.get(task.index())
+                  || job.isDone(task.index())
                   || attemptOf(task).map(attempt -> isRunning(attempt, now)).orElse(false);
             });
     closed.stream().filter(Disruption::voluntary).forEach(disruptions::remove);
@@ -364,16 +364,16 @@
    * can reach it: so a new leader takes all as down that it has not heard.
    */
   private boolean isRunning(TaskAttempt attempt, Instant now) {
-    return attempt.stage == Stage.RUNNING
-        && attempt.observed
-        && !attempt.stopping
-        && isResponsive(attempt.machine, now)
-        && !disruptions.isPending(attempt.task);
+    return attempt.stage() == Stage.RUNNING
+        && attempt.observed()
+        && !attempt.stopping()
+        && isResponsive(attempt.machine(), now)
+        && !disruptions.isPending(attempt.task());
   }
 
   private boolean isResponsive(Machine machine, Instant now) {
-    return !machine.leaseExpired
-        && !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
+    return !machine.leaseExpired()
+        && !now.isAfter(machine.reachability().lastReachableAt().plus(times.unresponsiveAfter()));
   }
 
   // ---- Views ----
@@ -383,9 +383,9 @@
     ledger.open().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
     Map<Group, Availability> availability = new HashMap<>();
     for (Job job : jobs.all()) {
-      if (!job.failsEverywhere()) {
-        Group group = new Group(job.spec.team(), job.spec.jobClass());
-        int open = openByJob.getOrDefault(job.spec.id(), 0);
+      if (!job.failures().failsEverywhere()) {
+        Group group = new Group(job.spec().team(), job.spec().jobClass());
+        int open = openByJob.getOrDefault(job.spec().id(), 0);
         availability.merge(group, availabilityOf(job, open, now), Availability::plus);
       }
     }
@@ -405,13 +405,13 @@
   private Availability availabilityOf(Job job, int open, Instant now) {
     int running = 0;
     int stopping = 0;
-    for (TaskAttempt attempt : job.attempts.values()) {
-      boolean disrupted = ledger.isOpen(attempt.task);
+    for (TaskAttempt attempt : job.attempts().values()) {
+      boolean disrupted = ledger.isOpen(attempt.task());
       running += isRunning(attempt, now) && !disrupted ? 1 : 0;
-      stopping += attempt.stopping && !disrupted ? 1 : 0;
+      stopping += attempt.stopping() && !disrupted ? 1 : 0;
     }
-    if (job.spec.isService()) {
-      return new Availability(job.spec.tasks(), job.spec.tasks() - running, Duration.ZERO);
+    if (job.spec().isService()) {
+      return new Availability(job.spec().tasks(), job.spec().tasks() - running, Duration.ZERO);
     }
     return new Availability(running + stopping + open, stopping + open, Duration.ZERO);
   }
@@ -419,34 +419,36 @@
   private MachineView view(Machine machine, Instant now) {
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
-        machine.lifecycle == Lifecycle.UP
-            && machine.reconciled
+        machine.lifecycle() == Lifecycle.UP
+            && machine.reconciled()
             && isResponsive(machine, now)
-            && !machine.quarantined;
-    for (TaskAttempt attempt : machine.attempts.values()) {
+            && !machine.failures().isQuarantined();
+    for (TaskAttempt attempt : machine.attempts().values()) {
       tasks.add(view(attempt, now));
     }
     return new MachineView(
-        machine.name,
-        machine.maintenance,
-        machine.maintenance.equals(machine.recordedMaintenance) && machine.recorded,
+        machine.name(),
+        machine.maintenance(),
+        machine.maintenance().equals(machine.record().maintenance())
+            && machine.record().isRecorded(),
         reachable,
         tasks);
   }
 
   private TaskView view(TaskAttempt attempt, Instant now) {
-    boolean saves = !attempt.job.spec.checkpointInterval().isZero();
+    boolean saves = !attempt.job().spec().checkpointInterval().isZero();
     Duration ran = attempt.runningTime(now);
     return new TaskView(
-        attempt.task,
-        attempt.job.spec.team(),
-        attempt.job.spec.jobClass(),
+        attempt.task(),
+        attempt.job().spec().team(),
+        attempt.job().spec().jobClass(),
         isRunning(attempt, now),
-        attempt.stopping,
-        attempt.job.spec.isService() || attempt.job.spec.estimatedDuration().minus(ran).isNegative()
+        attempt.stopping(),
+        attempt.job().spec().isService()
+                || attempt.job().spec().estimatedDuration().minus(ran).isNegative()
             ? Optional.empty()
-            : Optional.of(attempt.job.spec.estimatedDuration().minus(ran)),
-        attempt.job.spec.isService() || saves ? Duration.ZERO : ran,
+            : Optional.of(attempt.job().spec().estimatedDuration().minus(ran)),
+        attempt.job().spec().isService() || saves ? Duration.ZERO : ran,
         gangMembersOf(attempt));
   }
 
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -99,23 +99,23 @@
 
   private void putReason(ObjectNode waiting, Job job) {
     if (waiting.size() < maxReasons) {
-      waiting.put(job.spec.id(), waitReason(job));
+      waiting.put(job.spec().id(), waitReason(job));
     }
   }
 
   private String waitReason(Job job) {
-    if (job.failsEverywhere()) {
+    if (job.failures().failsEverywhere()) {
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
-    if (job.spec.isGang() && gangs.isHeldUp(job)) {
+    if (job.spec().isGang() && gangs.isHeldUp(job)) {
       return gangs.waitReason(job);
     }
-    if (!job.unschedulable) {
+    if (!job.isUnschedulable()) {
       return "for the next pass";
     }
-    return job.spec.isGang()
+    return job.spec().isGang()
         ? "the last pass found no room for all %d tasks of its gang at once%s, within its team's limit"
-            .formatted(job.spec.tasks(), job.spec.singleZone() ? " in one zone" : "")
+            .formatted(job.spec().tasks(), job.spec().singleZone() ? " in one zone" : "")
         : "the last pass found no machine with room for one of its tasks, within its team's limit";
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
@@ -45,8 +45,8 @@
       LOG.debug(
           "event=starts_sent term={} machine={} token={} by={} {} tasks={}",
           leadership.term(),
-          machine.name,
-          machine.fencingToken,
+          machine.name(),
+          machine.fencing().current(),
           channel,
           describeLease(machine),
           startsIn(orders));
@@ -66,7 +66,7 @@
     LOG.info(
         "event=session_began term={} machine={} former_session={} token={} {}",
         leadership.term(),
-        machine.name,
+        machine.name(),
         previousIncarnation,
         message.fencingToken(),
         describeLease(machine));
@@ -77,7 +77,7 @@
     LOG.warn(
         "event=machine_lost term={} machine={} tasks={} bound_ms={} {}",
         leadership.term(),
-        machine.name,
+        machine.name(),
         tasks,
         bound.toMillis(),
         describeLease(machine));
@@ -91,23 +91,23 @@
           "event=task_gone term={} task={} attempt={} machine={} proof={} start_token={}"
               + " start_session={} {}",
           leadership.term(),
-          attempt.task,
-          attempt.number,
-          attempt.machine.name,
+          attempt.task(),
+          attempt.number(),
+          attempt.machine().name(),
           proof,
-          attempt.startToken,
-          attempt.startIncarnation,
-          describeLease(attempt.machine));
+          attempt.startToken(),
+          attempt.startIncarnation(),
+          describeLease(attempt.machine()));
     }
   }
 
   private String describeLease(Machine machine) {
-    IncarnationLease lease = machine.lease;
+    IncarnationLease lease = machine.lease();
     return "session=%d sequence=%d shown_token=%d lease_from=%s lease_age_ms=%d"
         .formatted(
             lease.incarnation(),
             lease.sequence(),
-            machine.observedFencingToken,
+            machine.fencing().observed(),
             lease.basis(),
             lease.age(clock.instant()).toMillis());
   }
--- a/src/main/java/io/pearscale/scheduler/model/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -97,7 +97,7 @@
   /** The classes whose tasks are expected to start at once. */
   public List<String> classesNeedingHeadroom() {
     return latestJobs.entrySet().stream()
-        .filter(e -> needsHeadroom(e.getValue().spec))
+        .filter(e -> needsHeadroom(e.getValue().spec()))
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
@@ -105,7 +105,7 @@
 
   /** Remembers what jobs of classes with a time to keep are like. */
   public void observe(Job job) {
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
       return;
     }
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -84,7 +84,7 @@
 
   /** Whether the table still has this very job. */
   public boolean contains(Job job) {
-    return jobs.get(job.spec.id()) == job;
+    return jobs.get(job.spec().id()) == job;
   }
 
   /** Returns all jobs that are not over. */
--- a/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -67,13 +67,13 @@
     for (Machine machine : inventory.all()) {
       if (usable.test(machine)) {
         usableMachines++;
-        freeCpus += machine.available().cpus;
+        freeCpus += machine.available().cpus();
       }
-      quarantined += machine.quarantined ? 1 : 0;
-      avoided += now.isBefore(machine.avoidUntil) ? 1 : 0;
-      for (TaskAttempt attempt : machine.attempts.values()) {
-        stages[attempt.stage.ordinal()]++;
-        stopping += attempt.stopping ? 1 : 0;
+      quarantined += machine.failures().isQuarantined() ? 1 : 0;
+      avoided += now.isBefore(machine.failures().avoidUntil()) ? 1 : 0;
+      for (TaskAttempt attempt : machine.attempts().values()) {
+        stages[attempt.stage().ordinal()]++;
+        stopping += attempt.stopping() ? 1 : 0;
       }
     }
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -1,366 +1,327 @@
 package io.pearscale.scheduler.model;
 
+import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
 import java.time.Instant;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 
-/** A machine, as the leader sees it. */
+/**
+ * A machine, as the leader sees it: who it is, where it is in its lifecycle, and which task
+ * attempts may be on it. What is known of its lease, fencing tokens, reachability, records,
+ * failures, images and of attempts that it reports beyond the expected ones is kept in a part of
+ * its own each.
+ */
 public final class Machine {
-  /** Where a machine stands between scale out and termination. */
+  /** Where a machine is between its request and its deletion; only ever moves forward. */
   public enum Lifecycle {
+    /** Requested or listed, but never heard of. */
     BOOTING,
+    /** Its agent has been heard of. */
     UP,
-    /** To be given back; never used again, since a late deletion may still reach it. */
+    /** To be released; never used again, since a late deletion may still reach it. */
     RETIRING
   }
 
-  /** An attempt that ended, until the worker has forgotten it. */
-  public record AttemptId(TaskId task, long attempt) {
-    @Override
-    public boolean equals(Object other) {
-      return other instanceof AttemptId that && attempt == that.attempt && task.equals(that.task);
-    }
+  private final String name;
+  private final String zone;
+  private final boolean spot;
+  private final Instant provisionedAt;
+  private MachineType type;
+  private Lifecycle lifecycle;
+  private String address = "";
+
+  private final IncarnationLease lease = new IncarnationLease();
+  private final FencingTokens fencing = new FencingTokens();
+  private final Reachability reachability = new Reachability();
+  private final MachineRecordState record = new MachineRecordState();
+  private final MachineFailures failures = new MachineFailures();
+  private final ImageCache images = new ImageCache();
+  private final HostedAttempts attempts;
+  private final ReportedAttempts reportedAttempts = new ReportedAttempts();
+  private final CloudState cloud = new CloudState();
+
+  private boolean reconciled;
+  private boolean leaseExpired;
+  private Optional<Instant> preemptionNoticeAt = Optional.empty();
+  private Maintenance maintenance = Maintenance.IN_SERVICE;
+  private boolean drainPlanned;
 
-    @Override
-    public int hashCode() {
-      return 31 * task.hashCode() + Long.hashCode(attempt);
-    }
+  /**
+   * A machine of which nothing is known yet but what was asked for, or what the cloud or an agent
+   * says.
+   *
+   * @param spot whether the cloud may take it back after a short notice
+   * @param type as the catalogue has it; without any capacity until the catalogue is known
+   * @param provisionedAt when it was requested, or when it was first heard of
+   */
+  public Machine(
+      String name,
+      String zone,
+      boolean spot,
+      MachineType type,
+      Lifecycle lifecycle,
+      Instant provisionedAt) {
+    this.name = name;
+    this.zone = zone;
+    this.spot = spot;
+    this.type = type;
+    this.lifecycle = lifecycle;
+    this.provisionedAt = provisionedAt;
+    this.attempts = new HostedAttempts(type);
   }
 
-  private static final int MANY_FAILING_JOBS = 5;
-
-  public final String name;
-  public final String zone;
-  public final boolean spot;
-
-  /** As the catalogue has it; without any room until the catalogue is known. */
-  public MachineType type;
-
-  public Lifecycle lifecycle;
-  public String address;
-  public Instant provisionedAt;
+  /** A machine that a previous leader recorded; one with an address had been heard of. */
+  public static Machine restore(
+      MachineRecordCodec.MachineRecord entry, MachineType type, Instant now) {
+    boolean seen = !entry.address().isEmpty();
+    Lifecycle lifecycle =
+        entry.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
+    Machine machine =
+        new Machine(entry.machine(), entry.zone(), entry.spot(), type, lifecycle, now);
+    machine.address = entry.address();
+    machine.record.restore(entry.retiring(), entry.address(), entry.maintenance());
+    machine.maintenance = entry.maintenance();
+    if (seen) {
+      machine.reachability.messageReceived();
+    }
+    machine.lease.acceptFromRecorded(entry.incarnation());
+    return machine;
+  }
 
-  /** Its sessions, and until when anything in them can be alive. */
-  public final IncarnationLease lease = new IncarnationLease();
+  /** What the machine's record is to say, with the number by which placement records name it. */
+  public MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
+    return new MachineRecordCodec.MachineRecord(
+        numberInRecords,
+        name,
+        address,
+        type.name(),
+        zone,
+        spot,
+        lease.incarnation(),
+        lifecycle == Lifecycle.RETIRING,
+        maintenance);
+  }
 
-  /** Highest token that a report has shown, and the one that we command with. */
-  public long observedFencingToken;
+  // ---- What it is ----
 
-  public long fencingToken;
+  /** The name that the cloud gave it; unique among all machines ever. */
+  public String name() {
+    return name;
+  }
 
-  /** The token of the last answer to a report, and the controller through which it went. */
-  public long lastResponseToken = -1;
+  /** The zone that it is in, a failure domain. */
+  public String zone() {
+    return zone;
+  }
 
-  public String lastResponseController = "";
+  /** Whether the cloud may take it back after a short notice. */
+  public boolean spot() {
+    return spot;
+  }
 
-  /** Reports in a row that did not show what the one before was answered with. */
-  public int unacknowledgedResponses;
+  /** When it was requested, or when this leader first heard of it. */
+  public Instant provisionedAt() {
+    return provisionedAt;
+  }
 
-  /**
-   * A command with this token got no answer: it may yet be executed, until a higher one is seen.
-   */
-  public long unknownOutcomeToken = -1;
+  /** Its type, as the catalogue has it; without any capacity until the catalogue is known. */
+  public MachineType type() {
+    return type;
+  }
 
-  /** Whether a report has shown a token of this term: from then on reports tell all. */
-  public boolean reconciled;
+  /** The catalogue has changed. */
+  void updateType(MachineType newType) {
+    type = newType;
+    attempts.updateType(newType);
+  }
 
-  /** Nothing can be alive here: the lease ran out, and it has shown no sign of life since. */
-  public boolean leaseExpired;
+  /** Where its agent takes commands; empty while that is not known. */
+  public String address() {
+    return address;
+  }
 
-  /** Whether the roster durably names the machine, and as what. */
-  public boolean recorded;
+  /** The cloud or the agent says where the agent takes commands. */
+  public void updateAddress(String newAddress) {
+    address = newAddress;
+  }
 
-  public boolean recordedRetiring;
+  // ---- Its parts ----
 
-  /** By which marks name it in the layout by number; 0 while it has none. */
-  public int recordNumber;
+  /** The incarnations of its agent, and until when anything in them can be alive. */
+  public IncarnationLease lease() {
+    return lease;
+  }
 
-  /** What the roster has as the machine's address. */
-  public String recordedAddress = "";
+  /** Its fencing tokens. */
+  public FencingTokens fencing() {
+    return fencing;
+  }
 
-  /** Whether a drain will come to it: what is placed there would soon be moved again. */
-  public boolean drainPlanned;
+  /** Whether it can be reached, and reaches the leader. */
+  public Reachability reachability() {
+    return reachability;
+  }
 
-  public boolean deletionSent;
+  /** What is durably stored of it. */
+  public MachineRecordState record() {
+    return record;
+  }
 
-  /** Whether it is in maintenance, and what of that is durably recorded. */
-  public Maintenance maintenance = Maintenance.IN_SERVICE;
+  /** What failed on it. */
+  public MachineFailures failures() {
+    return failures;
+  }
 
-  public Maintenance recordedMaintenance = Maintenance.IN_SERVICE;
-  public Instant lastReachableAt = Instant.MIN;
+  /** The images that it is taken to have. */
+  public ImageCache images() {
+    return images;
+  }
 
-  /** When it first answered a command since its last report; only reports renew its lease. */
-  public Optional<Instant> answersWithoutHeartbeatSince = Optional.empty();
+  /**
+   * What the cloud lists, what it was asked to delete, and whether the machine could be released.
+   */
+  public CloudState cloud() {
+    return cloud;
+  }
 
-  public boolean heartbeatEverReceived;
-  public boolean commandInFlight;
+  /** Ended and unknown attempts that its agent reports. */
+  public ReportedAttempts reportedAttempts() {
+    return reportedAttempts;
+  }
 
-  /** Probes without an answer since it was last heard. */
-  public int missedProbes;
+  // ---- Lifecycle ----
 
-  public Instant directCommandsAfter = Instant.MIN;
-  public Optional<Instant> preemptionNoticeAt = Optional.empty();
-  public boolean quarantined;
+  /** Where it is between its request and its deletion. */
+  public Lifecycle lifecycle() {
+    return lifecycle;
+  }
 
-  /** Jobs whose tasks failed here since one last was done here, and how often. */
-  private final Map<Job, Integer> failuresByJob = new HashMap<>();
+  /** It is to be released, and gets nothing to run any more. */
+  public void beginRetirement() {
+    lifecycle = Lifecycle.RETIRING;
+  }
 
-  public Instant avoidUntil = Instant.MIN;
+  // ---- Maintenance ----
 
-  /** Since when the machine can be spared; far in the future when it can't. */
-  public Instant scaleInCandidateSince = Instant.MAX;
+  /** Whether it is in maintenance, and in which stage. */
+  public Maintenance maintenance() {
+    return maintenance;
+  }
 
-  public boolean listedByCloud;
-  public Instant listedSince = Instant.MIN;
+  /**
+   * It enters a stage of maintenance; after one that may have exchanged its disk, no image counts.
+   */
+  public void changeMaintenance(Maintenance newMaintenance) {
+    maintenance = newMaintenance;
+    if (newMaintenance.stage() == Maintenance.Stage.PROBATION) {
+      images.clear();
+    }
+  }
 
-  public final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
-  private Resources[] availableByPriority;
+  /** Whether a drain will come to it: what is placed there would soon be moved again. */
+  public boolean isDrainPlanned() {
+    return drainPlanned;
+  }
 
-  /** Attempts that ended, each with a token that no start command for it was above. */
-  public final Map<AttemptId, Long> endedAttempts = new HashMap<>();
+  /** Says whether a drain will come to it. */
+  public void planDrain(boolean planned) {
+    drainPlanned = planned;
+  }
 
-  public final Map<AttemptId, Instant> unknownAttempts = new HashMap<>();
+  /** When the cloud will take the machine back; empty while no notice was received. */
+  public Optional<Instant> preemptionNoticeAt() {
+    return preemptionNoticeAt;
+  }
 
-  /** Images used here, the latest last, with their sizes. */
-  public final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(8, 0.75f, true);
+  // ---- What its agent says ----
 
-  /** Creates a machine that has sent no heartbeat yet. */
-  public Machine(
-      String name, String zone, boolean spot, MachineType type, Lifecycle life, Instant now) {
-    this.name = name;
-    this.zone = zone;
-    this.spot = spot;
-    this.type = type;
-    this.lifecycle = life;
-    this.provisionedAt = now;
-    this.address = "";
+  /**
+   * Whether a message has shown a token of this term since the last proof that nothing was alive:
+   * from then on, messages tell all that is on the machine.
+   */
+  public boolean reconciled() {
+    return reconciled;
   }
 
-  /** What the roster is to say of the machine, with the number by which marks name it. */
-  public MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
-    return new MachineRecordCodec.MachineRecord(
-        numberInRecords,
-        name,
-        address,
-        type.name(),
-        zone,
-        spot,
-        lease.incarnation(),
-        lifecycle == Lifecycle.RETIRING,
-        maintenance);
+  /** A message has shown a token of this term. */
+  public void reconcile() {
+    reconciled = true;
   }
 
-  /** A task failed here. */
-  public void recordFailure(Job job) {
-    failuresByJob.merge(job, 1, Integer::sum);
+  /** Whether its lease ran out and it has shown no sign of life since: nothing is alive there. */
+  public boolean leaseExpired() {
+    return leaseExpired;
   }
 
-  /** A task was done here: what failed before did not fail for the machine. */
-  public void recordSuccess() {
-    failuresByJob.clear();
+  /**
+   * Its lease has run out. Its agent has gone on to another incarnation and has to show that, with
+   * this term's token: messages of this one that were held back say only what was.
+   */
+  public void expireLease() {
+    leaseExpired = true;
+    reconciled = false;
+    reportedAttempts.clear();
   }
 
-  /** How often tasks failed here that did not fail for their own job. */
-  public int failureCount() {
-    int count = 0;
-    for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
-      count += failure.getKey().failsEverywhere() ? 0 : failure.getValue();
+  /** A message shows the token, and where the agent takes commands. */
+  public void recordMessage(long token, String newAddress) {
+    fencing.observe(token);
+    address = newAddress;
+    if (lifecycle == Lifecycle.BOOTING) {
+      lifecycle = Lifecycle.UP;
     }
-    return count;
   }
 
   /**
-   * Whether what failed here points at the machine: twice a job that runs elsewhere, or two jobs of
-   * which it is not known that they fail everywhere. Of those that do, it takes many at once.
+   * A message of this term shows that it lives.
+   *
+   * @param newNotice when the cloud will take it back, if it said so
    */
-  public boolean failuresPointToMachine() {
-    int failuresOfSucceedingJobs = 0;
-    int suspectJobs = 0;
-    for (Map.Entry<Job, Integer> failure : failuresByJob.entrySet()) {
-      failuresOfSucceedingJobs += failure.getKey().hasSucceeded() ? failure.getValue() : 0;
-      suspectJobs += failure.getKey().failsEverywhere() ? 0 : 1;
-    }
-    return failuresOfSucceedingJobs >= 2
-        || suspectJobs >= 2
-        || failuresByJob.size() >= MANY_FAILING_JOBS;
+  public void recordAlive(Optional<Instant> newNotice) {
+    leaseExpired = false;
+    preemptionNoticeAt = newNotice;
   }
 
-  /** Records that a task used an image here, which may evict the least recently used ones. */
+  /** A task runs on it: its agent has the image. */
   public void recordImageUse(String image, double sizeGb) {
-    cachedImages.put(image, sizeGb);
-    double totalGb = 0;
-    for (double cachedGb : cachedImages.values()) {
-      totalGb += cachedGb;
-    }
-    var iterator = cachedImages.entrySet().iterator();
-    while (totalGb > type.imageCacheGb() && iterator.hasNext()) {
-      var oldest = iterator.next();
-      if (oldest.getKey().equals(image)) {
-        break;
-      }
-      totalGb -= oldest.getValue();
-      iterator.remove();
-    }
-  }
-
-  /** How many images beside that one are fetched, or are to be, for tasks that are placed here. */
-  public int otherImageFetches(String image) {
-    Set<String> others = new HashSet<>();
-    for (TaskAttempt attempt : attempts.values()) {
-      String other = attempt.job.spec.image();
-      boolean fetches = attempt.stage.compareTo(TaskAttempt.Stage.FETCHING) <= 0;
-      if (fetches && !other.equals(image) && !cachedImages.containsKey(other)) {
-        others.add(other);
-      }
-    }
-    return others.size();
+    images.recordUse(image, sizeGb, type.imageCacheGb());
   }
 
-  /** Adds an attempt that may be on this machine from now on. */
-  public void add(TaskAttempt attempt) {
-    attempts.put(attempt.task, attempt);
-    invalidateAvailable();
-  }
+  // ---- Attempts on it, and its resources ----
 
-  void remove(TaskAttempt attempt) {
-    attempts.remove(attempt.task, attempt);
-    invalidateAvailable();
+  /** The attempts that may be on it. */
+  public HostedAttempts attempts() {
+    return attempts;
   }
 
-  /** To be called when what is placed here, or is to stay here, has changed. */
-  void invalidateAvailable() {
-    availableByPriority = null;
+  /** How many images beside that one are fetched, or are to be, for attempts on it. */
+  public int otherImageFetches(String image) {
+    return attempts.otherImageFetches(image, images);
   }
 
-  /** What is left, when everything decided has come to pass; the caller may change it. */
+  /** What is available once everything decided has come to pass; the caller may change it. */
   public Resources available() {
     return availableAbove(Priority.IDLE).copy();
   }
 
   /**
-   * What would be left if all below the priority were evicted. Kept from one question to the next,
-   * since every pass asks every machine and most have not changed. Not to be changed.
+   * What would be available if all below the priority were preempted. Kept from one question to the
+   * next, since every pass asks every machine and most have not changed. Not to be changed.
    */
   public Resources availableAbove(Priority priority) {
-    if (availableByPriority == null) {
-      availableByPriority = new Resources[Priority.values().length];
-      for (Priority floor : Priority.values()) {
-        Resources available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-        for (TaskAttempt attempt : attempts.values()) {
-          if (!attempt.stopping && attempt.job.spec.priority().compareTo(floor) >= 0) {
-            available.subtract(attempt.job);
-          }
-        }
-        availableByPriority[floor.ordinal()] = available;
-      }
-    }
-    return availableByPriority[priority.ordinal()];
+    return attempts.availableAbove(priority);
   }
 
-  /** What is left now, counting all that may be on the machine. */
+  /** What is available now, counting all that may be on the machine; the caller may change it. */
   public Resources physicallyAvailable() {
-    Resources available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
-    for (TaskAttempt attempt : attempts.values()) {
-      if (attempt.stage != TaskAttempt.Stage.PLANNED) {
-        available.subtract(attempt.job);
-      }
-    }
-    return available;
-  }
-
-  /** How many more tasks like these the machine could take, evicting lower ones if need be. */
-  public int capacityWithEviction(Job like) {
-    return availableAbove(like.spec.priority()).countFitting(like);
-  }
-
-  /** Tasks of services here. */
-  public int replicaCount() {
-    int count = 0;
-    for (TaskAttempt attempt : attempts.values()) {
-      if (attempt.job.spec.isService()) {
-        count++;
-      }
-    }
-    return count;
-  }
-
-  /** From when the machine has seen the next token, no command with an older one is executed. */
-  public void incrementFencingToken() {
-    fencingToken++;
-  }
-
-  /** Returns whether a command without an answer may still be executed. */
-  public boolean commandOutcomeUnknown() {
-    return unknownOutcomeToken >= observedFencingToken;
+    return attempts.physicallyAvailable();
   }
 
-  /** Room in all resources. */
-  public static final class Resources {
-    public static final double TOLERANCE = 1e-6;
-    public double cpus;
-    public double gpus;
-    public double memoryGb;
-
-    /** Creates an amount of resources: cores, devices and gigabytes. */
-    public Resources(double cpus, double gpus, double memoryGb) {
-      this.cpus = cpus;
-      this.gpus = gpus;
-      this.memoryGb = memoryGb;
-    }
-
-    /** All that a machine of the type has. */
-    public static Resources of(MachineType type) {
-      return new Resources(type.cpus(), type.gpus(), type.memoryGb());
-    }
-
-    /** Returns an independent copy. */
-    public Resources copy() {
-      return new Resources(cpus, gpus, memoryGb);
-    }
-
-    /** Takes away what one task of the job needs. */
-    public void subtract(Job job) {
-      cpus -= job.spec.cpus();
-      gpus -= job.spec.gpus();
-      memoryGb -= job.spec.memoryGb();
-    }
-
-    /** Adds what one task of the job needs. */
-    public void add(Job job) {
-      cpus += job.spec.cpus();
-      gpus += job.spec.gpus();
-      memoryGb += job.spec.memoryGb();
-    }
-
-    /** Returns whether one task of the job fits. */
-    public boolean fits(Job job) {
-      return cpus + TOLERANCE >= job.spec.cpus()
-          && gpus + TOLERANCE >= job.spec.gpus()
-          && memoryGb + TOLERANCE >= job.spec.memoryGb();
-    }
-
-    /** How many tasks like these fit. */
-    public int countFitting(Job job) {
-      double count = 100_000;
-      if (job.spec.cpus() > 0) {
-        count = Math.min(count, (cpus + TOLERANCE) / job.spec.cpus());
-      }
-      if (job.spec.gpus() > 0) {
-        count = Math.min(count, (gpus + TOLERANCE) / job.spec.gpus());
-      }
-      if (job.spec.memoryGb() > 0) {
-        count = Math.min(count, (memoryGb + TOLERANCE) / job.spec.memoryGb());
-      }
-      return (int) Math.max(0, count);
-    }
+  /** How many more tasks of the job it could take, preempting lower ones if need be. */
+  public int capacityWithPreemption(JobSpec spec) {
+    return availableAbove(spec.priority()).countFitting(spec);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -67,8 +67,7 @@
   public void updateCatalogue(List<MachineType> types) {
     catalogue.update(types);
     for (Machine machine : machines.values()) {
-      machine.type = catalogue.find(machine.type.name()).orElse(machine.type);
-      machine.invalidateAvailable();
+      machine.updateType(catalogue.find(machine.type().name()).orElse(machine.type()));
     }
   }
 
@@ -81,7 +80,7 @@
 
   /** Whether it still has this very machine. */
   public boolean contains(Machine machine) {
-    return machines.get(machine.name) == machine;
+    return machines.get(machine.name()) == machine;
   }
 
   /** Returns all machines known to the leader. */
@@ -101,8 +100,8 @@
 
   /** Adds a machine that was not there in this term before. */
   public void add(Machine machine) {
-    machine.fencingToken = leadership.firstFencingToken();
-    machines.put(machine.name, machine);
+    machine.fencing().begin(leadership.firstFencingToken());
+    machines.put(machine.name(), machine);
   }
 
   /**
@@ -110,7 +109,7 @@
    */
   public void addFromPreviousLeader(Machine machine) {
     add(machine);
-    machine.lease.previousLeadersRenewUntil(leadership.previousLeadersUntil());
+    machine.lease().previousLeadersRenewUntil(leadership.previousLeadersUntil());
   }
 
   /** The cloud says that the machine, and all that was on it, is gone. */
@@ -135,11 +134,11 @@
 
   /** From now on the task may be on the machine. */
   public void add(TaskAttempt attempt) {
-    attempt.machine.add(attempt);
-    attempt.job.add(attempt);
-    jobs.requeue(attempt.job);
-    if (attempt.stage == Stage.PLANNED) {
-      markCommandDue(attempt.machine);
+    attempt.machine().attempts().add(attempt);
+    attempt.job().add(attempt);
+    jobs.requeue(attempt.job());
+    if (attempt.stage() == Stage.PLANNED) {
+      markCommandDue(attempt.machine());
     }
   }
 
@@ -150,20 +149,17 @@
 
   /** It is proven that none of the machine's tasks is there any more. */
   public void removeAll(Machine machine, AbsenceProof proof) {
-    List.copyOf(machine.attempts.values()).forEach(attempt -> remove(attempt, proof));
+    List.copyOf(machine.attempts().values()).forEach(attempt -> remove(attempt, proof));
   }
 
   /** It is proven that the task is not on the machine. */
   public void remove(TaskAttempt attempt, AbsenceProof proof) {
-    Job job = attempt.job;
+    Job job = attempt.job();
     decisionLog.absenceProved(attempt, proof);
     removedListener.accept(attempt);
-    attempt.machine.remove(attempt);
-    job.remove(attempt);
-    if (attempt.runningTime(clock.instant()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) >= 0) {
-      job.hasStarted = true;
-    }
-    if (job.attempts.isEmpty() && !jobs.contains(job)) {
+    attempt.machine().attempts().remove(attempt);
+    job.remove(attempt, clock.instant());
+    if (job.attempts().isEmpty() && !jobs.contains(job)) {
       records.removeJob(job);
     }
     jobs.requeue(job);
@@ -172,26 +168,27 @@
 
   /** Decides that a task must go from where it is. */
   public void stop(TaskAttempt attempt) {
-    if (attempt.stage == Stage.PLANNED) {
+    if (attempt.stage() == Stage.PLANNED) {
       remove(attempt, AbsenceProof.NOT_SENT);
       return;
     }
-    if (attempt.stopping) {
+    if (attempt.stopping()) {
       return;
     }
-    attempt.stopping = true;
-    attempt.machine.invalidateAvailable();
-    markCommandDue(attempt.machine);
-    if (!attempt.observed && attempt.number >= 0 && !attempt.machine.commandInFlight) {
+    attempt.requestStop();
+    markCommandDue(attempt.machine());
+    if (!attempt.observed()
+        && attempt.isIdentified()
+        && !attempt.machine().reachability().commandInFlight()) {
       // The start command may still be on its way; only a higher token can overtake it.
-      attempt.machine.incrementFencingToken();
+      attempt.machine().fencing().increment();
     }
   }
 
   /** Takes back what was decided for a machine that turned bad before the start was sent. */
   public void withdrawPlanned(Machine machine) {
-    for (TaskAttempt attempt : List.copyOf(machine.attempts.values())) {
-      if (attempt.stage == Stage.PLANNED) {
+    for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
+      if (attempt.stage() == Stage.PLANNED) {
         remove(attempt, AbsenceProof.NOT_SENT);
       }
     }
@@ -204,8 +201,8 @@
       return usage;
     }
     for (Machine machine : machines.values()) {
-      for (TaskAttempt attempt : machine.attempts.values()) {
-        usage.charge(attempt.job.spec, 1);
+      for (TaskAttempt attempt : machine.attempts().values()) {
+        usage.charge(attempt.job().spec(), 1);
       }
     }
     return usage;
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -2,6 +2,7 @@
 
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -36,9 +37,9 @@
           .map(Assignment::machine)
           .map(
               machine ->
-                  machine.cachedImages.containsKey(job.spec.image())
+                  machine.images().contains(job.spec().image())
                       ? Duration.ZERO
-                      : machine.type.fetchTime(job.spec.imageGb()))
+                      : machine.type().fetchTime(job.spec().imageGb()))
           .max(Comparator.naturalOrder())
           .orElse(Duration.ZERO);
     }
@@ -66,7 +67,7 @@
   GangPlacer(Placer placer, Collection<Machine> machines) {
     this.placer = placer;
     this.machines = machines;
-    machines.forEach(machine -> zones.add(machine.zone));
+    machines.forEach(machine -> zones.add(machine.zone()));
   }
 
   /**
@@ -88,13 +89,13 @@
 
   /** The parts of the fleet of which one has to take all tasks. */
   private List<Predicate<Machine>> fleetParts(Job job) {
-    if (!job.spec.singleZone() || job.spec.zone().isPresent()) {
+    if (!job.spec().singleZone() || job.spec().zone().isPresent()) {
       return List.of(machine -> true);
     }
     List<Predicate<Machine>> parts = new ArrayList<>();
     for (String zone : zones) {
       if (job.isOnlyInZone(zone)) {
-        parts.add(machine -> machine.zone.equals(zone));
+        parts.add(machine -> machine.zone().equals(zone));
       }
     }
     return parts;
@@ -113,11 +114,11 @@
     PlannedSpread spread = new PlannedSpread(job);
     while (assignments.size() < tasks) {
       Optional<Assignment> assignment =
-          placer.place(job, mayPreempt, among.and(machine -> spread.allows(machine.zone)));
+          placer.place(job, mayPreempt, among.and(machine -> spread.allows(machine.zone())));
       if (assignment.isEmpty()) {
         break;
       }
-      spread.add(assignment.get().machine().zone);
+      spread.add(assignment.get().machine().zone());
       assignments.add(assignment.get());
     }
     return assignments;
@@ -162,8 +163,8 @@
       long places =
           machines.stream()
               .filter(among)
-              .filter(machine -> job.spec.allows(machine.type, machine.zone, machine.spot))
-              .mapToLong(machine -> Machine.Resources.of(machine.type).countFitting(job))
+              .filter(machine -> job.spec().allows(machine.type(), machine.zone(), machine.spot()))
+              .mapToLong(machine -> Resources.of(machine.type()).countFitting(job.spec()))
               .sum();
       most = Math.max(most, places);
     }
@@ -191,8 +192,8 @@
 
     boolean allows(String zone) {
       long here = planned.stream().filter(zone::equals).count();
-      return !job.spec.spreadAcrossZones()
-          || job.attemptsInZone(zone) + here < job.spec.maxTasksPerZone();
+      return !job.spec().spreadAcrossZones()
+          || job.attemptsInZone(zone) + here < job.spec().maxTasksPerZone();
     }
 
     void add(String zone) {
--- a/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
@@ -2,8 +2,8 @@
 
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
 import io.pearscale.scheduler.model.QuotaUsage;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.util.HashMap;
@@ -37,18 +37,18 @@
   /** Books a task's room, after that of its victims has become free. */
   void reserve(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
-    assignment.victims().forEach(victim -> available.add(victim.job));
+    assignment.victims().forEach(victim -> available.add(victim.job().spec()));
     victims.addAll(assignment.victims());
-    available.subtract(job);
-    quotaUsage.charge(job.spec, 1);
+    available.subtract(job.spec());
+    quotaUsage.charge(job.spec(), 1);
   }
 
   /** Takes back what was booked for a task. */
   void release(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
-    assignment.victims().forEach(victim -> available.subtract(victim.job));
+    assignment.victims().forEach(victim -> available.subtract(victim.job().spec()));
     victims.removeAll(assignment.victims());
-    available.add(job);
-    quotaUsage.charge(job.spec, -1);
+    available.add(job.spec());
+    quotaUsage.charge(job.spec(), -1);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -5,8 +5,8 @@
 import io.pearscale.scheduler.model.EquivalenceClass;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
 import io.pearscale.scheduler.model.QuotaUsage;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.Maintenance;
 import java.util.ArrayList;
@@ -81,14 +81,14 @@
     double cpus = Double.MAX_VALUE;
     double memoryGb = Double.MAX_VALUE;
     for (Job job : waiting) {
-      cpus = Math.min(cpus, job.spec.cpus());
-      memoryGb = Math.min(memoryGb, job.spec.memoryGb());
+      cpus = Math.min(cpus, job.spec().cpus());
+      memoryGb = Math.min(memoryGb, job.spec().memoryGb());
     }
     List<Machine> withCapacity = new ArrayList<>();
     for (Machine machine : machines) {
       Resources available = machine.availableAbove(Priority.IDLE);
-      if (available.cpus + Resources.TOLERANCE >= cpus
-          && available.memoryGb + Resources.TOLERANCE >= memoryGb) {
+      if (available.cpus() + Resources.TOLERANCE >= cpus
+          && available.memoryGb() + Resources.TOLERANCE >= memoryGb) {
         withCapacity.add(machine);
       }
     }
@@ -110,11 +110,11 @@
 
   /** The same, on machines of which {@code among} holds. */
   Optional<Assignment> place(Job job, boolean mayPreempt, Predicate<Machine> among) {
-    if (capacity.quotaUsage().tasksLeftWithinLimit(job.spec) < 1) {
+    if (capacity.quotaUsage().tasksLeftWithinLimit(job.spec()) < 1) {
       return Optional.empty();
     }
     Predicate<Machine> allowed = machine -> among.test(machine) && constraintsAllow(job, machine);
-    Scan scan = scans.computeIfAbsent(ScoringClass.of(job.spec), scoringClass -> new Scan(job));
+    Scan scan = scans.computeIfAbsent(ScoringClass.of(job.spec()), scoringClass -> new Scan(job));
     Optional<Machine> withoutVictims = bestFeasible(job, scan, allowed);
     if (withoutVictims.isPresent()) {
       Optional<Assignment> withImage =
@@ -142,8 +142,8 @@
         preemption.preempt(job, allowed).or(() -> relocation.makeWay(job));
     if (assignment.isEmpty()) {
       // Like tasks are decided as a class: what found nobody to evict need not look again.
-      scan.preemptionFutile = !job.spec.spreadAcrossZones() && !job.spec.singleZone();
-      if (!job.spec.singleZone()) {
+      scan.preemptionFutile = !job.spec().spreadAcrossZones() && !job.spec().singleZone();
+      if (!job.spec().singleZone()) {
         preemption.markFutile(job);
       }
     }
@@ -156,8 +156,8 @@
    * large fleet a random visit would hardly ever meet one.
    */
   private Optional<Machine> bestFeasible(Job job, Scan scan, Predicate<Machine> allowed) {
-    scan.feasible.removeIf(machine -> !capacity.availableOn(machine).fits(job));
-    if (context.startObjective().apply(job.spec).isPresent()) {
+    scan.feasible.removeIf(machine -> !capacity.availableOn(machine).fits(job.spec()));
+    if (context.startObjective().apply(job.spec()).isPresent()) {
       scanImageHolders(job, scan, allowed);
     }
     long usable = scan.feasible.stream().filter(allowed).count();
@@ -181,12 +181,10 @@
   }
 
   private void scanImageHolders(Job job, Scan scan, Predicate<Machine> allowed) {
-    String image = job.spec.image();
+    String image = job.spec().image();
     List<Machine> candidates = imageHolders.computeIfAbsent(image, this::imageHoldersOf);
     long usable =
-        scan.feasible.stream()
-            .filter(m -> m.cachedImages.containsKey(image) && allowed.test(m))
-            .count();
+        scan.feasible.stream().filter(m -> m.images().contains(image) && allowed.test(m)).count();
     while (usable < context.tuning().sampleSize() / 2 && scan.nextImageHolder < candidates.size()) {
       Machine machine = candidates.get(scan.nextImageHolder++);
       if (addIfFeasible(job, scan, machine) && allowed.test(machine)) {
@@ -200,7 +198,7 @@
     List<Machine> found = new ArrayList<>();
     for (int i = 0; i < openMachines.size(); i++) {
       Machine machine = openMachines.get(/* start= */ 0, i);
-      if (machine.cachedImages.containsKey(image)) {
+      if (machine.images().contains(image)) {
         found.add(machine);
       }
     }
@@ -210,8 +208,8 @@
   /** Adds a machine that has room for the task to those that were met for its class. */
   private boolean addIfFeasible(Job job, Scan scan, Machine machine) {
     boolean isFeasible =
-        job.spec.allows(machine.type, machine.zone, machine.spot)
-            && capacity.availableOn(machine).fits(job);
+        job.spec().allows(machine.type(), machine.zone(), machine.spot())
+            && capacity.availableOn(machine).fits(job.spec());
     if (!isFeasible || scan.feasible.contains(machine)) {
       return false;
     }
@@ -231,19 +229,19 @@
 
   /** The machines met for the job's class are met anew: some were dropped for what was released. */
   void forgetScan(Job job) {
-    scans.remove(ScoringClass.of(job.spec));
+    scans.remove(ScoringClass.of(job.spec()));
   }
 
   /** The rules that depend on where the job's other tasks are, all doubt counted against it. */
   public static boolean constraintsAllow(Job job, Machine machine) {
-    boolean urgent = job.spec.priority().compareTo(Priority.NORMAL) > 0;
-    if (urgent && machine.maintenance.stage() == Maintenance.Stage.PROBATION) {
+    boolean urgent = job.spec().priority().compareTo(Priority.NORMAL) > 0;
+    if (urgent && machine.maintenance().stage() == Maintenance.Stage.PROBATION) {
       return false;
     }
-    if (job.spec.spreadAcrossZones()
-        && job.attemptsInZone(machine.zone) >= job.spec.maxTasksPerZone()) {
+    if (job.spec().spreadAcrossZones()
+        && job.attemptsInZone(machine.zone()) >= job.spec().maxTasksPerZone()) {
       return false;
     }
-    return !job.spec.singleZone() || job.isOnlyInZone(machine.zone);
+    return !job.spec().singleZone() || job.isOnlyInZone(machine.zone());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -5,7 +5,7 @@
 import io.pearscale.scheduler.model.EquivalenceClass;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
@@ -28,8 +28,8 @@
 
   /** Lowest first; among equals the youngest, which has the least to lose. */
   private static final Comparator<TaskAttempt> LOWEST_AND_YOUNGEST =
-      Comparator.comparing((TaskAttempt attempt) -> attempt.job.spec.priority())
-          .thenComparing(attempt -> attempt.stageSince, Comparator.reverseOrder());
+      Comparator.comparing((TaskAttempt attempt) -> attempt.job().spec().priority())
+          .thenComparing(attempt -> attempt.stageSince(), Comparator.reverseOrder());
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
   private record SearchKey(
@@ -57,7 +57,7 @@
   }
 
   private SearchKey searchKey(Job job, Optional<String> image) {
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     return new SearchKey(
         EquivalenceClass.of(spec),
         spec.team(),
@@ -89,11 +89,11 @@
    * @param free the best place without victims
    */
   Optional<Assignment> preemptForImage(Job job, Machine free, Predicate<Machine> allowed) {
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     Optional<Duration> within = context.startObjective().apply(spec);
     if (within.isEmpty()
-        || free.cachedImages.containsKey(spec.image())
-        || free.type.fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
+        || free.images().contains(spec.image())
+        || free.type().fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
       return Optional.empty();
     }
     SearchKey search = searchKey(job, Optional.of(spec.image()));
@@ -110,7 +110,7 @@
   /** Looks for victims, on machines that have the image if one is given. */
   private Optional<Assignment> preempt(
       Job job, Optional<String> image, Predicate<Machine> allowed) {
-    boolean guaranteed = capacity.quotaUsage().isWithinGuarantee(job.spec);
+    boolean guaranteed = capacity.quotaUsage().isWithinGuarantee(job.spec());
     Assignment best = null;
     RandomizedMachineScan scan = machines.get();
     int start = scan.randomStart();
@@ -120,10 +120,10 @@
     int most = context.tuning().sampleSize();
     for (int i = 0; i < scan.size() && met < most; i++) {
       Machine machine = scan.get(start, i);
-      if (!job.spec.allows(machine.type, machine.zone, machine.spot)
+      if (!job.spec().allows(machine.type(), machine.zone(), machine.spot())
           || !allowed.test(machine)
           || (image.isPresent() && !canStartAtOnce(machine, image.get()))
-          || (!guaranteed && !machine.availableAbove(job.spec.priority()).fits(job))) {
+          || (!guaranteed && !machine.availableAbove(job.spec().priority()).fits(job.spec()))) {
         continue;
       }
       List<TaskAttempt> victims = victimsOn(machine, job, guaranteed);
@@ -145,16 +145,16 @@
 
   /** Whether the machine has the image, and a kill would be carried out there at once. */
   private boolean canStartAtOnce(Machine machine, String image) {
-    return machine.cachedImages.containsKey(image)
-        && machine.lastReachableAt.isAfter(context.reachableSince())
-        && !context.now().isBefore(machine.directCommandsAfter);
+    return machine.images().contains(image)
+        && machine.reachability().lastReachableAt().isAfter(context.reachableSince())
+        && !context.now().isBefore(machine.reachability().directCommandsAfter());
   }
 
   /** Who would have to leave the machine; nobody if that would not make room enough. */
   private List<TaskAttempt> victimsOn(Machine machine, Job job, boolean guaranteed) {
     List<TaskAttempt> candidates = new ArrayList<>();
-    for (TaskAttempt attempt : machine.attempts.values()) {
-      if (!attempt.stopping
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (!attempt.stopping()
           && !capacity.isVictim(attempt)
           && !isSheltered(attempt)
           && mayPreempt(job, attempt, guaranteed)) {
@@ -165,13 +165,13 @@
     Resources trial = capacity.availableOn(machine).copy();
     List<TaskAttempt> victims = new ArrayList<>();
     for (TaskAttempt attempt : candidates) {
-      if (trial.fits(job)) {
+      if (trial.fits(job.spec())) {
         break;
       }
-      trial.add(attempt.job);
+      trial.add(attempt.job().spec());
       victims.add(attempt);
     }
-    return trial.fits(job) ? victims : List.of();
+    return trial.fits(job.spec()) ? victims : List.of();
   }
 
   /**
@@ -179,25 +179,25 @@
    * as a start, the job would go on waiting, and the youngest are the first to be stopped.
    */
   private boolean isSheltered(TaskAttempt attempt) {
-    Job job = attempt.job;
-    return !job.spec.isService()
-        && !job.hasStarted
-        && job.doneTasks.isEmpty()
-        && (job.spec.isGang() || job.attempts.size() == 1)
-        && job.submittedAt.isBefore(context.now().minus(Job.LONG_WAIT))
+    Job job = attempt.job();
+    return !job.spec().isService()
+        && !job.hasStarted()
+        && !job.hasDoneTasks()
+        && (job.spec().isGang() || job.attempts().size() == 1)
+        && job.submittedAt().isBefore(context.now().minus(Job.LONG_WAIT))
         && attempt.runningTime(context.now()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) < 0;
   }
 
   private boolean mayPreempt(Job job, TaskAttempt victim, boolean guaranteed) {
-    JobSpec spec = victim.job.spec;
-    if (spec.priority().compareTo(job.spec.priority()) < 0) {
+    JobSpec spec = victim.job().spec();
+    if (spec.priority().compareTo(job.spec().priority()) < 0) {
       return true;
     }
-    if (job.spec.priority() == Priority.CRITICAL && spec.priority() == Priority.CRITICAL) {
+    if (job.spec().priority() == Priority.CRITICAL && spec.priority() == Priority.CRITICAL) {
       return false; // top-band tasks do not evict one another
     }
     return guaranteed
-        && !spec.team().equals(job.spec.team())
+        && !spec.team().equals(job.spec().team())
         && capacity.quotaUsage().exceedsGuarantee(spec.team());
   }
 
@@ -217,8 +217,8 @@
     if (highest != bestHighest) {
       return highest.compareTo(bestHighest) < 0;
     }
-    boolean cached = machine.cachedImages.containsKey(job.spec.image());
-    if (cached != best.machine().cachedImages.containsKey(job.spec.image())) {
+    boolean cached = machine.images().contains(job.spec().image());
+    if (cached != best.machine().images().contains(job.spec().image())) {
       return cached;
     }
     return context.queueOrder().compare(firstInQueue(victims), firstInQueue(best.victims())) > 0;
@@ -229,20 +229,20 @@
     int losses = 0;
     for (TaskAttempt victim : victims) {
       boolean ofRunningGang =
-          victim.job.spec.isGang() && victim.stage.compareTo(TaskAttempt.Stage.RUNNING) >= 0;
-      losses += ofRunningGang ? victim.job.attempts.size() : 1;
+          victim.job().spec().isGang() && victim.stage().compareTo(TaskAttempt.Stage.RUNNING) >= 0;
+      losses += ofRunningGang ? victim.job().attempts().size() : 1;
     }
     return losses;
   }
 
   /** Of the jobs that would lose a task the one whose turn comes first. */
   private Job firstInQueue(List<TaskAttempt> victims) {
-    return victims.stream().map(victim -> victim.job).min(context.queueOrder()).orElseThrow();
+    return victims.stream().map(victim -> victim.job()).min(context.queueOrder()).orElseThrow();
   }
 
   private static Priority highestPriority(List<TaskAttempt> victims) {
     return victims.stream()
-        .map(victim -> victim.job.spec.priority())
+        .map(victim -> victim.job().spec().priority())
         .max(Comparator.naturalOrder())
         .orElse(Priority.IDLE);
   }
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -37,22 +37,25 @@
 
   /** When a job should be over: its own deadline, or what its class is expected to keep. */
   private Instant dueAt(Job job) {
-    if (job.spec.deadline().isPresent()) {
-      return job.submittedAt.plus(job.spec.deadline().get());
+    if (job.spec().deadline().isPresent()) {
+      return job.submittedAt().plus(job.spec().deadline().get());
     }
     Duration within = completionObjective(job).orElse(DEFAULT_COMPLETION_OBJECTIVE);
-    if (job.spec.isGang()) {
+    if (job.spec().isGang()) {
       // It can't begin in part, so a time to start says when it would be over.
       Duration ifStarted =
-          classes.startObjective(job.spec).map(job.spec.estimatedDuration()::plus).orElse(within);
+          classes
+              .startObjective(job.spec())
+              .map(job.spec().estimatedDuration()::plus)
+              .orElse(within);
       within = ifStarted.compareTo(within) < 0 ? ifStarted : within;
     }
-    return job.submittedAt.plus(within);
+    return job.submittedAt().plus(within);
   }
 
   private Optional<Duration> completionObjective(Job job) {
     return objectives.stream()
-        .filter(o -> o.kind().equals("finished") && o.jobClass().equals(job.spec.jobClass()))
+        .filter(o -> o.kind().equals("finished") && o.jobClass().equals(job.spec().jobClass()))
         .map(ServiceLevelObjective::target)
         .findFirst();
   }
@@ -77,14 +80,14 @@
 
   private Rank rank(Job job, Instant now) {
     Instant due = dueAt(job);
-    Instant end = now.plus(job.spec.estimatedDuration());
-    Duration allowed = Duration.between(job.submittedAt, due);
+    Instant end = now.plus(job.spec().estimatedDuration());
+    Duration allowed = Duration.between(job.submittedAt(), due);
     int lateness =
-        job.spec.isService() || !end.isAfter(due)
+        job.spec().isService() || !end.isAfter(due)
             ? 0
-            : end.isAfter(job.submittedAt.plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
+            : end.isAfter(job.submittedAt().plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
     return new Rank(
-        lateness, job.spec.isService() ? job.submittedAt : dueAtByRemainingWork(job, due));
+        lateness, job.spec().isService() ? job.submittedAt() : dueAtByRemainingWork(job, due));
   }
 
   /** Waiting jobs, in the order in which they are decided. */
@@ -92,20 +95,21 @@
     record Ranked(Job job, int band, Rank turn) {}
     List<Ranked> ranked = new ArrayList<>();
     for (Job j : queue) {
-      if (!now.isBefore(j.retryNotBefore) && !(j.failsEverywhere() && !j.attempts.isEmpty())) {
+      if (!now.isBefore(j.failures().retryNotBefore())
+          && !(j.failures().failsEverywhere() && !j.attempts().isEmpty())) {
         Rank rank = ranks.apply(j);
         boolean overdue = isFirstStartOverdue(j, now);
         // In the top band nothing goes before the order of the design; below it, what has waited
         // for long without a single task running gets one of them started first.
-        int band = j.spec.priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
+        int band = j.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
         ranked.add(new Ranked(j, band, overdue ? new Rank(0, rank.due) : rank));
       }
     }
     ranked.sort(
         Comparator.comparingInt((Ranked r) -> r.band)
-            .thenComparing(r -> r.job.spec.priority(), Comparator.reverseOrder())
+            .thenComparing(r -> r.job.spec().priority(), Comparator.reverseOrder())
             .thenComparing(r -> r.turn)
-            .thenComparing(r -> r.job.spec.id()));
+            .thenComparing(r -> r.job.spec().id()));
     List<Job> result = new ArrayList<>();
     ranked.forEach(r -> result.add(r.job));
     return result;
@@ -113,11 +117,11 @@
 
   /** Whether no task of a batch job has begun in a time in which its users expect that. */
   static boolean isFirstStartOverdue(Job job, Instant now) {
-    return !job.spec.isService()
-        && !job.hasStarted
-        && job.doneTasks.isEmpty()
-        && now.isAfter(job.submittedAt.plus(Job.LONG_WAIT))
-        && job.attempts.isEmpty();
+    return !job.spec().isService()
+        && !job.hasStarted()
+        && !job.hasDoneTasks()
+        && now.isAfter(job.submittedAt().plus(Job.LONG_WAIT))
+        && job.attempts().isEmpty();
   }
 
   /**
@@ -126,15 +130,16 @@
    * are over in time than if each got a part. A large one comes later, but its turn comes.
    */
   private Instant dueAtByRemainingWork(Job job, Instant due) {
-    if (job.spec.deadline().isPresent()
-        || job.spec.isService()
-        || !classes.sized(job.spec.jobClass())) {
+    if (job.spec().deadline().isPresent()
+        || job.spec().isService()
+        || !classes.sized(job.spec().jobClass())) {
       return due;
     }
-    Duration allowed = Duration.between(job.submittedAt, due);
-    double left = job.spec.tasks() - job.doneTasks.cardinality();
-    double part = Math.min(1, 0.2 + left / Math.max(1, classes.largeJobTasks(job.spec.jobClass())));
-    return job.submittedAt.plusMillis((long) (allowed.toMillis() * part));
+    Duration allowed = Duration.between(job.submittedAt(), due);
+    double left = job.spec().tasks() - job.doneCount();
+    double part =
+        Math.min(1, 0.2 + left / Math.max(1, classes.largeJobTasks(job.spec().jobClass())));
+    return job.submittedAt().plusMillis((long) (allowed.toMillis() * part));
   }
 
   /**
@@ -142,12 +147,12 @@
    * only when waiting longer would put the deadline at risk, since what it stops is done again.
    */
   static boolean mayPreempt(Job job, Instant now) {
-    if (job.spec.isService() || job.spec.deadline().isEmpty()) {
+    if (job.spec().isService() || job.spec().deadline().isEmpty()) {
       return true;
     }
     // Estimates are often wrong by half, and an image may have to be fetched first.
     Duration needed =
-        job.spec.estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
-    return now.plus(needed).isAfter(job.submittedAt.plus(job.spec.deadline().get()));
+        job.spec().estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
+    return now.plus(needed).isAfter(job.submittedAt().plus(job.spec().deadline().get()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -20,7 +20,8 @@
   RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
-      boolean stays = machine.scaleInCandidateSince.equals(Instant.MAX) && !machine.drainPlanned;
+      boolean stays =
+          machine.cloud().scaleInCandidateSince().equals(Instant.MAX) && !machine.isDrainPlanned();
       (stays ? preferred : leaving).add(machine);
     }
     shuffle(preferred);
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
@@ -33,7 +33,7 @@
 
   /** Books the room of a replica that moves on. */
   Optional<Assignment> makeWay(Job job) {
-    if (!job.spec.isService()) {
+    if (!job.spec().isService()) {
       return Optional.empty();
     }
     RandomizedMachineScan scan = machines.get();
@@ -41,11 +41,11 @@
     int candidates = 0;
     for (int i = 0; i < scan.size() && candidates < context.tuning().sampleSize(); i++) {
       Machine machine = scan.get(start, i);
-      if (!job.spec.allows(machine.type, machine.zone, machine.spot)
+      if (!job.spec().allows(machine.type(), machine.zone(), machine.spot())
           || !Placer.constraintsAllow(job, machine)) {
         continue;
       }
-      for (TaskAttempt replica : machine.attempts.values()) {
+      for (TaskAttempt replica : machine.attempts().values()) {
         if (!mayBeMovedFor(job, replica)) {
           continue;
         }
@@ -61,23 +61,23 @@
   }
 
   private boolean mayBeMovedFor(Job job, TaskAttempt replica) {
-    JobSpec spec = replica.job.spec;
-    Resources trial = capacity.availableOn(replica.machine).copy();
-    trial.add(replica.job);
-    return !replica.stopping
-        && replica.stage == TaskAttempt.Stage.RUNNING
+    JobSpec spec = replica.job().spec();
+    Resources trial = capacity.availableOn(replica.machine()).copy();
+    trial.add(replica.job().spec());
+    return !replica.stopping()
+        && replica.stage() == TaskAttempt.Stage.RUNNING
         && spec.isService()
         && !spec.singleZone()
-        && spec.priority() == job.spec.priority()
-        && spec.team().equals(job.spec.team())
-        && replica.stageSince.isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
-        && trial.fits(job);
+        && spec.priority() == job.spec().priority()
+        && spec.team().equals(job.spec().team())
+        && replica.stageSince().isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
+        && trial.fits(job.spec());
   }
 
   private boolean reserveElsewhere(TaskAttempt replica) {
     for (Machine machine : context.machines()) {
-      if (mayMoveTo(replica, machine) && capacity.availableOn(machine).fits(replica.job)) {
-        capacity.availableOn(machine).subtract(replica.job);
+      if (mayMoveTo(replica, machine) && capacity.availableOn(machine).fits(replica.job().spec())) {
+        capacity.availableOn(machine).subtract(replica.job().spec());
         return true;
       }
     }
@@ -86,15 +86,15 @@
 
   /** Whether a replica could run on another machine without waiting for its image. */
   public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
-    JobSpec spec = replica.job.spec;
+    JobSpec spec = replica.job().spec();
     boolean zoneFree =
-        machine.zone.equals(replica.machine.zone)
+        machine.zone().equals(replica.machine().zone())
             || (!spec.singleZone()
                 && (!spec.spreadAcrossZones()
-                    || replica.job.attemptsInZone(machine.zone) < spec.maxTasksPerZone()));
-    return machine != replica.machine
+                    || replica.job().attemptsInZone(machine.zone()) < spec.maxTasksPerZone()));
+    return machine != replica.machine()
         && zoneFree
-        && spec.allows(machine.type, machine.zone, machine.spot)
-        && machine.cachedImages.containsKey(spec.image());
+        && spec.allows(machine.type(), machine.zone(), machine.spot())
+        && machine.images().contains(spec.image());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -119,7 +119,7 @@
       GangPlacer gangPlacer = new GangPlacer(placer, usable);
       Set<Machine> touched = new LinkedHashSet<>();
       for (Job job : waiting) {
-        if (job.spec.isGang()) {
+        if (job.spec().isGang()) {
           placeGang(gangPlacer, job, touched, now);
         } else {
           place(placer, job, touched, now);
@@ -159,10 +159,11 @@
   private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
     boolean mayPreempt = QueueOrder.mayPreempt(job, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
-    boolean oneTaskOnly = QueueOrder.isFirstStartOverdue(job, now) || job.failsEverywhere();
+    boolean oneTaskOnly =
+        QueueOrder.isFirstStartOverdue(job, now) || job.failures().failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
       Optional<Placer.Assignment> assignment = placer.place(job, mayPreempt);
-      job.unschedulable = assignment.isEmpty();
+      job.recordSchedulingResult(assignment.isPresent());
       if (assignment.isEmpty()) {
         return;
       }
@@ -182,11 +183,11 @@
     int tasks = job.pendingTasks();
     List<Placer.Assignment> assignments =
         gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
-    job.unschedulable = assignments.isEmpty();
+    job.recordSchedulingResult(!assignments.isEmpty());
     if (assignments.isEmpty()) {
       if (QueueOrder.isFirstStartOverdue(job, now)) {
         gangPlacer.reserveFor(job, tasks);
-      } else if (policy.classes.startObjective(job.spec).isPresent()) {
+      } else if (policy.classes.startObjective(job.spec()).isPresent()) {
         gangPlacer.reserveIfSmall(job, tasks);
       }
       return;
@@ -216,17 +217,22 @@
     }
     TaskAttempt planned =
         new TaskAttempt(
-            job, new TaskId(job.spec.id(), taskIndex), attemptNumber, machine, Stage.PLANNED, now);
+            job,
+            new TaskId(job.spec().id(), taskIndex),
+            attemptNumber,
+            machine,
+            Stage.PLANNED,
+            now);
     inventory.add(planned);
     LOG.debug(
         "event=placed term={} machine={} task={} attempt={} class={} image={} cached={}",
         leadership.term(),
-        machine.name,
-        planned.task,
-        planned.number,
-        job.spec.jobClass(),
-        job.spec.image(),
-        machine.cachedImages.containsKey(job.spec.image()));
+        machine.name(),
+        planned.task(),
+        planned.number(),
+        job.spec().jobClass(),
+        job.spec().image(),
+        machine.images().contains(job.spec().image()));
     records.recordPlacement(planned);
   }
 
@@ -234,13 +240,14 @@
     LOG.info(
         "event=evict term={} machine={} task={} attempt={} for={}/{}",
         leadership.term(),
-        victim.machine.name,
-        victim.task,
-        victim.number,
-        preemptor.spec.id(),
+        victim.machine().name(),
+        victim.task(),
+        victim.number(),
+        preemptor.spec().id(),
         taskIndex);
     termination.stop(
         victim,
-        policy.classes.isLateIfCheckpointed(preemptor.spec, victim.job.spec, victim.machine.type));
+        policy.classes.isLateIfCheckpointed(
+            preemptor.spec(), victim.job().spec(), victim.machine().type()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -4,8 +4,7 @@
 import io.pearscale.protocol.MessageFields;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.Machine.Resources;
-import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.Tuning;
 import java.util.Map;
 
@@ -29,18 +28,20 @@
    * @param zoneCrowding how little room each zone has for such tasks
    */
   double score(Job job, Machine machine, Map<String, Double> zoneCrowding) {
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     return tuning.strandedWeight() * stranded(job, machine)
         + sameJobCost(job, machine) / Math.max(1, spec.tasks())
-        + tuning.sameZoneWeight() * job.attemptsInZone(machine.zone) / Math.max(1, spec.tasks())
-        + tuning.zoneBalanceWeight() * zoneCrowding.getOrDefault(machine.zone, 1.0)
+        + tuning.sameZoneWeight() * job.attemptsInZone(machine.zone()) / Math.max(1, spec.tasks())
+        + tuning.zoneBalanceWeight() * zoneCrowding.getOrDefault(machine.zone(), 1.0)
         + tuning.cachedImageWeight()
             * fetchShare(job, machine)
             * competingFetches(spec.image(), machine)
-        + (spec.spotAllowed() && !machine.spot ? tuning.onDemandWeight() : 0)
+        + (spec.spotAllowed() && !machine.spot() ? tuning.onDemandWeight() : 0)
         // A machine that just missed a direct command gets its starts by report only, which is
         // slow.
-        + (context.now().isBefore(machine.directCommandsAfter) ? tuning.cachedImageWeight() : 0);
+        + (context.now().isBefore(machine.reachability().directCommandsAfter())
+            ? tuning.cachedImageWeight()
+            : 0);
   }
 
   /**
@@ -48,21 +49,24 @@
    * is the room that is left after them.
    */
   private int expectedTasks(Job job, Machine machine) {
-    return job.spec.isService()
+    return job.spec().isService()
         ? 1
         : Math.max(
-            1, Math.min(capacity.availableOn(machine).countFitting(job), job.pendingTasks()));
+            1,
+            Math.min(capacity.availableOn(machine).countFitting(job.spec()), job.pendingTasks()));
   }
 
   private double stranded(Job job, Machine machine) {
     Resources available = capacity.availableOn(machine);
-    JobSpec spec = job.spec;
+    JobSpec spec = job.spec();
     int tasks = expectedTasks(job, machine);
-    double stranded = (available.cpus - tasks * spec.cpus()) / Math.max(1e-9, machine.type.cpus());
+    double stranded =
+        (available.cpus() - tasks * spec.cpus()) / Math.max(1e-9, machine.type().cpus());
     stranded +=
-        (available.memoryGb - tasks * spec.memoryGb()) / Math.max(1e-9, machine.type.memoryGb());
-    if (machine.type.gpus() > 0) {
-      stranded += (available.gpus - tasks * spec.gpus()) / machine.type.gpus();
+        (available.memoryGb() - tasks * spec.memoryGb())
+            / Math.max(1e-9, machine.type().memoryGb());
+    if (machine.type().gpus() > 0) {
+      stranded += (available.gpus() - tasks * spec.gpus()) / machine.type().gpus();
     }
     return stranded;
   }
@@ -72,13 +76,8 @@
    * task: the fewer machines it is on, the fewer jobs the loss of one makes late.
    */
   private double sameJobCost(Job job, Machine machine) {
-    int onMachine = 0;
-    for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.job == job) {
-        onMachine++;
-      }
-    }
-    return job.spec.isService()
+    int onMachine = machine.attempts().countOf(job);
+    return job.spec().isService()
         ? tuning.sameMachineWeight() * onMachine
         : -tuning.packingWeight() * (onMachine + expectedTasks(job, machine));
   }
@@ -89,16 +88,16 @@
    * vain.
    */
   private double fetchShare(Job job, Machine machine) {
-    double fetch = MessageFields.seconds(machine.type.fetchTime(job.spec.imageGb()));
-    double run = job.spec.isService() ? 1 : MessageFields.seconds(job.spec.estimatedDuration());
-    if (job.spec.isGang()) {
-      run = context.startObjective().apply(job.spec).map(MessageFields::seconds).orElse(run);
+    double fetch = MessageFields.seconds(machine.type().fetchTime(job.spec().imageGb()));
+    double run = job.spec().isService() ? 1 : MessageFields.seconds(job.spec().estimatedDuration());
+    if (job.spec().isGang()) {
+      run = context.startObjective().apply(job.spec()).map(MessageFields::seconds).orElse(run);
     }
     return fetch / Math.max(SHORTEST_TIME_S, fetch + run);
   }
 
   /** How many fetches would share the rate with the image's own; -1 if that is cached. */
   private static int competingFetches(String image, Machine machine) {
-    return machine.cachedImages.containsKey(image) ? -1 : machine.otherImageFetches(image);
+    return machine.images().contains(image) ? -1 : machine.otherImageFetches(image);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -19,14 +19,14 @@
   /** By zone; counted once for each shape. */
   Map<String, Integer> tasksByZone(Job job) {
     return tasksByClass.computeIfAbsent(
-        EquivalenceClass.of(job.spec), equivalenceClass -> countByZone(job));
+        EquivalenceClass.of(job.spec()), equivalenceClass -> countByZone(job));
   }
 
   private Map<String, Integer> countByZone(Job job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (job.spec.allows(machine.type, machine.zone, machine.spot)) {
-        tasksByZone.merge(machine.zone, machine.capacityWithEviction(job), Integer::sum);
+      if (job.spec().allows(machine.type(), machine.zone(), machine.spot())) {
+        tasksByZone.merge(machine.zone(), machine.capacityWithPreemption(job.spec()), Integer::sum);
       }
     }
     return tasksByZone;
@@ -34,11 +34,11 @@
 
   /** The zones in which a job that must spread may have another task; none for any other job. */
   List<String> zonesLeft(Job job) {
-    if (!job.spec.spreadAcrossZones()) {
+    if (!job.spec().spreadAcrossZones()) {
       return List.of();
     }
     return tasksByZone(job).keySet().stream()
-        .filter(zone -> job.attemptsInZone(zone) < job.spec.maxTasksPerZone())
+        .filter(zone -> job.attemptsInZone(zone) < job.spec().maxTasksPerZone())
         .sorted()
         .toList();
   }
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -20,18 +20,18 @@
   static JobPartition containing(Job job, int task, RecordLayout layout) {
     int firstTask = task - task % layout.tasksPerPartition();
     return new JobPartition(
-        job, firstTask, Math.min(layout.tasksPerPartition(), job.spec.tasks() - firstTask));
+        job, firstTask, Math.min(layout.tasksPerPartition(), job.spec().tasks() - firstTask));
   }
 
   /** All parts of a job. */
   static List<JobPartition> allOf(Job job, RecordLayout layout) {
-    return covering(job, 0, job.spec.tasks(), layout);
+    return covering(job, 0, job.spec().tasks(), layout);
   }
 
   /** The parts that hold tasks from the first one on, up to the last one, which is excluded. */
   static List<JobPartition> covering(Job job, int fromTask, int toTask, RecordLayout layout) {
     List<JobPartition> partitions = new ArrayList<>();
-    int end = Math.min(toTask, job.spec.tasks());
+    int end = Math.min(toTask, job.spec().tasks());
     for (int task = fromTask - fromTask % layout.tasksPerPartition();
         task < end;
         task += layout.tasksPerPartition()) {
@@ -42,15 +42,15 @@
 
   /** How large the marks of this part may become. */
   int maximumRecordSize(RecordLayout layout) {
-    return PlacementRecordCodec.maximumSize(job.spec.id(), taskCount, layout)
+    return PlacementRecordCodec.maximumSize(job.spec().id(), taskCount, layout)
         + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
   /** Where its tasks are, or may be. */
   List<TaskAttempt> attempts() {
     List<TaskAttempt> attempts = new ArrayList<>();
-    for (TaskAttempt attempt : job.attempts.values()) {
-      int index = attempt.task.index() - firstTask;
+    for (TaskAttempt attempt : job.attempts().values()) {
+      int index = attempt.task().index() - firstTask;
       if (index >= 0 && index < taskCount) {
         attempts.add(attempt);
       }
@@ -60,7 +60,7 @@
 
   /** Its tasks that are done, numbered from its first. */
   BitSet doneTasks() {
-    return job.doneTasks.get(firstTask, firstTask + taskCount);
+    return job.doneTasks(firstTask, taskCount);
   }
 
   /** Its tasks were written as done. */
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -110,18 +110,19 @@
   void adoptMachine(Machine machine, StoredRecords.StoredMachine stored) {
     if (stored.layout() != layout) {
       assignSlot(machine);
-      previousLayout.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
+      previousLayout.add(
+          stored.key(), machine.record().isRecorded() ? List.of() : List.of(machine));
       return;
     }
     MachineRecordCodec.MachineRecord record = stored.record();
     if (layout == RecordLayout.NUMBERED) {
-      machine.recordNumber = record.number();
+      machine.record().assignNumber(record.number());
       machineRecords.adopt(machine, MachineRecordCodec.maximumSize(record), stored.value());
     } else {
       machineRecords.adopt(
           machine, MachineRecordCodec.maximumSize(record), stored.value(), record.number());
     }
-    machine.recorded = true;
+    machine.record().markRecorded();
   }
 
   /** The number of a stored machine is taken. */
@@ -202,13 +203,13 @@
   }
 
   private void copyMachineRecord(Machine machine) {
-    machine.recorded = false;
+    machine.record().markUnrecorded();
     assignSlot(machine);
     boolean hasPlannedTasks =
-        machine.attempts.values().stream()
-            .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
+        machine.attempts().values().stream()
+            .anyMatch(attempt -> attempt.stage() == TaskAttempt.Stage.PLANNED);
     if (hasPlannedTasks
-        || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
+        || (machine.lifecycle() == Machine.Lifecycle.RETIRING && !machine.record().isRetiring())) {
       machineRecords.markDue(machine);
     }
   }
@@ -226,10 +227,10 @@
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
   public void recordPlacement(TaskAttempt attempt) {
-    JobPartition partition = JobPartition.containing(attempt.job, attempt.task.index(), layout);
-    assignSlot(attempt.machine);
-    if (!attempt.machine.recorded) {
-      machineRecords.markDue(attempt.machine);
+    JobPartition partition = JobPartition.containing(attempt.job(), attempt.task().index(), layout);
+    assignSlot(attempt.machine());
+    if (!attempt.machine().record().isRecorded()) {
+      machineRecords.markDue(attempt.machine());
     }
     placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
     placementRecords.markDue(partition);
@@ -256,8 +257,8 @@
 
   /** Gives the machine a place in the roster, unless it has one. */
   public void assignSlot(Machine machine) {
-    if (layout == RecordLayout.NUMBERED && machine.recordNumber == 0) {
-      machine.recordNumber = recordNumbers.allocate();
+    if (layout == RecordLayout.NUMBERED && machine.record().number() == 0) {
+      machine.record().assignNumber(recordNumbers.allocate());
     }
     machineRecords.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
   }
@@ -283,8 +284,7 @@
     recordMachineDeferred(machine);
     machineRecords.remove(machine);
     previousLayout.noteCopied(machine);
-    machine.recorded = false;
-    machine.recordedRetiring = false;
+    machine.record().markRemoved();
   }
 
   /** The records of a job's tasks need no room any more. */
@@ -301,7 +301,7 @@
    */
   public void closeJob(Job job) {
     finishedJobs.remove(job);
-    if (job.quotaClaim().isEmpty() || job.attempts.isEmpty()) {
+    if (job.quotaClaim().isEmpty() || job.attempts().isEmpty()) {
       removeJob(job);
     }
   }
@@ -427,8 +427,8 @@
     Set<Integer> missing = new LinkedHashSet<>();
     for (JobPartition partition : placementRecords.itemsByPosition(value).values()) {
       for (TaskAttempt attempt : partition.attempts()) {
-        if (!attempt.machine.recorded) {
-          machineRecords.slotOf(attempt.machine).ifPresent(slot -> missing.add(slot.value()));
+        if (!attempt.machine().record().isRecorded()) {
+          machineRecords.slotOf(attempt.machine()).ifPresent(slot -> missing.add(slot.value()));
         }
       }
     }
@@ -444,7 +444,7 @@
       return 0;
     }
     return layout == RecordLayout.NUMBERED
-        ? machine.recordNumber
+        ? machine.record().number()
         : PlacementRecordCodec.positionalReference(
             slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
   }
@@ -462,7 +462,7 @@
 
   /** The transaction was applied. */
   void onApplied(LeaderTransaction transaction) {
-    transaction.newlyRecordedAttempts().forEach(attempt -> attempt.placementRecorded = true);
+    transaction.newlyRecordedAttempts().forEach(attempt -> attempt.markPlacementRecorded());
     transaction
         .doneTasksByPartition()
         .forEach(
@@ -495,7 +495,9 @@
     return slot.isPresent()
         && slot.get().value() == stored.value()
         && number
-            == (layout == RecordLayout.NUMBERED ? machine.recordNumber : slot.get().position());
+            == (layout == RecordLayout.NUMBERED
+                ? machine.record().number()
+                : slot.get().position());
   }
 
   /** Whether the roster has a place for the machine. */
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -80,8 +80,8 @@
         leadership.termRevision(),
         jobs.size(),
         inventory.size(),
-        jobs.all().stream().mapToInt(job -> job.attempts.size()).sum(),
-        inventory.all().stream().filter(machine -> !machine.maintenance.isSchedulable()).count());
+        jobs.all().stream().mapToInt(job -> job.attempts().size()).sum(),
+        inventory.all().stream().filter(machine -> !machine.maintenance().isSchedulable()).count());
     return true;
   }
 
@@ -110,7 +110,7 @@
   public void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
-      inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
+      inventory.all().forEach(machine -> machine.lease().previousLeadersEnded(now));
       LOG.info(
           "event=former_leaders_over term={} after_ms={}",
           leadership.term(),
@@ -122,7 +122,7 @@
   public void noteProgress() {
     if (complete
         || inventory.all().stream()
-            .anyMatch(machine -> !machine.reconciled && !machine.attempts.isEmpty())) {
+            .anyMatch(machine -> !machine.reconciled() && !machine.attempts().isEmpty())) {
       return;
     }
     complete = true;
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -118,7 +118,8 @@
         .itemsByPosition(valueNumber)
         .forEach(
             (position, machine) ->
-                records.add(machine.machineRecord(numbered ? machine.recordNumber : position)));
+                records.add(
+                    machine.machineRecord(numbered ? machine.record().number() : position)));
     machineValues.add(valueNumber);
     records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
     JsonNode encodedValue = MachineRecordCodec.encode(records, level);
@@ -162,10 +163,10 @@
     Job job = partition.job();
     int[] references = new int[partition.taskCount()];
     for (TaskAttempt attempt : partition.attempts()) {
-      int reference = referenceOf.applyAsInt(attempt.machine);
+      int reference = referenceOf.applyAsInt(attempt.machine());
       if (reference > 0) {
-        references[attempt.task.index() - partition.firstTask()] = reference;
-        if (!attempt.placementRecorded) {
+        references[attempt.task().index() - partition.firstTask()] = reference;
+        if (!attempt.placementRecorded()) {
           newlyRecordedAttempts.add(attempt);
         }
       }
@@ -173,18 +174,18 @@
     BitSet doneTasks = partition.doneTasks();
     doneTasksByPartition.put(partition, doneTasks);
     return new PlacementRecordCodec.PartitionRecord(
-        job.spec.id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
+        job.spec().id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
   }
 
   /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
   void addJobEnd(Job job) {
-    String id = job.spec.id();
-    preconditions.add(new Precondition(Keys.liveJob(id), job.revision));
+    String id = job.spec().id();
+    preconditions.add(new Precondition(Keys.liveJob(id), job.revision()));
     mutations.add(Mutation.delete(Keys.liveJob(id)));
     mutations.add(
         Mutation.put(
             Keys.finishedJob(id),
-            MessagePack.map().put("stage", "done").put("pieces", job.spec.tasks())));
+            MessagePack.map().put("stage", "done").put("pieces", job.spec().tasks())));
     finishedJobs.add(job);
     bodyBytes += JOB_END_BYTES;
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -1,6 +1,5 @@
 package io.pearscale.scheduler.records;
 
-import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
@@ -9,7 +8,6 @@
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import io.pearscale.scheduler.records.StoredRecords.StoredMachine;
 import io.pearscale.scheduler.records.StoredRecords.StoredPartition;
 import io.pearscale.storage.MachineRecordCodec;
@@ -57,11 +55,11 @@
     stored.partitions().forEach(this::noteOrphanedJob);
     stored.partitions().forEach(this::adopt);
     for (Job job : orphanedJobs.values()) {
-      for (TaskAttempt attempt : job.attempts.values()) {
-        attempt.stopping = true;
-        attempt.stopsWithoutCheckpoint = true;
+      for (TaskAttempt attempt : job.attempts().values()) {
+        attempt.requestStop();
+        attempt.forbidCheckpoint();
       }
-      if (job.attempts.isEmpty()) {
+      if (job.attempts().isEmpty()) {
         records.removeJob(job);
       }
     }
@@ -71,34 +69,18 @@
     MachineRecordCodec.MachineRecord record = stored.record();
     Machine machine = inventory.get(record.machine());
     if (machine == null) {
-      machine = machineOf(record);
+      machine =
+          Machine.restore(record, inventory.catalogue().typeOf(record.type()), clock.instant());
       inventory.addFromPreviousLeader(machine);
-    } else if (record.retiring() && machine.lifecycle != Lifecycle.RETIRING) {
+    } else if (record.retiring() && machine.lifecycle() != Lifecycle.RETIRING) {
       // That it may be under deletion is never taken back, whichever record says so.
-      machine.lifecycle = Lifecycle.RETIRING;
-      machine.recordedRetiring = true;
+      machine.beginRetirement();
+      machine.record().markRetiring();
     }
     machinesByReference.get(stored.layout()).put(stored.reference(), machine);
     records.adoptMachine(machine, stored);
   }
 
-  private Machine machineOf(MachineRecordCodec.MachineRecord record) {
-    MachineType type = inventory.catalogue().typeOf(record.type());
-    boolean hasReported = !record.address().isEmpty();
-    Lifecycle life =
-        record.retiring() ? Lifecycle.RETIRING : hasReported ? Lifecycle.UP : Lifecycle.BOOTING;
-    Machine machine =
-        new Machine(record.machine(), record.zone(), record.spot(), type, life, clock.instant());
-    machine.address = record.address();
-    machine.recordedRetiring = record.retiring();
-    machine.recordedAddress = record.address();
-    machine.maintenance = record.maintenance();
-    machine.recordedMaintenance = record.maintenance();
-    machine.heartbeatEverReceived = hasReported;
-    machine.lease.acceptFromRecorded(record.incarnation());
-    return machine;
-  }
-
   /** Finds how many tasks a job had that is over, but may still be somewhere. */
   private void noteOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
@@ -107,7 +89,7 @@
       orphanedJobs.merge(
           record.job(),
           Job.orphaned(record, record.quotaClaim().get(), now),
-          (a, b) -> a.spec.tasks() >= b.spec.tasks() ? a : b);
+          (a, b) -> a.spec().tasks() >= b.spec().tasks() ? a : b);
     }
   }
 
@@ -117,7 +99,7 @@
     if (job == null) {
       job = orphanedJobs.get(record.job());
     }
-    if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec.tasks()) {
+    if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec().tasks()) {
       adopt(job, stored);
     } else {
       records.noteObsolete(stored);
@@ -131,35 +113,28 @@
    */
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
-    BitSet alreadyAdopted = tasksInCurrentLayout.computeIfAbsent(job.spec.id(), id -> new BitSet());
+    BitSet alreadyAdopted =
+        tasksInCurrentLayout.computeIfAbsent(job.spec().id(), id -> new BitSet());
     boolean currentLayout = records.isCurrentLayout(stored.layout());
     int firstTask = record.firstTask();
     record.doneTasks().stream()
         .map(i -> firstTask + i)
-        .filter(task -> task < job.spec.tasks())
-        .forEach(job.doneTasks::set);
+        .filter(task -> task < job.spec().tasks())
+        .forEach(job::markDone);
     job.recordDurablyDone(firstTask, record.doneTasks());
-    if (job.spec.isGang() && !job.doneTasks.isEmpty()) {
+    if (job.spec().isGang() && job.hasDoneTasks()) {
       // Its tasks complete together, also those of parts that were not written again.
-      job.doneTasks.set(0, job.spec.tasks());
+      job.markAllDone();
     }
     records.adoptPartition(job, stored);
     for (int i = 0;
-        i < record.machineReferences().length && firstTask + i < job.spec.tasks();
+        i < record.machineReferences().length && firstTask + i < job.spec().tasks();
         i++) {
       Machine machine = machinesByReference.get(stored.layout()).get(record.machineReferences()[i]);
-      if (machine != null
-          && !job.doneTasks.get(firstTask + i)
-          && !alreadyAdopted.get(firstTask + i)) {
+      if (machine != null && !job.isDone(firstTask + i) && !alreadyAdopted.get(firstTask + i)) {
         TaskAttempt assumed =
-            new TaskAttempt(
-                job,
-                new TaskId(job.spec.id(), firstTask + i),
-                -1,
-                machine,
-                Stage.START_SENT,
-                clock.instant());
-        assumed.placementRecorded = true;
+            TaskAttempt.fromRecord(
+                job, new TaskId(job.spec().id(), firstTask + i), machine, clock.instant());
         inventory.add(assumed);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -204,7 +204,7 @@
       // Somebody was faster with these jobs, by cancelling them; the watch brings the news.
       commitInFlight = false;
       transaction.finishedJobs().stream()
-          .filter(job -> failedKeys.contains(Keys.liveJob(job.spec.id())))
+          .filter(job -> failedKeys.contains(Keys.liveJob(job.spec().id())))
           .forEach(records::withdrawJobFinished);
       scheduleCommit();
     } else {
@@ -262,24 +262,21 @@
     MachineRecordCodec.MachineRecord record = stored.record();
     Machine machine = inventory.get(record.machine());
     if (machine != null && records.hasSlot(machine, stored)) {
-      machine.recorded = true;
-      machine.recordedRetiring = record.retiring();
-      machine.recordedAddress = record.address();
-      machine.recordedMaintenance = record.maintenance();
+      machine.record().recordWritten(record.retiring(), record.address(), record.maintenance());
       records.noteMachineRecorded(machine);
     }
   }
 
   private void finishJob(Job job) {
-    jobs.remove(job.spec.id());
+    jobs.remove(job.spec().id());
     gangs.forget(job);
     records.closeJob(job);
-    job.durablyDoneTasks.or(job.doneTasks);
+    job.recordAllDurablyDone();
     LOG.info(
         "event=job_done term={} job={} after_ms={}",
         leadership.term(),
-        job.spec.id(),
-        Duration.between(job.submittedAt, clock.instant()).toMillis());
-    List.copyOf(job.attempts.values()).forEach(inventory::stop);
+        job.spec().id(),
+        Duration.between(job.submittedAt(), clock.instant()).toMillis());
+    List.copyOf(job.attempts().values()).forEach(inventory::stop);
   }
 }
--- a/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
@@ -11,6 +11,7 @@
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.ModelFixtures;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
@@ -65,8 +66,7 @@
               machine,
               Stage.RUNNING,
               NOW.minus(Duration.ofHours(1)));
-      machine.add(attempt);
-      job.add(attempt);
+      ModelFixtures.place(attempt);
       machines.add(machine);
     }
     return machines;
--- a/src/test/java/io/pearscale/scheduler/model/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/ProbationTest.java
@@ -30,10 +30,10 @@
         new MachineType("s", 8, 0, 64, 100, 1, 1, 1, Duration.ofSeconds(5), List.of("a"));
     Machine machine = new Machine("m-1", "a", false, type, Lifecycle.UP, NOW);
     for (Priority priority : Priority.values()) {
-      machine.maintenance = new Maintenance(Stage.PROBATION, "d1");
+      machine.changeMaintenance(new Maintenance(Stage.PROBATION, "d1"));
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
       assertEquals(!urgent, Placer.constraintsAllow(job(priority), machine), "" + priority);
-      machine.maintenance = Maintenance.IN_SERVICE;
+      machine.changeMaintenance(Maintenance.IN_SERVICE);
       assertEquals(true, Placer.constraintsAllow(job(priority), machine), "" + priority);
     }
   }
