--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -3,7 +3,6 @@
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Resources;
-import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,9 +25,7 @@
   /** Where the tasks go. */
   private record Plan(Job job, List<Assignment> assignments) {
     int tasksLost() {
-      return assignments.stream()
-          .mapToInt(choice -> PreemptionPlanner.tasksLost(choice.victims()))
-          .sum();
+      return assignments.stream().mapToInt(Assignment::tasksLost).sum();
     }
 
     /** The gang starts when the last of its tasks has its image. */
@@ -73,7 +70,7 @@
   /**
    * Books room for so many tasks.
    *
-   * @return a choice for each of them; none if one of them finds no place
+   * @return an assignment for each of them; none if one of them finds no place
    */
   List<Assignment> place(Job job, int tasks, boolean mayPreempt) {
     Optional<Plan> best = Optional.empty();
@@ -163,7 +160,7 @@
       long places =
           machines.stream()
               .filter(among)
-              .filter(machine -> job.spec().allows(machine.type(), machine.zone(), machine.spot()))
+              .filter(machine -> PlacementConstraints.allowsKind(job.spec(), machine))
               .mapToLong(machine -> Resources.of(machine.type()).countFitting(job.spec()))
               .sum();
       most = Math.max(most, places);
@@ -174,7 +171,7 @@
   private void reserve(Job job, int tasks) {
     List<Assignment> largest = List.of();
     for (Predicate<Machine> among : fleetParts(job)) {
-      List<Assignment> assignments = choose(job, tasks, /* mayStopOthers= */ false, among);
+      List<Assignment> assignments = choose(job, tasks, /* mayPreempt= */ false, among);
       release(job, assignments);
       largest = assignments.size() > largest.size() ? assignments : largest;
     }
--- a/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
@@ -5,7 +5,6 @@
 import io.pearscale.scheduler.model.QuotaUsage;
 import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -5,7 +5,6 @@
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Resources;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.placement.Placer.Assignment;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -41,8 +40,8 @@
     int candidates = 0;
     for (int i = 0; i < scan.size() && candidates < context.tuning().sampleSize(); i++) {
       Machine machine = scan.get(start, i);
-      if (!job.spec().allows(machine.type(), machine.zone(), machine.spot())
-          || !Placer.constraintsAllow(job, machine)) {
+      if (!PlacementConstraints.allowsKind(job.spec(), machine)
+          || !PlacementConstraints.allowsNow(job, machine)) {
         continue;
       }
       for (TaskAttempt replica : machine.attempts().values()) {
@@ -94,7 +93,7 @@
                     || replica.job().attemptsInZone(machine.zone()) < spec.maxTasksPerZone()));
     return machine != replica.machine()
         && zoneFree
-        && spec.allows(machine.type(), machine.zone(), machine.spot())
+        && PlacementConstraints.allowsKind(spec, machine)
         && machine.images().contains(spec.image());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -162,7 +162,7 @@
     boolean oneTaskOnly =
         QueueOrder.isFirstStartOverdue(job, now) || job.failures().failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
-      Optional<Placer.Assignment> assignment = placer.place(job, mayPreempt);
+      Optional<Assignment> assignment = placer.place(job, mayPreempt);
       job.recordSchedulingResult(assignment.isPresent());
       if (assignment.isEmpty()) {
         return;
@@ -181,8 +181,7 @@
       return;
     }
     int tasks = job.pendingTasks();
-    List<Placer.Assignment> assignments =
-        gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
+    List<Assignment> assignments = gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
     job.recordSchedulingResult(!assignments.isEmpty());
     if (assignments.isEmpty()) {
       if (QueueOrder.isFirstStartOverdue(job, now)) {
@@ -197,7 +196,7 @@
     }
     long attemptNumber = gangs.attemptNumber(job);
     int task = job.nextPendingTask(0);
-    for (Placer.Assignment assignment : assignments) {
+    for (Assignment assignment : assignments) {
       start(job, task, assignment, attemptNumber, touched, now);
       task = job.nextPendingTask(task + 1);
     }
@@ -206,7 +205,7 @@
   private void start(
       Job job,
       int taskIndex,
-      Placer.Assignment assignment,
+      Assignment assignment,
       long attemptNumber,
       Set<Machine> touched,
       Instant now) {
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -25,7 +25,7 @@
   private Map<String, Integer> countByZone(Job job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (job.spec().allows(machine.type(), machine.zone(), machine.spot())) {
+      if (PlacementConstraints.allowsKind(job.spec(), machine)) {
         tasksByZone.merge(machine.zone(), machine.capacityWithPreemption(job.spec()), Integer::sum);
       }
     }
--- a/src/test/java/io/pearscale/scheduler/model/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
@@ -1,12 +1,13 @@
-package io.pearscale.scheduler.model;
+package io.pearscale.scheduler.placement;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
 import io.pearscale.scheduler.autoscaling.ReplicaCapacityTest;
+import io.pearscale.scheduler.model.Job;
+import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
-import io.pearscale.scheduler.placement.Placer;
 import io.pearscale.storage.Maintenance;
 import io.pearscale.storage.Maintenance.Stage;
 import java.time.Duration;
@@ -32,9 +33,9 @@
     for (Priority priority : Priority.values()) {
       machine.changeMaintenance(new Maintenance(Stage.PROBATION, "d1"));
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
-      assertEquals(!urgent, Placer.constraintsAllow(job(priority), machine), "" + priority);
+      assertEquals(!urgent, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
       machine.changeMaintenance(Maintenance.IN_SERVICE);
-      assertEquals(true, Placer.constraintsAllow(job(priority), machine), "" + priority);
+      assertEquals(true, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
     }
   }
 }
