--- a/src/main/java/io/pearscale/gang/GangAttempt.java
+++ b/src/main/java/io/pearscale/gang/GangAttempt.java
@@ -8,42 +8,45 @@
 import java.util.stream.Collectors;
 
 /**
- * The present attempt of a gang job, as its leader knows it. Workers tell an attempt by its number
- * alone, so a task that is lost before the others have begun may be replaced under the same number;
- * after that an attempt that lost a task is over, and the next one begins when the last of its
- * tasks is proven gone.
+ * The present attempt of a gang job, as its leader knows it: a state machine over the stages of its
+ * tasks. Agents tell an attempt by its number alone, so a task that is lost before the others run
+ * may be replaced under the same number; after that an attempt that lost a task is over, and the
+ * next one begins when the last of its tasks is proved to be absent.
+ *
+ * <p>Invariant: tasks of two attempts never go on together. When they are found together, both are
+ * ended.
  *
  * <p>A new leader finds tasks whose attempt it does not know. It concludes nothing before each of
- * them has been shown by a message or proven gone.
+ * them has been shown by a heartbeat or proved to be absent.
  */
 public final class GangAttempt {
-  /** What an attempt is at. */
+  /** The phases of an attempt. */
   public enum Phase {
     /** No task is, or may be, on any machine. */
     VACANT,
-    /** Tasks of a former leader have yet to be shown. */
+    /** Tasks that a previous leader started have yet to be shown. */
     UNKNOWN,
-    /** Tasks are started, fetch images and wait for each other. */
+    /** Tasks are being started, fetch images and wait for each other. */
     FORMING,
-    /** All run. */
+    /** All tasks run. */
     RUNNING,
-    /** It is over, and its tasks are going. */
+    /** The attempt is over, and its tasks are being stopped. */
     ENDING
   }
 
   /** What is to be done for the gang. */
   public enum Action {
-    /** Nothing, but to wait. */
+    /** Wait. */
     NONE,
-    /** All its tasks are to be started, under a new number. */
+    /** Start all tasks, under a new number. */
     START,
-    /** Tasks that are missing are to be started, under the attempt's number. */
+    /** Start the missing tasks, under the attempt's number. */
     COMPLETE,
-    /** All that is left of it is to stop at once. */
+    /** Stop at once all that is left of the attempt. */
     END
   }
 
-  /** Before their time is over, waiting tasks must hear of a replacement that has its image. */
+  /** A replacement needs so long to fetch its image before the others give up waiting. */
   private static final Duration REPLACEMENT_TIME = Duration.ofSeconds(5);
 
   private static final long NO_NUMBER = -1;
@@ -57,7 +60,7 @@
   private int endedAttempts;
 
   /**
-   * A gang of which no attempt is known.
+   * Makes a gang without an attempt.
    *
    * @param taskCount how many tasks it has
    * @param formingTimeout how long a task waits for the others
@@ -67,7 +70,7 @@
     this.formingTimeout = formingTimeout;
   }
 
-  /** A new attempt is started, under that number. */
+  /** A new attempt begins under that number. */
   public void begin(long attempt, Instant now) {
     phase = Phase.FORMING;
     number = attempt;
@@ -76,21 +79,25 @@
   }
 
   /**
-   * A task of the attempt has exited for the others' sake: it waited for them for too long, or one
-   * of them is gone. The attempt will not come to its end.
+   * A task of the attempt of that number has exited: it waited for the others for too long, or one
+   * of them is gone. That attempt can't complete any more; of other attempts nothing follows.
    */
   public void noteBroken(long attempt) {
     broken |= attempt == number;
   }
 
-  /** All tasks that are on machines are told to stop. */
+  /** All tasks of the attempt are being stopped. */
   public void noteEnding() {
     if (phase != Phase.VACANT) {
       phase = Phase.ENDING;
     }
   }
 
-  /** What is to be done, given all of its tasks that are, or may be, on a machine. */
+  /**
+   * What is to be done now.
+   *
+   * @param members all tasks of the gang that are, or may be, on a machine
+   */
   public Action nextAction(Collection<Member> members, Instant now) {
     Phase before = phase;
     phase = phaseOf(members, now);
@@ -130,7 +137,7 @@
     return complete || now.isBefore(replaceableUntil()) ? Phase.FORMING : Phase.ENDING;
   }
 
-  /** Takes over what a former leader has started. */
+  /** Adopts the attempt that a previous leader has started. */
   private void adopt(Collection<Member> members, Instant now) {
     Set<Long> numbers = members.stream().map(Member::attempt).collect(Collectors.toSet());
     number = numbers.iterator().next();
@@ -150,17 +157,17 @@
     return members.stream().allMatch(Member::stopping);
   }
 
-  /** What the attempt was at when it was last looked at. */
+  /** The phase in which the attempt was when it was last looked at. */
   public Phase phase() {
     return phase;
   }
 
-  /** The number under which tasks may be started; empty when there is no attempt. */
+  /** The attempt's number; empty when there is no attempt. */
   public Optional<Long> number() {
     return number == NO_NUMBER ? Optional.empty() : Optional.of(number);
   }
 
-  /** How many attempts have ended without completing the job. */
+  /** How many attempts of the job have ended without completing it. */
   public int endedAttempts() {
     return endedAttempts;
   }
--- a/src/main/java/io/pearscale/gang/Member.java
+++ b/src/main/java/io/pearscale/gang/Member.java
@@ -3,11 +3,12 @@
 /**
  * One task of a gang that is, or may be, on a machine.
  *
- * @param attempt its attempt; below 0 when a former leader started it and no message has shown it
- * @param stopping whether it is to stop
+ * @param attempt the number of its attempt; below 0 when a previous leader started it and no
+ *     heartbeat has shown it
+ * @param stopping whether it is to be stopped
  */
 public record Member(long attempt, MemberStage stage, boolean stopping) {
-  /** Whether the attempt is known. */
+  /** Whether the number of its attempt is known. */
   boolean isKnown() {
     return attempt >= 0;
   }
--- a/src/main/java/io/pearscale/gang/MemberStage.java
+++ b/src/main/java/io/pearscale/gang/MemberStage.java
@@ -2,17 +2,17 @@
 
 /** What is known of one task of a gang's attempt. */
 public enum MemberStage {
-  /** Its machine is decided, nothing was sent. */
+  /** Its machine is decided, no start command was sent. */
   PLANNED,
-  /** Its start was sent, and no message has shown it. */
+  /** Its start command was sent, and no heartbeat has shown it. */
   SENT,
-  /** It waits for its image. */
+  /** Its image is being fetched. */
   FETCHING,
   /** It has its image and waits for the others. */
   WAITING,
-  /** It runs, so all others have begun to run as well. */
+  /** It runs, which a task does only once all others are ready to. */
   RUNNING,
-  /** It saves its progress. */
+  /** It was stopped and takes a checkpoint. */
   CHECKPOINTING;
 
   /** Whether the attempt has begun to run. */
