--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -1,6 +1,8 @@
 package io.pearscale.scheduler.autoscaling;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pearscale.protocol.CloudApi;
+import io.pearscale.protocol.ListedMachine;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.autoscaling.ScaleOutPlanner.Offering;
@@ -19,61 +21,76 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's way to the cloud, one call at a time and within its rate. A rental without an answer
- * is asked for again under the same name, so that an answer that got lost rents nothing twice.
+ * The leader's client of the cloud: one call at a time, within the cloud's rate limit. A request
+ * for machines that gets no answer is repeated under the same name, so that nothing is provisioned
+ * twice when only the answer was lost.
  */
 public final class CloudActor extends Actor<CloudActor.Message> {
+  private static final Duration TICK = Duration.ofMillis(100);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
+
+  /** No call is made for so long after one that failed. */
   private static final Duration ERROR_BACKOFF = Duration.ofSeconds(2);
+
+  private static final Duration CATALOGUE_INTERVAL = Duration.ofSeconds(60);
+
+  /** A request for machines is sent so often at most. */
   private static final int MAX_TRIES = 4;
-  private static final int PAGE_SIZE = 500;
 
-  /** What the actor understands. */
+  /** The part of the rate that is used: a previous leader may have used some of the burst. */
+  private static final double RATE_SHARE = 0.9;
+
+  /** What the actor receives. */
   public sealed interface Message {}
 
-  /** Begins to call, for the given term. */
+  /** Begins to call, for the given term, whose number request names carry. */
   public record BeginTerm(long term) implements Message {}
 
-  /** Stops to call. */
+  /** Stops calling. */
   public record EndTerm() implements Message {}
 
-  /** Rents machines. */
+  /** Provisions machines; a count above the cloud's limit is cut down to it. */
   record ProvisionMachines(Offering offering, int count) implements Message {}
 
-  /** Gives machines back. */
+  /** Deletes machines. */
   public record DeleteMachines(List<String> names) implements Message {}
 
   private record Tick(int generation) implements Message {}
 
   private record CallCompleted(int generation, Runnable action) implements Message {}
 
-  /** What the cloud says. */
+  /** What the cloud has answered. */
   public sealed interface Event {}
 
-  /** The catalogue, with current prices. */
+  /** The catalogue was read, with current prices. */
   record CatalogueReceived(List<MachineType> types) implements Event {}
 
-  /** Machines were rented. */
+  /** Machines were provisioned. */
   record MachinesProvisioned(Offering offering, List<String> names) implements Event {}
 
   /**
-   * None of this kind can be had now; {@code trouble} when the cloud itself did not answer well.
+   * Machines were not provisioned, or not all of them.
+   *
+   * @param providerError whether the cloud failed to handle the request, so that nothing is known
+   *     about its capacity
    */
   record ProvisioningRefused(Offering offering, boolean providerError) implements Event {}
 
-  /** Machines are gone. */
+  /** Machines are gone, and all that was on them. */
   record MachinesDeleted(List<String> names) implements Event {}
 
   /** A deletion was not carried out, as far as known. */
   record DeletionFailed(List<String> names) implements Event {}
 
-  /** The machine list, as old as it is. */
+  /** The whole machine list was read; it may be some seconds older than the answer. */
   record MachinesListed(List<ListedMachine> machines) implements Event {}
 
-  /** A line of the machine list. */
-  record ListedMachine(
-      String name, String address, String type, String zone, boolean spot, String stage) {}
-
+  /**
+   * A request that waits for its call.
+   *
+   * @param requestName of a request for machines; empty for a deletion
+   * @param tries how often it was sent
+   */
   private record PendingRequest(Message message, String requestName, int tries) {}
 
   /** A machine list that is being read, a page at a time. */
@@ -81,6 +98,8 @@
     final Instant started;
     final List<ListedMachine> machines = new ArrayList<>();
     String lastName = "";
+
+    /** Whether requests that wait go before its next page. */
     boolean yieldsToRequests;
 
     MachineListing(Instant started) {
@@ -88,12 +107,15 @@
     }
   }
 
-  private final HttpClient calls;
+  private final HttpClient httpClient;
   private final Settings settings;
   private final TokenBucket rateLimit;
   private final Consumer<Event> events;
   private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
+
+  /** Incremented when a term begins or ends: what belongs to another generation is dropped. */
   private int generation;
+
   private boolean callInFlight;
   private long term;
   private long requestCount;
@@ -103,29 +125,24 @@
   private Instant nextCatalogue = Instant.MIN;
   private Instant backoffUntil = Instant.MIN;
 
-  /** Calls the cloud of the settings and hands what it says to {@code events}. */
-  public CloudActor(EventLoop loop, HttpClient calls, Settings settings, Consumer<Event> events) {
+  /**
+   * Makes an actor that does not call yet.
+   *
+   * @param events receives what the cloud of the settings answers
+   */
+  public CloudActor(
+      EventLoop loop, HttpClient httpClient, Settings settings, Consumer<Event> events) {
     super(loop);
-    this.calls = calls;
+    this.httpClient = httpClient;
     this.settings = settings;
     this.events = events;
-    // A little under the limit: a former leader may have used some of the burst.
-    this.rateLimit = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * 0.9);
+    this.rateLimit = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * RATE_SHARE);
   }
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof BeginTerm m) {
-      generation++;
-      term = m.term;
-      requestCount = 0;
-      callInFlight = false;
-      requests.clear();
-      listing = Optional.empty();
-      nextList = Instant.MIN;
-      nextCatalogue = Instant.MIN;
-      backoffUntil = Instant.MIN;
-      tell(new Tick(generation));
+    if (message instanceof BeginTerm begun) {
+      beginTerm(begun.term);
     } else if (message instanceof EndTerm) {
       generation++;
       requests.clear();
@@ -133,16 +150,29 @@
       requests.add(new PendingRequest(message, "r-" + term + "-" + (++requestCount), 0));
     } else if (message instanceof DeleteMachines) {
       requests.addFirst(new PendingRequest(message, "", 0));
-    } else if (message instanceof CallCompleted m && m.generation == generation) {
+    } else if (message instanceof CallCompleted call && call.generation == generation) {
       callInFlight = false;
-      m.action.run();
-    } else if (message instanceof Tick m && m.generation == generation) {
+      call.action.run();
+    } else if (message instanceof Tick tick && tick.generation == generation) {
       nextCall();
-      int tickGeneration = generation;
-      loop.schedule(Duration.ofMillis(100), () -> tell(new Tick(tickGeneration)));
+      loop.schedule(TICK, () -> tell(tick));
     }
   }
 
+  private void beginTerm(long newTerm) {
+    generation++;
+    term = newTerm;
+    requestCount = 0;
+    callInFlight = false;
+    requests.clear();
+    listing = Optional.empty();
+    nextList = Instant.MIN;
+    nextCatalogue = Instant.MIN;
+    backoffUntil = Instant.MIN;
+    tell(new Tick(generation));
+  }
+
+  /** Makes the most urgent call, if one may be made now. */
   private void nextCall() {
     Instant now = loop.clock().instant();
     if (callInFlight || now.isBefore(backoffUntil) || !rateLimit.canAcquire(1)) {
@@ -150,111 +180,96 @@
     }
     if (!haveCatalogue || (requests.isEmpty() && now.isAfter(nextCatalogue))) {
       rateLimit.tryAcquire(1);
-      requestCatalogue();
+      readCatalogue();
     } else if (listing.isPresent() && (requests.isEmpty() || !listing.get().yieldsToRequests)) {
       rateLimit.tryAcquire(1);
-      requestNextPage(listing.get());
+      readNextPage(listing.get());
     } else if (listing.isEmpty() && now.isAfter(nextList)) {
       rateLimit.tryAcquire(1);
       listing = Optional.of(new MachineListing(now));
-      requestNextPage(listing.get());
+      readNextPage(listing.get());
     } else if (!requests.isEmpty()) {
       rateLimit.tryAcquire(1);
-      listing.ifPresent(l -> l.yieldsToRequests = false);
-      PendingRequest request = requests.poll();
-      if (request.message instanceof ProvisionMachines h) {
-        provision(request, h);
-      } else if (request.message instanceof DeleteMachines d) {
-        deleteMachines(d);
-      }
+      listing.ifPresent(read -> read.yieldsToRequests = false);
+      send(requests.poll());
+    }
+  }
+
+  private void send(PendingRequest request) {
+    if (request.message instanceof ProvisionMachines provision) {
+      provision(request, provision);
+    } else if (request.message instanceof DeleteMachines delete) {
+      delete(delete.names);
     }
   }
 
   private void call(String method, String path, JsonNode body, Consumer<Reply> onReply) {
     callInFlight = true;
     int callGeneration = generation;
-    calls.call(
+    httpClient.call(
         settings.cloudAddress(),
         method,
         path,
         body,
         CALL_TIMEOUT,
-        reply ->
-            tell(
-                new CallCompleted(
-                    callGeneration,
-                    () -> {
-                      if (reply.status() != 200 && !isNoCapacity(reply)) {
-                        backoffUntil = loop.clock().instant().plus(ERROR_BACKOFF);
-                        log.info("event=cloud_trouble path={} status={}", path, reply.status());
-                      }
-                      onReply.accept(reply);
-                    })));
+        reply -> tell(new CallCompleted(callGeneration, () -> handleReply(path, reply, onReply))));
   }
 
-  private static boolean isNoCapacity(Reply reply) {
-    return reply.status() == 503 && reply.body().path("error").asText().equals("no capacity");
+  private void handleReply(String path, Reply reply, Consumer<Reply> onReply) {
+    if (!reply.ok() && !CloudApi.isNoCapacity(reply.status(), reply.body())) {
+      backoffUntil = loop.clock().instant().plus(ERROR_BACKOFF);
+      log.info("event=cloud_call_failed path={} status={}", path, reply.status());
+    }
+    onReply.accept(reply);
   }
 
-  private void requestCatalogue() {
-    call(
-        "GET",
-        "/catalog",
-        MessagePack.MISSING,
-        reply -> {
-          List<MachineType> types = reply.ok() ? MachineType.parseAll(reply.body()) : List.of();
-          if (!types.isEmpty()) {
-            haveCatalogue = true;
-            nextCatalogue = loop.clock().instant().plusSeconds(60);
-            events.accept(new CatalogueReceived(types));
-          }
-        });
+  // ---- Reading ----
+
+  private void readCatalogue() {
+    call("GET", CloudApi.CATALOGUE_PATH, MessagePack.MISSING, this::handleCatalogue);
+  }
+
+  private void handleCatalogue(Reply reply) {
+    List<MachineType> types = reply.ok() ? MachineType.parseAll(reply.body()) : List.of();
+    if (!types.isEmpty()) {
+      haveCatalogue = true;
+      nextCatalogue = loop.clock().instant().plus(CATALOGUE_INTERVAL);
+      events.accept(new CatalogueReceived(types));
+    }
   }
 
   /**
-   * Asks for the next page. The list of a large fleet takes more calls than the cloud allows at
-   * once, so that each page waits for its turn, and lets what was asked for meanwhile go first.
+   * Reads the next page. The list of a large fleet takes more calls than the cloud allows at once,
+   * so each page waits for its turn, and requests that have come meanwhile go first.
    */
-  private void requestNextPage(MachineListing listing) {
-    listing.yieldsToRequests = true;
+  private void readNextPage(MachineListing reading) {
+    reading.yieldsToRequests = true;
     call(
         "GET",
-        "/hosts?"
-            + (listing.lastName.isEmpty() ? "" : "since=" + listing.lastName + "&")
-            + "limit="
-            + PAGE_SIZE,
+        CloudApi.listPath(reading.lastName),
         MessagePack.MISSING,
-        reply -> handlePage(listing, reply));
+        reply -> handlePage(reading, reply));
   }
 
-  private void handlePage(MachineListing listing, Reply reply) {
-    if (!reply.ok() || !reply.body().path("hives").isArray()) {
-      endListing(listing);
+  private void handlePage(MachineListing reading, Reply reply) {
+    Optional<CloudApi.MachinePage> page =
+        reply.ok() ? CloudApi.parsePage(reply.body()) : Optional.empty();
+    if (page.isEmpty()) {
+      endListing(reading);
       return;
     }
-    String before = listing.lastName;
-    for (JsonNode n : reply.body().path("hives")) {
-      ListedMachine machine = parseMachine(n);
-      listing.lastName = machine.name;
-      listing.machines.add(machine);
+    String before = reading.lastName;
+    for (ListedMachine machine : page.get().machines()) {
+      reading.lastName = machine.name();
+      reading.machines.add(machine);
     }
-    if (!reply.body().path("more").asBoolean() || listing.lastName.equals(before)) {
-      endListing(listing);
-      events.accept(new MachinesListed(listing.machines));
+    if (!page.get().more() || reading.lastName.equals(before)) {
+      endListing(reading);
+      events.accept(new MachinesListed(reading.machines));
     }
   }
 
-  private static ListedMachine parseMachine(JsonNode node) {
-    return new ListedMachine(
-        node.path("uid").asText(),
-        node.path("address").asText(),
-        node.path("breed").asText(),
-        node.path("yard").asText(),
-        node.path("windfall").asBoolean(),
-        node.path("stage").asText());
-  }
-
-  /** Lists of a large fleet leave at least as long between them as each of them takes. */
+  /** Between lists of a large fleet at least as much time passes as each of them takes. */
   private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
@@ -264,46 +279,44 @@
     nextList = due.isAfter(rested) ? due : rested;
   }
 
-  private void provision(PendingRequest request, ProvisionMachines order) {
+  // ---- Requests ----
+
+  private void provision(PendingRequest request, ProvisionMachines message) {
+    Offering offering = message.offering;
+    int count = Math.min(CloudApi.MAX_PROVISIONED_PER_REQUEST, message.count);
     JsonNode body =
-        MessagePack.map()
-            .put("hire", request.requestName)
-            .put("breed", order.offering.type())
-            .put("yard", order.offering.zone())
-            .put("windfall", order.offering.spot())
-            .put("count", Math.min(50, order.count));
+        CloudApi.provisionRequest(
+            request.requestName, offering.type(), offering.zone(), offering.spot(), count);
     call(
         "POST",
-        "/hosts",
+        CloudApi.PROVISION_PATH,
         body,
-        reply -> {
-          if (reply.ok()) {
-            List<String> names = new ArrayList<>();
-            reply.body().path("hives").forEach(n -> names.add(n.asText()));
-            events.accept(new MachinesProvisioned(order.offering, names));
-            if (names.size() < Math.min(50, order.count)) {
-              events.accept(new ProvisioningRefused(order.offering, false));
-            }
-          } else if (isNoCapacity(reply)) {
-            events.accept(new ProvisioningRefused(order.offering, false));
-          } else if (reply.status() != 400 && request.tries + 1 < MAX_TRIES) {
-            requests.add(new PendingRequest(order, request.requestName, request.tries + 1));
-          } else {
-            events.accept(new ProvisioningRefused(order.offering, true));
-          }
-        });
+        reply -> handleProvisioned(request, offering, count, reply));
   }
 
-  private void deleteMachines(DeleteMachines order) {
-    var body = MessagePack.map();
-    var names = body.putArray("hives");
-    order.names.forEach(names::add);
+  private void handleProvisioned(
+      PendingRequest request, Offering offering, int count, Reply reply) {
+    if (reply.ok()) {
+      List<String> names = CloudApi.parseProvisioned(reply.body());
+      events.accept(new MachinesProvisioned(offering, names));
+      if (names.size() < count) {
+        events.accept(new ProvisioningRefused(offering, /* providerError= */ false));
+      }
+    } else if (CloudApi.isNoCapacity(reply.status(), reply.body())) {
+      events.accept(new ProvisioningRefused(offering, /* providerError= */ false));
+    } else if (!CloudApi.isBadRequest(reply.status()) && request.tries + 1 < MAX_TRIES) {
+      requests.add(new PendingRequest(request.message, request.requestName, request.tries + 1));
+    } else {
+      events.accept(new ProvisioningRefused(offering, /* providerError= */ true));
+    }
+  }
+
+  private void delete(List<String> names) {
     call(
         "POST",
-        "/hosts/delete",
-        body,
+        CloudApi.DELETE_PATH,
+        CloudApi.deleteRequest(names),
         reply ->
-            events.accept(
-                reply.ok() ? new MachinesDeleted(order.names) : new DeletionFailed(order.names)));
+            events.accept(reply.ok() ? new MachinesDeleted(names) : new DeletionFailed(names)));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -1,12 +1,12 @@
 package io.pearscale.scheduler.autoscaling;
 
+import io.pearscale.protocol.ListedMachine;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
 import io.pearscale.scheduler.agents.MachineRetirement;
 import io.pearscale.scheduler.agents.MachineRetirement.Reason;
-import io.pearscale.scheduler.autoscaling.CloudActor.ListedMachine;
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -242,7 +242,7 @@
       machine.listedByCloud = true;
       machine.listedSince = now;
     }
-    if (listed.stage().equals("failed")) {
+    if (listed.stopped()) {
       retirement.retire(machine, Reason.STOPPED_BY_PROVIDER);
     }
   }
