--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -9,7 +9,6 @@
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
 import io.pearscale.scheduler.agents.FaultAttribution;
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.HeartbeatHandler;
 import io.pearscale.scheduler.agents.HeartbeatProcessor;
@@ -20,6 +19,7 @@
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.JobClasses;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -78,9 +78,14 @@
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
+    records =
+        new LeaderRecords(
+            settings.storeLimits(),
+            environment.levelGate(),
+            environment.loop().clock(),
+            this::requestCommit);
     LeaderState leaderState = leaderState(environment, teams(settings), classes, catalogue);
     leadership = leaderState.leadership();
-    records = leaderState.records();
     jobs = leaderState.jobs();
     gangs = leaderState.gangs();
     inventory = leaderState.inventory();
@@ -104,7 +109,7 @@
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
+    recovery = new LeaderRecovery(leaderState, records, dispatcher, listener::recordUnreadable);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
     machineProvisioner =
@@ -114,6 +119,7 @@
     recordWriter =
         new RecordWriter(
             leaderState,
+            records,
             environment,
             transactionSources(environment),
             executor,
@@ -178,9 +184,6 @@
     InstantSource clock = environment.loop().clock();
     Runnable requestPass = this::requestPass;
     Leadership term = new Leadership(clock, settings.renewalAuthorityTimeout());
-    LeaderRecords stored =
-        new LeaderRecords(
-            settings.storeLimits(), environment.levelGate(), clock, this::requestCommit);
     JobTable table =
         new JobTable(
             teams,
@@ -194,9 +197,9 @@
     Duration forming =
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
     MachineInventory machines =
-        new MachineInventory(catalogue, teams, term, table, stored, clock, requestPass, decisions);
+        new MachineInventory(catalogue, teams, term, table, records, clock, requestPass, decisions);
     GangTracker attempts = new GangTracker(term, clock, forming);
-    return new LeaderState(term, table, machines, stored, clock, requestPass, decisions, attempts);
+    return new LeaderState(term, table, machines, records, clock, requestPass, decisions, attempts);
   }
 
   private Optional<DrainCoordinator> drainCoordinator(
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -11,6 +11,7 @@
 import io.pearscale.scheduler.model.AttemptId;
 import io.pearscale.scheduler.model.DecisionLog;
 import io.pearscale.scheduler.model.DecisionLog.Channel;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -4,12 +4,12 @@
 import io.pearscale.scheduler.model.AbsenceProof;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.records.LeaderRecords;
 import io.pearscale.storage.Maintenance;
 import java.time.Duration;
 import java.time.Instant;
@@ -44,7 +44,7 @@
 
   private final Leadership leadership;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final InstantSource clock;
   private final AgentTimings agentTimeouts;
   private final CommandDispatcher dispatcher;
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -5,6 +5,7 @@
 import io.pearscale.gang.GangCheckpointPolicy;
 import io.pearscale.gang.GangCheckpointPolicy.MemberReachability;
 import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -1,12 +1,12 @@
 package io.pearscale.scheduler.agents;
 
 import io.pearscale.scheduler.autoscaling.CloudActor;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -53,7 +53,7 @@
 
   private final Leadership leadership;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final CloudActor cloud;
 
   /** Creates the retirement of machines, which deletes them through the given cloud. */
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -201,11 +201,6 @@
     return Math.max(1e-6, job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * 1e-3);
   }
 
-  /** How long most machines take to boot: up to half as long again as the catalogue says. */
-  public static Duration bootTime(MachineType type) {
-    return type.bootTime().multipliedBy(3).dividedBy(2);
-  }
-
   /** How long a machine may boot before it no longer counts as coming. */
   static Duration bootTimeout(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -6,7 +6,7 @@
 import io.pearscale.drain.DisruptionLedger;
 import io.pearscale.drain.DrainRequest;
 import io.pearscale.drain.DrainStatus;
-import io.pearscale.scheduler.agents.GangTracker;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
--- a/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -1,13 +1,10 @@
-package io.pearscale.scheduler.agents;
+package io.pearscale.scheduler.model;
 
 import io.pearscale.gang.GangAttempt;
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.Member;
 import io.pearscale.gang.MemberStage;
-import io.pearscale.scheduler.model.Job;
-import io.pearscale.scheduler.model.Leadership;
-import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
@@ -66,7 +63,7 @@
   }
 
   /** What the job's attempt is at. */
-  Phase phase(Job job) {
+  public Phase phase(Job job) {
     return attemptOf(job).phase();
   }
 
@@ -189,14 +186,14 @@
    *
    * @param checkpoints whether they are given the time to save
    */
-  void noteEnding(Job job, boolean checkpoints) {
+  public void noteEnding(Job job, boolean checkpoints) {
     Phase before = phase(job);
     attemptOf(job).noteEnding();
     notePhaseChange(job, before, checkpoints);
   }
 
   /** A task of that attempt has exited since others are missing or gone. */
-  void noteBroken(Job job, long attempt) {
+  public void noteBroken(Job job, long attempt) {
     attemptOf(job).noteBroken(attempt);
   }
 
@@ -204,7 +201,7 @@
    * Whether starts of the job may be sent: those of a gang only when all its tasks have a machine
    * and all marks are durable, so that none is started in vain and a successor knows of each.
    */
-  static boolean mayStart(Job job) {
+  public static boolean mayStart(Job job) {
     if (!job.spec().isGang()) {
       return true;
     }
--- a/src/main/java/io/pearscale/scheduler/model/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -3,7 +3,6 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings.ServiceLevelObjective;
-import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -60,12 +59,17 @@
         .filter(spec::allowsInSomeZone)
         .map(
             type ->
-                ScaleOutPlanner.bootTime(type)
+                expectedBootTime(type)
                     .plus(type.fetchTime(spec.imageGb()))
                     .plus(MESSAGING_OVERHEAD))
         .noneMatch(need -> need.compareTo(within.get()) <= 0);
   }
 
+  /** How long most machines take to boot: up to half as long again as the catalogue says. */
+  private static Duration expectedBootTime(MachineType type) {
+    return type.bootTime().multipliedBy(3).dividedBy(2);
+  }
+
   /** Whether a start on a machine of the type would be late if it waited for the victim to save. */
   public boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
     Duration needed =
--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -1,7 +1,5 @@
 package io.pearscale.scheduler.model;
 
-import io.pearscale.scheduler.agents.GangTracker;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.InstantSource;
 
 /**
@@ -9,6 +7,7 @@
  * methods.
  *
  * @param requestPass asks for a pass over the jobs that wait
+ * @param records says what a successor must find stored
  * @param gangs the attempts of gang jobs
  * @param decisions is told what starts and proofs rest on
  */
@@ -16,7 +15,7 @@
     Leadership leadership,
     JobTable jobs,
     MachineInventory inventory,
-    LeaderRecords records,
+    DecisionRecorder records,
     InstantSource clock,
     Runnable requestPass,
     DecisionLog decisions,
--- a/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -1,6 +1,5 @@
 package io.pearscale.scheduler.model;
 
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -3,7 +3,6 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Settings.Team;
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.InstantSource;
 import java.util.Collection;
 import java.util.Collections;
@@ -28,7 +27,7 @@
   private final Map<String, Team> teams;
   private final Leadership leadership;
   private final JobTable jobs;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final InstantSource clock;
   private final Runnable requestPass;
   private final DecisionLog decisionLog;
@@ -44,7 +43,7 @@
       Map<String, Team> teams,
       Leadership leadership,
       JobTable jobs,
-      LeaderRecords records,
+      DecisionRecorder records,
       InstantSource clock,
       Runnable requestPass,
       DecisionLog decisionLog) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -3,6 +3,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings.StoreLimits;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.TaskAttempt;
@@ -26,7 +27,7 @@
  * each task may be. It keeps what is stored, what is to be stored, and which values wait to be
  * written; {@link RecordWriter} writes them.
  */
-public final class LeaderRecords {
+public final class LeaderRecords implements DecisionRecorder {
   /** Changes that nobody waits for are written with others within this time. */
   private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
@@ -226,6 +227,7 @@
   // ---- What is to be written ----
 
   /** The machine of the placement is to be named in the task's mark, and in the roster. */
+  @Override
   public void recordPlacement(TaskAttempt attempt) {
     JobPartition partition = JobPartition.containing(attempt.job(), attempt.task().index(), layout);
     assignSlot(attempt.machine());
@@ -238,6 +240,7 @@
   }
 
   /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
+  @Override
   public void recordTaskDone(Job job, int task) {
     JobPartition partition = JobPartition.containing(job, task, layout);
     placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
@@ -245,6 +248,7 @@
   }
 
   /** All tasks of the job are done. */
+  @Override
   public void recordJobFinished(Job job) {
     finishedJobs.add(job);
     requestCommit.run();
@@ -256,6 +260,7 @@
   }
 
   /** Gives the machine a place in the roster, unless it has one. */
+  @Override
   public void assignSlot(Machine machine) {
     if (layout == RecordLayout.NUMBERED && machine.record().number() == 0) {
       machine.record().assignNumber(recordNumbers.allocate());
@@ -264,22 +269,26 @@
   }
 
   /** The machine's record is to be written within that time. */
+  @Override
   public void recordMachine(Machine machine, Duration within) {
     machineRecords.markDue(machine, clock.instant().plus(within));
   }
 
   /** The machine's record has changed, but nobody waits for it. */
+  @Override
   public void recordMachineDeferred(Machine machine) {
     recordMachine(machine, DEFERRED_WRITE_DELAY);
   }
 
   /** The machine's record is to be written as soon as possible. */
+  @Override
   public void recordMachineNow(Machine machine) {
     machineRecords.markDue(machine);
     requestCommit.run();
   }
 
   /** The machine is gone, or nothing can be alive on it: the roster need not name it any more. */
+  @Override
   public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
     machineRecords.remove(machine);
@@ -288,6 +297,7 @@
   }
 
   /** The records of a job's tasks need no room any more. */
+  @Override
   public void removeJob(Job job) {
     for (JobPartition partition : JobPartition.allOf(job, layout)) {
       placementRecords.remove(partition);
@@ -307,12 +317,14 @@
   }
 
   /** The cloud offers these types; the catalogue is stored if it has others. */
+  @Override
   public void updateCatalogue(Set<String> typeNames) {
     catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
     requestCommit.run();
   }
 
   /** Asks for a transaction. */
+  @Override
   public void requestCommit() {
     requestCommit.run();
   }
@@ -501,6 +513,7 @@
   }
 
   /** Whether the roster has a place for the machine. */
+  @Override
   public boolean hasSlot(Machine machine) {
     return machineRecords.slotOf(machine).isPresent();
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -33,12 +33,15 @@
    * @param onUnfitToLead is told why this controller can't lead, of a record that it can't read
    */
   public LeaderRecovery(
-      LeaderState state, CommandDispatcher dispatcher, Consumer<String> onUnfitToLead) {
+      LeaderState state,
+      LeaderRecords records,
+      CommandDispatcher dispatcher,
+      Consumer<String> onUnfitToLead) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
-    this.records = state.records();
+    this.records = records;
     this.clock = state.clock();
     this.dispatcher = dispatcher;
     this.onUnfitToLead = onUnfitToLead;
@@ -68,7 +71,7 @@
     leadership.becomeReady();
     jobs.forgetLeaderState();
     records.clear();
-    new RecordAdoption(state).adopt(stored.get());
+    new RecordAdoption(state, records).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
     dispatcher.probeRecordedMachines();
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -38,10 +38,10 @@
   /** Jobs that are over, of which tasks may be left. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
-  RecordAdoption(LeaderState state) {
+  RecordAdoption(LeaderState state, LeaderRecords records) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
-    this.records = state.records();
+    this.records = records;
     this.clock = state.clock();
     for (RecordLayout layout : RecordLayout.values()) {
       machinesByReference.put(layout, new HashMap<>());
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -5,8 +5,8 @@
 import io.pearscale.scheduler.SchedulerActor.Environment;
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.scheduler.agents.CommandDispatcher;
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -82,6 +82,7 @@
    */
   public RecordWriter(
       LeaderState leaderState,
+      LeaderRecords records,
       Environment environment,
       List<TransactionContributor> contributors,
       TermExecutor executor,
@@ -90,7 +91,7 @@
     this.leadership = leaderState.leadership();
     this.jobs = leaderState.jobs();
     this.inventory = leaderState.inventory();
-    this.records = leaderState.records();
+    this.records = records;
     this.clock = leaderState.clock();
     this.gangs = leaderState.gangs();
     this.limits = environment.settings().storeLimits();
--- a/src/test/java/io/pearscale/scheduler/agents/GangTrackerTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
@@ -1,11 +1,9 @@
-package io.pearscale.scheduler.agents;
+package io.pearscale.scheduler.model;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pearscale.protocol.Priority;
 import io.pearscale.scheduler.autoscaling.ReplicaCapacityTest;
-import io.pearscale.scheduler.model.Job;
-import io.pearscale.scheduler.model.Leadership;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
