--- a/src/test/java/io/pearscale/sim/SimulatedCluster.java
+++ b/src/test/java/io/pearscale/sim/SimulatedCluster.java
@@ -68,6 +68,9 @@
 
   final List<String> log = new ArrayList<>();
 
+  /** Is told of all that goes over the wire. */
+  Optional<WireRecorder> wireRecorder = Optional.empty();
+
   final SimKeyValueStore store = new SimKeyValueStore(this);
   final SimCloud cloud = new SimCloud(this);
   final SimGangRendezvous gangs = new SimGangRendezvous(this);
@@ -261,10 +264,12 @@
       Duration timeout,
       Consumer<Reply> answer) {
     boolean[] answered = {false};
+    wireRecorder.ifPresent(recorder -> recorder.request(from, to, method, path, body));
     Consumer<Reply> once =
         r -> {
           if (!answered[0]) {
             answered[0] = true;
+            wireRecorder.ifPresent(recorder -> recorder.answer(from, to, method, path, r));
             answer.accept(r);
           }
         };
