--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -58,15 +58,9 @@
       Set.of(
           "scheduler.agents.MachineRetirement -> scheduler.autoscaling.CloudActor",
           "scheduler.autoscaling.MachineProvisioner -> scheduler.maintenance.DrainCoordinator",
-          "scheduler.model.JobClasses -> scheduler.autoscaling.ScaleOutPlanner",
-          "scheduler.model.LeaderState -> scheduler.agents.GangTracker",
-          "scheduler.model.LeaderState -> scheduler.records.LeaderRecords",
-          "scheduler.model.LeaderStatistics -> scheduler.agents.GangTracker",
-          "scheduler.model.MachineInventory -> scheduler.records.LeaderRecords",
           "scheduler.records.LeaderRecovery -> scheduler.agents.CommandDispatcher",
           "scheduler.records.RecordWriter -> scheduler.SchedulerActor",
           "scheduler.records.RecordWriter -> scheduler.agents.CommandDispatcher",
-          "scheduler.records.RecordWriter -> scheduler.agents.GangTracker",
           "scheduler.records.RecordWriter -> scheduler.agents.MachineRetirement");
 
   private static final Pattern REFERENCE =
