--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -2,6 +2,7 @@
 
 import io.pearscale.api.ApiActor;
 import io.pearscale.coordination.ElectionActor;
+import io.pearscale.coordination.ElectionListener;
 import io.pearscale.coordination.HeartbeatRelayActor;
 import io.pearscale.coordination.LeaderLeaseRenewer;
 import io.pearscale.coordination.SupportAnnouncer;
@@ -137,7 +138,7 @@
             settings,
             random,
             levelGate::objection,
-            List.of(new ElectionListener()));
+            new ElectionEvents());
     this.scheduler =
         new SchedulerActor(
             new SchedulerActor.Environment(
@@ -218,7 +219,7 @@
     levelGate.update(stored.map(Entry::value), stored.map(Entry::revision).orElse(0L));
   }
 
-  private final class ElectionListener implements ElectionActor.Listener {
+  private final class ElectionEvents implements ElectionListener {
     @Override
     public void elected(long newTerm, long termStamp, Instant evidence) {
       scheduler.tell(new SchedulerActor.Elected(newTerm, termStamp, evidence));
@@ -347,7 +348,9 @@
     }
     if (message instanceof ControllerHeartbeat m) {
       peers.put(peer, new PeerState(loop.clock().instant(), m.storeHealthy()));
-      election.tell(new ElectionActor.LeaderAnnounced(peer, m.term(), m.leader()));
+      election.tell(
+          new ElectionActor.LeaderAnnounced(
+              peer, m.term(), Optional.of(m.leader()).filter(name -> !name.isEmpty())));
     } else if (message instanceof PeerMessage.ConfirmationRequest m) {
       if (loaded && levelGate.objection().isEmpty()) {
         confirm(peer, m);
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -5,6 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.coordination.ElectionActor;
+import io.pearscale.coordination.ElectionListener;
 import io.pearscale.coordination.LeaderLeaseRenewer;
 import io.pearscale.protocol.PeerMessage.LiveJobs;
 import io.pearscale.protocol.Settings;
@@ -23,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An election whose news come late, and what peers say meanwhile. */
-class ElectionTest extends SimulatedEventLoop implements HttpClient, ElectionActor.Listener {
+class ElectionTest extends SimulatedEventLoop implements HttpClient, ElectionListener {
   private final List<String> told = new ArrayList<>();
   private boolean holdCommits;
   private Runnable held = () -> {};
@@ -49,7 +50,7 @@
         settings,
         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
         Optional::empty,
-        List.of(this));
+        this);
   }
 
   private void play(long millis) {
@@ -61,12 +62,12 @@
     ElectionActor election = election();
     election.tell(new ElectionActor.Loaded(Map.of()));
     play(500);
-    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, "hive-0"));
-    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, "hive-0"));
-    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 0, ""));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 0, Optional.empty()));
     play(10);
     assertEquals(List.of("won 1"), told);
-    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 1, "hive-0"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-2", 1, Optional.of("hive-0")));
     play(10);
     assertEquals(List.of("won 1", "acknowledged"), told);
   }
@@ -77,7 +78,7 @@
     holdCommits = true;
     election.tell(new ElectionActor.Loaded(Map.of()));
     play(500);
-    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, "hive-1"));
+    election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, Optional.of("hive-1")));
     play(10);
     held.run();
     play(10);
