--- /dev/null
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -0,0 +1,185 @@
+package io.pearscale.protocol;
+
+import io.pearscale.protocol.PeerMessage.Confirmation;
+import io.pearscale.protocol.PeerMessage.ConfirmationRequest;
+import io.pearscale.protocol.PeerMessage.ControllerHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeat;
+import io.pearscale.protocol.PeerMessage.ForwardedHeartbeatResponse;
+import io.pearscale.protocol.PeerMessage.JobCancelled;
+import io.pearscale.protocol.PeerMessage.JobTaskCount;
+import io.pearscale.protocol.PeerMessage.LiveJobs;
+import io.pearscale.protocol.PeerMessage.TaskCounts;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Encodes and decodes what controllers send each other: a byte that names the kind, then the fields
+ * as {@link DataOutputStream} writes them.
+ */
+final class PeerMessageCodec {
+  private static final int CONTROLLER_HEARTBEAT = 1;
+  private static final int FORWARDED_HEARTBEAT = 2;
+  private static final int FORWARDED_HEARTBEAT_RESPONSE = 3;
+  private static final int TASK_COUNTS = 4;
+  private static final int CONFIRMATION_REQUEST = 5;
+  private static final int CONFIRMATION = 6;
+  private static final int JOB_CANCELLED = 7;
+
+  /** Enough for most records, in bytes. */
+  private static final int INITIAL_SIZE = 256;
+
+  private PeerMessageCodec() {}
+
+  /** Encodes a record. */
+  static byte[] encode(PeerMessage message) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_SIZE);
+    try (DataOutputStream out = new DataOutputStream(bytes)) {
+      write(out, message);
+    } catch (IOException e) {
+      throw new IllegalStateException("memory does not fail", e);
+    }
+    return bytes.toByteArray();
+  }
+
+  private static void write(DataOutputStream out, PeerMessage message) throws IOException {
+    if (message instanceof ControllerHeartbeat m) {
+      writeControllerHeartbeat(out, m);
+    } else if (message instanceof ForwardedHeartbeat m) {
+      out.writeByte(FORWARDED_HEARTBEAT);
+      out.writeLong(m.exchange());
+      HeartbeatRecordCodec.write(out, m.heartbeat());
+    } else if (message instanceof ForwardedHeartbeatResponse m) {
+      out.writeByte(FORWARDED_HEARTBEAT_RESPONSE);
+      out.writeLong(m.exchange());
+      HeartbeatRecordCodec.write(out, m.response());
+    } else if (message instanceof TaskCounts m) {
+      writeTaskCounts(out, m);
+    } else if (message instanceof ConfirmationRequest m) {
+      out.writeByte(CONFIRMATION_REQUEST);
+      out.writeLong(m.nonce());
+      out.writeLong(m.storeRevision());
+    } else if (message instanceof Confirmation m) {
+      writeConfirmation(out, m);
+    } else if (message instanceof JobCancelled m) {
+      out.writeByte(JOB_CANCELLED);
+      out.writeUTF(m.job());
+    }
+  }
+
+  private static void writeControllerHeartbeat(DataOutputStream out, ControllerHeartbeat m)
+      throws IOException {
+    out.writeByte(CONTROLLER_HEARTBEAT);
+    out.writeLong(m.term());
+    out.writeUTF(m.leader());
+    out.writeBoolean(m.storeHealthy());
+  }
+
+  private static void writeTaskCounts(DataOutputStream out, TaskCounts m) throws IOException {
+    out.writeByte(TASK_COUNTS);
+    out.writeInt(m.jobs().size());
+    for (JobTaskCount count : m.jobs()) {
+      out.writeUTF(count.job());
+      out.writeInt(count.done());
+      out.writeInt(count.running());
+    }
+  }
+
+  private static void writeConfirmation(DataOutputStream out, Confirmation m) throws IOException {
+    out.writeByte(CONFIRMATION);
+    out.writeLong(m.nonce());
+    out.writeLong(m.term());
+    writeTexts(out, m.cancelledJobs());
+    out.writeBoolean(m.liveJobs().isPresent());
+    if (m.liveJobs().isPresent()) {
+      out.writeLong(m.liveJobs().get().storeRevision());
+      writeTexts(out, m.liveJobs().get().jobs());
+    }
+  }
+
+  private static void writeTexts(DataOutputStream out, List<String> texts) throws IOException {
+    out.writeInt(texts.size());
+    for (String text : texts) {
+      out.writeUTF(text);
+    }
+  }
+
+  /**
+   * Decodes a record.
+   *
+   * @throws MalformedMessageException if the bytes are no record of this version; they change
+   *     nothing then
+   */
+  static PeerMessage decode(byte[] frame) throws MalformedMessageException {
+    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
+      PeerMessage message = read(in);
+      if (in.read() >= 0) {
+        throw new MalformedMessageException("peer record with bytes left over");
+      }
+      return message;
+    } catch (IOException e) {
+      throw new MalformedMessageException("peer record cut short");
+    }
+  }
+
+  private static PeerMessage read(DataInputStream in)
+      throws IOException, MalformedMessageException {
+    return switch (in.readByte()) {
+      case CONTROLLER_HEARTBEAT ->
+          new ControllerHeartbeat(in.readLong(), in.readUTF(), in.readBoolean());
+      case FORWARDED_HEARTBEAT ->
+          new ForwardedHeartbeat(in.readLong(), HeartbeatRecordCodec.readHeartbeat(in));
+      case FORWARDED_HEARTBEAT_RESPONSE ->
+          new ForwardedHeartbeatResponse(in.readLong(), HeartbeatRecordCodec.readResponse(in));
+      case TASK_COUNTS -> readTaskCounts(in);
+      case CONFIRMATION_REQUEST -> new ConfirmationRequest(in.readLong(), in.readLong());
+      case CONFIRMATION -> readConfirmation(in);
+      case JOB_CANCELLED -> new JobCancelled(in.readUTF());
+      default -> throw new MalformedMessageException("peer record of unknown kind");
+    };
+  }
+
+  private static TaskCounts readTaskCounts(DataInputStream in)
+      throws IOException, MalformedMessageException {
+    List<JobTaskCount> jobs = new ArrayList<>();
+    for (int left = readCount(in); left > 0; left--) {
+      jobs.add(new JobTaskCount(in.readUTF(), in.readInt(), in.readInt()));
+    }
+    return new TaskCounts(jobs);
+  }
+
+  private static Confirmation readConfirmation(DataInputStream in)
+      throws IOException, MalformedMessageException {
+    return new Confirmation(
+        in.readLong(),
+        in.readLong(),
+        readTexts(in),
+        in.readBoolean()
+            ? Optional.of(new LiveJobs(in.readLong(), readTexts(in)))
+            : Optional.empty());
+  }
+
+  private static List<String> readTexts(DataInputStream in)
+      throws IOException, MalformedMessageException {
+    List<String> texts = new ArrayList<>();
+    for (int left = readCount(in); left > 0; left--) {
+      texts.add(in.readUTF());
+    }
+    return texts;
+  }
+
+  /** The number of entries that follow. */
+  static int readCount(DataInputStream in) throws IOException, MalformedMessageException {
+    int count = in.readInt();
+    // Each entry takes at least one byte: a larger count is garbage and must not reserve memory.
+    if (count < 0 || count > in.available()) {
+      throw new MalformedMessageException("peer record with an impossible count");
+    }
+    return count;
+  }
+}
