--- a/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
+++ b/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
@@ -20,35 +20,46 @@
 import java.util.function.Consumer;
 
 /**
- * Carries reports of this controller's workers to the leader, and the leader's answers back. It
- * renews no lease on its own: each 200 stands for an answer that the leader gave to that very
- * report, so the leader alone knows until when a machine may be alive.
+ * Forwards heartbeats of the agents that turn to this controller to the leader, and the leader's
+ * responses back. It renews no lease on its own: each 200 stands for a response that the leader
+ * gave to that very heartbeat, so the leader alone knows until when a machine may be alive.
  */
 public final class HeartbeatRelayActor extends Actor<HeartbeatRelayActor.Message> {
-  /** For how long a report waits for an election: longer than most take. */
+  /** For how long a heartbeat is parked until a leader is elected: longer than most elections. */
   private static final Duration ELECTION_WAIT = Duration.ofMillis(1500);
 
+  /** How often heartbeats that have waited for too long are looked for. */
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
 
   /** What the actor understands. */
   public sealed interface Message {}
 
-  /** A worker reports here. The text is the leader to go to instead, when there is one. */
+  /**
+   * An agent has sent a heartbeat to this controller.
+   *
+   * @param respond takes the response, and the leader that the agent is to turn to instead if there
+   *     is one; called exactly once
+   */
   public record HeartbeatReceived(
       Heartbeat heartbeat, BiConsumer<HeartbeatResponse, Optional<String>> respond)
       implements Message {}
 
-  /** The leader's answer came back. */
+  /** The leader's response came back. */
   public record LeaderResponded(ForwardedHeartbeatResponse response) implements Message {}
 
-  /** Who leads has changed. */
-  public record LeaderChanged(long term, Optional<String> name) implements Message {}
+  /**
+   * The leader has changed.
+   *
+   * @param leader empty while nobody is known to lead
+   */
+  public record LeaderChanged(long term, Optional<String> leader) implements Message {}
 
   private record SweepDue() implements Message {}
 
+  /** A heartbeat that waits for a leader until the deadline. */
   private record ParkedHeartbeat(Instant deadline, HeartbeatReceived received) {}
 
-  /** A report that waits for the leader's answer until a time. */
+  /** A forwarded heartbeat whose response is awaited until the deadline. */
   private record PendingExchange(
       Instant deadline, BiConsumer<HeartbeatResponse, Optional<String>> respond) {}
 
@@ -58,15 +69,15 @@
   private final int maxParked;
   private final BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> localLeader;
 
-  /** Open exchanges, the oldest first, which is also the first to be overdue. */
+  /** By the id of the exchange, the oldest first, which is also the first to be overdue. */
   private final Map<Long, PendingExchange> pendingExchanges = new LinkedHashMap<>();
 
-  /** Reports that came while there is no leader, the oldest first. */
+  /** Heartbeats that came while there is no leader, the oldest first. */
   private final ArrayDeque<ParkedHeartbeat> parked = new ArrayDeque<>();
 
   private boolean sweepScheduled;
 
-  /** Reports that found no room to wait since that was last logged. */
+  /** Heartbeats refused since that was last logged, because too many were parked. */
   private int refusedCount;
 
   private Optional<String> leader = Optional.empty();
@@ -74,10 +85,12 @@
   private long lastExchangeId;
 
   /**
-   * Relays to the leader, which may be {@code local}.
+   * Makes a relay that knows of no leader.
    *
-   * @param relayTimeout for how long a report waits for the leader's answer
-   * @param maxParked how many reports may wait for an election at the same time
+   * @param self the name of this controller
+   * @param relayTimeout for how long a heartbeat waits for the leader's response
+   * @param maxParked how many heartbeats may wait for an election at the same time
+   * @param localLeader answers heartbeats while this controller leads
    */
   public HeartbeatRelayActor(
       EventLoop loop,
@@ -103,7 +116,7 @@
     } else if (message instanceof LeaderChanged m) {
       if (m.term >= leaderTerm) {
         leaderTerm = m.term;
-        leader = m.name;
+        leader = m.leader;
         unpark();
       }
     } else if (message instanceof SweepDue) {
@@ -115,7 +128,8 @@
     if (leader.isEmpty()) {
       park(received);
     } else if (leader.get().equals(self)) {
-      localLeader.accept(received.heartbeat, a -> received.respond.accept(a, Optional.empty()));
+      localLeader.accept(
+          received.heartbeat, response -> received.respond.accept(response, Optional.empty()));
     } else {
       long exchange = ++lastExchangeId;
       byte[] frame = PeerMessage.encode(new ForwardedHeartbeat(exchange, received.heartbeat));
@@ -131,9 +145,9 @@
   }
 
   /**
-   * An election takes about a second. A worker that is refused meanwhile is back in a second, at
-   * another controller that knows no more: after a restart of all, such answers took the processor
-   * that the election needed. One that waits is answered by the leader to come.
+   * Has a heartbeat wait for the next leader. An election takes about a second. An agent that is
+   * refused meanwhile is back in a second, at another controller that knows no more: after a
+   * restart of all, such responses took the processor that the election needed.
    */
   private void park(HeartbeatReceived received) {
     if (parked.size() >= maxParked) {
@@ -171,7 +185,7 @@
   private void sweep() {
     sweepScheduled = false;
     if (refusedCount > 0) {
-      log.info("event=reports_refused count={} parked={}", refusedCount, parked.size());
+      log.info("event=heartbeats_refused count={} parked={}", refusedCount, parked.size());
       refusedCount = 0;
     }
     Instant now = loop.clock().instant();
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -8,30 +8,35 @@
 import java.util.function.BiConsumer;
 
 /**
- * Renews the leader's grant on a loop of its own. On the loop that does all else a renewal waits in
- * line with hundreds of reports; on a small part of a core, with code that is not yet compiled,
- * that took longer than the grant lasts, and a healthy leader was deposed by its own start.
+ * Renews the leader's lease of the key-value store on an event loop of its own. On the loop that
+ * does all else a renewal waits in line with hundreds of heartbeats; on a small part of a core,
+ * with code that is not yet compiled, that took longer than the lease lasts, and a healthy leader
+ * was deposed by its own start.
  *
- * <p>A process whose main loop stands still should lose its leadership all the same: nothing is
- * renewed once the main loop has not shown for a while that it goes on.
+ * <p>A process whose main loop stalls should lose its leadership all the same: nothing is renewed
+ * once the main loop has made no progress for a while.
  */
 public final class LeaderLeaseRenewer {
-  /** How often a leader's grant is renewed: four times within the shortest one. */
+  /** How often the lease is renewed: four times within the shortest TTL. */
   static final Duration RENEWAL_INTERVAL = Duration.ofMillis(550);
 
   private final EventLoop renewalLoop;
   private final EventLoop mainLoop;
   private final KeyValueStoreClient store;
   private final Duration stallTimeout;
+
+  /** Written on the main loop, read on the renewal loop. */
   private volatile Instant lastProgressAt = Instant.MIN;
+
+  /** Renewals of an earlier generation are void; used on the renewal loop alone. */
   private int generation;
 
   /**
-   * Keeps grants.
+   * Renews nothing before {@link #start}.
    *
-   * @param renewalLoop the loop that it runs on, and {@code state} with it
-   * @param mainLoop the loop of its caller, on which answers are handed back
-   * @param stallTimeout for how long the main loop may show no progress
+   * @param renewalLoop the loop on which leases are renewed, and that the store's client runs on
+   * @param mainLoop the loop of the caller, on which replies are handed back
+   * @param stallTimeout for how long renewals go on without progress of the main loop
    */
   public LeaderLeaseRenewer(
       EventLoop renewalLoop, EventLoop mainLoop, KeyValueStoreClient store, Duration stallTimeout) {
@@ -41,7 +46,11 @@
     this.stallTimeout = stallTimeout;
   }
 
-  /** Renews the grant from now on; each answer comes with the time at which it was asked for. */
+  /**
+   * Renews the lease from now on, and no other one.
+   *
+   * @param answered takes each reply, with the time at which its request was sent
+   */
   public void start(long leaseId, BiConsumer<Instant, Reply> answered) {
     noteProgress();
     renewalLoop.execute(
@@ -51,12 +60,12 @@
         });
   }
 
-  /** Renews no longer. */
+  /** Renews no lease any more. */
   public void stop() {
     renewalLoop.execute(() -> generation++);
   }
 
-  /** The main loop goes on. */
+  /** The main loop makes progress; called on it. */
   public void noteProgress() {
     lastProgressAt = mainLoop.clock().instant();
   }
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -3,6 +3,7 @@
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.Keys;
+import io.pearscale.storage.StoreReplies;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
 import io.pearscale.transport.HttpClient.Reply;
@@ -13,18 +14,21 @@
 import java.util.OptionalLong;
 
 /**
- * Keeps the record in which this controller says what its build supports. The record hangs on a
- * grant that is renewed while the process runs, so that an upgrade is not finalised on the word of
- * a process that has ended. A controller that must stay out can't write its record: writes are
- * guarded by the level.
+ * Keeps the record that says which schema levels this controller's build supports. The record is
+ * attached to a lease that is renewed while the process runs, so that an upgrade is not finalised
+ * because of a process that has ended. A controller whose build does not support the level in force
+ * can't write its record: writes are guarded by the level.
  */
 public final class SupportAnnouncer extends Actor<SupportAnnouncer.Message> {
-  /** The grant is renewed so often within its time. */
+  /** How often the lease is renewed within its TTL. */
   private static final int RENEWALS_PER_LEASE = 3;
 
-  /** After a refusal it is tried again so much later. */
+  /** The delay after a failure. */
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
+  /** No lease of the key-value store: ids of leases are not negative. */
+  private static final long NO_LEASE = -1;
+
   /** What the actor understands. */
   public sealed interface Message {}
 
@@ -49,7 +53,11 @@
   private final Duration leaseTtl;
   private OptionalLong leaseId = OptionalLong.empty();
 
-  /** Makes an announcer; it does nothing before {@link Start}. */
+  /**
+   * Does nothing before {@link Start}.
+   *
+   * @param leaseTtl for how long the record outlives the process
+   */
   public SupportAnnouncer(
       EventLoop loop,
       KeyValueStoreClient store,
@@ -97,7 +105,7 @@
 
   private void leaseGranted(Reply reply) {
     if (reply.ok()) {
-      leaseId = OptionalLong.of(reply.body().path("claim").asLong());
+      leaseId = OptionalLong.of(StoreReplies.leaseOf(reply));
       write();
     } else {
       loop.schedule(RETRY_DELAY, () -> tell(new RetryDue()));
@@ -105,14 +113,15 @@
   }
 
   private void write() {
-    Optional<Long> claim = Optional.of(leaseId.getAsLong());
-    Mutation change = new Mutation(Keys.member(host), Optional.of(support.toNode()), claim);
-    store.compareAndSwap(List.of(), List.of(change), written -> tell(new RecordWritten(written)));
+    Mutation record =
+        new Mutation(
+            Keys.member(host), Optional.of(support.toNode()), Optional.of(leaseId.getAsLong()));
+    store.compareAndSwap(List.of(), List.of(record), reply -> tell(new RecordWritten(reply)));
   }
 
-  /** A grant that is gone has taken the record with it; without an answer nothing is known. */
+  /** A lease that expired has taken the record with it; without an answer nothing is known. */
   private void leaseExtended(Reply reply) {
-    if (reply.status() == 404) {
+    if (StoreReplies.isNotFound(reply)) {
       leaseId = OptionalLong.empty();
       announce();
     } else if (reply.ok()) {
@@ -121,21 +130,22 @@
   }
 
   /**
-   * A write of a former life, or one that got no answer, may have been carried out late: then the
-   * record hangs on a grant that nobody renews, and goes with it.
+   * Writes the record anew if it is not the one of this process. A write of a previous process, or
+   * one that got no answer, may have been carried out late: then the record is attached to a lease
+   * that nobody renews, and goes with it.
    */
   private void recordRead(Reply reply) {
-    boolean gone = reply.status() == 404;
-    boolean other =
+    boolean missing = StoreReplies.isNotFound(reply);
+    boolean foreign =
         reply.ok()
-            && (reply.body().path("claim").asLong() != leaseId.orElse(-1)
-                || !reply.body().path("value").equals(support.toNode()));
-    if (leaseId.isPresent() && (gone || other)) {
+            && (StoreReplies.leaseOf(reply) != leaseId.orElse(NO_LEASE)
+                || !StoreReplies.valueOf(reply).equals(support.toNode()));
+    if (leaseId.isPresent() && (missing || foreign)) {
       write();
     }
   }
 
-  /** Whatever came of it, a record that may not be there is written under the next grant. */
+  /** Whatever came of the write, a record that may not be there is written under the next lease. */
   private void recordWritten(Reply reply) {
     if (reply.ok()) {
       log.info("event=support_announced host={} levels={}", host, support.levels());
--- a/src/main/java/io/pearscale/coordination/package-info.java
+++ b/src/main/java/io/pearscale/coordination/package-info.java
@@ -1,2 +1,6 @@
-/** Who leads, and how reports of workers reach the leader and its answers come back. */
+/**
+ * Who leads, and how heartbeats of agents reach the leader and its responses come back. {@link
+ * io.pearscale.coordination.ElectionStateMachine} decides, {@link
+ * io.pearscale.coordination.ElectionActor} does the I/O.
+ */
 package io.pearscale.coordination;
--- a/src/main/java/io/pearscale/storage/StoreReplies.java
+++ b/src/main/java/io/pearscale/storage/StoreReplies.java
@@ -1,5 +1,6 @@
 package io.pearscale.storage;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import io.pearscale.transport.HttpClient.Reply;
 import java.util.OptionalLong;
 
@@ -13,10 +14,22 @@
   /** The lease that a request for one was granted; empty if none was. */
   public static OptionalLong grantedLease(Reply reply) {
     return reply.ok() && reply.body().path("claim").isIntegralNumber()
-        ? OptionalLong.of(reply.body().path("claim").asLong())
+        ? OptionalLong.of(leaseOf(reply))
         : OptionalLong.empty();
   }
 
+  /**
+   * The lease that was granted, or that the key that was read is attached to; 0 if there is none.
+   */
+  public static long leaseOf(Reply reply) {
+    return reply.body().path("claim").asLong();
+  }
+
+  /** The value of the key that was read. */
+  public static JsonNode valueOf(Reply reply) {
+    return reply.body().path("value");
+  }
+
   /** The store's revision after a transaction that was carried out. */
   public static long committedRevision(Reply reply) {
     return reply.body().path("epoch").asLong();
