--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -44,7 +44,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Makes the parts of a leader and joins them; they know each other by their constructors alone. */
+/** Makes the components of a leader; they know each other by their constructors alone. */
 final class LeaderComponents {
   final Leadership leadership;
   final JobTable jobs;
@@ -65,10 +65,10 @@
   final TaskCountPublisher taskCountPublisher;
 
   /**
-   * Makes all parts.
+   * Makes all components, of a controller that does not lead.
    *
-   * @param executor runs what they put off
-   * @param cloudEvents is told what the cloud says
+   * @param executor runs what they defer
+   * @param cloudEvents takes what the cloud answers
    */
   LeaderComponents(
       Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
@@ -168,7 +168,7 @@
     return teams;
   }
 
-  /** What all parts share. */
+  /** What all components share. */
   private LeaderState leaderState(
       Environment environment,
       Map<String, Team> teams,
@@ -221,7 +221,7 @@
                     retirement));
   }
 
-  /** What has more to write than the records of jobs and machines. */
+  /** The components that have more to write than the records of jobs and machines. */
   private List<TransactionContributor> transactionSources(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
@@ -0,0 +1,66 @@
+package io.pearscale.scheduler;
+
+import io.pearscale.protocol.MachineType;
+import io.pearscale.scheduler.maintenance.DrainCoordinator;
+import io.pearscale.storage.Keys;
+import io.pearscale.storage.StoreReplicaActor.Entry;
+import io.pearscale.storage.StoreReplicaActor.KeyChange;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/** Hands each change of the stored keys to the component that keeps what the key holds. */
+final class StoredKeyUpdates {
+  private final LeaderComponents components;
+  private final JobTermination jobTermination;
+
+  StoredKeyUpdates(LeaderComponents components, JobTermination jobTermination) {
+    this.components = components;
+    this.jobTermination = jobTermination;
+  }
+
+  /** Takes over all keys, in place of what was known before. */
+  void load(Map<String, Entry> entries) {
+    components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
+    components.jobs.forgetUnreadable();
+    components.records.storedValues().clear();
+    components.levelRaiser.forgetStored();
+    components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
+    entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
+  }
+
+  /** Takes over a change of one key. */
+  void apply(KeyChange change) {
+    String key = change.key();
+    if (Keys.isLiveJob(key)) {
+      applyJob(change);
+    } else if (Keys.isPlacementRecords(key) || Keys.isMachineRecords(key)) {
+      components.records.storedValues().apply(change);
+    } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
+      components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
+    } else if (Keys.isMember(key)) {
+      components.levelRaiser.storedChanged(change);
+    } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
+      applyCatalogue(change.entry().get());
+    }
+  }
+
+  private void applyJob(KeyChange change) {
+    String key = change.key();
+    if (change.entry().isPresent()) {
+      components.jobs.add(key, change.entry().get());
+    } else {
+      components.jobs.forgetUnreadable(key);
+      jobTermination.endJob(Keys.lastSegment(key));
+    }
+  }
+
+  /** A leader has its catalogue from the cloud, and the stored one only until it has asked. */
+  private void applyCatalogue(Entry entry) {
+    List<MachineType> types = MachineType.parseAll(entry.value());
+    components.records.storedValues().updateCatalogue(types);
+    if (!components.leadership.isLeading() || components.inventory.catalogue().types().isEmpty()) {
+      components.inventory.updateCatalogue(types);
+    }
+  }
+}
--- a/src/main/java/io/pearscale/scheduler/model/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -5,14 +5,27 @@
 import java.time.InstantSource;
 
 /**
- * What the scheduler knows of its controller's leadership: the term, and until when it may act in
- * it. Every start, every renewal of a worker's lease and every token rests on this.
+ * The leadership of this controller: its term, and until when it may act in it. Every start of a
+ * task, every renewal of an agent's lease and every fencing token rests on this.
+ *
+ * <p><b>Proof of leadership.</b> No other controller led when the proof was made; it counts from
+ * when what it rests on was sent. <b>Renewal authority.</b> While the last proof, and the copy of
+ * the keys, are younger than the renewal authority timeout, this leader may renew leases of agents.
+ * So once a newer leader knows that it has won, earlier ones renew nothing after that timeout, and
+ * no machine that only heard from them has a lease after one lease TTL more. <b>Fencing token.</b>
+ * Each command carries one: the term, and below it a counter per machine; an agent refuses lower
+ * ones than it has seen.
  */
 public final class Leadership {
-  /** A token carries the term above a count of 24 bits for each machine. */
+  /**
+   * A fencing token carries the term above a counter of 24 bits, which each machine has of its own.
+   */
   private static final int FENCING_TOKEN_TERM_SHIFT = 24;
 
-  /** A watch that comes back without news was sent 2 s before: a shorter hold asks for no less. */
+  /**
+   * A watch that comes back without changes was sent 2 s before, so starts can't ask for a fresher
+   * copy than this, however short the renewal authority timeout.
+   */
   private static final Duration QUIET_WATCH_AGE = Duration.ofSeconds(3);
 
   private final InstantSource clock;
@@ -23,11 +36,21 @@
   private long term;
   private long termRevision;
   private Instant electedAt = Instant.MIN;
+
+  /** Until then a previous leader may have renewed leases. */
   private Instant previousLeadersUntil = Instant.MIN;
+
+  /** No other controller led at that time. */
   private Instant leadershipProvenAt = Instant.MIN;
+
+  /** The copy of the keys has all changes made by then. */
   private Instant replicaAsOf = Instant.MIN;
 
-  /** Leadership that a proof extends by the hold. */
+  /**
+   * Leads in no term.
+   *
+   * @param renewalAuthorityTimeout for how long a proof allows to renew leases; positive
+   */
   public Leadership(InstantSource clock, Duration renewalAuthorityTimeout) {
     this.clock = clock;
     this.renewalAuthorityTimeout = renewalAuthorityTimeout;
@@ -35,13 +58,18 @@
     this.startAuthorityTimeout = half.compareTo(QUIET_WATCH_AGE) > 0 ? half : QUIET_WATCH_AGE;
   }
 
-  /** Begins a term; nothing may be decided in it before {@link #becomeReady}. */
-  public void begin(long newTerm, long newTermRevision, Instant proof) {
+  /**
+   * Begins a term; nothing may be decided in it before {@link #becomeReady}.
+   *
+   * @param newTermRevision the revision of the term's key that the election wrote
+   * @param provenAt when the election was sent
+   */
+  public void begin(long newTerm, long newTermRevision, Instant provenAt) {
     leading = true;
     ready = false;
     term = newTerm;
     termRevision = newTermRevision;
-    leadershipProvenAt = proof;
+    leadershipProvenAt = provenAt;
     electedAt = clock.instant();
     previousLeadersUntil = electedAt.plus(renewalAuthorityTimeout);
   }
@@ -52,7 +80,7 @@
     ready = false;
   }
 
-  /** All that the predecessors recorded has been taken over. */
+  /** All that previous leaders recorded has been taken over; only while this controller leads. */
   public void becomeReady() {
     ready = true;
   }
@@ -62,12 +90,12 @@
     return leading;
   }
 
-  /** Whether it leads and has taken over what its predecessors recorded. */
+  /** Whether this controller leads and has taken over what previous leaders recorded. */
   public boolean isReady() {
     return ready;
   }
 
-  /** Whether it leads in that term. */
+  /** Whether this controller leads in that term. */
   public boolean leadsIn(long thatTerm) {
     return leading && term == thatTerm;
   }
@@ -77,12 +105,12 @@
     return term;
   }
 
-  /** The stamp of the term's key after this leader's last transaction. */
+  /** The revision of the term's key after this leader's last transaction; guards the next one. */
   public long termRevision() {
     return termRevision;
   }
 
-  /** The term's key has that stamp now. */
+  /** A transaction of this leader, or a read, has shown that the term's key has that revision. */
   public void recordTermRevision(long revision) {
     termRevision = revision;
   }
@@ -92,13 +120,13 @@
     return electedAt;
   }
 
-  /** Until then a former leader may have renewed leases. */
+  /** Until then a previous leader may have renewed leases. */
   Instant previousLeadersUntil() {
     return previousLeadersUntil;
   }
 
   /**
-   * No former leader renews leases any more.
+   * No previous leader renews leases any more, since all peers know of this term.
    *
    * @return whether that is sooner than was known
    */
@@ -111,20 +139,20 @@
     return true;
   }
 
-  /** It is proven that no other controller led at that time. */
+  /** It is proved that no other controller led at that time; an earlier one changes nothing. */
   public void recordProof(Instant time) {
     leadershipProvenAt = later(leadershipProvenAt, time);
   }
 
-  /** All changes of the stored keys that were made by then are known. */
+  /** The copy of the keys has all changes made by that time; an earlier one changes nothing. */
   public void recordReplicaAsOf(Instant time) {
     replicaAsOf = later(replicaAsOf, time);
   }
 
   /**
-   * The peers say that no other led at that time, and have named what was cancelled in the last two
-   * holds. That makes good a copy that has been as new as the state service within one hold; an
-   * older one is made good by the state service alone.
+   * All controllers have confirmed that no other led at that time, and named the cancellations of
+   * the last two renewal authority timeouts. That makes up for a copy of the keys that was up to
+   * date within one such timeout; an older one is brought up to date by the key-value store alone.
    */
   public void recordPeerConfirmation(Instant time) {
     if (time.isBefore(replicaAsOf.plus(renewalAuthorityTimeout))) {
@@ -133,15 +161,16 @@
     }
   }
 
-  /** Whether the last proof is younger than the age. */
+  /** Whether the last proof is not older than the age. */
   public boolean provenWithin(Duration age) {
     return !clock.instant().isAfter(leadershipProvenAt.plus(age));
   }
 
   /**
-   * Whether leases may be renewed and commands sent: only while it is known that no other leads,
-   * and of which jobs were cancelled, as of at most hold ago. A renewal of the grant shows the
-   * former alone: a leader whose watch is stuck would keep cancelled tasks alive.
+   * Whether leases of agents may be renewed and commands sent: only while it is known that no other
+   * controller leads, and which jobs were cancelled, as of a renewal authority timeout ago at most.
+   * A renewal of the leader's own lease shows the former alone: a leader whose watch is stuck would
+   * keep cancelled tasks alive.
    */
   public boolean mayRenewLeases() {
     Instant now = clock.instant();
@@ -151,31 +180,31 @@
   }
 
   /**
-   * Whether starts may be sent. From when a user is told that a job is cancelled none of its tasks
-   * may begin, so a start needs later knowledge than a lease: whoever stood still, or is refused by
-   * the state service, looks again first. Half of the hold leaves time to a leader that has just
-   * taken over and hears everything late.
+   * Whether starts of tasks may be sent. From when a user is told that a job is cancelled none of
+   * its tasks may begin, so a start needs later knowledge than a lease: a leader that stood still,
+   * or is refused by the key-value store, looks again first. Half of the renewal authority timeout
+   * leaves time to a leader that has just taken over and receives everything late.
    */
   public boolean mayStartTasks() {
     return mayRenewLeases() && clock.instant().isBefore(replicaAsOf.plus(startAuthorityTimeout));
   }
 
-  /** The token with which a machine is commanded first in this term. */
+  /** The fencing token with which a machine is commanded first in this term. */
   public long firstFencingToken() {
     return (term << FENCING_TOKEN_TERM_SHIFT) + 1;
   }
 
-  /** Whether the token was given in this term. */
+  /** Whether the fencing token was issued in this term. */
   public boolean isFromThisTerm(long fencingToken) {
     return termOf(fencingToken) == term;
   }
 
-  /** Whether a leader of a later term gave the token. */
+  /** Whether a leader of a later term issued the fencing token. */
   public boolean isFromLaterTerm(long fencingToken) {
     return termOf(fencingToken) > term;
   }
 
-  /** The term of the leader that gave the token. */
+  /** The term of the leader that issued the fencing token. */
   public static long termOf(long fencingToken) {
     return fencingToken >> FENCING_TOKEN_TERM_SHIFT;
   }
--- a/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
+++ b/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Runs what the parts of a leader put off: each action as a message of the scheduler, one after the
- * other, and only if the term in which it was put off still lasts. A timer or an answer of a former
- * term never acts in a later one.
+ * Runs what the components of a leader defer: each action as a message of the scheduler, one after
+ * the other, and only if the term in which it was deferred still lasts. A timer or an answer of an
+ * earlier term never acts in a later one.
  */
 public interface TermExecutor {
   /** Runs the action after the message that is being handled now. */
--- a/src/main/java/io/pearscale/scheduler/package-info.java
+++ b/src/main/java/io/pearscale/scheduler/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The scheduler: jobs, machines, placement, renting and users' calls, and the controller that wires
- * all actors. The leader decides here; everything that only decides is a class of its own without
- * I/O, and {@link io.pearscale.scheduler.SchedulerActor} acts on it.
+ * One controller and its leader: {@link io.pearscale.scheduler.Controller} makes the actors and
+ * takes requests and records of peers, {@link io.pearscale.scheduler.SchedulerActor} receives what
+ * concerns jobs and machines, and {@link io.pearscale.scheduler.LeaderComponents} makes the
+ * components that decide. Everything that only decides is a class of its own without I/O.
  */
 package io.pearscale.scheduler;
