--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -7,13 +7,10 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.Settings.Team;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.PlacementRecordCodec;
-import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.StoreReplicaActor;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -22,7 +19,6 @@
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.HttpServer.Response;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
@@ -38,44 +34,57 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users. Accepted, cancelled and done are told only once they are durable; anything that
- * could still change is told only as fresh as the question, by a read of the state service that
- * began after it. What can't be told so is answered 503 at once.
+ * Answers users. That a job is accepted, cancelled or done is acknowledged only once it is durable;
+ * anything that could still change is answered only as fresh as the request, by a linearizable read
+ * of the key-value store that began after it. What can't be answered so is refused with 503 at
+ * once.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
+  /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
   private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
-  private static final int MAX_LIVE_JOBS = 20_000;
+
+  /** Beyond so many counts those of jobs that are over are dropped. */
+  private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
+
+  /** When users are to ask again whom this controller can't answer now. */
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-  /** The level rises within about a second of when the last controller says what it supports. */
-  private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
+  /** The most that the value of a job holds beside its specification, in bytes. */
+  private static final int VALUE_OVERHEAD = 100;
+
+  /** How often a cancellation that meets a change of the job is tried again. */
+  private static final int MAX_CANCELLATION_RETRIES = 3;
 
   /** What the actor understands. */
   public sealed interface Message {}
 
-  /** A user submits. */
+  /** A user submits a job; the body is empty if it is no MessagePack. */
   public record Submit(Optional<JsonNode> body, Consumer<Response> respond) implements Message {}
 
-  /** A user asks for a job. */
+  /** A user asks for the status of a job. */
   public record Query(String jobId, Consumer<Response> respond) implements Message {}
 
   /** A user cancels a job. */
   public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** The replica was loaded. */
+  /** The copy of the keys was loaded. */
   public record Loaded(Map<String, Entry> entries) implements Message {}
 
   /** Keys changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
 
-  /** Asks which jobs this controller has told as cancelled lately, and which are live. */
+  /**
+   * Asks for the cancellations that this controller has acknowledged lately.
+   *
+   * @param respond takes the ids of those jobs, and of all that are live
+   */
   public record RecentCancellations(BiConsumer<List<String>, List<String>> respond)
       implements Message {}
 
-  /** A peer says that it tells a job as cancelled: durable, so it may be told here as well. */
+  /** A peer acknowledges that a job is cancelled, which is durable; so it may be done here too. */
   public record JobCancelled(String job) implements Message {}
 
-  /** The leader's counts, for display. */
+  /** The leader's counts of tasks, for display. */
   public record TaskCountsChanged(List<JobTaskCount> jobs) implements Message {}
 
   private record SubmissionCommitted(JobSpec spec, Consumer<Response> respond, Reply reply)
@@ -91,7 +100,7 @@
   private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> then)
       implements Message {}
 
-  /** What is known of a job, as fresh as the question. */
+  /** What is known of a job, as fresh as the request. */
   private sealed interface Lookup {}
 
   private record LiveJob(Entry entry) implements Lookup {}
@@ -109,9 +118,8 @@
   private final StoreReplicaActor replica;
   private final Settings settings;
   private final InstantSource wallClock;
-  private final LevelGate levelGate;
+  private final SubmissionValidator validator;
   private final Consumer<String> cancellationListener;
-  private final Map<String, Team> teams = new HashMap<>();
   private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
   private final Set<String> liveJobs = new HashSet<>();
   private List<MachineType> machineTypes = List.of();
@@ -129,10 +137,11 @@
       };
 
   /**
-   * Answers from the state service and its replica.
+   * Answers from the key-value store and the copy of it.
    *
+   * @param wallClock the time of day, with which submissions are stored
    * @param levelGate says whether gang jobs can be stored yet
-   * @param cancellationListener is told of each job that users are about to be told as cancelled
+   * @param cancellationListener takes each job whose cancellation is about to be acknowledged
    */
   public ApiActor(
       EventLoop loop,
@@ -147,9 +156,8 @@
     this.replica = replica;
     this.settings = settings;
     this.wallClock = wallClock;
-    this.levelGate = levelGate;
+    this.validator = new SubmissionValidator(settings, levelGate);
     this.cancellationListener = cancellationListener;
-    settings.teams().forEach(t -> teams.put(t.name(), t));
   }
 
   @Override
@@ -169,7 +177,7 @@
       m.changes.forEach(this::applyChange);
     } else if (message instanceof TaskCountsChanged m) {
       m.jobs.forEach(c -> taskCounts.put(c.job(), c));
-      if (taskCounts.size() > 2 * MAX_LIVE_JOBS) {
+      if (taskCounts.size() > MAX_TASK_COUNTS) {
         taskCounts.keySet().retainAll(liveJobs);
       }
     } else if (message instanceof RecentCancellations m) {
@@ -220,7 +228,8 @@
       spec =
           JobSpec.parse(
               body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-      if (spec.toNode().toString().length() + 100 > settings.storeLimits().maxValueBytes()) {
+      if (spec.toNode().toString().length() + VALUE_OVERHEAD
+          > settings.storeLimits().maxValueBytes()) {
         throw new MalformedMessageException("too long");
       }
     } catch (MalformedMessageException e) {
@@ -242,9 +251,9 @@
           lookup -> answer.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
       return;
     }
-    Optional<Response> refusal = validate(spec);
+    Optional<Response> refusal = validator.refusal(spec, machineTypes, liveJobs.size());
     if (refusal.isPresent()) {
-      // An id that is known already is not judged again.
+      // An id that is known already is not validated again.
       lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
@@ -258,100 +267,18 @@
         reply -> tell(new SubmissionCommitted(spec, answer, reply)));
   }
 
-  /** What stands against a new job; empty when it can be accepted. */
-  private Optional<Response> validate(JobSpec spec) {
-    if (machineTypes.isEmpty()) {
-      return Optional.of(
-          Response.unavailable(Duration.ofSeconds(2), "machine types unknown as yet"));
-    }
-    if (liveJobs.size() >= MAX_LIVE_JOBS) {
-      return Optional.of(Response.unavailable(Duration.ofSeconds(30), "too many jobs"));
-    }
-    Team team = teams.get(spec.team());
-    if (team == null) {
-      return reject("unknown team");
-    }
-    if (spec.isGang()) {
-      Optional<Response> refusal = validateGangSupport();
-      if (refusal.isPresent()) {
-        return refusal;
-      }
-    }
-    int simultaneousTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
-    if ((team.cpuLimit() > 0 && simultaneousTasks * spec.cpus() > team.cpuLimit() + 1e-6)
-        || (team.gpuLimit() > 0 && simultaneousTasks * spec.gpus() > team.gpuLimit() + 1e-6)) {
-      return reject("beyond the team's limit");
-    }
-    if (spec.spreadAcrossZones()
-        && spec.tasks() > 1
-        && (spec.singleZone() || spec.zone().isPresent())) {
-      return reject("tasks must spread over zones and stay in one");
-    }
-    Optional<Response> unrecordable = validateRecordSize(spec);
-    if (unrecordable.isPresent()) {
-      return unrecordable;
-    }
-    if (machineTypes.stream().anyMatch(spec::allowsInSomeZone)) {
-      return Optional.empty();
-    }
-    return reject("no allowed machine type is large enough");
-  }
-
-  /**
-   * A job whose tasks can't be recorded could never start one of them. Where a later level takes
-   * smaller parts of jobs, it is only a matter of time.
-   */
-  private Optional<Response> validateRecordSize(JobSpec spec) {
-    int longest = settings.storeLimits().maxValueBytes();
-    if (maxRecordSize(spec, RecordLayout.ofLevel(levelGate.inForce().writtenLevel())) <= longest) {
-      return Optional.empty();
-    }
-    return maxRecordSize(spec, RecordLayout.NUMBERED) <= longest
-            && levelGate.supports(Feature.SMALL_VALUES)
-        ? Optional.of(
-            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
-        : reject("its tasks can't be recorded in values of " + longest + " bytes");
-  }
-
-  private int maxRecordSize(JobSpec spec, RecordLayout layout) {
-    Team team = teams.get(spec.team());
-    int claim =
-        team != null && team.hasQuotaLimit()
-            ? new PlacementRecordCodec.QuotaClaim(
-                    spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
-                .maximumSize()
-            : 0;
-    return PlacementRecordCodec.maximumSize(
-            spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
-        + claim;
-  }
-
-  /** What stands against any gang job. */
-  private Optional<Response> validateGangSupport() {
-    if (settings.agents().gangs().isEmpty()) {
-      return reject("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
-    }
-    return levelGate.isEnabled(Feature.GANG_JOBS)
-        ? Optional.empty()
-        : Optional.of(
-            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
-  }
-
-  private static Optional<Response> reject(String reason) {
-    return Optional.of(Response.of(422, MessagePack.map().put("error", reason)));
-  }
-
   private void submissionCommitted(SubmissionCommitted m) {
     String jobId = m.spec.id();
     if (m.reply.ok()) {
       liveJobs.add(jobId);
-      log.info("event=accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
+      log.info(
+          "event=job_accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
       m.respond.accept(Response.of(201, stageBody(jobId, "pending")));
     } else if (m.reply.status() == 409) {
       lookup(jobId, lookup -> m.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
-      log.info("event=refused job={} status={}", jobId, m.reply.status());
+      log.info("event=job_refused job={} status={}", jobId, m.reply.status());
       m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
     }
   }
@@ -387,14 +314,14 @@
   private void liveRecordRead(LiveRecordRead m) {
     JobOutcome outcome = outcomes.get(m.jobId);
     if (outcome != null) {
-      // It ended while the question was under way, and this controller has said so.
+      // It ended while the read was under way, and this controller has acknowledged that.
       m.then.accept(new FinishedJob(outcome));
     } else if (m.entry.isEmpty()) {
       m.then.accept(new Undetermined());
     } else if (m.entry.get().isPresent()) {
       m.then.accept(new LiveJob(m.entry.get().get()));
     } else {
-      // Not live at a time after the question: over by then, or never accepted by then.
+      // Not live at a time after the request: over by then, or never accepted by then.
       store.get(Keys.finishedJob(m.jobId), r -> tell(new FinishedRecordRead(m.jobId, r, m.then)));
     }
   }
@@ -415,9 +342,8 @@
   }
 
   /**
-   * Users are about to be told that the job is cancelled. The word goes to all controllers first:
-   * the leader may not hear of it from the state service, and should this process end, another
-   * still knows.
+   * A cancellation is about to be acknowledged to users. All controllers are told first: the leader
+   * may not learn of it from the key-value store, and should this process end, another still knows.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
     if (outcome.stage.equals("withdrawn")
@@ -426,7 +352,10 @@
     }
   }
 
-  /** What a leader may not know although it has a proof: that is never older than hold. */
+  /**
+   * The cancellations that a leader may not know of although its proof of leadership holds; that is
+   * never older than the renewal authority timeout.
+   */
   private List<String> recentCancellations() {
     Instant limit =
         loop.clock().instant().minus(settings.renewalAuthorityTimeout().multipliedBy(2));
@@ -493,9 +422,9 @@
       outcomes.put(m.jobId, outcome);
       acknowledgeCancellation(m.jobId, outcome);
       liveJobs.remove(m.jobId);
-      log.info("event=withdrawn job={}", m.jobId);
+      log.info("event=job_cancelled job={}", m.jobId);
       m.respond.accept(Response.of(200, stageBody(m.jobId, "withdrawn")));
-    } else if (m.reply.status() == 409 && m.retries < 3) {
+    } else if (m.reply.status() == 409 && m.retries < MAX_CANCELLATION_RETRIES) {
       // Done or cancelled meanwhile: look again.
       cancel(m.jobId, m.respond, m.retries + 1);
     } else {
--- /dev/null
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -0,0 +1,149 @@
+package io.pearscale.api;
+
+import io.pearscale.protocol.JobSpec;
+import io.pearscale.protocol.MachineType;
+import io.pearscale.protocol.Settings;
+import io.pearscale.protocol.Settings.Team;
+import io.pearscale.storage.PlacementRecordCodec;
+import io.pearscale.storage.RecordLayout;
+import io.pearscale.transport.HttpServer.Response;
+import io.pearscale.transport.MessagePack;
+import io.pearscale.upgrade.Feature;
+import io.pearscale.upgrade.LevelGate;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/** Decides whether a job that users submit can be accepted, or why not. */
+final class SubmissionValidator {
+  /** How many jobs may be live at the same time. */
+  static final int MAX_LIVE_JOBS = 20_000;
+
+  /** When users are to ask again while the catalogue of machine types is unknown. */
+  private static final Duration CATALOGUE_RETRY_AFTER = Duration.ofSeconds(2);
+
+  /** When users are to ask again while too many jobs are live. */
+  private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(30);
+
+  /** The level rises within about a second of when the last controller says what it supports. */
+  private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
+
+  /** By so much sums of processors may exceed a limit, as they are rounded. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
+
+  private final Settings settings;
+  private final LevelGate levelGate;
+  private final Map<String, Team> teams = new HashMap<>();
+
+  /**
+   * Validates by the teams and limits of the settings.
+   *
+   * @param levelGate says what can be stored under the schema level in force
+   */
+  SubmissionValidator(Settings settings, LevelGate levelGate) {
+    this.settings = settings;
+    this.levelGate = levelGate;
+    settings.teams().forEach(team -> teams.put(team.name(), team));
+  }
+
+  /**
+   * Why a new job is refused; empty if it can be accepted.
+   *
+   * @param machineTypes the catalogue of the cloud; empty while it is unknown
+   * @param liveJobs how many jobs are live
+   */
+  Optional<Response> refusal(JobSpec spec, List<MachineType> machineTypes, int liveJobs) {
+    if (machineTypes.isEmpty()) {
+      return Optional.of(
+          Response.unavailable(CATALOGUE_RETRY_AFTER, "machine types unknown as yet"));
+    }
+    if (liveJobs >= MAX_LIVE_JOBS) {
+      return Optional.of(Response.unavailable(FULL_RETRY_AFTER, "too many jobs"));
+    }
+    Team team = teams.get(spec.team());
+    if (team == null) {
+      return reject("unknown team");
+    }
+    return gangRefusal(spec)
+        .or(() -> quotaRefusal(spec, team))
+        .or(() -> zoneRefusal(spec))
+        .or(() -> recordSizeRefusal(spec, team))
+        .or(() -> machineTypeRefusal(spec, machineTypes));
+  }
+
+  private static Optional<Response> quotaRefusal(JobSpec spec, Team team) {
+    int simultaneousTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
+    return exceeds(simultaneousTasks * spec.cpus(), team.cpuLimit())
+            || exceeds(simultaneousTasks * spec.gpus(), team.gpuLimit())
+        ? reject("beyond the team's limit")
+        : Optional.empty();
+  }
+
+  /** A limit of 0 is none. */
+  private static boolean exceeds(double amount, double limit) {
+    return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
+  }
+
+  private static Optional<Response> zoneRefusal(JobSpec spec) {
+    return spec.spreadAcrossZones()
+            && spec.tasks() > 1
+            && (spec.singleZone() || spec.zone().isPresent())
+        ? reject("tasks must spread over zones and stay in one")
+        : Optional.empty();
+  }
+
+  private static Optional<Response> machineTypeRefusal(
+      JobSpec spec, List<MachineType> machineTypes) {
+    return machineTypes.stream().anyMatch(spec::allowsInSomeZone)
+        ? Optional.empty()
+        : reject("no allowed machine type is large enough");
+  }
+
+  /**
+   * A job whose placement records exceed a value of the key-value store could never start a task.
+   * Where a later schema level takes smaller partitions of jobs, it is only a matter of time.
+   */
+  private Optional<Response> recordSizeRefusal(JobSpec spec, Team team) {
+    int longest = settings.storeLimits().maxValueBytes();
+    if (maxRecordSize(spec, team, RecordLayout.ofLevel(levelGate.inForce().writtenLevel()))
+        <= longest) {
+      return Optional.empty();
+    }
+    return maxRecordSize(spec, team, RecordLayout.NUMBERED) <= longest
+            && levelGate.supports(Feature.SMALL_VALUES)
+        ? Optional.of(
+            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
+        : reject("its tasks can't be recorded in values of " + longest + " bytes");
+  }
+
+  private static int maxRecordSize(JobSpec spec, Team team, RecordLayout layout) {
+    int claim =
+        team.hasQuotaLimit()
+            ? new PlacementRecordCodec.QuotaClaim(
+                    spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
+                .maximumSize()
+            : 0;
+    return PlacementRecordCodec.maximumSize(
+            spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
+        + claim;
+  }
+
+  private Optional<Response> gangRefusal(JobSpec spec) {
+    if (!spec.isGang()) {
+      return Optional.empty();
+    }
+    if (settings.agents().gangs().isEmpty()) {
+      return reject("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
+    }
+    return levelGate.isEnabled(Feature.GANG_JOBS)
+        ? Optional.empty()
+        : Optional.of(
+            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
+  }
+
+  private static Optional<Response> reject(String reason) {
+    return Optional.of(Response.of(422, MessagePack.map().put("error", reason)));
+  }
+}
