--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -30,8 +30,8 @@
   void endAllBut(LiveJobs list) {
     Set<String> live = Set.copyOf(list.jobs());
     List.copyOf(components.jobs.all()).stream()
-        .filter(job -> job.revision <= list.storeRevision() && !live.contains(job.spec.id()))
-        .forEach(job -> jobCancelled(job.spec.id()));
+        .filter(job -> job.revision() <= list.storeRevision() && !live.contains(job.spec().id()))
+        .forEach(job -> jobCancelled(job.spec().id()));
   }
 
   /** The job is over; does nothing if it is not known. */
@@ -42,15 +42,15 @@
     }
     components.records.closeJob(job.get());
     components.gangs.forget(job.get());
-    for (TaskAttempt attempt : List.copyOf(job.get().attempts.values())) {
+    for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // What a cancelled task has done is of no use to anybody: it saves no checkpoint, and one
       // that
       // saves already, for whatever reason it was stopped, is told to end.
-      attempt.stopsWithoutCheckpoint = true;
-      attempt.stopsSent = 0;
+      attempt.forbidCheckpoint();
+      attempt.forgetStopsSent();
       components.inventory.stop(attempt);
-      components.inventory.markCommandDue(attempt.machine);
-      components.dispatcher.sendDueCommands(attempt.machine);
+      components.inventory.markCommandDue(attempt.machine());
+      components.dispatcher.sendDueCommands(attempt.machine());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -60,7 +60,7 @@
     int slices = Math.min(MAX_SLICES, 1 + components.inventory.size() / MACHINES_PER_SLICE);
     int position = ++runs;
     for (Machine machine : List.copyOf(components.inventory.all())) {
-      if (++position % slices == 0 || !machine.reconciled) {
+      if (++position % slices == 0 || !machine.reconciled()) {
         components.failureDetector.check(machine, now);
       }
     }
