--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -7,6 +7,7 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.Settings;
+import io.pearscale.storage.JobOutcome;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
@@ -14,13 +15,13 @@
 import io.pearscale.storage.StoreReplicaActor;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplies;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.HttpServer.Response;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.upgrade.LevelGate;
-import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
 import java.util.HashMap;
@@ -43,12 +44,9 @@
   /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
   private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
 
-  /** Beyond so many counts those of jobs that are over are dropped. */
+  /** Beyond so many counts of tasks those of jobs that are over are dropped. */
   private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
 
-  /** When users are to ask again whom this controller can't answer now. */
-  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
-
   /** The most that the value of a job holds beside its specification, in bytes. */
   private static final int VALUE_OVERHEAD = 100;
 
@@ -111,9 +109,6 @@
 
   private record Undetermined() implements Lookup {}
 
-  /** How a job ended. */
-  private record JobOutcome(String stage, int tasks) {}
-
   private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
   private final Settings settings;
@@ -121,11 +116,20 @@
   private final SubmissionValidator validator;
   private final Consumer<String> cancellationListener;
   private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
+
+  /** All jobs that are not over, as far as the copy of the keys shows. */
   private final Set<String> liveJobs = new HashSet<>();
+
   private List<MachineType> machineTypes = List.of();
   private boolean loaded;
+
+  /** Requests of users that are not responded to yet. */
   private int openRequests;
+
+  /** When each cancelled job was last acknowledged to be, or was by a peer; the oldest first. */
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
+
+  /** How jobs ended, by id. */
   private final Map<String, JobOutcome> outcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -183,7 +187,7 @@
     } else if (message instanceof RecentCancellations m) {
       m.respond.accept(recentCancellations(), List.copyOf(liveJobs));
     } else if (message instanceof JobCancelled m) {
-      outcomes.put(m.job, new JobOutcome("withdrawn", 0));
+      outcomes.put(m.job, JobOutcome.cancelled(0));
       liveJobs.remove(m.job);
       acknowledgedCancellations.put(m.job, loop.clock().instant());
     } else if (message instanceof SubmissionCommitted m) {
@@ -225,24 +229,18 @@
   private void submit(Optional<JsonNode> body, Consumer<Response> answer) {
     JobSpec spec;
     try {
-      spec =
-          JobSpec.parse(
-              body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-      if (spec.toNode().toString().length() + VALUE_OVERHEAD
-          > settings.storeLimits().maxValueBytes()) {
-        throw new MalformedMessageException("too long");
-      }
+      spec = parse(body);
     } catch (MalformedMessageException e) {
-      answer.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
+      answer.accept(JobResponses.malformed(e.getMessage()));
       return;
     }
     JobOutcome outcome = outcomes.get(spec.id());
     if (outcome != null) {
-      answer.accept(Response.of(200, stageBody(spec.id(), outcome.stage)));
+      answer.accept(JobResponses.stage(spec.id(), outcome.stage()));
       return;
     }
     if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
-      answer.accept(Response.unavailable(RETRY_AFTER, loaded ? "busy" : "starting"));
+      answer.accept(JobResponses.unavailable(loaded ? "busy" : "starting"));
       return;
     }
     if (liveJobs.contains(spec.id())) {
@@ -257,6 +255,21 @@
       lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
+    commitSubmission(spec, answer);
+  }
+
+  private JobSpec parse(Optional<JsonNode> body) throws MalformedMessageException {
+    JobSpec spec =
+        JobSpec.parse(
+            body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
+    if (spec.toNode().toString().length() + VALUE_OVERHEAD
+        > settings.storeLimits().maxValueBytes()) {
+      throw new MalformedMessageException("too long");
+    }
+    return spec;
+  }
+
+  private void commitSubmission(JobSpec spec, Consumer<Response> answer) {
     ObjectNode value = MessagePack.map().put("at", wallClock.instant().toEpochMilli());
     value.set("spec", spec.toNode());
     store.compareAndSwap(
@@ -273,25 +286,25 @@
       liveJobs.add(jobId);
       log.info(
           "event=job_accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
-      m.respond.accept(Response.of(201, stageBody(jobId, "pending")));
-    } else if (m.reply.status() == 409) {
+      m.respond.accept(JobResponses.accepted(jobId));
+    } else if (StoreReplies.isConflict(m.reply)) {
       lookup(jobId, lookup -> m.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
       log.info("event=job_refused job={} status={}", jobId, m.reply.status());
-      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
+      m.respond.accept(JobResponses.storeUnavailable());
     }
   }
 
   private Response knownJobResponse(String jobId, Lookup lookup, Optional<Response> otherwise) {
     if (lookup instanceof LiveJob) {
-      return Response.of(200, stageBody(jobId, liveStage(jobId)));
+      return JobResponses.stage(jobId, liveStage(jobId));
     } else if (lookup instanceof FinishedJob o) {
-      return Response.of(200, stageBody(jobId, o.outcome.stage));
+      return JobResponses.stage(jobId, o.outcome.stage());
     } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
       return otherwise.get();
     }
-    return Response.unavailable(RETRY_AFTER, "state service");
+    return JobResponses.storeUnavailable();
   }
 
   // ---- Asking ----
@@ -328,13 +341,11 @@
 
   private void finishedRecordRead(FinishedRecordRead m) {
     if (m.reply.ok()) {
-      JsonNode value = m.reply.body().path("value");
-      JobOutcome outcome =
-          new JobOutcome(value.path("stage").asText(), value.path("pieces").asInt());
+      JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(m.reply));
       outcomes.put(m.jobId, outcome);
       acknowledgeCancellation(m.jobId, outcome);
       m.then.accept(new FinishedJob(outcome));
-    } else if (m.reply.status() == 404) {
+    } else if (StoreReplies.isNotFound(m.reply)) {
       m.then.accept(new NoSuchJob());
     } else {
       m.then.accept(new Undetermined());
@@ -346,7 +357,7 @@
    * may not learn of it from the key-value store, and should this process end, another still knows.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
-    if (outcome.stage.equals("withdrawn")
+    if (outcome.isCancelled()
         && acknowledgedCancellations.put(jobId, loop.clock().instant()) == null) {
       cancellationListener.accept(jobId);
     }
@@ -365,29 +376,19 @@
 
   private String liveStage(String jobId) {
     JobTaskCount count = taskCounts.get(jobId);
-    return count != null && count.running() > 0 ? "running" : "pending";
-  }
-
-  private static ObjectNode stageBody(String jobId, String stage) {
-    return MessagePack.map().put("uid", jobId).put("stage", stage);
+    return count != null && count.running() > 0 ? JobResponses.RUNNING : JobResponses.PENDING;
   }
 
   private Response statusResponse(String jobId, Lookup lookup) {
     if (lookup instanceof LiveJob) {
       JobTaskCount count = taskCounts.getOrDefault(jobId, new JobTaskCount(jobId, 0, 0));
-      return Response.of(
-          200,
-          stageBody(jobId, liveStage(jobId))
-              .put("done", count.done())
-              .put("running", count.running()));
+      return JobResponses.status(jobId, liveStage(jobId), count.done(), count.running());
     } else if (lookup instanceof FinishedJob o) {
-      int done = o.outcome.stage.equals("done") ? o.outcome.tasks : 0;
-      return Response.of(
-          200, stageBody(jobId, o.outcome.stage).put("done", done).put("running", 0));
+      return JobResponses.status(jobId, o.outcome);
     } else if (lookup instanceof NoSuchJob) {
-      return Response.of(404, MessagePack.map().put("error", "no such job"));
+      return JobResponses.notFound();
     }
-    return Response.unavailable(RETRY_AFTER, "state service");
+    return JobResponses.storeUnavailable();
   }
 
   // ---- Cancelling ----
@@ -396,39 +397,42 @@
     lookup(
         jobId,
         lookup -> {
-          if (lookup instanceof LiveJob x) {
-            int tasks = x.entry.value().path("spec").path("pieces").asInt();
-            store.compareAndSwap(
-                List.of(
-                    new Precondition(Keys.liveJob(jobId), x.entry.revision()),
-                    new Precondition(Keys.finishedJob(jobId), 0)),
-                List.of(
-                    Mutation.delete(Keys.liveJob(jobId)),
-                    Mutation.put(
-                        Keys.finishedJob(jobId),
-                        MessagePack.map().put("stage", "withdrawn").put("pieces", tasks))),
-                reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
-          } else if (lookup instanceof FinishedJob o) {
-            answer.accept(Response.of(200, stageBody(jobId, o.outcome.stage)));
+          if (lookup instanceof LiveJob live) {
+            commitCancellation(jobId, live.entry, answer, retries);
+          } else if (lookup instanceof FinishedJob finished) {
+            answer.accept(JobResponses.stage(jobId, finished.outcome.stage()));
           } else {
             answer.accept(statusResponse(jobId, lookup));
           }
         });
   }
 
+  private void commitCancellation(
+      String jobId, Entry live, Consumer<Response> answer, int retries) {
+    int tasks = live.value().path("spec").path("pieces").asInt();
+    store.compareAndSwap(
+        List.of(
+            new Precondition(Keys.liveJob(jobId), live.revision()),
+            new Precondition(Keys.finishedJob(jobId), 0)),
+        List.of(
+            Mutation.delete(Keys.liveJob(jobId)),
+            Mutation.put(Keys.finishedJob(jobId), JobOutcome.cancelled(tasks).encode())),
+        reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
+  }
+
   private void cancellationCommitted(CancellationCommitted m) {
     if (m.reply.ok()) {
-      JobOutcome outcome = new JobOutcome("withdrawn", m.tasks);
+      JobOutcome outcome = JobOutcome.cancelled(m.tasks);
       outcomes.put(m.jobId, outcome);
       acknowledgeCancellation(m.jobId, outcome);
       liveJobs.remove(m.jobId);
       log.info("event=job_cancelled job={}", m.jobId);
-      m.respond.accept(Response.of(200, stageBody(m.jobId, "withdrawn")));
-    } else if (m.reply.status() == 409 && m.retries < MAX_CANCELLATION_RETRIES) {
+      m.respond.accept(JobResponses.stage(m.jobId, JobOutcome.CANCELLED));
+    } else if (StoreReplies.isConflict(m.reply) && m.retries < MAX_CANCELLATION_RETRIES) {
       // Done or cancelled meanwhile: look again.
       cancel(m.jobId, m.respond, m.retries + 1);
     } else {
-      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
+      m.respond.accept(JobResponses.storeUnavailable());
     }
   }
 }
