--- a/src/main/java/io/pearscale/api/TaskCountPublisher.java
+++ b/src/main/java/io/pearscale/api/TaskCountPublisher.java
@@ -9,29 +9,27 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/**
- * Tells all controllers how many tasks of each job are done and run, for their users' questions.
- */
+/** Publishes how many tasks of each job are done and run, for users of all controllers. */
 public final class TaskCountPublisher {
-  /** So many jobs that are over may be remembered beside those that are not. */
+  /** Of how many jobs that are over counts may be kept beside those of live ones. */
   private static final int MAX_FINISHED_JOBS = 1000;
 
   private final JobTable jobs;
   private final Consumer<List<JobTaskCount>> listener;
   private final Map<String, JobTaskCount> lastPublished = new HashMap<>();
 
-  /** The listener is told of counts that changed. */
+  /** Publishes to the listener. */
   public TaskCountPublisher(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
     this.jobs = jobs;
     this.listener = listener;
   }
 
-  /** Forgets what was told. */
+  /** Forgets what was published. */
   public void clear() {
     lastPublished.clear();
   }
 
-  /** Tells what has changed since the last time. */
+  /** Publishes the counts that have changed since the last time. */
   public void publishChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
--- a/src/main/java/io/pearscale/protocol/AgentCommand.java
+++ b/src/main/java/io/pearscale/protocol/AgentCommand.java
@@ -6,9 +6,16 @@
 import java.time.Duration;
 import org.msgpack.core.MessagePacker;
 
-/** A command to a worker. */
+/**
+ * A command to an agent, about one task.
+ *
+ * @param verb what the agent is to do
+ * @param task the task that it concerns
+ * @param attempt the number of the attempt; never used for two attempts of a task
+ * @param gracePeriod for how long a task that is stopped may save a checkpoint; zero otherwise
+ */
 public record AgentCommand(Verb verb, TaskId task, long attempt, Duration gracePeriod) {
-  /** What the worker is to do. */
+  /** What an agent is to do; the order is that of records between controllers. */
   public enum Verb {
     START("run"),
     STOP("kill"),
@@ -26,17 +33,17 @@
     return new AgentCommand(Verb.START, task, attempt, Duration.ZERO);
   }
 
-  /** Stops an attempt; it may save for as long as the grace. */
+  /** Stops an attempt; it may save a checkpoint within the grace period. */
   public static AgentCommand stop(TaskId task, long attempt, Duration gracePeriod) {
     return new AgentCommand(Verb.STOP, task, attempt, gracePeriod);
   }
 
-  /** Removes an ended attempt from the reports. */
+  /** Has the agent forget an attempt that has ended, so that heartbeats name it no more. */
   public static AgentCommand forget(TaskId task, long attempt) {
     return new AgentCommand(Verb.FORGET, task, attempt, Duration.ZERO);
   }
 
-  /** Writes what {@link #toNode} makes a tree of. */
+  /** Writes the same as {@link #toNode}, straight to bytes. */
   void pack(MessagePacker out) throws IOException {
     out.packMapHeader(verb == Verb.STOP ? 4 : 3);
     out.packString("verb");
@@ -51,7 +58,7 @@
     }
   }
 
-  /** As the worker reads it. */
+  /** The command as an agent reads it. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map().put("verb", verb.wire).put("piece", task.toString()).put("try", attempt);
--- a/src/main/java/io/pearscale/protocol/ConnectionLimits.java
+++ b/src/main/java/io/pearscale/protocol/ConnectionLimits.java
@@ -2,16 +2,16 @@
 
 /**
  * How a controller divides the sockets that its settings give it. Every bound on what is held open
- * for workers and users follows from here, so that a larger fleet needs a larger setting and never
+ * for agents and users follows from here, so that a larger fleet needs a larger setting and never
  * another build.
  *
- * @param inbound connections accepted from workers and users
- * @param keptAlive those of the served ones that may stay open between two reports; beyond them
- *     each answer to a report closes its connection
- * @param outbound connections opened to machines, the state service and the cloud
- * @param reservedOutbound those of the called ones that machines can't take
- * @param parkedHeartbeats reports that may wait for an election at the same time
- * @param openUserRequests requests of users that may wait for the state service at the same time
+ * @param inbound connections accepted from agents and users
+ * @param keptAlive those of the inbound ones that may stay open between two heartbeats; beyond them
+ *     each response to a heartbeat closes its connection
+ * @param outbound connections opened to machines, the key-value store and the cloud
+ * @param reservedOutbound those of the outbound ones that machines can't take
+ * @param parkedHeartbeats heartbeats that may wait for an election at the same time
+ * @param openUserRequests requests of users that may wait for the key-value store at the same time
  */
 public record ConnectionLimits(
     int inbound,
@@ -28,7 +28,7 @@
     int outbound = maxConnections / 5;
     int reservedOutbound = Math.max(MIN_RESERVED_OUTBOUND, outbound / 10);
     int keptAlive = inbound * 17 / 20;
-    // A parked report keeps its connection: some are left to those that ask meanwhile.
+    // A parked heartbeat keeps its connection: some are left to agents that ask meanwhile.
     int parkedHeartbeats = keptAlive;
     return new ConnectionLimits(
         inbound, keptAlive, outbound, reservedOutbound, parkedHeartbeats, maxConnections / 2);
--- a/src/main/java/io/pearscale/protocol/Heartbeat.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -6,7 +6,20 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a worker says of its machine. */
+/**
+ * What an agent reports of its machine and its tasks.
+ *
+ * @param machine the machine's id
+ * @param address where the agent takes commands
+ * @param machineType the name of the machine's type
+ * @param zone the machine's zone
+ * @param spot whether it is a spot machine, which the cloud may preempt
+ * @param incarnation counts the leases of the agent, from 1 on; it increases when one expires
+ * @param sequence counts the messages of the agent
+ * @param fencingToken the highest fencing token that the agent has seen
+ * @param preemptionNotice in how long the cloud takes the machine away, once it has said so
+ * @param tasks the tasks on the machine, including those that ended and were not forgotten yet
+ */
 public record Heartbeat(
     String machine,
     String address,
@@ -19,13 +32,13 @@
     Optional<Duration> preemptionNotice,
     List<TaskStatus> tasks) {
 
-  /** What a task on the machine is at. */
+  /** The stage of a task on a machine; the order is that of records between controllers. */
   public enum Stage {
     FETCHING,
     RUNNING,
     CHECKPOINTING,
     ENDED,
-    /** Of a gang: it has its image, and waits for the others. */
+    /** The task has its image, and waits for the others of its gang. */
     WAITING;
 
     static Stage parse(String text) throws MalformedMessageException {
@@ -40,10 +53,19 @@
     }
   }
 
-  /** One task of a report. The cause is empty unless it has ended. */
+  /**
+   * The status of one task.
+   *
+   * @param attempt the number of the attempt
+   * @param cause why the task ended; empty unless it has ended
+   */
   public record TaskStatus(TaskId task, long attempt, Stage stage, String cause) {}
 
-  /** Reads a report. */
+  /**
+   * Reads a heartbeat from a tree.
+   *
+   * @throws MalformedMessageException if a field is missing or breaks the protocol
+   */
   public static Heartbeat parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
     List<TaskStatus> tasks = new ArrayList<>();
@@ -70,7 +92,7 @@
         tasks);
   }
 
-  /** Whether this is the later one of two messages of the same worker. */
+  /** Whether this is newer than a message of the same agent with that incarnation and sequence. */
   public boolean isNewerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequence > otherSequence);
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -14,16 +14,15 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Reads reports straight from their bytes. Reports are most of what a controller reads, and right
- * after a start each costs several times as much as later, so they pay for no tree of objects. What
- * is accepted and refused is the same as with {@link Heartbeat#parse}, from which it is told apart
- * by nothing but its cost.
+ * Decodes heartbeats straight from their bytes. Heartbeats are most of what a controller reads, and
+ * right after a start each costs several times as much as later, so no tree of objects is made for
+ * them. What is accepted and refused is the same as with {@link Heartbeat#parse}.
  */
 public final class HeartbeatDecoder {
   private static final String MISSING_TEXT = "";
   private static final long MISSING_NUMBER = -1;
 
-  /** The library's own buffer for decoding is several times as large as a report. */
+  /** The library's own buffer for decoding is several times as large as a heartbeat. */
   private static final MessagePack.UnpackerConfig UNPACKER =
       new MessagePack.UnpackerConfig().withStringDecoderBufferSize(MessageFields.MAX_TEXT_LENGTH);
 
@@ -44,7 +43,11 @@
     in = UNPACKER.newUnpacker(body);
   }
 
-  /** Reads the report that the bytes begin with. */
+  /**
+   * Decodes the heartbeat that the bytes begin with.
+   *
+   * @throws MalformedMessageException if {@link Heartbeat#parse} would refuse it
+   */
   public static Heartbeat decode(byte[] body) throws MalformedMessageException {
     try {
       return new HeartbeatDecoder(body).decodeHeartbeat();
--- a/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -6,21 +6,23 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * What the leader has to say to a report.
+ * The response to an agent's heartbeat.
  *
- * @param status 200 renews the worker's lease; anything else doesn't
+ * @param status the HTTP status: 200 renews the agent's lease, anything else doesn't
+ * @param fencingToken carried by all of the commands; the next heartbeat shows that it was received
+ * @param commands what the agent is to do, in this order
  */
 public record HeartbeatResponse(int status, long fencingToken, List<AgentCommand> commands) {
-  /** The library's own buffer is many times as large as an answer. */
+  /** The library's own buffer is many times as large as a response. */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(128);
 
-  /** Nobody here may act for the controllers now. */
+  /** No controller that may act as the leader can be reached now. */
   public static final HeartbeatResponse UNAVAILABLE = new HeartbeatResponse(503, 0, List.of());
 
   /**
-   * The body for the worker. Most answers carry no command; they are written straight to bytes, as
-   * reports are read from them.
+   * The body for the agent. Most responses carry no command; they are written straight to bytes, as
+   * heartbeats are read from them.
    */
   public byte[] encode() {
     try (MessageBufferPacker out = PACKER.newBufferPacker()) {
--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -7,7 +7,29 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A job as its user described it. Field names of the wire end here. */
+/**
+ * A job as its user described it. Names of the wire's fields end here.
+ *
+ * @param id the id that the user chose, see {@link #isId}
+ * @param jobClass the class that service-level objectives name
+ * @param team the team that submitted it
+ * @param workloadType how its tasks belong together
+ * @param tasks the number of its tasks, 1 to 100,000
+ * @param cpus processor cores of each task
+ * @param gpus accelerators of each task
+ * @param memoryGb memory of each task
+ * @param image the image that each task needs on its machine
+ * @param imageGb the size of the image
+ * @param machineTypes the types of machine that are allowed; empty if all are
+ * @param zone the only zone that is allowed; empty if all are
+ * @param singleZone whether all tasks must be in one zone
+ * @param spreadAcrossZones whether one zone may hold half of the tasks at most
+ * @param spotAllowed whether tasks may run on spot machines
+ * @param estimatedDuration the user's estimate of a task's run time; zero for services
+ * @param checkpointInterval after how much progress a task saves a checkpoint; zero: never
+ * @param checkpointDuration how long a task takes to save when it is stopped
+ * @param deadline when the job should be complete, from its submission on
+ */
 public record JobSpec(
     String id,
     String jobClass,
@@ -36,7 +58,7 @@
 
   /**
    * Whether the text has the form of a job id: the prefix, then 1 to 64 letters and digits. Asked
-   * for each task of each report, so without a regular expression.
+   * for each task of each heartbeat, so without a regular expression.
    */
   public static boolean isId(String id) {
     if (!id.startsWith(ID_PREFIX)
@@ -53,7 +75,11 @@
     return true;
   }
 
-  /** Reads a submission, or the same out of the state service. */
+  /**
+   * Reads a submission, or the same out of the key-value store.
+   *
+   * @throws MalformedMessageException if a field is missing or breaks the protocol
+   */
   public static JobSpec parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
     String id = MessageFields.text(map, "uid");
@@ -94,7 +120,7 @@
         due.map(MessageFields::duration));
   }
 
-  /** Writes the job as it is kept. */
+  /** The job as it is stored. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -125,12 +151,12 @@
     return node;
   }
 
-  /** Whether its tasks are replicas, which run until the job is cancelled. */
+  /** Whether the tasks are replicas, which run until the job is cancelled. */
   public boolean isService() {
     return workloadType == WorkloadType.SERVICE;
   }
 
-  /** Whether its tasks run all at the same time or not at all. */
+  /** Whether the tasks run all at the same time or not at all. */
   public boolean isGang() {
     return workloadType == WorkloadType.GANG;
   }
@@ -156,7 +182,7 @@
         .anyMatch(z -> allows(type, z, /* onSpot= */ false) || allows(type, z, /* onSpot= */ true));
   }
 
-  /** How many of the tasks one zone may hold. */
+  /** How many of the tasks may be in one zone. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -7,7 +7,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A line of the cloud's catalogue. */
+/**
+ * A type of machine in the cloud's catalogue.
+ *
+ * @param cpus processor cores
+ * @param gpus accelerators
+ * @param imageCacheGb room for images
+ * @param fetchGbPerSecond the rate at which a machine fetches images, all of them together
+ * @param onDemandPrice the price of an hour on demand
+ * @param spotPrice the price of an hour as a spot machine
+ * @param bootTime how long such a machine usually takes to boot
+ * @param zones the zones that offer it
+ */
 public record MachineType(
     String name,
     double cpus,
@@ -25,7 +36,7 @@
     return MessageFields.duration(imageGb / Math.max(1e-3, fetchGbPerSecond));
   }
 
-  /** Reads a catalogue; lines that break the protocol are left out. */
+  /** Reads a catalogue; types that break the protocol are left out. */
   public static List<MachineType> parseAll(JsonNode body) {
     List<MachineType> result = new ArrayList<>();
     try {
@@ -58,7 +69,7 @@
         MessageFields.texts(node, "yards").orElse(List.of()));
   }
 
-  /** Writes the line as the cloud would. */
+  /** The type as the cloud writes it. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -76,7 +87,7 @@
     return node;
   }
 
-  /** The price of an hour on a machine of this kind. */
+  /** The price of an hour, as a spot machine or on demand. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
--- a/src/main/java/io/pearscale/protocol/MalformedMessageException.java
+++ b/src/main/java/io/pearscale/protocol/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package io.pearscale.protocol;
 
-/** A message breaks the protocol; the text says where. It is answered or dropped, never trusted. */
+/** A message breaks the protocol; it is refused or dropped as a whole. The text names the field. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -5,12 +5,12 @@
 import java.time.InstantSource;
 
 /**
- * What the parts of a leader share. Each component owns its own state and is asked and told by
- * methods.
+ * What the components of a leader share. Each of them owns its state, and changes it by its methods
+ * alone.
  *
- * @param requestPass asks for a pass over the jobs that wait
+ * @param requestPass requests a scheduling pass
  * @param gangs the attempts of gang jobs
- * @param decisions is told what starts and proofs rest on
+ * @param decisions logs what starts and proofs of absence rest on
  */
 public record LeaderState(
     Leadership leadership,
