--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -42,7 +42,6 @@
   private final PeerConfirmations confirmations;
   private final LeaderProbe leaderProbe;
   private final PeerTerms peerTerms;
-  private boolean loaded;
 
   /** Present exactly while this controller leads. */
   private Optional<LeaderTenure> tenure = Optional.empty();
@@ -74,7 +73,6 @@
 
   /** The copy of the keys was loaded, for the first time or anew. */
   void snapshotLoaded(Map<String, Entry> entries) {
-    loaded = true;
     eligibility.snapshotLoaded();
     stored.load(entries);
     evaluate();
@@ -288,8 +286,7 @@
       } else if (announcedTerm == term && peerTerms.acknowledge(peer)) {
         listener.electionAcknowledged();
       }
-    } else if (leader.isPresent()
-        && (announcedTerm > stored.term() || (!loaded && announcedTerm > 0))) {
+    } else if (leader.isPresent() && announcedTerm > stored.term()) {
       listener.leaderChanged(announcedTerm, leader);
     }
   }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -164,7 +164,7 @@
   /** While a peer can't be reached, the leader shows by writes that it lives. */
   private void storeHeartbeat() {
     if (peers.isIncomplete()) {
-      actors.scheduler().tell(new SchedulerActor.StoreHeartbeatDue());
+      tellScheduler(new SchedulerActor.StoreHeartbeatDue());
     }
     loop.schedule(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::storeHeartbeat);
   }
@@ -190,10 +190,14 @@
     requestRouter.handle(method, path, body, respond);
   }
 
+  private void tellScheduler(SchedulerActor.Message message) {
+    actors.scheduler().tell(message);
+  }
+
   /** Users are about to be told that the job is cancelled. */
   private void cancellationAcknowledged(String jobId) {
     peers.broadcast(new PeerMessage.JobCancelled(jobId));
-    actors.scheduler().tell(new SchedulerActor.JobCancelled(jobId));
+    tellScheduler(new SchedulerActor.JobCancelled(jobId));
   }
 
   private final class ReplicaEvents implements StoreReplicaActor.Listener {
@@ -202,7 +206,7 @@
       // First of all: what the others do with the keys depends on it.
       updateLevel(Optional.ofNullable(entries.get(Keys.LEVEL)));
       replicaStatus.loaded(storeRevision);
-      actors.scheduler().tell(new SchedulerActor.Loaded(entries, storeRevision));
+      tellScheduler(new SchedulerActor.Loaded(entries, storeRevision));
       actors.api().tell(new ApiActor.Loaded(entries));
       actors.election().tell(new ElectionActor.Loaded(entries));
     }
@@ -213,14 +217,14 @@
           .filter(change -> change.key().equals(Keys.LEVEL))
           .forEach(change -> updateLevel(change.entry()));
       replicaStatus.advancedTo(storeRevision);
-      actors.scheduler().tell(new SchedulerActor.KeysChanged(changes, storeRevision));
+      tellScheduler(new SchedulerActor.KeysChanged(changes, storeRevision));
       actors.api().tell(new ApiActor.KeysChanged(changes));
       actors.election().tell(new ElectionActor.KeysChanged(changes));
     }
 
     @Override
     public void onUpToDate(Instant asOf) {
-      actors.scheduler().tell(new SchedulerActor.ReplicaFresh(asOf));
+      tellScheduler(new SchedulerActor.ReplicaFresh(asOf));
     }
 
     private void updateLevel(Optional<Entry> stored) {
@@ -231,48 +235,43 @@
   private final class ElectionEvents implements ElectionListener {
     @Override
     public void elected(long term, long termRevision, Instant provenAt) {
-      actors.scheduler().tell(new SchedulerActor.Elected(term, termRevision, provenAt));
+      tellScheduler(new SchedulerActor.Elected(term, termRevision, provenAt));
     }
 
     @Override
     public void leadershipProven(Instant provenAt) {
-      actors.scheduler().tell(new SchedulerActor.LeadershipProven(provenAt));
+      tellScheduler(new SchedulerActor.LeadershipProven(provenAt));
     }
 
     @Override
     public void confirmedByPeers(
         Instant provenAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) {
-      actors
-          .scheduler()
-          .tell(new SchedulerActor.ConfirmedByPeers(provenAt, cancelledJobs, liveJobs));
+      tellScheduler(new SchedulerActor.ConfirmedByPeers(provenAt, cancelledJobs, liveJobs));
     }
 
     @Override
     public void electionAcknowledged() {
-      actors.scheduler().tell(new SchedulerActor.ElectionAcknowledged(knownLeader.term()));
+      tellScheduler(new SchedulerActor.ElectionAcknowledged(knownLeader.term()));
     }
 
     @Override
     public void requestConfirmations(long nonce) {
       peers.broadcast(new PeerMessage.ConfirmationRequest(nonce, replicaStatus.revision()));
-      // What this controller acknowledged itself counts as well: the watch may not have shown it
-      // yet.
+      // What this controller acknowledged itself counts too: the watch may not have shown it yet.
       long term = knownLeader.term();
-      actors
-          .api()
-          .tell(
-              new ApiActor.RecentCancellations(
-                  (cancelledJobs, liveJobs) ->
-                      actors
-                          .election()
-                          .tell(
-                              new ElectionActor.PeerConfirmed(
-                                  settings.host(), nonce, term, cancelledJobs, Optional.empty()))));
+      ElectionActor election = actors.election();
+      ApiActor.RecentCancellations request =
+          new ApiActor.RecentCancellations(
+              (cancelledJobs, liveJobs) ->
+                  election.tell(
+                      new ElectionActor.PeerConfirmed(
+                          settings.host(), nonce, term, cancelledJobs, Optional.empty())));
+      actors.api().tell(request);
     }
 
     @Override
     public void leadershipLost(long term) {
-      actors.scheduler().tell(new SchedulerActor.LeadershipLost(term));
+      tellScheduler(new SchedulerActor.LeadershipLost(term));
     }
 
     @Override
--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -45,7 +45,7 @@
     for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // What a cancelled task has done is of no use to anybody: it saves no checkpoint, and one
       // that
-      // saves already, for whatever reason it was stopped, is told to end.
+      // saves already, for whatever reason it was stopped, ends.
       attempt.forbidCheckpoint();
       attempt.forgetStopsSent();
       components.inventory.stop(attempt);
