--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -251,7 +251,7 @@
             .thenComparing(c -> c.machine.name()));
     Map<String, Integer> slots = new HashMap<>();
     Map<String, Integer> large = new HashMap<>();
-    for (String c : classes.sized()) {
+    for (String c : classes.classesWithKnownSizes()) {
       large.put(c, classes.largeJobTasks(c));
       for (Machine m : schedulable) {
         slots.merge(c, slotsFor(c, m), Integer::sum);
@@ -273,7 +273,7 @@
       Machine m = c.machine;
       double after = free - m.type().cpus();
       boolean room = !lacking && after >= reserve && headroom.canRelease(m);
-      for (String jobClass : classes.sized()) {
+      for (String jobClass : classes.classesWithKnownSizes()) {
         int lost = room ? slotsFor(jobClass, m) : 0;
         room &= lost == 0 || slots.get(jobClass) - lost >= large.get(jobClass);
       }
@@ -290,7 +290,7 @@
       free = after;
       rest.remove(m);
       headroom.release(m);
-      classes.sized().forEach(k -> slots.merge(k, -slotsFor(k, m), Integer::sum));
+      classes.classesWithKnownSizes().forEach(k -> slots.merge(k, -slotsFor(k, m), Integer::sum));
       m.cloud().markScaleInCandidate(now);
       boolean due = now.isAfter(m.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle()));
       if (due && replicas > 0) {
--- a/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
+++ b/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
@@ -4,19 +4,20 @@
 import java.time.Duration;
 
 /**
- * Times that follow from how often workers report and how long their leases are. They are asked for
- * every machine in each pass, so they are worked out once.
+ * Times that follow from the interval of agents' heartbeats and the time of their leases. They are
+ * asked for every machine in each pass, so they are computed once.
  *
- * @param lease how long a worker keeps its tasks without an answer
- * @param halfLease for how long a machine that serves is waited for
+ * @param lease how long an agent keeps its tasks without a response
+ * @param halfLease how long an unresponsive machine with replicas is waited for
  * @param leaseExpiryBound when nothing can be alive on a machine any more, after its last renewal:
  *     steady clocks differ by up to 0.05 % each; twice that and a second on top
- * @param heartbeatDue reports come a quarter early or late; what is later than that is asked for
- * @param reachableWithin a machine heard since then is sure to be reached
- * @param unresponsiveAfter how long a machine may say nothing before it counts as silent
- * @param schedulableWithin how long a machine may say nothing and still get tasks
- * @param withdrawPlannedAfter what was only planned for a machine that says nothing for so long is
- *     taken back
+ * @param heartbeatDue how long after the last a heartbeat is late, and the machine is probed: they
+ *     come up to a quarter of their interval early or late
+ * @param reachableWithin a machine that was reached so lately is taken to be reachable now
+ * @param unresponsiveAfter how long a machine may be silent before it counts as unresponsive
+ * @param schedulableWithin how long a machine may be silent and still get tasks
+ * @param withdrawPlannedAfter how long a machine may be silent before attempts that were only
+ *     planned for it are taken back
  */
 public record AgentTimings(
     Duration lease,
@@ -28,7 +29,7 @@
     Duration schedulableWithin,
     Duration withdrawPlannedAfter) {
 
-  /** Works them out. */
+  /** Derives them from the settings of agents. */
   public static AgentTimings of(Settings.AgentSettings agents) {
     Duration heartbeatInterval = agents.heartbeatInterval();
     Duration lease = agents.leaseTtl();
--- a/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
+++ b/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
@@ -6,7 +6,7 @@
 
 /**
  * Jobs that are known to be cancelled although this controller's copy of the keys may still show
- * them as live: another controller said so, before or instead of the state service. Each was
+ * them as live: another controller said so, before or instead of the key-value store. Each was
  * durable before it was noted. An end is final, so such a job must not come back with a change that
  * was long under way, nor with a copy that was read before the end.
  */
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The copy has all changes that were made before that time. What was noted before is gone from it
-   * for good, since keys of jobs that are over are never written again.
+   * The replica has all changes that were made before that time. What was noted before is gone from
+   * it for good, since keys of jobs that are over are never written again.
    */
   void replicaCaughtUpTo(Instant asOf) {
     cancelledAt.values().removeIf(at -> at.isBefore(asOf));
--- a/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
@@ -10,14 +10,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Says what each start, each new session and each proof of absence rested on: the session, sequence
- * and token that the machine has shown, and what its lease is counted from. With it the log alone
- * tells why a task was started elsewhere.
+ * Logs what each start, each new incarnation and each proof of absence rests on: the incarnation,
+ * sequence and fencing token that the machine has shown, and what its lease is counted from. With
+ * it the log alone tells why a task was started elsewhere. Counts of the three are part of the
+ * leader's statistics.
  */
 public final class DecisionLog {
-  /** How starts are brought to a worker. */
+  /** How starts are brought to an agent. */
   public enum Channel {
+    /** A request of the leader to the agent. */
     COMMAND,
+    /** The response to one of the agent's heartbeats. */
     HEARTBEAT_RESPONSE
   }
 
@@ -35,7 +38,7 @@
     this.clock = clock;
   }
 
-  /** Starts are being sent; orders of other kinds among them are not counted. */
+  /** Starts are being sent; commands of other kinds among them are not counted. */
   public void sendingStarts(Machine machine, List<AgentCommand> orders, Channel channel) {
     int before = startsByChannel[channel.ordinal()];
     for (AgentCommand command : orders) {
@@ -43,7 +46,7 @@
     }
     if (startsByChannel[channel.ordinal()] > before && LOG.isDebugEnabled()) {
       LOG.debug(
-          "event=starts_sent term={} machine={} token={} by={} {} tasks={}",
+          "event=starts_sent term={} machine={} fencing_token={} channel={} {} tasks={}",
           leadership.term(),
           machine.name(),
           machine.fencing().current(),
@@ -60,11 +63,13 @@
         .toList();
   }
 
-  /** A machine shows a session that was not expected of it, or the one after a loss. */
+  /**
+   * A machine shows an incarnation that was not expected of it, or the one after its lease expired.
+   */
   public void incarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
     incarnationsBegun++;
     LOG.info(
-        "event=session_began term={} machine={} former_session={} token={} {}",
+        "event=incarnation_began term={} machine={} previous_incarnation={} fencing_token={} {}",
         leadership.term(),
         machine.name(),
         previousIncarnation,
@@ -72,10 +77,14 @@
         describeLease(machine));
   }
 
-  /** The machine's lease is over, and with it all that was there. */
+  /**
+   * The machine's lease has expired, and with it all that was there.
+   *
+   * @param bound how long after the last renewal that is certain
+   */
   public void leaseExpired(Machine machine, int tasks, Duration bound) {
     LOG.warn(
-        "event=machine_lost term={} machine={} tasks={} bound_ms={} {}",
+        "event=machine_lease_expired term={} machine={} tasks={} bound_ms={} {}",
         leadership.term(),
         machine.name(),
         tasks,
@@ -83,13 +92,13 @@
         describeLease(machine));
   }
 
-  /** A task is taken to be gone from its machine. */
+  /** It is proven that a task is not on its machine. */
   void absenceProved(TaskAttempt attempt, AbsenceProof proof) {
     absencesByProof[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
       LOG.debug(
-          "event=task_gone term={} task={} attempt={} machine={} proof={} start_token={}"
-              + " start_session={} {}",
+          "event=task_absence_proved term={} task={} attempt={} machine={} proof={} start_token={}"
+              + " start_incarnation={} {}",
           leadership.term(),
           attempt.task(),
           attempt.number(),
@@ -103,7 +112,7 @@
 
   private String describeLease(Machine machine) {
     IncarnationLease lease = machine.lease();
-    return "session=%d sequence=%d shown_token=%d lease_from=%s lease_age_ms=%d"
+    return "incarnation=%d sequence=%d observed_token=%d lease_counted_from=%s lease_age_ms=%d"
         .formatted(
             lease.incarnation(),
             lease.sequence(),
@@ -115,7 +124,7 @@
   /** What was counted since the last call, as fields of a log line. */
   String takeCounts() {
     String counts =
-        "starts=%s absences=%s sessions=%d"
+        "starts=%s absences=%s incarnations=%d"
             .formatted(
                 Arrays.toString(startsByChannel).replace(" ", ""),
                 Arrays.toString(absencesByProof).replace(" ", ""),
--- a/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
@@ -5,29 +5,32 @@
 import java.time.Instant;
 
 /**
- * The sessions of one worker, and until when anything in them can be alive.
+ * The incarnations of one agent, and until when anything in them can be alive.
  *
- * <p>A worker that loses its lease forgets its tasks and begins the next session, whose lease runs
- * from its beginning without any answer. Two facts about sessions are kept apart: the one that a
- * message of the worker has <em>shown</em>, and the least one that may still be <em>believed</em>,
- * which is concluded from a stored record or from a lease that ran out. Only a message can make a
- * session a shown one, and it counts that session's lease: so nothing can be started in a session
- * whose lease is not counted.
+ * <p>An agent whose lease expires forgets its tasks and begins its next incarnation, whose lease
+ * runs from its beginning without any response. Two facts are kept apart: the incarnation that a
+ * message of the agent has shown (<em>observed</em>), and the least one of which messages may still
+ * be believed (<em>acceptable</em>), which follows from a stored record or from an expired lease.
+ * Only a message makes an incarnation an observed one, and that counts the incarnation's lease: so
+ * nothing is started in an incarnation whose lease is not counted.
+ *
+ * <p>Owned by its {@link Machine}. Written while messages of the agent are handled, and when the
+ * lease has expired.
  */
 public final class IncarnationLease {
   /** What the lease was last counted from. */
   enum Basis {
-    /** Nothing was heard of the worker, and nobody can have started anything there. */
+    /** The agent has not been heard of, and nobody can have started anything there. */
     NONE,
-    /** A former leader may have renewed it until then. */
+    /** A previous leader may have renewed it until then. */
     PREVIOUS_LEADERS,
-    /** The session was seen for the first time: it began then at the latest. */
+    /** The incarnation was observed for the first time: it began then at the latest. */
     INCARNATION_OBSERVED,
-    /** A report was answered. */
+    /** A heartbeat was answered. */
     HEARTBEAT_RESPONSE
   }
 
-  /** Of a worker that has shown no session which may still be believed. */
+  /** Stands for the incarnation of an agent that has shown none which is acceptable. */
   private static final long NO_INCARNATION = -1;
 
   private long leastAcceptableIncarnation;
@@ -36,12 +39,12 @@
   private Instant countedFrom = Instant.MIN;
   private Basis basis = Basis.NONE;
 
-  /** A stored record names the session: what is older is not believed. */
+  /** A stored record names the incarnation: older ones are not acceptable. */
   public void acceptFromRecorded(long incarnation) {
     leastAcceptableIncarnation = incarnation;
   }
 
-  /** Former leaders may renew the lease until then. */
+  /** Previous leaders may have renewed, or may yet renew, the lease until then. */
   void previousLeadersRenewUntil(Instant until) {
     if (until.isAfter(countedFrom)) {
       countedFrom = until;
@@ -49,14 +52,14 @@
     }
   }
 
-  /** Former leaders renew nothing any more. */
+  /** Previous leaders renew no leases any more. */
   public void previousLeadersEnded(Instant now) {
     if (countedFrom.isAfter(now)) {
       countedFrom = now;
     }
   }
 
-  /** Whether the message is later than all that were taken in, and of a session to be believed. */
+  /** Whether the message is later than all that were observed, and of an acceptable incarnation. */
   public boolean isNewer(Heartbeat message) {
     return observedIncarnation == NO_INCARNATION
         ? message.incarnation() >= leastAcceptableIncarnation
@@ -66,7 +69,7 @@
   /**
    * Takes in a message that {@link #isNewer}.
    *
-   * @return whether it shows a session that was not seen before, which counts its lease from now
+   * @return whether it shows an incarnation for the first time, whose lease counts from now
    */
   public boolean observe(Heartbeat message, Instant now) {
     boolean incarnationIsNew =
@@ -80,38 +83,42 @@
     return incarnationIsNew;
   }
 
-  /** A report of the present session is answered: its lease may last for its time from now. */
+  /** A heartbeat of the present incarnation is answered: its lease may last its time from now. */
   public void renew(Instant now) {
     countedFrom = now;
     basis = Basis.HEARTBEAT_RESPONSE;
   }
 
   /**
-   * Whether nothing that was started in the present session, or in one before, can be alive.
+   * Whether nothing that was started in the present incarnation, or in one before, can be alive.
    *
-   * @param bound a lease, with what clocks may differ by
+   * @param bound the lease's time, with what clocks may differ by
    */
   public boolean isExpired(Instant now, Duration bound) {
     return basis != Basis.NONE && now.isAfter(countedFrom.plus(bound));
   }
 
-  /** Whether the lease was renewed so lately that the worker still has it. */
+  /**
+   * Whether the lease was renewed so lately that the agent still has it.
+   *
+   * @param lease the lease's time
+   */
   public boolean isHeld(Instant now, Duration lease) {
     return basis != Basis.NONE && now.isBefore(countedFrom.plus(lease));
   }
 
-  /** The present session is proven to be over; the worker has yet to show a later one. */
+  /** The present incarnation is proven to be over; the agent has yet to show a later one. */
   public void endIncarnation() {
     leastAcceptableIncarnation = incarnation() + 1;
     observedIncarnation = NO_INCARNATION;
   }
 
-  /** The session that commands name: the one shown, or else the least that may be believed. */
+  /** The incarnation that commands name: the observed one, or else the least acceptable. */
   public long incarnation() {
     return observedIncarnation == NO_INCARNATION ? leastAcceptableIncarnation : observedIncarnation;
   }
 
-  /** The sequence of the last message; none when no session is shown. */
+  /** The sequence of the last message; -1 when no incarnation is observed. */
   long sequence() {
     return observedIncarnation == NO_INCARNATION ? NO_INCARNATION : observedSequence;
   }
@@ -121,7 +128,7 @@
     return basis;
   }
 
-  /** How long ago the lease was last counted from; negative while former leaders may renew it. */
+  /** The time since the lease was last counted; negative while previous leaders may renew it. */
   Duration age(Instant now) {
     return basis == Basis.NONE ? Duration.ZERO : Duration.between(countedFrom, now);
   }
--- a/src/main/java/io/pearscale/scheduler/model/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -13,12 +14,13 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What is expected of each class of jobs, and what its jobs were like lately. */
+/** The service-level objectives of each class of jobs, and what its jobs were like lately. */
 public final class JobClasses {
   private static final int RECENT_JOBS_KEPT = 40;
 
   /**
-   * What a stop or a start takes beside saving and fetching: messages and the worker's own time.
+   * What a stop or a start takes beside the checkpoint and the fetch: messages and the agent's own
+   * time.
    */
   private static final Duration MESSAGING_OVERHEAD = Duration.ofSeconds(2);
 
@@ -28,7 +30,7 @@
   private final Map<String, ArrayDeque<Integer>> recentSizes = new HashMap<>();
 
   /**
-   * Judges classes by what is expected of them.
+   * Knows the objectives, and no jobs yet.
    *
    * @param types the machine types as they are known at any time
    */
@@ -37,7 +39,7 @@
     this.types = types;
   }
 
-  /** In which time tasks of the class are expected to start; the shortest, if several are said. */
+  /** In which time tasks of the class are to start; the shortest, if there are several. */
   public Optional<Duration> startObjective(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
@@ -46,9 +48,9 @@
   }
 
   /**
-   * Whether room has to be free before the job comes: no machine that is rented when it comes would
-   * be up, with its image, in the time that its tasks have to start. Batch work that has a minute
-   * or two needs no room of its own.
+   * Whether capacity has to be free before the job comes: no machine that is provisioned when it
+   * comes would be up, with its image, in the time that its tasks have to start. Batch work that
+   * has a minute or two needs none.
    */
   public boolean needsHeadroom(JobSpec spec) {
     Optional<Duration> within = startObjective(spec);
@@ -70,7 +72,10 @@
     return type.bootTime().multipliedBy(3).dividedBy(2);
   }
 
-  /** Whether a start on a machine of the type would be late if it waited for the victim to save. */
+  /**
+   * Whether a start on a machine of the type would be late if it waited for the checkpoint of the
+   * victim.
+   */
   public boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
     Duration needed =
         victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGING_OVERHEAD);
@@ -83,22 +88,22 @@
     return sorted.length == 0 ? 0 : sorted[sorted.length * 9 / 10];
   }
 
-  /** Whether sizes of its jobs are kept: it has batch jobs and a time to keep. */
-  public boolean sized(String jobClass) {
+  /** Whether sizes of its jobs are known: it has batch jobs and an objective. */
+  public boolean hasKnownSizes(String jobClass) {
     return recentSizes.containsKey(jobClass);
   }
 
-  /** The classes with batch jobs and a time to keep. */
-  public Set<String> sized() {
-    return recentSizes.keySet();
+  /** The classes with batch jobs and an objective; a live view. */
+  public Set<String> classesWithKnownSizes() {
+    return Collections.unmodifiableSet(recentSizes.keySet());
   }
 
-  /** A job of the class, if one was seen. */
+  /** The job of the class that was seen last. */
   public Optional<Job> latestJob(String jobClass) {
     return Optional.ofNullable(latestJobs.get(jobClass));
   }
 
-  /** The classes whose tasks are expected to start at once. */
+  /** The classes whose tasks {@linkplain #needsHeadroom need headroom}, by name. */
   public List<String> classesNeedingHeadroom() {
     return latestJobs.entrySet().stream()
         .filter(e -> needsHeadroom(e.getValue().spec()))
@@ -107,7 +112,7 @@
         .toList();
   }
 
-  /** Remembers what jobs of classes with a time to keep are like. */
+  /** A job has come; it is remembered if its class has an objective. */
   public void observe(Job job) {
     JobSpec spec = job.spec();
     if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -52,7 +52,7 @@
    *
    * @param wallClock on it, submissions carry their time
    * @param levelGate says which features this build has
-   * @param jobAdded is told of each new job
+   * @param jobAdded receives each new job
    * @param requestPass asks for a pass over the jobs that wait
    */
   public JobTable(
@@ -72,7 +72,7 @@
     this.requestPass = requestPass;
   }
 
-  /** The job of that id; null when it is over or was never there. */
+  /** The job of that id; null when it is over or never was. */
   public Job get(String id) {
     return jobs.get(id);
   }
@@ -88,11 +88,13 @@
   }
 
   /** Returns all jobs that are not over. */
+  /** All of them, in the order in which they were added; a live view. */
   public Collection<Job> all() {
     return all;
   }
 
   /** Returns how many jobs are not over. */
+  /** How many there are. */
   public int size() {
     return jobs.size();
   }
@@ -153,17 +155,17 @@
     return job;
   }
 
-  /** The job is over although the copy of the keys may not show it yet. */
+  /** The job is over although the replica of the keys may not show it yet. */
   public void markCancelled(String id) {
     cancelled.add(id, clock.instant());
   }
 
-  /** The copy of the keys has all changes that were made before that time. */
+  /** The replica of the keys has all changes that were made before that time. */
   public void replicaCaughtUpTo(Instant asOf) {
     cancelled.replicaCaughtUpTo(asOf);
   }
 
-  /** Jobs that are not among the keys. */
+  /** The ids of jobs whose keys are not among these. */
   public List<String> absentFrom(Set<String> keys) {
     List<String> absent = new ArrayList<>();
     for (String id : jobs.keySet()) {
@@ -174,12 +176,12 @@
     return absent;
   }
 
-  /** Jobs with tasks that wait for a machine: a pass looks at these alone. */
+  /** Jobs with pending tasks: a scheduling pass looks at these alone. A live view. */
   public Collection<Job> queued() {
     return queuedView;
   }
 
-  /** Keeps the jobs that wait true after a job's tasks changed. */
+  /** Queues the job, or takes it out of the queue, after its pending tasks have changed. */
   public void requeue(Job job) {
     if (leadership.isReady() && contains(job) && job.pendingTasks() > 0) {
       queued.add(job);
@@ -189,7 +191,7 @@
     }
   }
 
-  /** Nothing waits any more, since this controller does not lead. */
+  /** Empties the queue, since this controller does not lead any more. */
   public void clearQueue() {
     queued.clear();
   }
--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -3,8 +3,8 @@
 import java.time.InstantSource;
 
 /**
- * What the parts of a leader share. Each component owns its own state and is asked and told by
- * methods.
+ * What the parts of a leader share. Each component owns its own state; others read and change it
+ * through its methods.
  *
  * @param requestPass asks for a pass over the jobs that wait
  * @param records says what a successor must find stored
--- a/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Figures for operators, and counts of tasks for users' questions. */
+/** Statistics of the leader, which operators find in the log once a minute. */
 public final class LeaderStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderStatistics.class);
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
@@ -40,12 +40,16 @@
     startMillis.recordValue(Math.max(0, Math.min(LONGEST_RECORDED_MS, afterDecision.toMillis())));
   }
 
-  /** A pass took so long. */
+  /** A scheduling pass took so long. */
   public void recordPass(Duration time) {
     passMicros.recordValue(Math.min(LONGEST_RECORDED_MS * 1000, time.toNanos() / 1000));
   }
 
-  /** Logs the figures, unless that was done within a minute. */
+  /**
+   * Logs the statistics, unless that was done within a minute.
+   *
+   * @param usable which machines may take tasks now
+   */
   public void logIfDue(Instant now, Predicate<Machine> usable) {
     if (now.isAfter(nextLogAt)) {
       nextLogAt = now.plus(LOG_INTERVAL);
@@ -55,40 +59,22 @@
     }
   }
 
-  /** What an operator wants to see at a glance, once a minute. */
   private void log(Instant now, Predicate<Machine> usable) {
-    int usableMachines = 0;
-    int quarantined = 0;
-    int avoided = 0;
-    int[] stages = new int[Stage.values().length];
-    int stopping = 0;
-    double freeCpus = 0;
-    for (Machine machine : inventory.all()) {
-      if (usable.test(machine)) {
-        usableMachines++;
-        freeCpus += machine.available().cpus();
-      }
-      quarantined += machine.failures().isQuarantined() ? 1 : 0;
-      avoided += now.isBefore(machine.failures().avoidUntil()) ? 1 : 0;
-      for (TaskAttempt attempt : machine.attempts().values()) {
-        stages[attempt.stage().ordinal()]++;
-        stopping += attempt.stopping() ? 1 : 0;
-      }
-    }
+    Counts counts = count(now, usable);
     LOG.info(
-        "event=figures term={} jobs={} waiting_tasks={} machines={} usable={} faulty={} avoided={}"
-            + " free_cpus={} stages={} stopping={} start_ms_p50={} start_ms_p99={} pass_us_p50={}"
-            + " pass_us_p99={} {} {}",
+        "event=statistics term={} jobs={} pending_tasks={} machines={} usable={} quarantined={}"
+            + " avoided={} available_cpus={} stages={} stopping={} start_ms_p50={} start_ms_p99={}"
+            + " pass_us_p50={} pass_us_p99={} {} {}",
         leadership.term(),
         jobs.size(),
         jobs.all().stream().mapToInt(Job::pendingTasks).sum(),
         inventory.size(),
-        usableMachines,
-        quarantined,
-        avoided,
-        freeCpus,
-        Arrays.toString(stages).replace(" ", ""),
-        stopping,
+        counts.usable,
+        counts.quarantined,
+        counts.avoided,
+        counts.availableCpus,
+        Arrays.toString(counts.attemptsByStage).replace(" ", ""),
+        counts.stopping,
         startMillis.getValueAtPercentile(50),
         startMillis.getValueAtPercentile(99),
         passMicros.getValueAtPercentile(50),
@@ -96,4 +82,31 @@
         decisionLog.takeCounts(),
         gangs.logFields());
   }
+
+  private Counts count(Instant now, Predicate<Machine> usable) {
+    Counts counts = new Counts();
+    for (Machine machine : inventory.all()) {
+      if (usable.test(machine)) {
+        counts.usable++;
+        counts.availableCpus += machine.available().cpus();
+      }
+      counts.quarantined += machine.failures().isQuarantined() ? 1 : 0;
+      counts.avoided += now.isBefore(machine.failures().avoidUntil()) ? 1 : 0;
+      for (TaskAttempt attempt : machine.attempts().values()) {
+        counts.attemptsByStage[attempt.stage().ordinal()]++;
+        counts.stopping += attempt.stopping() ? 1 : 0;
+      }
+    }
+    return counts;
+  }
+
+  /** Machines and the attempts on them, counted. */
+  private static final class Counts {
+    private final int[] attemptsByStage = new int[Stage.values().length];
+    private int usable;
+    private int quarantined;
+    private int avoided;
+    private int stopping;
+    private double availableCpus;
+  }
 }
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -3,7 +3,6 @@
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.Priority;
-import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.Maintenance;
 import java.time.Instant;
 import java.util.Optional;
@@ -73,38 +72,6 @@
     this.attempts = new HostedAttempts(type);
   }
 
-  /** A machine that a previous leader recorded; one with an address had been heard of. */
-  public static Machine restore(
-      MachineRecordCodec.MachineRecord entry, MachineType type, Instant now) {
-    boolean seen = !entry.address().isEmpty();
-    Lifecycle lifecycle =
-        entry.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
-    Machine machine =
-        new Machine(entry.machine(), entry.zone(), entry.spot(), type, lifecycle, now);
-    machine.address = entry.address();
-    machine.record.restore(entry.retiring(), entry.address(), entry.maintenance());
-    machine.maintenance = entry.maintenance();
-    if (seen) {
-      machine.reachability.messageReceived();
-    }
-    machine.lease.acceptFromRecorded(entry.incarnation());
-    return machine;
-  }
-
-  /** What the machine's record is to say, with the number by which placement records name it. */
-  public MachineRecordCodec.MachineRecord machineRecord(int numberInRecords) {
-    return new MachineRecordCodec.MachineRecord(
-        numberInRecords,
-        name,
-        address,
-        type.name(),
-        zone,
-        spot,
-        lease.incarnation(),
-        lifecycle == Lifecycle.RETIRING,
-        maintenance);
-  }
-
   // ---- What it is ----
 
   /** The name that the cloud gave it; unique among all machines ever. */
@@ -211,9 +178,7 @@
     return maintenance;
   }
 
-  /**
-   * It enters a stage of maintenance; after one that may have exchanged its disk, no image counts.
-   */
+  /** It enters a stage of maintenance; its disk may have been exchanged before probation. */
   public void changeMaintenance(Maintenance newMaintenance) {
     maintenance = newMaintenance;
     if (newMaintenance.stage() == Maintenance.Stage.PROBATION) {
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -62,7 +62,7 @@
     return catalogue;
   }
 
-  /** Takes a catalogue in. A worker may have reported before its type was known. */
+  /** Takes a catalogue in. A machine may have been heard of before its type was known. */
   public void updateCatalogue(List<MachineType> types) {
     catalogue.update(types);
     for (Machine machine : machines.values()) {
@@ -83,11 +83,13 @@
   }
 
   /** Returns all machines known to the leader. */
+  /** All of them, in the order in which they were added; a live view. */
   public Collection<Machine> all() {
     return all;
   }
 
   /** Returns how many machines the leader knows. */
+  /** How many there are. */
   public int size() {
     return machines.size();
   }
@@ -103,9 +105,7 @@
     machines.put(machine.name(), machine);
   }
 
-  /**
-   * Adds a machine that a former leader may have known, and on which it may have renewed leases.
-   */
+  /** Adds a machine that a previous leader may have known, whose lease it may have renewed. */
   public void addFromPreviousLeader(Machine machine) {
     add(machine);
     machine.lease().previousLeadersRenewUntil(leadership.previousLeadersUntil());
@@ -141,7 +141,7 @@
     }
   }
 
-  /** The listener is told of each task that is proven not to be on its machine any more. */
+  /** The listener receives each attempt that is proven not to be on its machine any more. */
   public void onRemoved(Consumer<TaskAttempt> listener) {
     removedListener = listener;
   }
@@ -184,7 +184,7 @@
     }
   }
 
-  /** Takes back what was decided for a machine that turned bad before the start was sent. */
+  /** Takes back attempts whose start was not sent, from a machine that can't be used any more. */
   public void withdrawPlanned(Machine machine) {
     for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
       if (attempt.stage() == Stage.PLANNED) {
@@ -209,16 +209,16 @@
 
   // ---- Commands that wait ----
 
-  /** Something is to be told to the machine. */
+  /** A command to the machine may be due. */
   public void markCommandDue(Machine machine) {
     withDueCommands.add(machine);
   }
 
   /**
-   * Offers each machine that something is to be told to.
+   * Offers each machine to which a command may be due.
    *
    * @param send sends what may be sent now
-   * @param stillDue whether something still waits afterwards
+   * @param stillDue whether a command still waits afterwards
    */
   public void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
     for (Iterator<Machine> iterator = withDueCommands.iterator(); iterator.hasNext(); ) {
--- a/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Names of machines that are known to be gone. Late reports and lists that lag go on to name them
- * for a while, and must not bring them back: not as room, nor as a place where tasks may run. How
- * many there are follows from how fast a fleet shrinks, so they are forgotten by age and not by
- * number.
+ * Names of machines that are known to be gone. Late heartbeats and lists that lag go on to name
+ * them for a while, and must not bring them back: not as capacity, nor as a place where tasks may
+ * run. How many there are follows from how fast a fleet shrinks, so they are forgotten by age and
+ * not by number.
  */
 final class MachineTombstones {
   /** Longer than any message was seen to be late, and than any list lags. */
--- a/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
+++ b/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
@@ -5,7 +5,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What teams have in use, all doubt counted as use, against their limits and guarantees. */
+/**
+ * What teams have in use, against their limits and guarantees. Every attempt that may be on a
+ * machine counts as use.
+ */
 public final class QuotaUsage {
   private static final double TOLERANCE = 1e-6;
 
@@ -26,7 +29,7 @@
     return usageByTeam.computeIfAbsent(team, t -> new Usage());
   }
 
-  /** Notes so many more tasks as in use, or fewer. */
+  /** So many more tasks of the job are in use; fewer if below 0. */
   public void charge(JobSpec spec, int tasks) {
     Usage usage = usageOf(spec.team());
     usage.cpus += tasks * spec.cpus();
@@ -55,12 +58,12 @@
     return perTask <= 0 ? 0 : left / perTask;
   }
 
-  /** Whether the team knows a guarantee, and one more task like these is within it. */
+  /** Whether the team has a guaranteed quota, and one more task of the job is within it. */
   public boolean isWithinGuarantee(JobSpec spec) {
     return !exceedsGuarantee(spec.team(), spec.cpus(), spec.gpus());
   }
 
-  /** Whether a team of the settings has more in use than it is guaranteed. */
+  /** Whether a team of the settings has more in use than its guaranteed quota. */
   public boolean exceedsGuarantee(String team) {
     return teams.containsKey(team) && exceedsGuarantee(team, 0, 0);
   }
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -132,7 +132,7 @@
   private Instant dueAtByRemainingWork(Job job, Instant due) {
     if (job.spec().deadline().isPresent()
         || job.spec().isService()
-        || !classes.sized(job.spec().jobClass())) {
+        || !classes.hasKnownSizes(job.spec().jobClass())) {
       return due;
     }
     Duration allowed = Duration.between(job.submittedAt(), due);
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -224,7 +224,7 @@
             now);
     inventory.add(planned);
     LOG.debug(
-        "event=placed term={} machine={} task={} attempt={} class={} image={} cached={}",
+        "event=task_placed term={} machine={} task={} attempt={} class={} image={} cached={}",
         leadership.term(),
         machine.name(),
         planned.task(),
@@ -237,7 +237,7 @@
 
   private void preempt(TaskAttempt victim, Job preemptor, int taskIndex) {
     LOG.info(
-        "event=evict term={} machine={} task={} attempt={} for={}/{}",
+        "event=preempt term={} machine={} task={} attempt={} for={}/{}",
         leadership.term(),
         victim.machine().name(),
         victim.task(),
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -6,6 +6,7 @@
 import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineRecords;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
@@ -265,7 +266,8 @@
     if (layout == RecordLayout.NUMBERED && machine.record().number() == 0) {
       machine.record().assignNumber(recordNumbers.allocate());
     }
-    machineRecords.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
+    machineRecords.assignSlot(
+        machine, MachineRecordCodec.maximumSize(MachineRecords.of(machine, 0)));
   }
 
   /** The machine's record is to be written within that time. */
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -5,6 +5,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.MachineRecords;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
@@ -119,7 +120,7 @@
         .forEach(
             (position, machine) ->
                 records.add(
-                    machine.machineRecord(numbered ? machine.record().number() : position)));
+                    MachineRecords.of(machine, numbered ? machine.record().number() : position)));
     machineValues.add(valueNumber);
     records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
     JsonNode encodedValue = MachineRecordCodec.encode(records, level);
--- a/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
@@ -39,7 +39,7 @@
         new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.START_SENT, Instant.EPOCH);
     log.absenceProved(attempt, AbsenceProof.ENDED);
     log.absenceProved(attempt, AbsenceProof.LEASE_EXPIRED);
-    assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] sessions=0", log.takeCounts());
-    assertEquals("starts=[0,0] absences=[0,0,0,0,0,0,0] sessions=0", log.takeCounts());
+    assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] incarnations=0", log.takeCounts());
+    assertEquals("starts=[0,0] absences=[0,0,0,0,0,0,0] incarnations=0", log.takeCounts());
   }
 }
