--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -104,7 +104,9 @@
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
+    recovery =
+        new LeaderRecovery(
+            leaderState, dispatcher::probeRecordedMachines, listener::recordUnreadable);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
     machineProvisioner =
@@ -114,11 +116,12 @@
     recordWriter =
         new RecordWriter(
             leaderState,
-            environment,
-            transactionSources(environment),
+            new RecordWriter.Store(
+                environment.store(), settings.storeLimits(), environment.levelGate()),
+            transactionContributors(environment),
             executor,
-            dispatcher,
-            retirement);
+            environment.random(),
+            new CommitEffects(gangs, dispatcher, retirement, listener));
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
@@ -222,7 +225,7 @@
   }
 
   /** What has more to write than the records of jobs and machines. */
-  private List<TransactionContributor> transactionSources(Environment environment) {
+  private List<TransactionContributor> transactionContributors(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
       sources.add(levelRaiser);
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
@@ -0,0 +1,51 @@
+package io.pearscale.scheduler.records;
+
+import io.pearscale.protocol.MessageFields;
+import java.time.Duration;
+import java.time.Instant;
+import java.time.InstantSource;
+
+/**
+ * Spaces a leader's commits: each pays for its mutations with the time until the next one, so that
+ * the leader stays within its share of the store's write rate.
+ */
+final class CommitPacer {
+  /** Shortest time between two commits. */
+  private static final Duration MIN_COMMIT_INTERVAL = Duration.ofMillis(40);
+
+  /** The leader's share of all writes; the rest is left to users. */
+  private static final double LEADER_WRITE_SHARE = 0.5;
+
+  private final InstantSource clock;
+  private final double mutationsPerSecond;
+  private Instant lastCommit = Instant.MIN;
+  private int lastMutationCount;
+
+  /**
+   * Creates a pacer that allows a commit at once.
+   *
+   * @param maxWritesPerSecond the store's write rate for all controllers, in mutations per second
+   */
+  CommitPacer(InstantSource clock, double maxWritesPerSecond) {
+    this.clock = clock;
+    this.mutationsPerSecond = LEADER_WRITE_SHARE * maxWritesPerSecond;
+  }
+
+  /** Notes that a commit is sent now. */
+  void recordCommit(int mutationCount) {
+    lastCommit = clock.instant();
+    lastMutationCount = mutationCount;
+  }
+
+  /** The time until the next commit may be sent; zero or negative if it may be sent now. */
+  Duration untilNextCommit() {
+    if (lastCommit.equals(Instant.MIN)) {
+      return Duration.ZERO;
+    }
+    Duration pause = MessageFields.duration(lastMutationCount / mutationsPerSecond);
+    if (pause.compareTo(MIN_COMMIT_INTERVAL) < 0) {
+      pause = MIN_COMMIT_INTERVAL;
+    }
+    return pause.minus(Duration.between(lastCommit, clock.instant()));
+  }
+}
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -6,159 +6,90 @@
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.storage.Keys;
-import io.pearscale.storage.MachineRecordCodec;
-import io.pearscale.storage.PlacementRecordCodec;
-import io.pearscale.storage.RecordLayout;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Optional;
 import java.util.Set;
 
 /**
- * The records that a leader leaves to its successor: which machines there are, and on which of them
- * each task may be. It keeps what is stored, what is to be stored, and which values wait to be
- * written; {@link RecordWriter} writes them.
+ * The records that a leader leaves to its successor: which machines exist, and on which of them
+ * each task may be. The scheduler's other parts say here what is to be recorded, and how soon;
+ * {@link RecordWriter} writes it.
+ *
+ * <p>Stored values are taken over by {@link StoredRecordAdopter}, packed by {@link PackedRecords},
+ * repacked by {@link LayoutChange}, and put into transactions by {@link TransactionPlanner}.
  */
 public final class LeaderRecords {
-  /** Changes that nobody waits for are written with others within this time. */
+  /** Changes that nobody waits for are written within this time, together with others. */
   private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
-  /** Values are filled to so many bytes, and to three quarters of what the service takes. */
-  private static final int MAX_PACKED_VALUE_BYTES = 6000;
-
-  private final LevelGate gate;
-  private final int packedValueBytes;
   private final int maxValueBytes;
   private final InstantSource clock;
   private final Runnable requestCommit;
   private final StoredValues storedValues = new StoredValues();
-  private final MachineRecordNumbers recordNumbers = new MachineRecordNumbers();
   private final PreviousLayoutRecords previousLayout = new PreviousLayoutRecords();
-  private final RecordMigration migration;
+  private final ObsoleteValues obsoleteValues = new ObsoleteValues();
   private final RejectedValues rejectedValues = new RejectedValues();
-  private RecordLayout layout;
-  private RecordPacker<JobPartition> placementRecords;
-  private RecordPacker<Machine> machineRecords;
+  private final RecordMigration migration;
+  private final PackedRecords packed;
+  private final StoredRecordAdopter adopter;
+  private final LayoutChange layoutChange;
+  private final TransactionPlanner planner;
   private final Set<Job> finishedJobs = new LinkedHashSet<>();
-
-  /** Parts whose records were found in the layout that is written when the term began. */
-  private final Set<JobPartition> foundPartitions = new HashSet<>();
-
-  private final ObsoleteValues obsoleteValues = new ObsoleteValues();
   private boolean catalogueDue;
 
   /**
-   * Makes empty records.
+   * Creates empty records.
    *
-   * @param gate says in the forms of which level records are written
-   * @param requestCommit asks for a transaction
+   * @param gate supplies the schema level in whose form records are written
+   * @param requestCommit requests a transaction
    */
   public LeaderRecords(
       StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
-    this.gate = gate;
-    this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, limits.maxValueBytes() * 3 / 4);
     this.maxValueBytes = limits.maxValueBytes();
     this.clock = clock;
     this.requestCommit = requestCommit;
     this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), previousLayout);
-    clear();
+    this.packed = new PackedRecords(limits, gate);
+    this.adopter = new StoredRecordAdopter(packed, previousLayout);
+    this.layoutChange = new LayoutChange(packed, storedValues, previousLayout);
+    this.planner = new TransactionPlanner(packed, obsoleteValues, rejectedValues, migration);
   }
 
-  /** Forgets what is to be written; what is stored stays known. */
+  /** Forgets what is to be written; what is known of stored values stays. */
   public void clear() {
-    layout = layoutInForce();
-    createPackers();
+    packed.clear();
     previousLayout.clear();
-    recordNumbers.reset();
     rejectedValues.clear();
     finishedJobs.clear();
-    foundPartitions.clear();
+    adopter.clear();
     obsoleteValues.clear();
   }
 
-  private RecordLayout layoutInForce() {
-    return RecordLayout.ofLevel(gate.inForce().writtenLevel());
-  }
-
-  private void createPackers() {
-    placementRecords = new RecordPacker<>(packedValueBytes);
-    machineRecords = new RecordPacker<>(packedValueBytes);
-  }
-
-  // ---- What is stored ----
+  // ---- Stored values ----
 
-  /** What is stored, as the watch tells it. */
+  /** The stored values as the watch has delivered them. */
   public StoredValues storedValues() {
     return storedValues;
   }
 
-  /** All that is stored, decoded, for a term that begins. */
+  /**
+   * Decodes all stored values for a term that begins.
+   *
+   * @throws MalformedMessageException if some record can't be read; the message names its key
+   */
   StoredRecords decodeStored() throws MalformedMessageException {
     migration.beginTerm(storedValues.machineValues());
     return StoredRecords.decode(
-        storedValues.machineValues(), storedValues.placementValues(), layoutInForce());
+        storedValues.machineValues(), storedValues.placementValues(), packed.layoutInForce());
   }
 
-  /** Takes over a machine's record; one of the former layout is to be copied. */
-  void adoptMachine(Machine machine, StoredRecords.StoredMachine stored) {
-    if (stored.layout() != layout) {
-      assignSlot(machine);
-      previousLayout.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
-      return;
-    }
-    MachineRecordCodec.MachineRecord record = stored.record();
-    if (layout == RecordLayout.NUMBERED) {
-      machine.recordNumber = record.number();
-      machineRecords.adopt(machine, MachineRecordCodec.maximumSize(record), stored.value());
-    } else {
-      machineRecords.adopt(
-          machine, MachineRecordCodec.maximumSize(record), stored.value(), record.number());
-    }
-    machine.recorded = true;
-  }
-
-  /** The number of a stored machine is taken. */
-  void reserveRecordNumber(StoredRecords.StoredMachine stored) {
-    if (stored.layout() == RecordLayout.NUMBERED) {
-      recordNumbers.reserve(stored.record().number());
-    }
-  }
-
-  /** Takes over the records of tasks of a job; those of the former layout are to be copied. */
-  void adoptPartition(Job job, StoredRecords.StoredPartition stored) {
-    int firstTask = stored.record().firstTask();
-    if (stored.layout() == layout) {
-      JobPartition partition = JobPartition.containing(job, firstTask, layout);
-      placementRecords.adopt(partition, partition.maximumRecordSize(layout), stored.value());
-      foundPartitions.add(partition);
-      return;
-    }
-    List<JobPartition> partitions =
-        JobPartition.covering(
-            job, firstTask, firstTask + stored.layout().tasksPerPartition(), layout);
-    partitions.removeIf(foundPartitions::contains);
-    partitions.forEach(
-        partition -> placementRecords.assignSlot(partition, partition.maximumRecordSize(layout)));
-    previousLayout.add(stored.key(), partitions);
-  }
-
-  /** Nothing of what the stored value says is alive, as far as this part of it goes. */
-  void noteObsolete(StoredRecords.StoredPartition stored) {
-    if (stored.layout() != layout) {
-      previousLayout.add(stored.key(), List.of());
-    }
-  }
-
-  /** Whether records are written in that layout. */
-  boolean isCurrentLayout(RecordLayout thatLayout) {
-    return thatLayout == layout;
+  /** Takes stored records over, one by one. */
+  StoredRecordAdopter adopter() {
+    return adopter;
   }
 
   /** Takes over that all tasks of the job are done: its end is written with the next values. */
@@ -166,138 +97,77 @@
     finishedJobs.add(job);
   }
 
-  /** The layout of another level is to be written: all is copied, what is due first. */
-  private void changeLayout() {
-    RecordLayout previous = layout;
-    RecordPacker<JobPartition> previousPlacements = placementRecords;
-    RecordPacker<Machine> previousMachines = machineRecords;
-    layout = layoutInForce();
-    obsoleteValues.clear();
-    previousLayout.clear();
-    rejectedValues.clear();
-    createPackers();
-    for (String key : storedValues.machineValues().keySet()) {
-      if (RecordLayout.ofMachineKey(key).orElseThrow() == previous) {
-        Collection<Machine> machines =
-            previousMachines.itemsByPosition(Keys.valueNumber(key)).values();
-        previousLayout.add(key, machines);
-      }
-    }
-    previousMachines.allItems().forEach(this::copyMachineRecord);
-    for (String key : storedValues.placementValues().keySet()) {
-      if (RecordLayout.ofPlacementKey(key).orElseThrow() == previous) {
-        previousLayout.add(
-            key,
-            inCurrentLayout(previousPlacements.itemsByPosition(Keys.valueNumber(key)).values()));
-      }
-    }
-    Set<JobPartition> urgent =
-        inCurrentLayout(previousPlacements.itemsIn(previousPlacements.urgentValues()));
-    for (JobPartition partition : inCurrentLayout(previousPlacements.allItems())) {
-      placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
-      if (urgent.contains(partition)) {
-        placementRecords.markDue(partition);
-      }
-    }
-  }
-
-  private void copyMachineRecord(Machine machine) {
-    machine.recorded = false;
-    assignSlot(machine);
-    boolean hasPlannedTasks =
-        machine.attempts.values().stream()
-            .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
-    if (hasPlannedTasks
-        || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
-      machineRecords.markDue(machine);
-    }
-  }
-
-  private Set<JobPartition> inCurrentLayout(Collection<JobPartition> partitions) {
-    Set<JobPartition> converted = new LinkedHashSet<>();
-    for (JobPartition partition : partitions) {
-      int end = partition.firstTask() + partition.taskCount();
-      converted.addAll(JobPartition.covering(partition.job(), partition.firstTask(), end, layout));
-    }
-    return converted;
-  }
-
   // ---- What is to be written ----
 
-  /** The machine of the placement is to be named in the task's mark, and in the roster. */
+  /** Records the machine of the attempt as soon as possible; its start waits for that. */
   public void recordPlacement(TaskAttempt attempt) {
-    JobPartition partition = JobPartition.containing(attempt.job, attempt.task.index(), layout);
-    assignSlot(attempt.machine);
+    packed.assignSlot(attempt.machine);
     if (!attempt.machine.recorded) {
-      machineRecords.markDue(attempt.machine);
+      packed.machines().markDue(attempt.machine);
     }
-    placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
-    placementRecords.markDue(partition);
+    packed.placements().markDue(packed.assignSlot(attempt.job, attempt.task.index()));
     requestCommit.run();
   }
 
-  /** A task is done. Until that is written its worker goes on to show it: there is no hurry. */
+  /** Records that a task is done. Its agent reports that until it is durable: it can wait. */
   public void recordTaskDone(Job job, int task) {
-    JobPartition partition = JobPartition.containing(job, task, layout);
-    placementRecords.assignSlot(partition, partition.maximumRecordSize(layout));
-    placementRecords.markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
+    JobPartition partition = packed.assignSlot(job, task);
+    packed.placements().markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
   }
 
-  /** All tasks of the job are done. */
+  /** Records as soon as possible that all tasks of the job are done. */
   public void recordJobFinished(Job job) {
     finishedJobs.add(job);
     requestCommit.run();
   }
 
-  /** The job's end need not be written any more. */
+  /** Withdraws the end of a job that was cancelled first. */
   void withdrawJobFinished(Job job) {
     finishedJobs.remove(job);
   }
 
-  /** Gives the machine a place in the roster, unless it has one. */
+  /** Assigns a slot to the machine's record, unless it has one. */
   public void assignSlot(Machine machine) {
-    if (layout == RecordLayout.NUMBERED && machine.recordNumber == 0) {
-      machine.recordNumber = recordNumbers.allocate();
-    }
-    machineRecords.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
+    packed.assignSlot(machine);
   }
 
-  /** The machine's record is to be written within that time. */
+  /** Records the machine within that time. It must have a slot; otherwise nothing is done. */
   public void recordMachine(Machine machine, Duration within) {
-    machineRecords.markDue(machine, clock.instant().plus(within));
+    packed.machines().markDue(machine, clock.instant().plus(within));
   }
 
-  /** The machine's record has changed, but nobody waits for it. */
+  /** Records a change of the machine that nobody waits for. */
   public void recordMachineDeferred(Machine machine) {
     recordMachine(machine, DEFERRED_WRITE_DELAY);
   }
 
-  /** The machine's record is to be written as soon as possible. */
+  /** Records the machine as soon as possible. */
   public void recordMachineNow(Machine machine) {
-    machineRecords.markDue(machine);
+    packed.machines().markDue(machine);
     requestCommit.run();
   }
 
-  /** The machine is gone, or nothing can be alive on it: the roster need not name it any more. */
+  /** Drops the record of a machine that is gone, or on which no task can be any more. */
   public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
-    machineRecords.remove(machine);
+    packed.machines().remove(machine);
     previousLayout.noteCopied(machine);
     machine.recorded = false;
     machine.recordedRetiring = false;
   }
 
-  /** The records of a job's tasks need no room any more. */
+  /** Drops the placement records of a job. */
   public void removeJob(Job job) {
-    for (JobPartition partition : JobPartition.allOf(job, layout)) {
-      placementRecords.remove(partition);
+    for (JobPartition partition : JobPartition.allOf(job, packed.layout())) {
+      packed.placements().remove(partition);
       previousLayout.noteCopied(partition);
     }
   }
 
   /**
-   * A job is over. Tasks of it that may still be somewhere count for their team's limit: until the
-   * last is gone the marks go on to name them, as a successor finds them nowhere else.
+   * Ends the records of a job that is over. Attempts of it that may still be somewhere count for
+   * their team's quota: until the last is gone the placement records go on to name them, since a
+   * successor finds them nowhere else.
    */
   public void closeJob(Job job) {
     finishedJobs.remove(job);
@@ -306,58 +176,55 @@
     }
   }
 
-  /** The cloud offers these types; the catalogue is stored if it has others. */
+  /** Records the machine types that the cloud offers, if the stored catalogue has others. */
   public void updateCatalogue(Set<String> typeNames) {
     catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
     requestCommit.run();
   }
 
-  /** Asks for a transaction. */
+  /** Requests a transaction. */
   public void requestCommit() {
     requestCommit.run();
   }
 
-  /** Finds stored values in which nothing lives any more. */
+  /** Finds stored values in which no record is left, to be deleted. */
   public void collectObsoleteValues() {
-    obsoleteValues.collect(storedValues, this::isObsolete);
+    obsoleteValues.collect(storedValues, packed::isObsolete);
     previousLayout.forEachDeletable(obsoleteValues::add);
   }
 
-  /** Whether nothing is left of a value of the layout that is written. */
-  private boolean isObsolete(String key) {
-    int value = Keys.valueNumber(key);
-    return layout.containsKey(key)
-        && (Keys.isPlacementRecords(key)
-            ? placementRecords.isEmpty(value)
-            : machineRecords.isEmpty(value));
-  }
-
-  /** Whether something waits to be written now. */
+  /** Whether something is to be written now. */
   boolean isDue() {
     Instant now = clock.instant();
     return catalogueDue
-        || layout != layoutInForce()
+        || !packed.isInLayoutInForce()
         || !finishedJobs.isEmpty()
         || !obsoleteValues.isEmpty()
         || migration.isDue(now)
-        || !machineRecords.urgentValues().isEmpty()
-        || !placementRecords.urgentValues().isEmpty()
-        || !machineRecords.overdueValues(now).isEmpty()
-        || !placementRecords.overdueValues(now).isEmpty();
+        || packed.isDue(now);
+  }
+
+  /** Whether a slot is assigned to the machine's record. */
+  public boolean hasSlot(Machine machine) {
+    return packed.hasSlot(machine);
   }
 
-  // ---- Writing ----
+  // ---- Transactions ----
 
-  /** First what waiting tasks need, then what users wait to hear, then what can wait. */
+  /**
+   * Adds what is due, as far as there is capacity: first what tasks wait for to be started, then
+   * what users wait for, then what can wait.
+   */
   void contribute(LeaderTransaction transaction, Collection<MachineType> types) {
-    if (layout != layoutInForce()) {
-      changeLayout();
+    if (!packed.isInLayoutInForce()) {
+      obsoleteValues.clear();
+      rejectedValues.clear();
+      layoutChange.apply();
     }
     if (catalogueDue && !types.isEmpty()) {
       transaction.addCatalogue(types, maxValueBytes);
     }
-    addMachineValues(machineRecords.urgentValues(), transaction);
-    addPlacementValues(placementRecords.urgentValues(), transaction);
+    planner.addUrgent(transaction);
     for (Job job : finishedJobs) {
       if (!transaction.hasCapacityForJobEnd()) {
         break;
@@ -365,102 +232,23 @@
       transaction.addJobEnd(job);
     }
     Instant now = clock.instant();
-    addMachineValues(machineRecords.overdueValues(now), transaction);
-    addPlacementValues(placementRecords.overdueValues(now), transaction);
-    obsoleteValues.addDeletions(transaction, key -> !layout.containsKey(key) || isObsolete(key));
-    if (migration.isDue(now)) {
-      migrate(transaction, now);
-    }
-  }
-
-  /**
-   * Migrates a batch, or records the end. A value that an earlier transaction of unknown outcome
-   * may have written in another form is urgent: it is in this transaction, or there is no room for
-   * the end in it.
-   */
-  private void migrate(LeaderTransaction transaction, Instant now) {
-    RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
-    addMachineValues(batch.machineValues(), transaction);
-    addPlacementValues(batch.placementValues(), transaction);
-    if (migration.isComplete(batch) && transaction.hasCapacity()) {
-      transaction.addLevel(migration.completedLevel());
-    }
-  }
-
-  /** In which value what has yet to be copied is to stand. */
-  private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
-    return item instanceof Machine machine
-        ? machineRecords
-            .slotOf(machine)
-            .map(slot -> new RecordMigration.CopyTarget(false, slot.value()))
-        : placementRecords
-            .slotOf((JobPartition) item)
-            .map(slot -> new RecordMigration.CopyTarget(true, slot.value()));
-  }
-
-  private void addMachineValues(Collection<Integer> values, LeaderTransaction transaction) {
-    for (int value : values) {
-      if (transaction.hasCapacity() && rejectedValues.mayWrite(layout.machineKey(value))) {
-        transaction.addMachineValue(layout, value, machineRecords);
-        obsoleteValues.remove(layout.machineKey(value));
-      }
-    }
-  }
-
-  private void addPlacementValues(Collection<Integer> values, LeaderTransaction transaction) {
-    for (int value : values) {
-      if (rejectedValues.mayWrite(layout.placementKey(value))
-          && addMachinesNamedIn(value, transaction)) {
-        transaction.addPlacementValue(layout, value, placementRecords, this::machineReference);
-        obsoleteValues.remove(layout.placementKey(value));
-      }
-    }
-  }
-
-  /**
-   * Writes the machines that a value of marks names, as far as a successor would not find them yet:
-   * it would take their tasks to be nowhere.
-   *
-   * @return whether the marks can go along
-   */
-  private boolean addMachinesNamedIn(int value, LeaderTransaction transaction) {
-    Set<Integer> missing = new LinkedHashSet<>();
-    for (JobPartition partition : placementRecords.itemsByPosition(value).values()) {
-      for (TaskAttempt attempt : partition.attempts()) {
-        if (!attempt.machine.recorded) {
-          machineRecords.slotOf(attempt.machine).ifPresent(slot -> missing.add(slot.value()));
-        }
-      }
-    }
-    missing.removeAll(transaction.machineValues());
-    addMachineValues(missing, transaction);
-    return transaction.hasCapacity() && transaction.machineValues().containsAll(missing);
-  }
-
-  /** The number by which marks name a machine; 0 while it has none. */
-  private int machineReference(Machine machine) {
-    Optional<RecordPacker.Slot> slot = machineRecords.slotOf(machine);
-    if (slot.isEmpty()) {
-      return 0;
-    }
-    return layout == RecordLayout.NUMBERED
-        ? machine.recordNumber
-        : PlacementRecordCodec.positionalReference(
-            slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
+    planner.addOverdue(transaction, now);
+    planner.addDeletions(transaction);
+    planner.addMigrationIfDue(transaction, now);
   }
 
-  /** The transaction was not applied, as far as known: its values are to be written again. */
+  /** Makes the values of a transaction due again that was not applied, or may not have been. */
   void onNotApplied(LeaderTransaction transaction) {
-    transaction.machineValues().forEach(machineRecords::markDue);
-    transaction.placementValues().forEach(placementRecords::markDue);
+    transaction.machineValues().forEach(packed.machines()::markDue);
+    transaction.placementValues().forEach(packed.placements()::markDue);
   }
 
-  /** The state service takes no transaction like this: values that are too long are left out. */
+  /** Leaves out from now on what made the store refuse the transaction: values too long for it. */
   void onRejected(LeaderTransaction transaction) {
     rejectedValues.noteRejection(transaction.valueLengths(), maxValueBytes);
   }
 
-  /** The transaction was applied. */
+  /** Notes as durable what an applied transaction carried. */
   void onApplied(LeaderTransaction transaction) {
     transaction.newlyRecordedAttempts().forEach(attempt -> attempt.placementRecorded = true);
     transaction
@@ -470,9 +258,7 @@
               partition.noteDurable(doneTasks);
               previousLayout.noteCopied(partition);
             });
-    transaction
-        .machineValues()
-        .forEach(number -> migration.noteWritten(number, transaction.level()));
+    transaction.machineValues().forEach(value -> migration.noteWritten(value, transaction.level()));
     for (String key : transaction.deletedKeys()) {
       obsoleteValues.remove(key);
       previousLayout.noteDeleted(key);
@@ -483,23 +269,17 @@
     }
   }
 
-  /** The machine is recorded as it is to be found by a successor. */
-  void noteMachineRecorded(Machine machine) {
-    previousLayout.noteCopied(machine);
-  }
-
-  /** Whether that is the machine's place in the roster. */
-  boolean hasSlot(Machine machine, LeaderTransaction.WrittenMachine stored) {
-    Optional<RecordPacker.Slot> slot = machineRecords.slotOf(machine);
-    int number = stored.record().number();
-    return slot.isPresent()
-        && slot.get().value() == stored.value()
-        && number
-            == (layout == RecordLayout.NUMBERED ? machine.recordNumber : slot.get().position());
-  }
-
-  /** Whether the roster has a place for the machine. */
-  public boolean hasSlot(Machine machine) {
-    return machineRecords.slotOf(machine).isPresent();
+  /**
+   * Notes that a machine's record is durable as written, unless the machine got another slot while
+   * the transaction was under way: placement records may refer to it by its slot.
+   */
+  void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachine written) {
+    if (packed.isInSlot(machine, written)) {
+      machine.recorded = true;
+      machine.recordedRetiring = written.record().retiring();
+      machine.recordedAddress = written.record().address();
+      machine.recordedMaintenance = written.record().maintenance();
+      previousLayout.noteCopied(machine);
+    }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -1,7 +1,6 @@
 package io.pearscale.scheduler.records;
 
 import io.pearscale.protocol.MalformedMessageException;
-import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
@@ -14,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rebuilds what a new leader has to know from the records that its predecessors left. */
+/** Recovers the state of a new leader from the records that its predecessors left. */
 public final class LeaderRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
   private final LeaderState state;
@@ -23,42 +22,44 @@
   private final MachineInventory inventory;
   private final LeaderRecords records;
   private final InstantSource clock;
-  private final CommandDispatcher dispatcher;
+  private final Runnable probeRecordedMachines;
   private final Consumer<String> onUnfitToLead;
   private boolean complete;
 
   /**
-   * Makes a recovery.
+   * Creates a recovery.
    *
-   * @param onUnfitToLead is told why this controller can't lead, of a record that it can't read
+   * @param probeRecordedMachines asks every recorded machine at once for the tasks that it has
+   * @param onUnfitToLead receives the reason why this controller can't lead: a record that it can't
+   *     read
    */
   public LeaderRecovery(
-      LeaderState state, CommandDispatcher dispatcher, Consumer<String> onUnfitToLead) {
+      LeaderState state, Runnable probeRecordedMachines, Consumer<String> onUnfitToLead) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = state.records();
     this.clock = state.clock();
-    this.dispatcher = dispatcher;
+    this.probeRecordedMachines = probeRecordedMachines;
     this.onUnfitToLead = onUnfitToLead;
   }
 
-  /** A term has begun, in which nothing was taken over yet. */
+  /** Resets for a term that begins: nothing is recovered yet. */
   public void beginTerm() {
     complete = false;
   }
 
-  /** Whether all machines that could hold what a former leader started have spoken. */
+  /** Whether every machine is reconciled that may hold what a previous leader started. */
   public boolean isComplete() {
     return complete;
   }
 
   /**
-   * Takes over what is stored.
+   * Takes the stored records over and asks all recorded machines for their tasks.
    *
-   * @param storeRevision the revision up to which all changes of the keys are known
-   * @return whether that could be done; if not, this controller is unfit to lead
+   * @param storeRevision the revision of the store up to which all changes are known
+   * @return false if some record can't be read, so that this controller is unfit to lead
    */
   public boolean recover(long storeRevision) {
     Optional<StoredRecords> stored = readStoredRecords();
@@ -70,10 +71,10 @@
     records.clear();
     new RecordAdoption(state).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
-    dispatcher.probeRecordedMachines();
+    probeRecordedMachines.run();
     LOG.info(
-        "event=takeover term={} token={} revision={} term_revision={} jobs={} roster={}"
-            + " unseen_tasks={} out_of_service={}",
+        "event=takeover term={} token={} revision={} term_revision={} jobs={} machines={}"
+            + " unconfirmed_tasks={} out_of_service={}",
         leadership.term(),
         leadership.firstFencingToken(),
         storeRevision,
@@ -85,7 +86,7 @@
     return true;
   }
 
-  /** All that a predecessor recorded; empty if it can't be read. */
+  /** All stored records; empty if one of them can't be read. */
   private Optional<StoredRecords> readStoredRecords() {
     try {
       if (jobs.unreadableKey().isPresent()) {
@@ -101,24 +102,27 @@
   }
 
   /**
-   * A former leader may renew leases for as long as its proof holds, unless it has ended or knows
-   * of our term. Both are known of every peer from when it said that it knows the term: it steps
-   * down before it says so, and answers afterwards only reports that it had got before. So the
-   * tasks of a machine that nobody hears are over a lease from now, not a lease after the hold:
-   * whole zones that are cut off while their leader's process ends are done without so much sooner.
+   * Shortens the leases of machines that are not heard, once no previous leader can renew any.
+   *
+   * <p>A previous leader may renew leases for as long as its proof of leadership holds, unless it
+   * has ended or knows of this term. Of every peer that is known once it has acknowledged the term:
+   * it steps down before it acknowledges, and answers afterwards only heartbeats that it had
+   * received before. So the tasks of a machine that nobody hears are over one lease from now, and
+   * not one lease after the renewal authority has timed out: whole zones that are cut off while
+   * their leader's process ends are given up so much sooner.
    */
   public void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
       inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
       LOG.info(
-          "event=former_leaders_over term={} after_ms={}",
+          "event=previous_leader_leases_expired term={} after_ms={}",
           leadership.term(),
           Duration.between(leadership.electedAt(), now).toMillis());
     }
   }
 
-  /** Notes when all machines that could hold what a former leader started have spoken. */
+  /** Notes when every machine is reconciled that may hold what a previous leader started. */
   public void noteProgress() {
     if (complete
         || inventory.all().stream()
@@ -127,7 +131,7 @@
     }
     complete = true;
     LOG.info(
-        "event=rebuilt term={} after_ms={}",
+        "event=state_recovered term={} after_ms={}",
         leadership.term(),
         Duration.between(leadership.electedAt(), clock.instant()).toMillis());
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -30,6 +30,7 @@
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
+  private final StoredRecordAdopter adopter;
   private final InstantSource clock;
   private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
@@ -44,6 +45,7 @@
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = state.records();
+    this.adopter = records.adopter();
     this.clock = state.clock();
     for (RecordLayout layout : RecordLayout.values()) {
       machinesByReference.put(layout, new HashMap<>());
@@ -52,7 +54,7 @@
 
   /** Takes all of it over. */
   void adopt(StoredRecords stored) {
-    stored.machines().forEach(records::reserveRecordNumber);
+    stored.machines().forEach(adopter::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
     stored.partitions().forEach(this::noteOrphanedJob);
     stored.partitions().forEach(this::adopt);
@@ -79,7 +81,7 @@
       machine.recordedRetiring = true;
     }
     machinesByReference.get(stored.layout()).put(stored.reference(), machine);
-    records.adoptMachine(machine, stored);
+    adopter.adoptMachine(machine, stored);
   }
 
   private Machine machineOf(MachineRecordCodec.MachineRecord record) {
@@ -120,7 +122,7 @@
     if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec.tasks()) {
       adopt(job, stored);
     } else {
-      records.noteObsolete(stored);
+      adopter.noteObsolete(stored);
     }
   }
 
@@ -132,7 +134,7 @@
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     BitSet alreadyAdopted = tasksInCurrentLayout.computeIfAbsent(job.spec.id(), id -> new BitSet());
-    boolean currentLayout = records.isCurrentLayout(stored.layout());
+    boolean currentLayout = adopter.isCurrentLayout(stored.layout());
     int firstTask = record.firstTask();
     record.doneTasks().stream()
         .map(i -> firstTask + i)
@@ -143,7 +145,7 @@
       // Its tasks complete together, also those of parts that were not written again.
       job.doneTasks.set(0, job.spec.tasks());
     }
-    records.adoptPartition(job, stored);
+    adopter.adoptPartition(job, stored);
     for (int i = 0;
         i < record.machineReferences().length && firstTask + i < job.spec.tasks();
         i++) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -1,12 +1,6 @@
 package io.pearscale.scheduler.records;
 
-import io.pearscale.protocol.MessageFields;
-import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.SchedulerActor.Environment;
-import io.pearscale.scheduler.SchedulerActor.Listener;
-import io.pearscale.scheduler.agents.CommandDispatcher;
-import io.pearscale.scheduler.agents.GangTracker;
-import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.protocol.Settings.StoreLimits;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -15,13 +9,12 @@
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.TermExecutor;
 import io.pearscale.scheduler.records.LeaderTransaction.WrittenMachine;
+import io.pearscale.storage.CommitOutcome;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.upgrade.LevelGate;
 import java.time.Duration;
-import java.time.Instant;
 import java.time.InstantSource;
 import java.util.List;
 import java.util.random.RandomGenerator;
@@ -29,130 +22,116 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes all that is due in one transaction after the other, each guarded by the term. A
- * transaction of unknown outcome is followed by a look at the term's key, which every transaction
- * changes.
+ * Commits all that is due in one compare-and-swap after the other, each on the condition that the
+ * term's key is unchanged.
+ *
+ * <p>Invariant: at most one transaction of a term can still take effect. Each one changes the
+ * term's key, and the next names the revision that it left. After one of unknown outcome the writer
+ * reads the key's present revision and goes on from there: should the old transaction arrive after
+ * all, its condition fails. What it carried stays due until some transaction with it is known as
+ * applied.
  */
 public final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-  /** A commit follows the one before after this time at the earliest. */
-  private static final Duration MIN_COMMIT_INTERVAL = Duration.ofMillis(40);
-
-  /** Half of all writes is left to users. */
-  private static final double LEADER_WRITE_SHARE = 0.5;
-
-  /** After a refusal the next try waits for this time, and up to the spread longer. */
+  /** Before a retry the writer waits for this time, and up to the jitter longer. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   private static final int RETRY_JITTER_MILLIS = 200;
 
-  /** After a transaction without an answer the term is read this much later. */
+  /** Delay before the term is read after a transaction of unknown outcome. */
   private static final Duration TERM_READ_DELAY = Duration.ofMillis(300);
 
-  /** After a refused one it is read at once. */
+  /** Delay before the term is read after a transaction that found another revision of it. */
   private static final Duration IMMEDIATE_TERM_READ_DELAY = Duration.ofMillis(1);
 
+  /**
+   * The key-value store that is written to.
+   *
+   * @param client sends the transactions
+   * @param limits what the store takes, per transaction and second
+   * @param levelGate supplies the schema level in whose form records are written
+   */
+  public record Store(KeyValueStoreClient client, StoreLimits limits, LevelGate levelGate) {}
+
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private final GangTracker gangs;
   private final InstantSource clock;
-  private final Settings.StoreLimits limits;
-  private final KeyValueStoreClient store;
+  private final Store store;
   private final List<TransactionContributor> contributors;
   private final TermExecutor executor;
   private final RandomGenerator random;
-  private final LevelGate levelGate;
-  private final Listener listener;
-  private final CommandDispatcher dispatcher;
-  private final MachineRetirement retirement;
+  private final CommitListener listener;
+  private final CommitPacer pacer;
   private long commitCount;
   private boolean commitInFlight;
   private boolean commitScheduled;
   private boolean keepAliveDue;
-  private Instant lastCommit = Instant.MIN;
-  private int lastMutationCount;
 
   /**
-   * Makes a writer.
+   * Creates a writer with nothing under way.
    *
    * @param contributors have more to write, behind the records of jobs and machines
+   * @param random draws the jitter of retries
    */
   public RecordWriter(
       LeaderState leaderState,
-      Environment environment,
+      Store store,
       List<TransactionContributor> contributors,
       TermExecutor executor,
-      CommandDispatcher dispatcher,
-      MachineRetirement retirement) {
+      RandomGenerator random,
+      CommitListener listener) {
     this.leadership = leaderState.leadership();
     this.jobs = leaderState.jobs();
     this.inventory = leaderState.inventory();
     this.records = leaderState.records();
     this.clock = leaderState.clock();
-    this.gangs = leaderState.gangs();
-    this.limits = environment.settings().storeLimits();
-    this.store = environment.store();
-    this.random = environment.random();
-    this.levelGate = environment.levelGate();
-    this.listener = environment.listener();
+    this.store = store;
     this.contributors = contributors;
     this.executor = executor;
-    this.dispatcher = dispatcher;
-    this.retirement = retirement;
+    this.random = random;
+    this.listener = listener;
+    this.pacer = new CommitPacer(leaderState.clock(), store.limits.writesPerSecond());
   }
 
-  /** A term has begun: nothing is under way in it. */
+  /** Resets for a term that begins: nothing is under way in it. */
   public void beginTerm() {
     commitCount = 0;
     commitInFlight = false;
     commitScheduled = false;
   }
 
-  /** The leader is to show that it lives, by a write if there is none to be made anyway. */
+  /** Requests a transaction that shows that the leader is alive, even if nothing is due. */
   public void writeKeepAlive() {
     keepAliveDue = true;
     scheduleCommit();
   }
 
-  /** Asks for a transaction. */
+  /** Requests a transaction, as soon as the write rate allows it. */
   public void scheduleCommit() {
     if (commitScheduled || commitInFlight || !leadership.isLeading()) {
       return;
     }
     commitScheduled = true;
-    Duration wait = untilNextCommit();
+    Duration wait = pacer.untilNextCommit();
     if (wait.isNegative() || wait.isZero()) {
-      // After this message: what the rest of the pass decides goes along.
+      // After this message: what the rest of the scheduling pass decides goes along.
       executor.execute(this::commit);
     } else {
       executor.after(wait, this::commit);
     }
   }
 
-  /** Asks for a transaction if something is due. */
+  /** Requests a transaction if something is due. */
   public void scheduleCommitIfDue() {
     if (records.isDue() || contributors.stream().anyMatch(TransactionContributor::isDue)) {
       scheduleCommit();
     }
   }
 
-  /** A commit pays for its changes with the time until the next one. */
-  private Duration untilNextCommit() {
-    if (lastCommit.equals(Instant.MIN)) {
-      return Duration.ZERO;
-    }
-    double mutationsPerSecond = LEADER_WRITE_SHARE * limits.writesPerSecond();
-    Duration pause = MessageFields.duration(lastMutationCount / mutationsPerSecond);
-    if (pause.compareTo(MIN_COMMIT_INTERVAL) < 0) {
-      pause = MIN_COMMIT_INTERVAL;
-    }
-    return pause.minus(Duration.between(lastCommit, clock.instant()));
-  }
-
-  /** Writes all that is due in one transaction, guarded by the term. */
+  /** Commits all that is due, unless nothing is. */
   private void commit() {
     commitScheduled = false;
     if (commitInFlight || !leadership.isReady()) {
@@ -160,11 +139,11 @@
     }
     LeaderTransaction transaction =
         new LeaderTransaction(
-            limits.maxTransactionOperations(),
+            store.limits.maxTransactionOperations(),
             leadership.term(),
             leadership.termRevision(),
             ++commitCount,
-            levelGate.inForce().writtenLevel());
+            store.levelGate.inForce().writtenLevel());
     records.contribute(transaction, inventory.catalogue().types());
     contributors.forEach(contributor -> contributor.contribute(transaction));
     if (transaction.isEmpty() && !keepAliveDue) {
@@ -172,49 +151,61 @@
     }
     keepAliveDue = false;
     commitInFlight = true;
-    lastCommit = clock.instant();
-    lastMutationCount = transaction.mutations().size();
-    store.compareAndSwap(
+    pacer.recordCommit(transaction.mutations().size());
+    store.client.compareAndSwap(
         transaction.preconditions(),
         transaction.mutations(),
         executor.callback(reply -> onCommitReply(transaction, reply)));
   }
 
+  // ---- Outcomes ----
+
   private void onCommitReply(LeaderTransaction transaction, Reply reply) {
-    if (reply.ok()) {
+    CommitOutcome outcome = CommitOutcome.of(reply, leadership.termRevision());
+    if (outcome instanceof CommitOutcome.Applied applied) {
       commitInFlight = false;
-      leadership.recordTermRevision(reply.body().path("epoch").asLong(leadership.termRevision()));
+      leadership.recordTermRevision(applied.revision());
       onApplied(transaction);
       scheduleCommitIfDue();
       return;
     }
     records.onNotApplied(transaction);
     contributors.forEach(contributor -> contributor.onNotApplied(transaction));
-    List<String> failedKeys =
-        reply.status() == 409 ? KeyValueStoreClient.failedPreconditions(reply) : List.of();
-    if (reply.status() == 0 || failedKeys.contains(Keys.TERM)) {
-      executor.after(
-          reply.status() == 0 ? TERM_READ_DELAY : IMMEDIATE_TERM_READ_DELAY, this::readTerm);
-    } else if (failedKeys.contains(Keys.LEVEL)) {
-      // The level of stored forms was switched: the watch says whether this build supports it.
-      LOG.info("event=commit_under_former_level term={}", leadership.term());
-      commitInFlight = false;
-      scheduleRetry();
-    } else if (reply.status() == 409) {
-      // Somebody was faster with these jobs, by cancelling them; the watch brings the news.
-      commitInFlight = false;
-      transaction.finishedJobs().stream()
-          .filter(job -> failedKeys.contains(Keys.liveJob(job.spec.id())))
-          .forEach(records::withdrawJobFinished);
-      scheduleCommit();
+    if (outcome instanceof CommitOutcome.PreconditionFailed failed) {
+      onPreconditionFailed(transaction, failed.keys());
+    } else if (outcome instanceof CommitOutcome.Refused refused) {
+      onRefused(transaction, refused);
     } else {
-      if (reply.status() == 400) {
-        records.onRejected(transaction);
-      }
-      LOG.info("event=commit_put_off term={} status={}", leadership.term(), reply.status());
-      commitInFlight = false;
+      executor.after(TERM_READ_DELAY, this::readTerm);
+    }
+  }
+
+  private void onPreconditionFailed(LeaderTransaction transaction, List<String> failedKeys) {
+    if (failedKeys.contains(Keys.TERM)) {
+      executor.after(IMMEDIATE_TERM_READ_DELAY, this::readTerm);
+      return;
+    }
+    commitInFlight = false;
+    if (failedKeys.contains(Keys.LEVEL)) {
+      // The schema level was changed: the watch says whether this build supports the new one.
+      LOG.info("event=commit_at_previous_schema_level term={}", leadership.term());
       scheduleRetry();
+      return;
     }
+    // These jobs were cancelled first; the watch brings the news.
+    transaction.finishedJobs().stream()
+        .filter(job -> failedKeys.contains(Keys.liveJob(job.spec.id())))
+        .forEach(records::withdrawJobFinished);
+    scheduleCommit();
+  }
+
+  private void onRefused(LeaderTransaction transaction, CommitOutcome.Refused refused) {
+    if (refused.isInvalid()) {
+      records.onRejected(transaction);
+    }
+    LOG.info("event=commit_retried term={} status={}", leadership.term(), refused.status());
+    commitInFlight = false;
+    scheduleRetry();
   }
 
   private void scheduleRetry() {
@@ -223,10 +214,10 @@
   }
 
   private void readTerm() {
-    store.get(Keys.TERM, executor.callback(this::onTermRead));
+    store.client.get(Keys.TERM, executor.callback(this::onTermRead));
   }
 
-  /** After a transaction of unknown outcome: is the term still ours, and at which stamp? */
+  /** Goes on from the term's present revision, if this controller still leads. */
   private void onTermRead(Reply reply) {
     if (!reply.ok()) {
       executor.after(
@@ -235,11 +226,10 @@
     }
     long storedTerm = reply.body().path("value").path("term").asLong();
     if (storedTerm > leadership.term()) {
-      listener.higherTermSeen(storedTerm);
+      listener.onHigherTerm(storedTerm);
       return;
     }
-    // Applied or not: what is due is still marked as due and goes out again, guarded by the
-    // stamp as it is now. Should the old transaction come after all, it will find another one.
+    // Applied or not: what it carried is still due, and goes out again on the present revision.
     leadership.recordTermRevision(reply.body().path("stamp").asLong(leadership.termRevision()));
     commitInFlight = false;
     scheduleRetry();
@@ -250,29 +240,19 @@
     transaction.writtenMachines().forEach(this::noteMachineRecorded);
     transaction.finishedJobs().forEach(this::finishJob);
     contributors.forEach(contributor -> contributor.onApplied(transaction));
-    dispatcher.sendAllDueCommands();
-    retirement.deleteRetired();
+    listener.onTransactionApplied();
   }
 
-  /**
-   * A machine that got another place while the transaction was under way is not recorded by it:
-   * marks name machines by their places.
-   */
-  private void noteMachineRecorded(WrittenMachine stored) {
-    MachineRecordCodec.MachineRecord record = stored.record();
-    Machine machine = inventory.get(record.machine());
-    if (machine != null && records.hasSlot(machine, stored)) {
-      machine.recorded = true;
-      machine.recordedRetiring = record.retiring();
-      machine.recordedAddress = record.address();
-      machine.recordedMaintenance = record.maintenance();
-      records.noteMachineRecorded(machine);
+  private void noteMachineRecorded(WrittenMachine written) {
+    Machine machine = inventory.get(written.record().machine());
+    if (machine != null) {
+      records.noteMachineRecorded(machine, written);
     }
   }
 
   private void finishJob(Job job) {
     jobs.remove(job.spec.id());
-    gangs.forget(job);
+    listener.onJobFinished(job);
     records.closeJob(job);
     job.durablyDoneTasks.or(job.doneTasks);
     LOG.info(
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
@@ -0,0 +1,125 @@
+package io.pearscale.scheduler.records;
+
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.storage.RecordLayout;
+import java.time.Instant;
+import java.util.Collection;
+import java.util.LinkedHashSet;
+import java.util.Optional;
+import java.util.Set;
+
+/**
+ * Decides which values of machine records and placement records go into a transaction.
+ *
+ * <p>Invariant: a placement record is never written before the records of the machines that it
+ * names. A successor would not know the machine, and would take its tasks to be nowhere.
+ */
+final class TransactionPlanner {
+  private final PackedRecords packed;
+  private final ObsoleteValues obsoleteValues;
+  private final RejectedValues rejectedValues;
+  private final RecordMigration migration;
+
+  /** Creates a planner over the given records. */
+  TransactionPlanner(
+      PackedRecords packed,
+      ObsoleteValues obsoleteValues,
+      RejectedValues rejectedValues,
+      RecordMigration migration) {
+    this.packed = packed;
+    this.obsoleteValues = obsoleteValues;
+    this.rejectedValues = rejectedValues;
+    this.migration = migration;
+  }
+
+  /** Adds the values that planned tasks or retiring machines wait for. */
+  void addUrgent(LeaderTransaction transaction) {
+    addMachineValues(packed.machines().urgentValues(), transaction);
+    addPlacementValues(packed.placements().urgentValues(), transaction);
+  }
+
+  /** Adds the deferred values whose deadline has passed. */
+  void addOverdue(LeaderTransaction transaction, Instant now) {
+    addMachineValues(packed.machines().overdueValues(now), transaction);
+    addPlacementValues(packed.placements().overdueValues(now), transaction);
+  }
+
+  /** Adds the deletions of stored values that are not needed any more. */
+  void addDeletions(LeaderTransaction transaction) {
+    RecordLayout layout = packed.layout();
+    obsoleteValues.addDeletions(
+        transaction, key -> !layout.containsKey(key) || packed.isObsolete(key));
+  }
+
+  /**
+   * Migrates a batch if one is due, or records the end of the migration. A value that an earlier
+   * transaction of unknown outcome may have written in another form is urgent: it is in this
+   * transaction, or there is no capacity for the end in it.
+   */
+  void addMigrationIfDue(LeaderTransaction transaction, Instant now) {
+    if (!migration.isDue(now)) {
+      return;
+    }
+    RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
+    addMachineValues(batch.machineValues(), transaction);
+    addPlacementValues(batch.placementValues(), transaction);
+    if (migration.isComplete(batch) && transaction.hasCapacity()) {
+      transaction.addLevel(migration.completedLevel());
+    }
+  }
+
+  /** The value into which a record of the previous layout is copied; empty if it was removed. */
+  private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
+    return item instanceof Machine machine
+        ? packed
+            .machines()
+            .slotOf(machine)
+            .map(slot -> new RecordMigration.CopyTarget(false, slot.value()))
+        : packed
+            .placements()
+            .slotOf((JobPartition) item)
+            .map(slot -> new RecordMigration.CopyTarget(true, slot.value()));
+  }
+
+  private void addMachineValues(Collection<Integer> values, LeaderTransaction transaction) {
+    RecordLayout layout = packed.layout();
+    for (int value : values) {
+      if (transaction.hasCapacity() && rejectedValues.mayWrite(layout.machineKey(value))) {
+        transaction.addMachineValue(layout, value, packed.machines());
+        obsoleteValues.remove(layout.machineKey(value));
+      }
+    }
+  }
+
+  private void addPlacementValues(Collection<Integer> values, LeaderTransaction transaction) {
+    RecordLayout layout = packed.layout();
+    for (int value : values) {
+      if (rejectedValues.mayWrite(layout.placementKey(value))
+          && addMachinesNamedIn(value, transaction)) {
+        transaction.addPlacementValue(layout, value, packed.placements(), packed::machineReference);
+        obsoleteValues.remove(layout.placementKey(value));
+      }
+    }
+  }
+
+  /**
+   * Adds the records of the machines that a value of placement records names, as far as they are
+   * not durable yet.
+   *
+   * @return whether all of them are in the transaction, so that the value can go along
+   */
+  private boolean addMachinesNamedIn(int value, LeaderTransaction transaction) {
+    Set<Integer> missing = new LinkedHashSet<>();
+    for (JobPartition partition : packed.placements().itemsByPosition(value).values()) {
+      for (TaskAttempt attempt : partition.attempts()) {
+        if (!attempt.machine.recorded) {
+          packed.machines().slotOf(attempt.machine).ifPresent(slot -> missing.add(slot.value()));
+        }
+      }
+    }
+    missing.removeAll(transaction.machineValues());
+    addMachineValues(missing, transaction);
+    return transaction.hasCapacity() && transaction.machineValues().containsAll(missing);
+  }
+}
