--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -9,26 +9,25 @@
 import java.util.List;
 
 /**
- * Part of a job's tasks: the marks of a job are kept in parts of as many tasks as the layout of the
- * records says.
+ * A range of a job's tasks that share one placement record; the layout sets the most tasks of one.
  *
- * @param firstTask its first task
+ * @param firstTask index of its first task
  * @param taskCount how many tasks it has
  */
 record JobPartition(Job job, int firstTask, int taskCount) {
-  /** The part that a task belongs to. */
+  /** The partition that holds a task. */
   static JobPartition containing(Job job, int task, RecordLayout layout) {
     int firstTask = task - task % layout.tasksPerPartition();
     return new JobPartition(
         job, firstTask, Math.min(layout.tasksPerPartition(), job.spec.tasks() - firstTask));
   }
 
-  /** All parts of a job. */
+  /** All partitions of a job. */
   static List<JobPartition> allOf(Job job, RecordLayout layout) {
     return covering(job, 0, job.spec.tasks(), layout);
   }
 
-  /** The parts that hold tasks from the first one on, up to the last one, which is excluded. */
+  /** The partitions that hold the tasks from the first index up to the second, exclusive. */
   static List<JobPartition> covering(Job job, int fromTask, int toTask, RecordLayout layout) {
     List<JobPartition> partitions = new ArrayList<>();
     int end = Math.min(toTask, job.spec.tasks());
@@ -40,13 +39,13 @@
     return partitions;
   }
 
-  /** How large the marks of this part may become. */
+  /** Upper bound in bytes for the placement record of this partition. */
   int maximumRecordSize(RecordLayout layout) {
     return PlacementRecordCodec.maximumSize(job.spec.id(), taskCount, layout)
         + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
-  /** Where its tasks are, or may be. */
+  /** The attempts of its tasks that exist, or may exist. */
   List<TaskAttempt> attempts() {
     List<TaskAttempt> attempts = new ArrayList<>();
     for (TaskAttempt attempt : job.attempts.values()) {
@@ -58,12 +57,12 @@
     return attempts;
   }
 
-  /** Its tasks that are done, numbered from its first. */
+  /** Its tasks that are done, counted from its first task. */
   BitSet doneTasks() {
     return job.doneTasks.get(firstTask, firstTask + taskCount);
   }
 
-  /** Its tasks were written as done. */
+  /** Notes that these tasks, counted from its first, are durably recorded as done. */
   void noteDurable(BitSet doneTasks) {
     job.recordDurablyDone(firstTask, doneTasks);
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -24,23 +24,24 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A leader's transaction while it is put together, and what it makes durable once it is applied.
- * The caller adds what is most urgent first; what finds no room any more is left for the next one.
+ * A leader's compare-and-swap while it is put together, and what it makes durable once it is
+ * applied. The caller adds what is most urgent first; what exceeds the capacity is left for the next
+ * one.
  */
 public final class LeaderTransaction {
-  /** Well below the 64 KiB that the state service takes. */
+  /** Target for the request body, in bytes; well below the 64 KiB that the store accepts. */
   private static final int MAX_BODY_BYTES = 40 * 1024;
 
-  /** A machine that a value of the roster names. */
+  /** A machine record and the number of the value that holds it. */
   record WrittenMachine(int value, MachineRecordCodec.MachineRecord record) {}
 
-  /** What the term, its guard and the frame take. */
+  /** Bytes for the term, its precondition and the message frame. */
   private static final int FRAME_BYTES = 512;
 
-  /** What a change takes beside its value. */
+  /** Bytes of a mutation beside its value. */
   private static final int MUTATION_OVERHEAD_BYTES = 100;
 
-  /** What the end of a job takes: a guard, the live key's removal and the record of the end. */
+  /** Bytes of a job's end: a precondition, the live key's deletion and the record of the end. */
   private static final int JOB_END_BYTES = 400;
 
   private static final int MUTATIONS_PER_JOB_END = 2;
@@ -62,12 +63,12 @@
   private boolean includesCatalogue;
 
   /**
-   * Begins with the term, whose key changes with each transaction: one that comes late finds
-   * another stamp and can't put old progress over new.
+   * Creates a transaction that carries the term alone. Its key changes with each transaction: one
+   * that arrives late finds another revision and can't overwrite newer state with older.
    *
-   * @param termRevision the stamp of the term's key after the transaction before
-   * @param number how many this term has had
-   * @param level the level in whose forms records are written
+   * @param termRevision revision of the term's key after the transaction before
+   * @param number number of this transaction within the term, from 1
+   * @param level the schema level in whose form records are written
    */
   public LeaderTransaction(int maxMutations, long term, long termRevision, long number, int level) {
     this.maxMutations = maxMutations;
@@ -77,17 +78,17 @@
         Mutation.put(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
   }
 
-  /** Whether another value can go along. */
+  /** Whether another value can be added. */
   public boolean hasCapacity() {
     return mutations.size() < maxMutations && bodyBytes < MAX_BODY_BYTES;
   }
 
-  /** Whether the end of another job can go along. */
+  /** Whether the end of another job can be added. */
   boolean hasCapacityForJobEnd() {
     return mutations.size() + MUTATIONS_PER_JOB_END <= maxMutations && bodyBytes <= MAX_BODY_BYTES;
   }
 
-  /** Whether another removal can go along, which takes next to nothing of the body. */
+  /** Whether another deletion can be added; it takes hardly any bytes. */
   boolean hasCapacityForDeletion() {
     return mutations.size() < maxMutations;
   }
@@ -110,7 +111,7 @@
     }
   }
 
-  /** Adds a value of the roster. */
+  /** Adds a value of machine records. */
   void addMachineValue(RecordLayout layout, int valueNumber, RecordPacker<Machine> packer) {
     boolean numbered = layout == RecordLayout.NUMBERED;
     List<MachineRecordCodec.MachineRecord> records = new ArrayList<>();
@@ -128,9 +129,9 @@
   }
 
   /**
-   * Adds a value of marks.
+   * Adds a value of placement records.
    *
-   * @param referenceOf the number by which marks name a machine; 0 if it has none
+   * @param referenceOf the number by which placement records refer to a machine; 0 if it has none
    */
   void addPlacementValue(
       RecordLayout layout,
@@ -176,7 +177,7 @@
         job.spec.id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
   }
 
-  /** Adds the end of a job whose tasks are all done; a cancel that was faster refuses the whole. */
+  /** Adds the end of a job whose tasks are all done; fails as a whole if it was cancelled first. */
   void addJobEnd(Job job) {
     String id = job.spec.id();
     preconditions.add(new Precondition(Keys.liveJob(id), job.revision));
@@ -189,29 +190,29 @@
     bodyBytes += JOB_END_BYTES;
   }
 
-  /** Adds a value that the transaction does not keep book of. */
+  /** Adds a value that the contributor itself keeps track of. */
   public void addUntrackedValue(String key, JsonNode value, int bytes) {
     addPut(key, value);
     bodyBytes += bytes;
   }
 
-  /** Holds the transaction to a key that it rests on. */
+  /** Adds the condition that a key still has that revision. */
   void addPrecondition(String key, long revision) {
     preconditions.add(new Precondition(key, revision));
   }
 
-  /** Adds the record of the level. */
+  /** Adds the record of the schema level. */
   void addLevel(JsonNode record) {
     mutations.add(Mutation.put(Keys.LEVEL, record));
     bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
 
-  /** The level in whose forms it writes records. */
+  /** The schema level in whose form it writes records. */
   int level() {
     return level;
   }
 
-  /** Adds the removal of a value in which nothing lives any more. */
+  /** Adds the deletion of a value in which no record is left. */
   void addDeletion(String key) {
     mutations.add(Mutation.delete(key));
     deletedKeys.add(key);
@@ -231,47 +232,47 @@
     return mutations;
   }
 
-  /** Whether it was to carry the catalogue. */
+  /** Whether the catalogue was added, or left out as too long for a value. */
   boolean includesCatalogue() {
     return includesCatalogue;
   }
 
-  /** How long the values of roster and marks in it are, by key. */
+  /** The length in bytes of each value of machine or placement records, by key. */
   Map<String, Integer> valueLengths() {
     return valueLengths;
   }
 
-  /** The values of the roster that it writes. */
+  /** The numbers of the values of machine records that it writes. */
   Set<Integer> machineValues() {
     return machineValues;
   }
 
-  /** The machines that are named in them. */
+  /** The machine records in those values. */
   List<WrittenMachine> writtenMachines() {
     return writtenMachines;
   }
 
-  /** The values of marks that it writes. */
+  /** The numbers of the values of placement records that it writes. */
   Set<Integer> placementValues() {
     return placementValues;
   }
 
-  /** Placements whose machine is named for the first time. */
+  /** The attempts whose placement it records for the first time. */
   List<TaskAttempt> newlyRecordedAttempts() {
     return newlyRecordedAttempts;
   }
 
-  /** Tasks that are done, by part of their job. */
+  /** The tasks that it records as done, by partition of their job. */
   Map<JobPartition, BitSet> doneTasksByPartition() {
     return doneTasksByPartition;
   }
 
-  /** Jobs that it ends. */
+  /** The jobs that it ends. */
   List<Job> finishedJobs() {
     return finishedJobs;
   }
 
-  /** Keys that it removes. */
+  /** The keys that it deletes. */
   List<String> deletedKeys() {
     return deletedKeys;
   }
--- a/src/main/java/io/pearscale/scheduler/records/MachineRecordNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/records/MachineRecordNumbers.java
@@ -4,30 +4,31 @@
 import java.util.Set;
 
 /**
- * Gives machines the numbers by which marks of tasks name them. A number is not given again while
- * any record may name its machine by it: within a term none is given twice, and a new leader begins
- * above all numbers that it finds.
+ * Allocates the numbers by which placement records of the numbered layout refer to machines.
+ *
+ * <p>Invariant: a number is not allocated again while any record may refer to its machine by it.
+ * Within a term none is allocated twice, and a new leader begins above all that it finds.
  */
 final class MachineRecordNumbers {
-  /** Marks have three bytes for a number, and 0 stands for none. */
+  /** The highest number: placement records have three bytes for it, and 0 stands for none. */
   private static final int MAX_NUMBER = 0xffffff;
 
   private final Set<Integer> reserved = new HashSet<>();
   private int lastAllocated;
 
-  /** A term begins, of whose records nothing is known. */
+  /** Forgets all numbers: a term begins. */
   void reset() {
     reserved.clear();
     lastAllocated = 0;
   }
 
-  /** A stored record has that number. */
+  /** Reserves a number that a stored record has. */
   void reserve(int number) {
     reserved.add(number);
     lastAllocated = Math.max(lastAllocated, number);
   }
 
-  /** The next number; beyond the highest one it goes on with low ones that no record had. */
+  /** Allocates the next number; beyond the highest it goes on with low ones that are free. */
   int allocate() {
     for (int tried = 0; tried < MAX_NUMBER; tried++) {
       lastAllocated = lastAllocated >= MAX_NUMBER ? 1 : lastAllocated + 1;
--- a/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
@@ -4,40 +4,40 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Stored values that hold nothing any more, and are to be removed. */
+/** Keys of stored values in which no record is left, to be deleted. */
 final class ObsoleteValues {
   private final Set<String> keys = new LinkedHashSet<>();
 
-  /** Forgets all. */
+  /** Forgets all keys. */
   void clear() {
     keys.clear();
   }
 
-  /** The value is to be removed. */
+  /** Adds a value to be deleted. */
   void add(String key) {
     keys.add(key);
   }
 
-  /** The value is removed, or written again. */
+  /** Takes back a value that was deleted, or is written again. */
   void remove(String key) {
     keys.remove(key);
   }
 
-  /** Whether there is nothing to remove. */
+  /** Whether there is nothing to delete. */
   boolean isEmpty() {
     return keys.isEmpty();
   }
 
-  /** Adds the stored values that are unused. */
+  /** Adds the stored values that are obsolete. */
   void collect(StoredValues stored, Predicate<String> isObsolete) {
     stored.placementValues().keySet().stream().filter(isObsolete).forEach(keys::add);
     stored.machineValues().keySet().stream().filter(isObsolete).forEach(keys::add);
   }
 
   /**
-   * Has as many values removed as the transaction has room for.
+   * Adds as many deletions as the transaction has capacity for.
    *
-   * @param isObsolete whether the value is still without use; otherwise it stays
+   * @param isObsolete whether the value is still obsolete; if not, it stays and is forgotten here
    */
   void addDeletions(LeaderTransaction transaction, Predicate<String> isObsolete) {
     keys.removeIf(isObsolete.negate());
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -13,9 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * Stored values of the layout that is not written any more, and what of them has yet to be copied.
- * A value may be removed once all that it says of something alive stands in the present layout; the
- * roster only after all marks, which name machines by it.
+ * Stored values of the layout that is not written any more, and which of their records are not yet
+ * copied into the layout in force.
+ *
+ * <p>Invariant: a value is deleted only once every record in it that is still needed is durable in
+ * the layout in force; machine records only after all placement records, which refer to them.
  */
 final class PreviousLayoutRecords {
   private final Map<String, Set<Object>> uncopiedByKey = new TreeMap<>();
@@ -27,7 +29,7 @@
     keysByItem.clear();
   }
 
-  /** A value is stored that says something of these; none if nothing of it is alive. */
+  /** Adds a stored value with the items of its records that are to be copied, if any. */
   void add(String key, Collection<?> items) {
     Set<Object> uncopied = uncopiedByKey.computeIfAbsent(key, k -> new LinkedHashSet<>());
     for (Object item : items) {
@@ -36,7 +38,7 @@
     }
   }
 
-  /** What is known of it stands in the present layout, or it is gone. */
+  /** Notes that the item's record is durable in the layout in force, or not needed any more. */
   void noteCopied(Object item) {
     List<String> keys = keysByItem.remove(item);
     if (keys != null) {
@@ -44,7 +46,7 @@
     }
   }
 
-  /** The value was removed. */
+  /** Notes that the value was deleted. */
   void noteDeleted(String key) {
     uncopiedByKey.remove(key);
   }
@@ -54,7 +56,7 @@
     return uncopiedByKey.isEmpty();
   }
 
-  /** Hands out what has yet to be copied, value by value, until the taker has enough. */
+  /** Offers the items that are not yet copied, value by value, until the sink is full. */
   void offerUncopied(BatchSink sink) {
     for (Set<Object> items : uncopiedByKey.values()) {
       for (Object item : items) {
@@ -65,13 +67,13 @@
     }
   }
 
-  /** Takes what is to be copied next. */
+  /** Receives the items to be copied next. */
   interface BatchSink {
-    /** Takes it; false when there is no room for more. */
+    /** Accepts an item; returns false once the batch is full. */
     boolean accept(Object item);
   }
 
-  /** Tells of the values that may be removed now. */
+  /** Passes the keys of the values that may be deleted now to the action. */
   void forEachDeletable(Consumer<String> action) {
     boolean placementValuesLeft =
         uncopiedByKey.keySet().stream().anyMatch(k -> RecordLayout.ofPlacementKey(k).isPresent());
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -23,8 +23,9 @@
 import java.util.Map;
 
 /**
- * Takes the records of predecessors into a new leader's books. Of a machine or a task that stands
- * in both layouts, what the layout that is written says is newer, and the other is passed over.
+ * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. Of a
+ * machine or a task that is recorded in both layouts, the record in the layout in force is newer,
+ * and the other is passed over.
  */
 final class RecordAdoption {
   private final JobTable jobs;
@@ -35,10 +36,10 @@
   private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
 
-  /** Of each job, the tasks that a part in the layout that is written has told of. */
+  /** Of each job, the tasks that have a record in the layout in force. */
   private final Map<String, BitSet> tasksInCurrentLayout = new HashMap<>();
 
-  /** Jobs that are over, of which tasks may be left. */
+  /** Jobs that are over, while attempts of them may still exist. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
   RecordAdoption(LeaderState state) {
@@ -52,7 +53,7 @@
     }
   }
 
-  /** Takes all of it over. */
+  /** Adopts all records. */
   void adopt(StoredRecords stored) {
     stored.machines().forEach(adopter::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
@@ -76,7 +77,7 @@
       machine = machineOf(record);
       inventory.addFromPreviousLeader(machine);
     } else if (record.retiring() && machine.lifecycle != Lifecycle.RETIRING) {
-      // That it may be under deletion is never taken back, whichever record says so.
+      // Once recorded as retiring, in either layout, a machine may be deleted at any time.
       machine.lifecycle = Lifecycle.RETIRING;
       machine.recordedRetiring = true;
     }
@@ -101,7 +102,7 @@
     return machine;
   }
 
-  /** Finds how many tasks a job had that is over, but may still be somewhere. */
+  /** Notes a job that is over, with the number of tasks of which attempts may still exist. */
   private void noteOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
@@ -127,9 +128,9 @@
   }
 
   /**
-   * Takes over what is known of a part of a job. A task that is not done may be on the machine that
-   * its mark names, and on no other: the mark is durable before the start is sent, and is changed
-   * only when the task is known to be gone from there. So it waits for that machine alone.
+   * Adopts the placement record of a partition. A task that is not done may be on the machine that
+   * its record names, and on no other: the record is durable before the start command is sent, and
+   * changes only once the task is proven absent there. So the task waits for that machine alone.
    */
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -15,24 +15,24 @@
 import java.util.function.Function;
 
 /**
- * Brings the records into the form that is written, a few values at a time, behind all other
- * writes: values of the roster that have the form of another level are rewritten, and what stands
- * in the other layout is copied. What is left to do follows from the records themselves, so a
- * successor goes on where this leader ended, and doing it twice changes nothing.
+ * Migrates the stored records to the schema level in force, a few values at a time and behind all
+ * other writes: machine records in the form of another level are rewritten, and records in the
+ * previous layout are copied. What is left to do follows from the stored records alone, so a
+ * successor goes on where this leader ended, and the migration is idempotent.
  */
 final class RecordMigration {
-  /** Between two batches, the rate of writes is left to others. */
+  /** Shortest time between two batches, which leaves the write rate to others. */
   static final Duration BATCH_INTERVAL = Duration.ofSeconds(1);
 
-  /** A batch takes this part of what a transaction may carry, and so much at least. */
+  /** A batch may take one part in so many of a transaction's mutations. */
   private static final int BATCHES_PER_TRANSACTION = 8;
 
   private static final int MIN_BATCH_SIZE = 2;
 
-  /** In which value something is to stand: of marks, or of the roster. */
+  /** The value into which a record is copied: of placement records, or of machine records. */
   record CopyTarget(boolean placementValue, int value) {}
 
-  /** The values to be written next. */
+  /** The numbers of the values to be written next. */
   record Batch(Set<Integer> machineValues, Set<Integer> placementValues) {
     private int size() {
       return machineValues.size() + placementValues.size();
@@ -46,10 +46,11 @@
   private Instant nextBatchAt = Instant.MIN;
 
   /**
-   * Makes a migration that knows of no values.
+   * Creates a migration that knows of no values.
    *
-   * @param gate says which level is written
-   * @param previousLayout what stands in the other layout
+   * @param gate supplies the schema level in force
+   * @param maxMutations the most mutations of a transaction
+   * @param previousLayout the records that are not yet copied into the layout in force
    */
   RecordMigration(LevelGate gate, int maxMutations, PreviousLayoutRecords previousLayout) {
     this.gate = gate;
@@ -57,7 +58,7 @@
     this.previousLayout = previousLayout;
   }
 
-  /** A term begins with these values. */
+  /** Takes stock of the stored values of machine records: a term begins. */
   void beginTerm(Map<String, JsonNode> machineValues) {
     levelByValue.clear();
     nextBatchAt = Instant.MIN;
@@ -70,14 +71,14 @@
         });
   }
 
-  /** The value was written in the form of the level. */
+  /** Notes that a value of machine records was written in the form of the level. */
   void noteWritten(int value, int level) {
     if (RecordLayout.ofLevel(level) == RecordLayout.POSITIONAL) {
       levelByValue.put(value, level);
     }
   }
 
-  /** The key was removed. */
+  /** Notes that a stored value was deleted. */
   void noteDeleted(String key) {
     if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
       levelByValue.remove(Keys.valueNumber(key));
@@ -90,9 +91,9 @@
   }
 
   /**
-   * The values of the next batch; none when all that is left is to remove what was copied.
+   * The values of the next batch; none when all that is left is to delete what was copied.
    *
-   * @param targetOfCopy in which value a copy is to stand; empty when nothing of it is alive
+   * @param targetOfCopy the value into which a record is copied; empty if it is not needed any more
    */
   Batch nextBatch(Instant now, Function<Object, Optional<CopyTarget>> targetOfCopy) {
     nextBatchAt = now.plus(BATCH_INTERVAL);
@@ -114,12 +115,12 @@
     return batch.size() < maxBatchSize;
   }
 
-  /** Whether all records have the form that is written, when a batch has turned out like this. */
+  /** Whether all records are migrated, given that this batch was the next one. */
   boolean isComplete(Batch batch) {
     return batch.size() == 0 && previousLayout.isEmpty();
   }
 
-  /** The record of the level, now that no batch is left. */
+  /** The record of the schema level that says that the migration is complete. */
   JsonNode completedLevel() {
     return gate.migrationCompletedRecord();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -13,17 +13,18 @@
 import java.util.TreeMap;
 
 /**
- * Items that share values of the state service, which counts writes and not bytes. Each item has a
- * home, a value and a place in it, for as long as it is kept; what has changed is written with all
- * else that lives in the same value. New items go where a write is due anyway.
+ * Packs records into shared values of the key-value store, whose rate limit counts writes and not
+ * bytes. Each item keeps its slot, a value and a position in it, until it is removed. A changed item
+ * is written together with all others of its value, so new items prefer values that are to be
+ * written anyway.
  *
- * @param <T> what is kept
+ * @param <T> what a record is about
  */
 public final class RecordPacker<T> {
-  /** Places in a value. */
+  /** The most items of a value. */
   static final int SLOTS_PER_VALUE = 64;
 
-  /** Where an item lives. */
+  /** Where an item's record stands: the number of the value, and the position in it from 0. */
   record Slot(int value, int position) {}
 
   private static final class PackedValue<T> {
@@ -38,7 +39,7 @@
   private final Set<Integer> urgentValues = new LinkedHashSet<>();
   private final Map<Integer, Instant> deadlines = new LinkedHashMap<>();
 
-  /** Values may grow up to so many bytes. */
+  /** Creates a packer for values of at most so many bytes, by the items' declared sizes. */
   public RecordPacker(int maxValueBytes) {
     this.maxValueBytes = maxValueBytes;
   }
@@ -53,7 +54,7 @@
         && (packed.items.isEmpty() || packed.bytes + bytes <= maxValueBytes);
   }
 
-  /** Takes an item in where a former leader had put it. */
+  /** Adds an item in the slot that a previous leader had assigned to it. */
   void adopt(T item, int bytes, int value, int position) {
     PackedValue<T> packed = packedValue(value);
     packed.items.put(position, item);
@@ -62,7 +63,7 @@
     itemBytes.put(item, bytes);
   }
 
-  /** As above, when the place does not matter. */
+  /** Adds an item to a value, in any free position. */
   public void adopt(T item, int bytes, int value) {
     adopt(item, bytes, value, freePosition(value));
   }
@@ -75,7 +76,7 @@
     return position;
   }
 
-  /** Gives an item a home, unless it has one. */
+  /** Assigns a slot to an item, unless it has one. */
   public void assignSlot(T item, int bytes) {
     if (slots.containsKey(item)) {
       return;
@@ -93,11 +94,12 @@
     adopt(item, bytes, value);
   }
 
+  /** The slot of an item; empty if none was assigned. */
   Optional<Slot> slotOf(T item) {
     return Optional.ofNullable(slots.get(item));
   }
 
-  /** Lets go of an item; its value shows it until it is written for another reason. */
+  /** Removes an item; its stored value still has it until that is written for another reason. */
   public void remove(T item) {
     Slot slot = slots.remove(item);
     if (slot != null) {
@@ -118,24 +120,24 @@
     deadlines.remove(value);
   }
 
-  /** The item's value is to be written at that time at the latest. */
+  /** Marks the item's value to be written once the deadline has come, if not before. */
   void markDue(T item, Instant deadline) {
     slotOf(item).ifPresent(slot -> markDue(slot.value, deadline));
   }
 
-  /** The value is to be written at that time at the latest. */
+  /** Marks a value to be written once the deadline has come, if not before. */
   void markDue(int value, Instant deadline) {
     if (!urgentValues.contains(value)) {
       deadlines.merge(value, deadline, (a, b) -> a.isBefore(b) ? a : b);
     }
   }
 
-  /** Values to be written now. */
+  /** The values to be written with the next transaction, in the order in which they became due. */
   public List<Integer> urgentValues() {
     return List.copyOf(urgentValues);
   }
 
-  /** Values whose time has come. */
+  /** The values whose deadline has come. */
   List<Integer> overdueValues(Instant now) {
     List<Integer> overdue = new ArrayList<>();
     deadlines.forEach(
@@ -147,30 +149,30 @@
     return overdue;
   }
 
-  /** The value is on its way; whoever finds that it did not arrive says so by {@link #markDue}. */
+  /** Marks a value as sent. If it is not known to be applied, {@link #markDue} is called again. */
   public void markSent(int value) {
     urgentValues.remove(value);
     deadlines.remove(value);
   }
 
-  /** What lives in a value, by place. */
+  /** The items of a value, by position. */
   public Map<Integer, T> itemsByPosition(int value) {
     return packedValue(value).items;
   }
 
-  /** All that lives in those values. */
+  /** The items of those values. */
   List<T> itemsIn(Collection<Integer> valueNumbers) {
     List<T> all = new ArrayList<>();
     valueNumbers.forEach(value -> all.addAll(packedValue(value).items.values()));
     return all;
   }
 
-  /** All that has a home, value by value. */
+  /** All items, value by value. */
   List<T> allItems() {
     return itemsIn(List.copyOf(values.keySet()));
   }
 
-  /** Whether nothing lives in the value. */
+  /** Whether the value has no items. */
   boolean isEmpty(int value) {
     return packedValue(value).items.isEmpty();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -7,35 +7,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Values that the state service does not take, since it takes only shorter ones than it did when
- * they were stored. They stay as they are until another layout has copied them; what is to change
- * in them waits, and nothing else does.
+ * Values that the store rejects as too long, because its limit is lower than when they were first
+ * written. They stay as they are until their records are copied into another layout; changes in them
+ * wait until then, and nothing else does.
  */
 final class RejectedValues {
   private static final Logger LOG = LoggerFactory.getLogger(RejectedValues.class);
   private final Set<String> keys = new HashSet<>();
 
-  /** Forgets all. */
+  /** Forgets all rejections. */
   void clear() {
     keys.clear();
   }
 
-  /** Whether the value of the key may go into a transaction. */
+  /** Whether the key's value may be put into a transaction. */
   boolean mayWrite(String key) {
     return !keys.contains(key);
   }
 
   /**
-   * A transaction was refused as a whole.
+   * Notes that a transaction was rejected as a whole.
    *
-   * @param valueLengths how long the values in it are
-   * @param maxValueBytes what the service takes for certain
+   * @param valueLengths length in bytes of each value in it, by key
+   * @param maxValueBytes length in bytes that the store is sure to accept
    */
   void noteRejection(Map<String, Integer> valueLengths, int maxValueBytes) {
     valueLengths.forEach(
         (key, length) -> {
           if (length > maxValueBytes && keys.add(key)) {
-            LOG.warn("event=value_refused key={} bytes={} longest={}", key, length, maxValueBytes);
+            LOG.warn("event=value_rejected key={} bytes={} max_bytes={}", key, length, maxValueBytes);
           }
         });
   }
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -19,16 +19,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Raises the level of stored forms by itself, once every controller of the settings has said that
- * its build supports a higher one. The step is a write of the leader like any other, guarded by its
- * term and the level that it knows, and besides by the words on which it rests: should one of them
- * have changed, nothing is written. From then on whoever does not support the level is kept out.
+ * Raises the schema level automatically, once every configured controller has announced that its
+ * build supports a higher one. The step is a compare-and-swap of the leader like any other, on the
+ * condition of its term and the level that it knows, and also of the announcements on which it
+ * rests: should one of them have changed, nothing is written. From then on controllers that do not
+ * support the level are kept out.
  */
 public final class SchemaLevelUpgrader implements TransactionContributor {
   private static final Logger LOG = LoggerFactory.getLogger(SchemaLevelUpgrader.class);
   private static final Duration ATTEMPT_INTERVAL = Duration.ofSeconds(1);
 
-  /** What a controller says of itself, and the stamp of that. */
+  /** The levels that a controller has announced, and the revision of the announcement. */
   private record MemberAnnouncement(MemberSupport support, long revision) {}
 
   private final LevelGate gate;
@@ -38,7 +39,7 @@
   private Instant nextAttemptAt = Instant.MIN;
 
   /**
-   * Makes a raiser.
+   * Creates an upgrader.
    *
    * @param hosts all configured controllers
    */
@@ -48,12 +49,12 @@
     this.clock = clock;
   }
 
-  /** All keys are about to be read anew. */
+  /** Forgets all announcements: a new snapshot is about to be delivered. */
   public void forgetStored() {
     announcements.clear();
   }
 
-  /** The word of a controller has changed; one that can't be read says nothing. */
+  /** Applies a changed announcement; one that can't be read counts as absent. */
   public void storedChanged(KeyChange change) {
     String host = Keys.lastSegment(change.key());
     announcements.remove(host);
@@ -92,7 +93,7 @@
     if (step.isPresent() && transaction.hasCapacity()) {
       nextAttemptAt = clock.instant().plus(ATTEMPT_INTERVAL);
       JsonNode record = step.get().next().toNode(gate.stored());
-      LOG.info("event=level_raised level={}", step.get().next().level());
+      LOG.info("event=schema_level_raised level={}", step.get().next().level());
       hosts.forEach(
           host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
       transaction.addLevel(record);
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
@@ -13,23 +13,23 @@
 import java.util.function.Function;
 
 /**
- * What the state service holds of machines and tasks, decoded as a whole before a new leader takes
- * any of it over. A record that can't be read fails the whole: a leader that passed it over would
+ * The stored records of machines and tasks, decoded as a whole before a new leader takes any of
+ * them over. A record that can't be read fails the whole: a leader that passed it over would
  * start its tasks a second time.
  *
- * @param machines the machines, first those in the layout that is written
- * @param partitions the parts of jobs, first those in the layout that is written: what they say of
- *     a task is newer than what the other layout says
+ * @param machines the machine records, first those in the layout in force
+ * @param partitions the placement records, first those in the layout in force: of a task that is in
+ *     both, they hold the newer state
  */
 record StoredRecords(List<StoredMachine> machines, List<StoredPartition> partitions) {
-  /** A machine, as one value says. */
+  /** A machine record and the value that holds it. */
   record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.MachineRecord record) {
     /** The key of the value. */
     String key() {
       return layout.machineKey(value);
     }
 
-    /** The number by which marks of the same layout name it. */
+    /** The number by which placement records of the same layout refer to the machine. */
     int reference() {
       return layout == RecordLayout.NUMBERED
           ? record.number()
@@ -38,7 +38,7 @@
     }
   }
 
-  /** A part of a job, as one value says. */
+  /** A placement record and the value that holds it. */
   record StoredPartition(
       RecordLayout layout, int value, PlacementRecordCodec.PartitionRecord record) {
     /** The key of the value. */
@@ -47,20 +47,21 @@
     }
   }
 
-  /** Reads a record's value. */
+  /** Decodes a stored value into records. */
   private interface ValueDecoder<T> {
     List<T> decode(JsonNode value) throws MalformedMessageException;
   }
 
-  /** Makes an entry of a decoded one. */
+  /** Creates a stored record from a decoded one. */
   private interface StoredRecordFactory<T, S> {
     S create(RecordLayout layout, int value, T decoded);
   }
 
   /**
-   * Decodes all records; the message of what is thrown names the key that can't be read.
+   * Decodes all records.
    *
-   * @param currentLayout the layout that is written
+   * @param currentLayout the layout in force
+   * @throws MalformedMessageException if a record can't be read; the message names its key
    */
   static StoredRecords decode(
       Map<String, JsonNode> machineValues,
--- a/src/main/java/io/pearscale/scheduler/records/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredValues.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A leader's records as the state service holds them, so far as the watch has told. */
+/** The stored values of machine and placement records, as far as the watch has delivered them. */
 public final class StoredValues {
   private final Map<String, JsonNode> placementValues = new TreeMap<>();
   private final Map<String, JsonNode> machineValues = new TreeMap<>();
   private final Set<String> machineTypeNames = new HashSet<>();
 
-  /** All keys are about to be read anew. */
+  /** Forgets all values: a new snapshot is about to be delivered. */
   public void clear() {
     placementValues.clear();
     machineValues.clear();
   }
 
-  /** A value of marks or of the roster has changed. */
+  /** Applies a change of a value of placement or machine records. */
   public void apply(KeyChange change) {
     Map<String, JsonNode> stored =
         Keys.isPlacementRecords(change.key()) ? placementValues : machineValues;
@@ -33,23 +33,23 @@
             entry -> stored.put(change.key(), entry.value()), () -> stored.remove(change.key()));
   }
 
-  /** The catalogue has these types. */
+  /** Applies a change of the stored catalogue. */
   public void updateCatalogue(List<MachineType> stored) {
     machineTypeNames.clear();
     stored.forEach(type -> machineTypeNames.add(type.name()));
   }
 
-  /** The values that say where tasks are, by key. */
+  /** The values of placement records, by key. */
   Map<String, JsonNode> placementValues() {
     return Collections.unmodifiableMap(placementValues);
   }
 
-  /** The values that say which machines there are, by key. */
+  /** The values of machine records, by key. */
   Map<String, JsonNode> machineValues() {
     return Collections.unmodifiableMap(machineValues);
   }
 
-  /** The names of the types of machines in the catalogue. */
+  /** The names of the machine types in the stored catalogue. */
   Set<String> machineTypeNames() {
     return Collections.unmodifiableSet(machineTypeNames);
   }
--- a/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
@@ -1,16 +1,16 @@
 package io.pearscale.scheduler.records;
 
-/** Something that has records to write, which go along with the leader's transactions. */
+/** A part of the leader that adds records of its own to the leader's transactions. */
 public interface TransactionContributor {
-  /** Whether something waits to be written now. */
+  /** Whether something is to be written now. */
   boolean isDue();
 
-  /** Adds what there is room for. */
+  /** Adds what is due, as far as there is capacity. */
   void contribute(LeaderTransaction transaction);
 
-  /** The transaction was applied. */
+  /** Notes that the transaction was applied. */
   void onApplied(LeaderTransaction transaction);
 
-  /** The transaction was not applied, as far as known. */
+  /** Notes that the transaction was not applied, or that its outcome is unknown. */
   void onNotApplied(LeaderTransaction transaction);
 }
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -17,14 +17,15 @@
 import java.util.function.Supplier;
 
 /**
- * Speaks to the state service within this controller's part of the rates. What would go over is
- * answered 429 here, at once, so that three controllers together never flood the service.
+ * Client of the key-value store. It keeps within this controller's share of the rate limits: what
+ * would exceed it is answered 429 here, at once, so that three controllers together never overload
+ * the store.
  */
 public final class KeyValueStoreClient {
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
   private static final Reply RATE_LIMITED = new Reply(429, MessagePack.MISSING);
 
-  /** What a write is answered that this build must not make; it was not sent. */
+  /** The reply to a write that this build must not make; it is not sent. */
   private static final Reply WRITE_NOT_PERMITTED = new Reply(503, MessagePack.MISSING);
 
   private final EventLoop loop;
@@ -35,7 +36,7 @@
   private final Supplier<OptionalLong> levelRevision;
   private Optional<Instant> lastSuccess = Optional.empty();
 
-  /** Uses the service named in the settings, for writes only where no level was ever stored. */
+  /** Creates a client that writes only while no schema level is stored, as before there were any. */
   public KeyValueStoreClient(EventLoop loop, HttpClient httpClient, Settings settings) {
     this(loop, httpClient, settings, () -> OptionalLong.of(0));
   }
@@ -43,7 +44,7 @@
   /**
    * Uses the service named in the settings.
    *
-   * @param levelRevision the stamp of {@link Keys#LEVEL} as far as known, which guards each write;
+   * @param levelRevision the revision of {@link Keys#LEVEL} as far as known, a precondition of each write;
    *     empty while this build must not write
    */
   public KeyValueStoreClient(
@@ -55,33 +56,33 @@
     this.loop = loop;
     this.httpClient = httpClient;
     this.address = settings.storeAddress();
-    // Load is uneven: one controller may take half of all, which leaves room for the two others.
+    // Load is uneven: one controller may take half of all, which leaves capacity for the two others.
     this.requestBucket = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
     this.writeBucket = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
   }
 
-  /** Part of a transaction. */
+  /** A condition of a compare-and-swap: the key has that mod revision; 0 if it must not exist. */
   public record Precondition(String key, long revision) {}
 
-  /** A change: a value to write, or none to drop the key; the grant it hangs on, if any. */
+  /** A change of a key: a value to put, or none to delete it; the lease it is attached to, if any. */
   public record Mutation(String key, Optional<JsonNode> value, Optional<Long> leaseId) {
-    /** Writes a value. */
+    /** Puts a value, attached to no lease. */
     public static Mutation put(String key, JsonNode value) {
       return new Mutation(key, Optional.of(value), Optional.empty());
     }
 
-    /** Removes a key. */
+    /** Deletes a key. */
     public static Mutation delete(String key) {
       return new Mutation(key, Optional.empty(), Optional.empty());
     }
   }
 
-  /** When the service last answered as it should. */
+  /** When the store last answered as it should; empty if it never did. */
   public Optional<Instant> lastSuccess() {
     return lastSuccess;
   }
 
-  /** Whether so many changes could be sent now. */
+  /** Whether so many mutations are within the write rate now. */
   public boolean canWrite(int mutations) {
     return writeBucket.canAcquire(mutations);
   }
@@ -124,19 +125,19 @@
     send("POST", "/commit", body, REQUEST_TIMEOUT, callback);
   }
 
-  /** Reads one key. */
+  /** Gets one key. */
   public void get(String key, Consumer<Reply> callback) {
     send("GET", "/keys/" + key, MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
-  /** Reads a page of the keys with a prefix. */
+  /** Lists a page of the keys with a prefix, in order, after the given key. */
   public void list(String prefix, Optional<String> afterKey, int limit, Consumer<Reply> callback) {
     String path =
         "/keys?prefix=" + prefix + afterKey.map(s -> "&since=" + s).orElse("") + "&limit=" + limit;
     send("GET", path, MessagePack.MISSING, Duration.ofSeconds(4), callback);
   }
 
-  /** Waits for changes. */
+  /** Watches a prefix: a long poll for changes after a revision. */
   public void watch(
       String prefix, long sinceRevision, Duration pollTimeout, Consumer<Reply> callback) {
     String path =
@@ -149,7 +150,7 @@
     send("GET", path, MessagePack.MISSING, pollTimeout.plus(Duration.ofSeconds(2)), callback);
   }
 
-  /** Asks for a grant. */
+  /** Grants a lease. */
   public void grantLease(Duration ttl, Consumer<Reply> callback) {
     send(
         "POST",
@@ -159,12 +160,12 @@
         callback);
   }
 
-  /** Renews a grant. */
+  /** Renews a lease. */
   public void renewLease(long leaseId, Consumer<Reply> callback) {
     send("POST", "/grants/" + leaseId + "/extend", MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
-  /** Ends a grant. */
+  /** Revokes a lease, and deletes the keys attached to it. */
   public void revokeLease(long leaseId, Consumer<Reply> callback) {
     send("DELETE", "/grants/" + leaseId, MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
--- a/src/main/java/io/pearscale/storage/Keys.java
+++ b/src/main/java/io/pearscale/storage/Keys.java
@@ -1,7 +1,7 @@
 package io.pearscale.storage;
 
 /**
- * The keys of the state service. All that a controller must hold in memory stands below {@link
+ * The keys of the key-value store. All that a controller must hold in memory stands below {@link
  * #WATCHED_PREFIX}, one prefix and so one watch; jobs that are over stand apart and are read when
  * asked for, so that a restart stays cheap after months of finished jobs.
  */
@@ -9,32 +9,32 @@
   /** The watched prefix. */
   public static final String WATCHED_PREFIX = "c/";
 
-  /** Who leads, attached to the leader's grant. */
+  /** Who leads; attached to the leader's store lease. */
   public static final String LEADER = "c/lead";
 
-  /** The highest term so far; guards each write of a leader. */
+  /** The highest term so far; a precondition of each write of a leader. */
   public static final String TERM = "c/term";
 
-  /** The level of stored forms that is in force; guards each write of any controller. */
+  /** The schema level in force; a precondition of each write of any controller. */
   public static final String LEVEL = "c/level";
 
   /** The last catalogue of machine types. */
   public static final String CATALOGUE = "c/catalogue";
 
-  /** What the controllers that run say of their builds. */
+  /** Prefix of what running controllers announce of their builds. */
   public static final String MEMBERS = "c/member/";
 
-  /** What operators want drained, see {@link #drain}. */
+  /** Prefix of operators' drain requests, see {@link #drain}. */
   public static final String DRAINS = "c/drain/";
 
-  /** What the leader publishes for operators' commands. */
+  /** The status that the leader publishes for operators' commands. */
   public static final String STATUS = "c/status";
 
   private static final String DRAIN_MACHINES = "c/drain-machines/";
   private static final String DRAIN_STATUS = "c/drain-status/";
   private static final String DISRUPTIONS = "c/disrupted/";
 
-  /** All jobs that are not over. */
+  /** Prefix of the jobs that are not over. */
   public static final String LIVE_JOBS = "c/live/";
 
   private static final String FINISHED_JOBS = "p/";
@@ -51,12 +51,12 @@
     return FINISHED_JOBS + job;
   }
 
-  /** What a controller says of its build. */
+  /** What a controller announces of its build. */
   public static String member(String host) {
     return MEMBERS + host;
   }
 
-  /** What operators want of a drain. */
+  /** An operator's drain request. */
   public static String drain(String id) {
     return DRAINS + id;
   }
@@ -71,12 +71,12 @@
     return key.startsWith(DRAIN_MACHINES);
   }
 
-  /** What has come of a drain. */
+  /** The status of a drain. */
   public static String drainStatus(String id) {
     return DRAIN_STATUS + id;
   }
 
-  /** Whether the key says what has come of a drain. */
+  /** Whether the key holds the status of a drain. */
   public static boolean isDrainStatus(String key) {
     return key.startsWith(DRAIN_STATUS);
   }
@@ -91,12 +91,12 @@
     return key.startsWith(DISRUPTIONS);
   }
 
-  /** Whether the key is an operator's wish for a drain. */
+  /** Whether the key holds a drain request. */
   public static boolean isDrain(String key) {
     return key.startsWith(DRAINS);
   }
 
-  /** Whether the key is what a controller says of its build. */
+  /** Whether the key holds what a controller announces of its build. */
   public static boolean isMember(String key) {
     return key.startsWith(MEMBERS);
   }
@@ -106,12 +106,12 @@
     return key.startsWith(LIVE_JOBS);
   }
 
-  /** Whether the key holds marks, in the layout of any level. */
+  /** Whether the key holds placement records, in either layout. */
   public static boolean isPlacementRecords(String key) {
     return RecordLayout.ofPlacementKey(key).isPresent();
   }
 
-  /** Whether the key is a value of the roster, in the layout of any level. */
+  /** Whether the key holds machine records, in either layout. */
   public static boolean isMachineRecords(String key) {
     return RecordLayout.ofMachineKey(key).isPresent();
   }
@@ -121,12 +121,12 @@
     return isLiveJob(key) || isPlacementRecords(key) || isMachineRecords(key);
   }
 
-  /** The job in the key of a job. */
+  /** The last segment of a key: the name of a job, a controller or a drain. */
   public static String lastSegment(String key) {
     return key.substring(key.lastIndexOf('/') + 1);
   }
 
-  /** The number in the key of marks or roster. */
+  /** The number of the value in a key of packed records. */
   public static int valueNumber(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -13,18 +13,18 @@
 import java.util.OptionalInt;
 
 /**
- * The form in which one value names many machines. A machine is named before anything is started on
- * it, so that a new leader knows each one that might hold a task.
+ * Codec of values of machine records. A machine is recorded before anything is started on it, so a
+ * new leader knows each one that may hold a task.
  */
 public final class MachineRecordCodec {
   /**
-   * A machine of the roster.
+   * What is stored of a machine.
    *
-   * @param number by which marks of tasks name it: in the layout by place where it stands in its
-   *     value, else a number of its own
-   * @param address empty until the machine has reported
-   * @param retiring whether it may be under deletion and must never be used again
-   * @param maintenance whether it is in maintenance; not stored below level 1
+   * @param number by which placement records refer to it: in the positional layout its position in
+   *     its value, in the numbered one a number of its own
+   * @param address host and port of its agent; empty until that has sent a heartbeat
+   * @param retiring whether it may be being deleted, and must never be used again
+   * @param maintenance its maintenance state; not stored below schema level 1
    */
   public record MachineRecord(
       int number,
@@ -37,12 +37,12 @@
       boolean retiring,
       Maintenance maintenance) {}
 
-  /** So many fields has an entry at level 0; another one from level 1 on. */
+  /** Fields of a record at schema level 0; one more from level 1 on. */
   private static final int FIELDS_AT_LEVEL_0 = 8;
 
   private MachineRecordCodec() {}
 
-  /** How large an entry may become. */
+  /** Upper bound in bytes for an encoded record. */
   public static int maximumSize(MachineRecord record) {
     return 64
         + record.machine.length()
@@ -51,12 +51,12 @@
         + record.zone.length();
   }
 
-  /** How long an encoded value is as JSON. */
+  /** Length of an encoded value as JSON. */
   public static int jsonLength(JsonNode value) {
     return value.toString().length();
   }
 
-  /** Encodes a value in the form of the level. */
+  /** Encodes a value in the form of the schema level. */
   public static JsonNode encode(Collection<MachineRecord> records, int level) {
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray("m");
@@ -79,7 +79,7 @@
   }
 
   /**
-   * The level whose form the value has; empty if it has no entries, which is every level's form.
+   * The schema level whose form the value has; empty if it has no records, which fits every level.
    */
   public static OptionalInt levelOf(JsonNode value) {
     JsonNode first = value.path("m").path(0);
--- a/src/main/java/io/pearscale/storage/Maintenance.java
+++ b/src/main/java/io/pearscale/storage/Maintenance.java
@@ -3,9 +3,9 @@
 import io.pearscale.protocol.MalformedMessageException;
 
 /**
- * Whether a machine is in maintenance, as the roster says it from level 1 on.
+ * The maintenance state of a machine, which machine records hold from schema level 1 on.
  *
- * @param stage how far it is
+ * @param stage how far it is on its way out of service and back
  * @param drain the drain that asked for it; empty when there is none
  */
 public record Maintenance(Stage stage, String drain) {
@@ -13,11 +13,11 @@
   public enum Stage {
     /** In service. */
     IN_SERVICE(""),
-    /** Gets no new tasks, while those that it has are moved as budgets allow. */
+    /** Gets no new tasks, while those on it are moved as disruption budgets allow. */
     CORDONED("c"),
     /** Empty and out of service. */
     DRAINED("d"),
-    /** Back in service, with nothing cached: no urgent work until it has shown that it works. */
+    /** Back in service with an empty cache: no urgent work until it has proven to work. */
     PROBATION("p");
 
     private final String code;
@@ -32,22 +32,22 @@
 
   private static final char SEPARATOR = ':';
 
-  /** Whether there is anything to say. */
+  /** Whether the machine is in service, and not in probation either. */
   public boolean isInService() {
     return stage == Stage.IN_SERVICE;
   }
 
-  /** Whether the machine may get tasks at all. */
+  /** Whether tasks may be placed on the machine. */
   public boolean isSchedulable() {
     return stage == Stage.IN_SERVICE || stage == Stage.PROBATION;
   }
 
-  /** The form in which it is stored. */
+  /** The stored form; empty in service. */
   String encode() {
     return isInService() ? "" : stage.code + SEPARATOR + drain;
   }
 
-  /** Reads the stored form. */
+  /** Decodes the stored form. */
   static Maintenance parse(String text) throws MalformedMessageException {
     if (text.isEmpty()) {
       return IN_SERVICE;
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -13,31 +13,31 @@
 import java.util.Optional;
 
 /**
- * The form in which one value holds what is known of the tasks of many jobs: which are done, and
- * for each other one the machine that it may be on. The mark is durable before the start command is
- * sent, so that a new leader need hold a task back for that one machine alone.
+ * Codec of values of placement records: for each task of a partition whether it is done, and if not
+ * the machine that it may be on. The record is durable before the start command is sent, so a new
+ * leader need hold a task back for that one machine alone.
  */
 public final class PlacementRecordCodec {
   private static final int MAX_POSITIONAL_REFERENCE = 0xffff;
 
-  /** Done tasks, hosts, three amounts and a team. */
+  /** Done tasks, machine references, three amounts and a team. */
   private static final int FIELDS_WITH_QUOTA_CLAIM = 6;
 
-  /** Quotes, colon and comma of an entry. */
+  /** Quotes, colon and comma of an entry, in bytes. */
   private static final int JSON_PUNCTUATION_LENGTH = 6;
 
-  /** Between a job and the number of its part, where machines are named by place. */
+  /** Between a job and the number of its partition, in the positional layout. */
   private static final char PARTITION_NUMBER_SEPARATOR = '/';
 
-  /** Between a job and its part's first task, where machines are named by number. */
+  /** Between a job and its partition's first task, in the numbered layout. */
   private static final char FIRST_TASK_SEPARATOR = ':';
 
   /**
-   * One part of a job.
+   * The placement record of one partition of a job.
    *
-   * @param firstTask the part's first task
-   * @param doneTasks tasks that are done, numbered from the first
-   * @param machineReferences for each task the number of the machine that it may be on, or 0
+   * @param firstTask index of the partition's first task
+   * @param doneTasks tasks that are done, counted from the first
+   * @param machineReferences for each task the reference to the machine that it may be on, or 0
    * @param quotaClaim what each task takes of its team's limit, if there is one: a job that is
    *     cancelled is described nowhere else, while its tasks still count
    */
@@ -48,11 +48,11 @@
       int[] machineReferences,
       Optional<QuotaClaim> quotaClaim) {}
 
-  /** What a task takes, and of which team's limit. */
+  /** What each task takes of a team's quota. */
   public record QuotaClaim(String team, double cpus, double gpus, double memoryGb) {
     private static final int MAX_NUMBER_LENGTH = 24;
 
-    /** How much longer a part's entry becomes by it. */
+    /** Upper bound in bytes for what it adds to a record. */
     public int maximumSize() {
       return team.length() + 3 * MAX_NUMBER_LENGTH + 4;
     }
@@ -64,7 +64,7 @@
 
   private PlacementRecordCodec() {}
 
-  /** The number by which marks name the machine at a place of the roster. */
+  /** The reference to the machine in a slot, in the positional layout: from 1 to 65,535. */
   public static int positionalReference(int value, int position, int slotsPerValue) {
     int reference = value * slotsPerValue + position + 1;
     if (reference > MAX_POSITIONAL_REFERENCE) {
@@ -73,7 +73,7 @@
     return reference;
   }
 
-  /** How large the entry of a part with so many tasks may become. */
+  /** Upper bound in bytes for the record of a partition with so many tasks. */
   public static int maximumSize(String job, int taskCount, RecordLayout layout) {
     return job.length()
         + 24
@@ -85,7 +85,7 @@
     return (bytes + 2) / 3 * 4;
   }
 
-  /** Encodes a value in the form of the layout. */
+  /** Encodes a value in the layout's form. */
   public static JsonNode encode(Collection<PartitionRecord> partitions, RecordLayout layout) {
     ObjectNode value = MessagePack.map();
     Base64.Encoder base64 = Base64.getEncoder().withoutPadding();
@@ -109,7 +109,7 @@
         : partition.job + FIRST_TASK_SEPARATOR + partition.firstTask;
   }
 
-  /** The numbers, the highest byte first, up to the last one that is not 0. */
+  /** The references, big-endian, up to the last one that is not 0. */
   private static byte[] encodeReferences(int[] references, int width) {
     int count = 0;
     for (int i = 0; i < references.length; i++) {
@@ -123,7 +123,7 @@
     return bytes;
   }
 
-  /** How long an encoded value is as JSON, without writing it out for that. */
+  /** Length of an encoded value as JSON, without serialising it. */
   public static int jsonLength(JsonNode value) {
     int length = 2;
     for (var fields = value.fields(); fields.hasNext(); ) {
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -4,20 +4,20 @@
 import java.util.Optional;
 
 /**
- * How the records of machines and tasks are laid out over keys. A layout has keys of its own, so
- * that what stands in the other one is never rewritten: it is copied, value by value, and removed
- * once nothing depends on it. Values of any size can be removed, but only small ones be written.
+ * How the records of machines and tasks are laid out over keys. Each layout has keys of its own:
+ * records of the other one are never rewritten but copied, value by value, and deleted once nothing
+ * depends on them. That works for values of any size, while only short ones can be written.
  */
 public enum RecordLayout {
   /**
-   * Below level 2. Marks name a machine by its place in the roster, so a machine stays where it is;
-   * parts of jobs have up to 1,024 tasks.
+   * Below schema level 2. Placement records refer to a machine by its slot in the machine records,
+   * so a machine keeps its slot. Partitions of jobs have up to 1,024 tasks.
    */
   POSITIONAL("c/marks/", "c/roster/", 1024, 2),
 
   /**
-   * From level 2 on. Each machine has a number of its own, by which marks name it, so machines can
-   * be recorded anywhere; parts of jobs are small enough for values of 2 KiB.
+   * From schema level 2 on. Placement records refer to a machine by a number of its own, so its
+   * record can stand in any slot. Partitions of jobs are small enough for values of 2 KiB.
    */
   NUMBERED("c/placements/", "c/machines/", 256, 3);
 
@@ -35,17 +35,17 @@
     this.machineReferenceBytes = numberBytes;
   }
 
-  /** The layout that is written at a level. */
+  /** The layout that is written at a schema level. */
   public static RecordLayout ofLevel(int level) {
     return level < FIRST_NUMBERED_LEVEL ? POSITIONAL : NUMBERED;
   }
 
-  /** The layout whose marks the key holds; empty for another key. */
+  /** The layout whose placement records the key holds; empty for another key. */
   public static Optional<RecordLayout> ofPlacementKey(String key) {
     return Arrays.stream(values()).filter(l -> key.startsWith(l.placementPrefix)).findFirst();
   }
 
-  /** The layout whose roster the key belongs to; empty for another key. */
+  /** The layout whose machine records the key holds; empty for another key. */
   public static Optional<RecordLayout> ofMachineKey(String key) {
     return Arrays.stream(values()).filter(l -> key.startsWith(l.machinePrefix)).findFirst();
   }
@@ -55,32 +55,32 @@
     return key.startsWith(placementPrefix) || key.startsWith(machinePrefix);
   }
 
-  /** What the keys of all marks begin with. */
+  /** Prefix of the keys of placement records. */
   public String placementPrefix() {
     return placementPrefix;
   }
 
-  /** What the keys of the whole roster begin with. */
+  /** Prefix of the keys of machine records. */
   public String machinePrefix() {
     return machinePrefix;
   }
 
-  /** The key of a value of marks. */
+  /** The key of a value of placement records. */
   public String placementKey(int number) {
     return placementPrefix + number;
   }
 
-  /** The key of a value of the roster. */
+  /** The key of a value of machine records. */
   public String machineKey(int number) {
     return machinePrefix + number;
   }
 
-  /** The most tasks of one part of a job. */
+  /** The most tasks of one partition of a job. */
   public int tasksPerPartition() {
     return tasksPerPartition;
   }
 
-  /** How many bytes the number of a machine takes in marks. */
+  /** Bytes of a reference to a machine in placement records. */
   int machineReferenceBytes() {
     return machineReferenceBytes;
   }
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -15,9 +15,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds a copy of the watched keys. Two ways feed it: a long watch, for speed, and short watches
- * that were sent after somebody asked (barriers), for answers that must not be older than their
- * question. Both may overlap: what is not newer than the copy is passed over.
+ * Holds a replica of the watched keys. It is fed by a long-poll watch, for speed, and by read
+ * barriers, short watches sent after a read was requested, for linearizable reads. Their replies may
+ * overlap: what is not newer than the replica is passed over.
  */
 public final class StoreReplicaActor extends Actor<StoreReplicaActor.Message> {
   private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(2);
@@ -26,21 +26,21 @@
   private static final Duration BARRIER_INTERVAL = Duration.ofMillis(150);
   private static final int PAGE_SIZE = 500;
 
-  /** A key's value and revision. */
+  /** A key's value and its mod revision. */
   public record Entry(JsonNode value, long revision) {}
 
-  /** One changed key; no entry when it was dropped. */
+  /** One changed key; no entry if it was deleted. */
   public record KeyChange(String key, Optional<Entry> entry) {}
 
-  /** What the actor understands. */
+  /** A message to the actor. */
   public sealed interface Message {}
 
-  /** Begins to load. */
+  /** Starts to load a snapshot. */
   public record Start() implements Message {}
 
   /**
-   * Asks for a key as it is now or later than now; the answer is empty when the state service could
-   * not tell.
+   * Reads a key as it is when the read is requested, or later. The callback gets an outer empty
+   * value if the store could not be asked, and an inner one if the key does not exist.
    */
   public record LinearizableRead(String key, Consumer<Optional<Optional<Entry>>> callback)
       implements Message {}
@@ -55,15 +55,15 @@
 
   private record SendBarrier() implements Message {}
 
-  /** Takes what changed: first everything, then each batch of changes. */
+  /** Receives the replica's content: first a snapshot, then each batch of changes. */
   public interface Listener {
-    /** The copy was loaded anew. */
+    /** A new snapshot was loaded, as of that revision of the store. */
     void onSnapshotLoaded(Map<String, Entry> all, long storeRevision);
 
-    /** Keys changed, in order. */
+    /** Keys changed, in order, up to that revision of the store. */
     void onKeysChanged(List<KeyChange> changes, long storeRevision);
 
-    /** All that had changed by then has been told. */
+    /** Everything that had changed by then has been delivered. */
     void onUpToDate(Instant asOf);
   }
 
@@ -79,14 +79,14 @@
   private long snapshotRevision = -1;
   private TreeMap<String, Entry> snapshot = new TreeMap<>();
 
-  /** Reads from the given service. */
+  /** Creates a replica that is not loaded yet. */
   public StoreReplicaActor(EventLoop loop, KeyValueStoreClient store, RandomGenerator random) {
     super(loop);
     this.store = store;
     this.random = random;
   }
 
-  /** Adds one who is told of changes; before the start only. */
+  /** Adds a listener; before the start only. */
   public void addListener(Listener listener) {
     listeners.add(listener);
   }
@@ -131,7 +131,7 @@
       return;
     }
     if (snapshotRevision < 0) {
-      // Changes since the first page are watched for; they mend what later pages saw too early.
+      // The watch starts at the first page: it corrects what later pages show too early.
       snapshotRevision = reply.body().path("epoch").asLong();
     }
     int sizeBefore = snapshot.size();
@@ -169,7 +169,7 @@
     boolean valid = reply.ok() && applyWatchReply(reply);
     if (valid && !loaded) {
       loaded = true;
-      log.info("event=replica_loaded keys={} epoch={}", entries.size(), storeRevision);
+      log.info("event=replica_loaded keys={} revision={}", entries.size(), storeRevision);
       Map<String, Entry> snapshotEntries = new TreeMap<>(entries);
       listeners.forEach(l -> l.onSnapshotLoaded(snapshotEntries, storeRevision));
       if (!pendingReads.isEmpty()) {
@@ -189,7 +189,7 @@
         });
   }
 
-  /** Applies a watch's answer; false when it is not one. */
+  /** Applies a watch's reply; false if it is malformed. */
   private boolean applyWatchReply(Reply reply) {
     JsonNode body = reply.body();
     if (!body.path("epoch").isIntegralNumber() || !body.path("events").isArray()) {
--- a/src/main/java/io/pearscale/storage/TokenBucket.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -4,14 +4,14 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A rate with a burst of one second's worth. */
+/** A token bucket: a rate limit with a burst of one second's worth, and of one at least. */
 public final class TokenBucket {
   private final EventLoop loop;
   private final double ratePerSecond;
   private double tokens;
   private Instant lastRefill;
 
-  /** Allows so many a second. */
+  /** Creates a full bucket that refills by so many tokens per second. */
   public TokenBucket(EventLoop loop, double perSecond) {
     this.loop = loop;
     this.ratePerSecond = perSecond;
@@ -26,13 +26,13 @@
     lastRefill = now;
   }
 
-  /** Whether so many are left. */
+  /** Whether so many tokens are left. */
   public boolean canAcquire(int count) {
     refill();
     return tokens >= count;
   }
 
-  /** Takes so many, or none. A batch over the burst is allowed from a full budget. */
+  /** Takes so many tokens, or none. A batch over the burst is allowed from a full bucket. */
   public boolean tryAcquire(int count) {
     refill();
     if (tokens < count && tokens < Math.max(1, ratePerSecond) - 0.001) {
--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -1,13 +1,13 @@
 package io.pearscale.upgrade;
 
 /**
- * What a build can do only from some level of the stored state on; before, it takes the old way.
+ * What can be used only from some schema level on; below it, a build behaves as before.
  */
 public enum Feature {
-  /** The roster says of a machine whether it is being emptied for maintenance. */
+  /** Machine records hold the machine's maintenance state. */
   MACHINE_MAINTENANCE(1, "can't say that machines are in maintenance: "),
 
-  /** Jobs whose tasks run all together. */
+  /** Gang jobs, whose tasks run all together. */
   GANG_JOBS(2, "has no gang jobs: "),
 
   /** Jobs of any size are recorded in values of 2 KiB. */
@@ -21,17 +21,17 @@
     this.limitation = lacking;
   }
 
-  /** The level that it needs. */
+  /** The lowest schema level at which it may be used. */
   public int requiredLevel() {
     return requiredLevel;
   }
 
-  /** What a level below lacks, to be followed by names. */
+  /** What a lower level lacks; to be followed by names. */
   String limitation() {
     return limitation;
   }
 
-  /** Whether it may be used under the level. */
+  /** Whether it may be used at the level. */
   public boolean isEnabledAt(SchemaLevel inForce) {
     return inForce.writtenLevel() >= requiredLevel;
   }
--- a/src/main/java/io/pearscale/upgrade/LevelGate.java
+++ b/src/main/java/io/pearscale/upgrade/LevelGate.java
@@ -8,15 +8,17 @@
 import java.util.OptionalLong;
 
 /**
- * Decides from the stored level whether this controller may lead, write and speak for what is
- * stored. Every write is guarded by the stamp of the level that it was made under, so a controller
- * that has missed a switch, or stood still in it, changes nothing.
+ * Decides from the stored schema level whether this controller may lead, write, and answer for
+ * stored state.
+ *
+ * <p>Invariant: every write is conditional on the revision of the level under which it was decided,
+ * so a controller that has missed a change of level, or was suspended during it, changes nothing.
  *
  * <p>A level that can't be read is not taken for level 0: it was written by a later release, or is
  * damaged, and in both cases nothing is known of the other records' form.
  */
 public final class LevelGate {
-  /** The stamp of a key that does not exist. */
+  /** The revision of a key that does not exist. */
   private static final long ABSENT_REVISION = 0;
 
   private final SupportedLevels supported;
@@ -25,13 +27,13 @@
   private JsonNode stored = MessagePack.MISSING;
   private Optional<String> objection;
 
-  /** A gate for a build that supports those levels; until told otherwise level 0 is in force. */
+  /** Creates a gate for a build that supports those levels; level 0 is in force until updated. */
   public LevelGate(SupportedLevels supported) {
     this.supported = supported;
     this.objection = objectionTo(SchemaLevel.UNVERSIONED);
   }
 
-  /** The stored level has changed; empty when there is none. */
+  /** Applies a change of the stored level; empty if there is none any more. */
   public void update(Optional<JsonNode> value, long newRevision) {
     revision = value.isPresent() ? newRevision : ABSENT_REVISION;
     stored = value.orElse(MessagePack.MISSING);
@@ -39,20 +41,20 @@
   }
 
   /**
-   * The stamp that guards what is written under the level known here; empty when nothing may be
-   * written under it. A write that was decided before a switch and is sent after it must neither go
-   * out with the old stamp, nor, since it has the old form, with the new one.
+   * The level's revision, a precondition of every write; empty if nothing may be written. A write
+   * decided before a change of level and sent after it must neither go out under the old revision,
+   * nor, since it has the old form, under the new one.
    */
   public OptionalLong writeRevision() {
     return objection.isEmpty() ? OptionalLong.of(revision) : OptionalLong.empty();
   }
 
-  /** Why this controller must stay out; empty when it may take part. */
+  /** Why this controller must not take part; empty if it may. */
   public Optional<String> objection() {
     return objection;
   }
 
-  /** The level in force; without a meaning while there is an objection. */
+  /** The level in force; meaningless while there is an objection. */
   public SchemaLevel inForce() {
     return inForce;
   }
@@ -62,22 +64,22 @@
     return supported;
   }
 
-  /** Whether the build knows the feature, whichever level is in force. */
+  /** Whether the build supports the feature, whichever level is in force. */
   public boolean supports(Feature feature) {
     return supported.contains(feature.requiredLevel());
   }
 
-  /** Whether the feature may be used. */
+  /** Whether the feature may be used at the level in force. */
   public boolean isEnabled(Feature feature) {
     return feature.isEnabledAt(inForce);
   }
 
-  /** The record of the level as it is stored; missing if there is none. */
+  /** The stored record of the level; a missing node if there is none. */
   public JsonNode stored() {
     return stored;
   }
 
-  /** The record of the level once all records have the form that is written. */
+  /** The record to store once the migration to the written level is complete. */
   public ObjectNode migrationCompletedRecord() {
     return inForce.migrationCompleted().toNode(stored);
   }
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/MemberSupport.java
@@ -7,14 +7,14 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * What a controller says of its build. The record hangs on a grant that the running process renews,
- * so it is gone soon after the process has ended.
+ * What a controller announces of its build. The record is attached to a store lease that the running
+ * process renews, so it is gone soon after the process has ended.
  *
- * @param incarnation differs from one life of the process to the next
+ * @param incarnation identifies this process; another one has another incarnation
  * @param release the build's release, for people
  */
 public record MemberSupport(SupportedLevels levels, long incarnation, String release) {
-  /** Reads the record. */
+  /** Decodes the record. */
   public static MemberSupport parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     int lowest = (int) MessageFields.integer(map, "lowest", 0, Integer.MAX_VALUE);
@@ -25,7 +25,7 @@
         map.path("release").asText());
   }
 
-  /** The record. */
+  /** Encodes the record. */
   public ObjectNode toNode() {
     return MessagePack.map()
         .put("lowest", levels.lowest())
--- a/src/main/java/io/pearscale/upgrade/SchemaLevel.java
+++ b/src/main/java/io/pearscale/upgrade/SchemaLevel.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 
 /**
- * The level of stored state that is in force in a cluster, as the state service holds it.
+ * The schema level in force in a cluster, as it is stored.
  *
- * @param level records may have any form up to this level, so whoever takes part must be able to
- *     read it
+ * @param level records may have the form of any level up to this one, so whoever takes part must be
+ *     able to read them
  * @param writtenLevel the level whose forms are written; below {@code level} while a step is taken
  *     back
- * @param migrated whether all records have the form of {@code written}
- * @param pinned whether an operator has taken a step back: the level does not rise by itself
+ * @param migrated whether all records have the form of {@code writtenLevel}
+ * @param pinned whether an operator has rolled back: the level is not raised automatically
  */
 public record SchemaLevel(int level, int writtenLevel, boolean migrated, boolean pinned) {
-  /** In force where nothing is stored: the form from before there were levels. */
+  /** In force where no level is stored: the form from before there were levels. */
   public static final SchemaLevel UNVERSIONED = new SchemaLevel(0, 0, true);
 
   private static final String LEVEL_FIELD = "level";
@@ -26,17 +26,17 @@
   private static final String MIGRATED_FIELD = "migrated";
   private static final String PINNED_FIELD = "held";
 
-  /** A level that may rise by itself. */
+  /** Creates a level that may be raised automatically. */
   public SchemaLevel(int level, int written, boolean migrated) {
     this(level, written, migrated, /* held= */ false);
   }
 
-  /** The level that is in force, given what is stored, if anything is. */
+  /** The level in force, given the stored record, if there is one. */
   public static SchemaLevel fromStored(Optional<JsonNode> value) throws MalformedMessageException {
     return value.isEmpty() ? UNVERSIONED : parse(value.get());
   }
 
-  /** Reads the record; fields that a later release may add are passed over. */
+  /** Decodes the record; fields that a later release may add are ignored. */
   public static SchemaLevel parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     int level = (int) MessageFields.integer(map, LEVEL_FIELD, 0, Integer.MAX_VALUE);
@@ -46,7 +46,7 @@
     return new SchemaLevel(level, writtenLevel, migrated, map.path(PINNED_FIELD).asBoolean());
   }
 
-  /** Adds the record's fields to what else is stored beside them. */
+  /** Encodes the record; other stored fields are kept. */
   public ObjectNode toNode(JsonNode stored) {
     ObjectNode node = stored.isObject() ? stored.deepCopy() : MessagePack.map();
     return node.put(LEVEL_FIELD, level)
@@ -55,27 +55,27 @@
         .put(PINNED_FIELD, pinned);
   }
 
-  /** A higher level, whose forms are written from now on. */
+  /** An upgrade to a higher level, whose form is written from then on. */
   public SchemaLevel upgradedTo(int higher) {
     return new SchemaLevel(higher, higher, false);
   }
 
-  /** The level's own forms are written again, after a step that was to be taken back. */
+  /** A rollback taken back: the level's own form is written again. */
   public SchemaLevel resumed() {
     return new SchemaLevel(level, level, false);
   }
 
-  /** The forms of the level below are written; it comes into force when all records have them. */
+  /** A rollback: the form of the level below is written, which comes into force once migrated. */
   public SchemaLevel rollingBack() {
     return new SchemaLevel(level, level - 1, false, /* held= */ true);
   }
 
-  /** All records have the form that is written. */
+  /** The migration is complete: the written level is in force. */
   public SchemaLevel migrationCompleted() {
     return new SchemaLevel(writtenLevel, writtenLevel, true, pinned);
   }
 
-  /** Whether a step is being taken back. */
+  /** Whether a rollback is under way. */
   public boolean isRollingBack() {
     return writtenLevel < level;
   }
--- a/src/main/java/io/pearscale/upgrade/SupportedLevels.java
+++ b/src/main/java/io/pearscale/upgrade/SupportedLevels.java
@@ -1,14 +1,13 @@
 package io.pearscale.upgrade;
 
 /**
- * The levels of stored state that a build can read and write, both ends included. A level stands
- * for the forms of all records together; a release that changes the form of any record adds one.
+ * The schema levels that a build can read and write, both ends inclusive. A level stands for the
+ * form of all records together; a release that changes the form of any record adds one.
  */
 public record SupportedLevels(int lowest, int highest) {
   /**
-   * What this build supports. Level 0 is the form from before there were levels; level 1 says of
-   * each machine whether it is in maintenance; level 2 has gang jobs, and records that fit small
-   * values.
+   * What this build supports. Level 0 is the form from before there were levels; level 1 adds each
+   * machine's maintenance state; level 2 adds gang jobs, and records that fit small values.
    */
   public static final SupportedLevels OF_THIS_BUILD = new SupportedLevels(0, 2);
 
@@ -19,7 +18,7 @@
     }
   }
 
-  /** The same without the levels above that one, as a build before them supported. */
+  /** The same without the levels above that one, as an earlier build supported. */
   public SupportedLevels upTo(int highestAllowed) {
     return new SupportedLevels(Math.min(lowest, highestAllowed), Math.min(highest, highestAllowed));
   }
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -7,13 +7,13 @@
 import java.util.TreeSet;
 
 /**
- * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at
- * one moment; whoever carries a step out guards it by the stamps of what was read.
+ * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at one
+ * moment; whoever carries a step out makes it conditional on the revisions of what was read.
  *
- * @param inForce the level as it is stored
+ * @param inForce the stored schema level
  * @param hosts all configured controllers
- * @param members what the controllers that run say of themselves
- * @param incompatibleRecords what the records say that can be said from a feature's level on only
+ * @param members what running controllers announce, by host
+ * @param incompatibleRecords what is recorded that only levels with a feature can express
  */
 public record UpgradePlan(
     SchemaLevel inForce,
@@ -21,23 +21,23 @@
     Map<String, MemberSupport> members,
     Map<Feature, List<String>> incompatibleRecords) {
 
-  /** What comes of a wish. */
+  /** The outcome of a request for a step. */
   public sealed interface Outcome {}
 
-  /** The level is to become this. */
+  /** The level is to become this one. */
   public record LevelChange(SchemaLevel next) implements Outcome {}
 
-  /** Nothing is to be done, and why. */
+  /** Nothing is to be done, with the reason. */
   public record NoChange(String reason) implements Outcome {}
 
-  /** The step must not be taken, and why. */
+  /** The step must not be taken, with the reasons. */
   public record Refusal(List<String> reasons) implements Outcome {}
 
   /**
    * Raises the level by one.
    *
    * @param build what the operator's own build supports
-   * @param confirmedAbsent controllers that are away, which the operator vouches for
+   * @param confirmedAbsent controllers that are down, as the operator confirms
    */
   public Outcome finalise(SupportedLevels build, Set<String> confirmedAbsent) {
     int target = inForce.isRollingBack() ? inForce.level() : inForce.level() + 1;
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Raises the level by itself, in one step to the highest that all controllers support, once each
-   * of them has said so. After an operator has taken a step back, none is taken by itself.
+   * Raises the level automatically, in one step to the highest that all controllers support, once
+   * each of them has announced it. After an operator's rollback nothing is raised automatically.
    *
    * @param build what the leader's own build supports
    */
@@ -78,7 +78,7 @@
     return reasons.isEmpty() ? new LevelChange(inForce.upgradedTo(target)) : new Refusal(reasons);
   }
 
-  /** Takes the last step back: the records get the forms of the level below. */
+  /** Rolls the last step back: the records are migrated to the form of the level below. */
   public Outcome rollback(SupportedLevels build) {
     if (inForce.level() == 0) {
       return new NoChange("level 0 is in force, there is nothing to take back");
@@ -108,7 +108,7 @@
     return reasons.isEmpty() ? new LevelChange(inForce.rollingBack()) : new Refusal(reasons);
   }
 
-  /** What holds the level up; empty when all controllers support it. */
+  /** Why the level can't be raised yet; empty if all controllers support it. */
   private List<String> objectionsTo(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
     for (String host : new TreeSet<>(hosts)) {
@@ -129,7 +129,7 @@
     return reasons;
   }
 
-  /** What an operator does next. */
+  /** The operator's next step, for display. */
   public String nextStep(SupportedLevels build) {
     if (inForce.isRollingBack()) {
       return "wait until level " + inForce.writtenLevel() + " is in force, or finalise again";
