--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -13,25 +13,25 @@
 import java.util.List;
 
 /**
- * A task that was stopped, or is about to be, and does not run again yet.
+ * A disruption of a task: it was stopped, or is about to be, and does not run again yet.
  *
- * @param voluntary whether it was our choice: such a one is durable before its stop is sent
- * @param lostWork work that is done again
+ * @param voluntary whether the scheduler chose it; then it is durable before the stop command is sent
+ * @param lostWork running time that has to be repeated
  */
 public record Disruption(
     TaskId task, String team, String jobClass, boolean voluntary, Duration lostWork) {
   private static final String LIST_FIELD = "d";
   private static final int FIELDS_PER_ENTRY = 4;
 
-  /** What its entry takes beside its texts. */
+  /** Bytes of an entry beside its texts. */
   private static final int ENTRY_OVERHEAD = 48;
 
-  /** How large its entry is at most. */
+  /** Upper bound in bytes for its entry. */
   public int maximumSize() {
     return ENTRY_OVERHEAD + task.toString().length() + team.length() + jobClass.length();
   }
 
-  /** Encodes a value that holds some. */
+  /** Encodes a value of several disruptions. */
   public static JsonNode encode(Collection<Disruption> disruptions) {
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray(LIST_FIELD);
--- a/src/main/java/io/pearscale/drain/DisruptionBudget.java
+++ b/src/main/java/io/pearscale/drain/DisruptionBudget.java
@@ -14,13 +14,13 @@
 public record DisruptionBudget(String team, Optional<String> jobClass, Kind kind, double amount) {
   /** What a budget bounds. */
   public enum Kind {
-    /** Tasks that are down at once. */
+    /** The most tasks that may be unavailable at once. */
     MAX_UNAVAILABLE("most-down"),
-    /** The share of all tasks that are down at once. */
+    /** The largest share of all tasks that may be unavailable at once. */
     MAX_UNAVAILABLE_SHARE("most-down-share"),
-    /** Tasks that stay up. */
+    /** The fewest tasks that must stay available. */
     MIN_AVAILABLE("least-up"),
-    /** Seconds of work, not saved, that are lost by what is down at once. */
+    /** The most seconds of work without a checkpoint that may be lost at once. */
     MAX_LOST_WORK_SECONDS("most-lost-s");
 
     private final String text;
@@ -46,17 +46,17 @@
   }
 
   /**
-   * What a group of tasks is like.
+   * How many tasks of a group are available.
    *
    * @param total tasks that should run
-   * @param unavailable those that do not, or are about to be stopped
-   * @param lostWork the work that is lost with them
+   * @param unavailable those that do not run, or are about to be stopped
+   * @param lostWork running time that is lost with them
    */
   public record Availability(int total, int unavailable, Duration lostWork) {
     /** No tasks. */
     public static final Availability NONE = new Availability(0, 0, Duration.ZERO);
 
-    /** With another group of tasks. */
+    /** The sum with another group of tasks. */
     public Availability plus(Availability other) {
       return new Availability(
           total + other.total, unavailable + other.unavailable, lostWork.plus(other.lostWork));
@@ -66,22 +66,22 @@
   /** In place of a team's name: each team that has no budget of its own. */
   public static final String ANY_TEAM = "*";
 
-  /** A default's budget for one team. */
+  /** This default budget applied to one team. */
   DisruptionBudget forTeam(String name) {
     return new DisruptionBudget(name, jobClass, kind, amount);
   }
 
-  /** Whether it is meant for teams without a budget of their own. */
+  /** Whether it is the default for teams without a budget of their own. */
   boolean isDefault() {
     return team.equals(ANY_TEAM);
   }
 
-  /** Whether the budget is for tasks of that team and class. */
+  /** Whether the budget covers tasks of that team and class. */
   public boolean covers(String ofTeam, String ofClass) {
     return team.equals(ofTeam) && jobClass.map(c -> c.equals(ofClass)).orElse(true);
   }
 
-  /** Why a load is more than the budget allows; empty if it is not. */
+  /** Why the budget does not allow that availability; empty if it does. */
   public Optional<String> objection(Availability availability) {
     boolean allowed =
         switch (kind) {
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -14,9 +14,9 @@
 import java.util.function.Predicate;
 
 /**
- * Counts what is disrupted against the budgets. A disruption counts from the decision on, until its
- * task is seen running again or is over; what machines or higher work took counts as well, so that
- * what is our choice waits for it.
+ * Counts disruptions against the budgets. A disruption counts from the decision until its task is
+ * observed running again or is over. Involuntary ones, by lost machines or preemption, count as
+ * well, so that voluntary ones wait for them.
  */
 public final class DisruptionLedger {
   /** The tasks of a team and class. */
@@ -27,12 +27,12 @@
   private Map<Group, Availability> availabilityByGroup = Map.of();
   private Optional<String> blockedReason = Optional.empty();
 
-  /** A ledger that knows of no disruptions. */
+  /** Creates a ledger without disruptions. */
   public DisruptionLedger(List<DisruptionBudget> budgets) {
     this.budgets = List.copyOf(budgets);
   }
 
-  /** A term begins: what a predecessor has recorded counts as spent until shown otherwise. */
+  /** Begins a term: recorded disruptions of predecessors count until their tasks run again. */
   public void beginTerm(Collection<Disruption> recorded) {
     open.clear();
     availabilityByGroup = Map.of();
@@ -40,12 +40,12 @@
     recorded.forEach(disruption -> open.put(disruption.task(), disruption));
   }
 
-  /** What was spent can't be read: nothing more may be. */
+  /** Refuses all further disruptions in this term, since those recorded can't be read. */
   public void blockAll(String reason) {
     blockedReason = Optional.of(reason);
   }
 
-  /** Disruptions that count. */
+  /** The disruptions that count. */
   public Collection<Disruption> open() {
     return Collections.unmodifiableCollection(open.values());
   }
@@ -55,12 +55,12 @@
     return open.containsKey(task);
   }
 
-  /** Counts a disruption that nobody asked the budgets for. */
+  /** Counts an involuntary disruption. */
   public void recordInvoluntary(Disruption disruption) {
     open.putIfAbsent(disruption.task(), disruption);
   }
 
-  /** Ends those of tasks that run again or are over, and returns them. */
+  /** Closes the disruptions of matching tasks, and returns them. */
   public List<Disruption> closeIf(Predicate<TaskId> isOver) {
     List<Disruption> closed = new ArrayList<>();
     for (Disruption disruption : List.copyOf(open.values())) {
@@ -73,21 +73,21 @@
   }
 
   /**
-   * What the groups are like now.
+   * Updates the availability of all groups.
    *
-   * @param current what is down includes all that is open here
+   * @param current availability by group; what is unavailable includes all disruptions that are open
    */
   public void updateAvailability(Map<Group, Availability> current) {
     availabilityByGroup = new HashMap<>(current);
   }
 
-  /** How the task is disrupted; empty if it is not. */
+  /** The task's open disruption, if any. */
   public Optional<Disruption> find(TaskId task) {
     return Optional.ofNullable(open.get(task));
   }
 
   /**
-   * Asks for a disruption of a task that runs, and counts it if it is granted.
+   * Requests the disruption of a running task, and counts it if it is granted.
    *
    * @return why it is refused; empty if it is granted
    */
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Asks for the disruption of several tasks of one job, and counts all of them or none.
+   * Requests the disruption of several tasks of one job, and counts all of them or none.
    *
    * @return why they are refused; empty if they are granted
    */
@@ -141,7 +141,7 @@
     return own.isEmpty() ? defaults : own;
   }
 
-  /** What the tasks are like that a budget covers. */
+  /** The availability of the tasks that a budget covers. */
   public Availability availabilityUnder(DisruptionBudget budget) {
     Availability sum = new Availability(0, 0, Duration.ZERO);
     for (Map.Entry<Group, Availability> entry : availabilityByGroup.entrySet()) {
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -2,38 +2,33 @@
 
 import io.pearscale.protocol.TaskId;
 import io.pearscale.storage.Maintenance;
-import io.pearscale.storage.Maintenance.Stage;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
-import java.util.Deque;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 
 /**
  * Decides what drains do next: which machines are cordoned, which tasks are stopped, which machines
- * are out of service or back in it. Pure but for its turn, which lets the drains share the budgets:
- * each round another one is asked first, and they are granted one task after the other in turn.
+ * are taken out of service or put back. Its only state is the rotation, by which drains share the
+ * budgets: each round another one goes first, and tasks are granted to them round robin.
  */
 public final class DrainPlanner {
-  /** What ends by itself within that time is waited for. */
+  /** A task that is expected to end within this time is waited for instead of stopped. */
   static final Duration MAX_WAIT_FOR_COMPLETION = Duration.ofSeconds(60);
 
   /**
    * A task that is, or may be, on a machine.
    *
-   * @param running whether it is seen running
-   * @param stopping whether it is about to be stopped, for whatever reason
-   * @param remaining what it still takes, if that is known: services have no end
-   * @param lostWork the work that a stop would lose
-   * @param gangMembers the other tasks of its gang: they end with it, wherever they are
+   * @param running whether it was observed running
+   * @param stopping whether it is being stopped, for whatever reason
+   * @param remaining expected time until it ends, if known; services have no end
+   * @param lostWork running time that a stop would lose
+   * @param gangMembers the other tasks of its gang: they are stopped with it, on whichever machine
    */
   public record TaskView(
       TaskId task,
@@ -45,7 +40,7 @@
       Duration lostWork,
       List<TaskId> gangMembers) {
 
-    /** What a stop disrupts. */
+    /** The disruptions that stopping it causes. */
     List<Disruption> disruptions() {
       List<Disruption> all = new ArrayList<>();
       all.add(disruption(task));
@@ -61,8 +56,8 @@
   /**
    * A machine as it is now.
    *
-   * @param maintenanceDurable whether its maintenance is durable
-   * @param reachable whether it is up, and heard lately
+   * @param maintenanceDurable whether its maintenance state is durably recorded
+   * @param reachable whether it is up and responsive
    */
   public record MachineView(
       String name,
@@ -73,26 +68,26 @@
 
   /** A drain, and the names of its machines. */
   public record Drain(DrainRequest request, List<String> machines) {
-    /** Whether it goes on, now or later. */
+    /** Whether it is not cancelled, and its deadline has not passed. */
     public boolean isActive(Instant now) {
       return request.desiredState() != DrainRequest.DesiredState.CANCEL
           && now.isBefore(request.deadline());
     }
   }
 
-  /** Looks for room elsewhere. */
+  /** Finds capacity for tasks on other machines. */
   public interface ReplacementCapacity {
-    /** Sets room aside for the task; says why there is none. */
+    /** Reserves capacity for the task; returns why there is none, or empty if it is reserved. */
     Optional<String> reserve(TaskView task);
   }
 
   /**
-   * What is to be done.
+   * What is to be done in this round.
    *
-   * @param maintenanceChanges the maintenance that machines get
-   * @param tasksToStop tasks to be stopped, for which the ledger has granted it
-   * @param machinesToRelease machines that are empty and not to be held
-   * @param tasksWithoutCapacity tasks for which there is no room elsewhere
+   * @param maintenanceChanges new maintenance states, by machine
+   * @param tasksToStop tasks to be stopped, whose disruptions the ledger has granted
+   * @param machinesToRelease empty machines to be terminated
+   * @param tasksWithoutCapacity tasks for which there is no capacity elsewhere
    */
   public record Plan(
       Map<String, Maintenance> maintenanceChanges,
@@ -104,13 +99,13 @@
   private final Map<String, MaintenanceWindow> windows;
   private int rotation;
 
-  /** A planner for drains in those windows. */
+  /** Creates a planner; the windows are by name. */
   public DrainPlanner(Map<String, MaintenanceWindow> windows) {
     this.windows = Map.copyOf(windows);
   }
 
   /**
-   * Decides.
+   * Plans the next round.
    *
    * @param machines all machines, by name
    * @param now the time of day: it says when windows are open and deadlines are over
@@ -128,14 +123,14 @@
             new ArrayList<>(),
             new ArrayList<>(),
             new LinkedHashMap<>());
-    List<Round> rounds = new ArrayList<>();
+    List<DrainRound> rounds = new ArrayList<>();
     for (Drain drain : rotated(drains)) {
-      Round round = new Round(drain, machines, plan, ledger, now);
+      DrainRound round = new DrainRound(windows, drain, machines, plan, ledger, now);
       round.decideOnMachines();
       rounds.add(round);
     }
     grantRoundRobin(rounds, ledger, capacity);
-    rounds.forEach(round -> plan.statuses.put(round.request.id(), round.status()));
+    rounds.forEach(round -> plan.statuses.put(round.drainId(), round.status()));
     return plan;
   }
 
@@ -148,231 +143,15 @@
     return ordered;
   }
 
-  /** One task of each drain after the other, until none is left that the budgets allow. */
+  /** Asks for one task of each drain after the other, until no candidate is left. */
   private static void grantRoundRobin(
-      List<Round> rounds, DisruptionLedger ledger, ReplacementCapacity capacity) {
+      List<DrainRound> rounds, DisruptionLedger ledger, ReplacementCapacity capacity) {
     boolean left = true;
     while (left) {
       left = false;
-      for (Round round : rounds) {
+      for (DrainRound round : rounds) {
         left |= round.grantNext(ledger, capacity);
       }
     }
   }
-
-  /** What is decided of one drain. */
-  private final class Round {
-    private final DrainRequest request;
-    private final Drain drain;
-    private final Map<String, MachineView> machines;
-    private final Plan plan;
-    private final DisruptionLedger ledger;
-    private final Instant now;
-    private final Deque<TaskView> candidates = new ArrayDeque<>();
-    private final Set<String> reasons = new LinkedHashSet<>();
-    private int inService;
-    private int cordoned;
-    private int drained;
-    private int released;
-    private int remainingTasks;
-    private boolean paused;
-
-    Round(
-        Drain drain,
-        Map<String, MachineView> machines,
-        Plan plan,
-        DisruptionLedger ledger,
-        Instant now) {
-      this.drain = drain;
-      this.request = drain.request;
-      this.machines = machines;
-      this.plan = plan;
-      this.ledger = ledger;
-      this.now = now;
-    }
-
-    private boolean isCancelled() {
-      return request.desiredState() == DrainRequest.DesiredState.CANCEL;
-    }
-
-    private boolean isPastDeadline() {
-      return !now.isBefore(request.deadline());
-    }
-
-    void decideOnMachines() {
-      paused = isPaused();
-      List<MachineView> machinesInService = new ArrayList<>();
-      for (String name : drain.machines) {
-        MachineView machine = machines.get(name);
-        if (machine == null) {
-          released++;
-        } else if (!machine.maintenance.drain().equals(request.id())) {
-          inService++;
-          machinesInService.add(machine);
-        } else {
-          decideOn(machine);
-        }
-      }
-      if (!paused && !isCancelled() && !isPastDeadline()) {
-        cordonNext(machinesInService);
-      }
-    }
-
-    /** Whether nothing may be begun now. */
-    private boolean isPaused() {
-      if (request.desiredState() == DrainRequest.DesiredState.PAUSE) {
-        reasons.add("an operator has paused it");
-        return true;
-      }
-      if (request.window().isEmpty()) {
-        return false;
-      }
-      MaintenanceWindow window = windows.get(request.window().get());
-      if (window == null) {
-        reasons.add("no window is called " + request.window().get());
-        return true;
-      }
-      if (!window.isOpen(now)) {
-        reasons.add(
-            "window %s opens at %s"
-                .formatted(
-                    window.name(),
-                    window.nextOpening(now).map(Instant::toString).orElse("no time")));
-        return true;
-      }
-      return false;
-    }
-
-    private void decideOn(MachineView machine) {
-      switch (machine.maintenance.stage()) {
-        case CORDONED -> decideOnCordoned(machine);
-        case DRAINED -> {
-          if (isCancelled()) {
-            plan.maintenanceChanges.put(
-                machine.name, new Maintenance(Stage.PROBATION, request.id()));
-            inService++;
-          } else {
-            drained++;
-          }
-        }
-        default -> inService++;
-      }
-    }
-
-    private void decideOnCordoned(MachineView machine) {
-      if (isCancelled() || isPastDeadline()) {
-        plan.maintenanceChanges.put(machine.name, Maintenance.IN_SERVICE);
-        inService++;
-      } else if (machine.maintenanceDurable && machine.tasks.isEmpty()) {
-        decideOnEmpty(machine);
-      } else {
-        cordoned++;
-        remainingTasks += machine.tasks.size();
-        if (machine.maintenanceDurable && !paused) {
-          collectCandidates(machine);
-        }
-      }
-    }
-
-    private void decideOnEmpty(MachineView machine) {
-      if (request.completionAction() == DrainRequest.CompletionAction.RETURN) {
-        plan.machinesToRelease.add(machine.name);
-        released++;
-      } else {
-        plan.maintenanceChanges.put(machine.name, new Maintenance(Stage.DRAINED, request.id()));
-        drained++;
-      }
-    }
-
-    private void collectCandidates(MachineView machine) {
-      if (!machine.reachable) {
-        reasons.add("machine " + machine.name + " is silent");
-        return;
-      }
-      for (TaskView task : machine.tasks) {
-        if (task.stopping || ledger.isOpen(task.task)) {
-          continue;
-        }
-        if (!task.running) {
-          reasons.add(task.task + " is starting");
-        } else if (task.remaining
-            .map(r -> r.compareTo(MAX_WAIT_FOR_COMPLETION) <= 0)
-            .orElse(false)) {
-          reasons.add(task.task + " ends by itself soon");
-        } else {
-          candidates.add(task);
-        }
-      }
-    }
-
-    /** The emptiest machines first, as many as may be cordoned at a time. */
-    private void cordonNext(List<MachineView> machinesInService) {
-      machinesInService.sort(
-          Comparator.comparingInt((MachineView m) -> m.tasks.size())
-              .thenComparing(MachineView::name));
-      for (MachineView machine : machinesInService) {
-        if (cordoned >= request.maxConcurrentMachines()) {
-          return;
-        }
-        if (plan.maintenanceChanges.containsKey(machine.name)
-            || !machine.maintenance.isInService()) {
-          reasons.add("machine " + machine.name + " is in another drain's hands");
-        } else if (!machine.reachable) {
-          reasons.add("machine " + machine.name + " is silent or not up");
-        } else {
-          plan.maintenanceChanges.put(machine.name, new Maintenance(Stage.CORDONED, request.id()));
-          cordoned++;
-          inService--;
-          remainingTasks += machine.tasks.size();
-        }
-      }
-    }
-
-    /** Asks for the next of its tasks; false when it has none left to ask for. */
-    boolean grantNext(DisruptionLedger disruptionLedger, ReplacementCapacity capacity) {
-      TaskView task = candidates.poll();
-      if (task == null) {
-        return false;
-      }
-      if (disruptionLedger.isOpen(task.task)) {
-        return true; // It ends with another task of its gang.
-      }
-      Optional<String> objection = capacity.reserve(task);
-      if (objection.isPresent()) {
-        plan.tasksWithoutCapacity.add(task);
-      } else {
-        objection = disruptionLedger.trySpend(task.disruptions());
-      }
-      if (objection.isPresent()) {
-        reasons.add(task.task + ": " + objection.get());
-      } else {
-        plan.tasksToStop.add(task);
-      }
-      return true;
-    }
-
-    DrainStatus status() {
-      return new DrainStatus(
-          state(), inService, cordoned, drained, released, remainingTasks, List.copyOf(reasons));
-    }
-
-    private DrainStatus.State state() {
-      if (isCancelled()) {
-        return DrainStatus.State.CANCELLED;
-      }
-      if (inService + cordoned == 0) {
-        return DrainStatus.State.DRAINED;
-      }
-      if (isPastDeadline()) {
-        reasons.add("its time was over");
-        return DrainStatus.State.FAILED;
-      }
-      if (paused) {
-        return DrainStatus.State.PAUSED;
-      }
-      return cordoned + drained + released == 0
-          ? DrainStatus.State.REQUESTED
-          : DrainStatus.State.DRAINING;
-    }
-  }
 }
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -16,13 +16,12 @@
 import java.util.regex.Pattern;
 
 /**
- * What operators want of a drain. Operators alone write it; what comes of it is the leader's
- * record.
+ * An operator's request for a drain. Only operators write it; the leader writes {@link DrainStatus}.
  *
- * @param selector how the machines were chosen, for people: the names are stored beside
- * @param maxConcurrentMachines so many machines are cordoned at a time
+ * @param selector how the machines were selected, for display; their names are stored beside
+ * @param maxConcurrentMachines the most machines that are cordoned at a time
  * @param completionAction what becomes of a machine that is empty
- * @param window the maintenance window in which it may disrupt
+ * @param window name of the maintenance window in which it may disrupt; empty for any time
  */
 public record DrainRequest(
     String id,
@@ -34,39 +33,39 @@
     Instant deadline,
     Optional<String> window) {
 
-  /** What becomes of a machine that is empty. */
+  /** What becomes of a machine that is empty. The names are stored, in lower case. */
   public enum CompletionAction {
-    /** It is given back to the cloud; another one is rented where it is needed. */
+    /** It is terminated; another one is provisioned where it is needed. */
     RETURN,
     /** It stays out of service until the drain is ended. */
     HOLD
   }
 
-  /** What is to be done now. */
+  /** What the operator wants now. The names are stored, in lower case. */
   public enum DesiredState {
-    /** Go on. */
+    /** Cordon machines, and disrupt tasks as budgets allow. */
     RUN,
-    /** Disrupt nothing and cordon nothing; what is cordoned stays so. */
+    /** Cordon nothing and disrupt nothing; cordoned machines stay so. */
     PAUSE,
-    /** Put back into service what is not drained yet, and what is held. */
+    /** Put all machines back into service that are not terminated yet. */
     CANCEL
   }
 
-  /** So much of a value is filled with names, in percent. */
+  /** How much of a value is filled with names, in percent. */
   private static final int VALUE_FILL_PERCENT = 80;
 
-  /** What a name takes in a list beside its letters. */
+  /** Bytes of a name in a list beside its characters. */
   private static final int NAME_PUNCTUATION_LENGTH = 3;
 
-  /** Ids are part of keys and of each machine's record, so they are short. */
+  /** Ids are part of keys and of machine records, so they are short. */
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
 
-  /** Whether the text may be an id. */
+  /** Whether the text is a valid id. */
   public static boolean isId(String text) {
     return ID.matcher(text).matches();
   }
 
-  /** Reads the record. */
+  /** Decodes the record. */
   public static DrainRequest parse(String id, JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     return new DrainRequest(
@@ -94,7 +93,7 @@
     return constant.name().toLowerCase(Locale.ROOT);
   }
 
-  /** The record. */
+  /** Encodes the record. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -109,7 +108,7 @@
   }
 
   /**
-   * What is written when a drain is asked for: the record, and the names of the machines in as many
+   * The mutations that store a new request: its record, and the names of the machines in as many
    * values as they need.
    */
   public List<Mutation> toMutations(List<String> machines, int maxValueBytes) {
@@ -133,7 +132,7 @@
     return mutations;
   }
 
-  /** The stored record with another wish; whatever else is stored stays. */
+  /** The stored record with another desired state; its other fields are kept. */
   public static ObjectNode withDesiredState(JsonNode stored, DesiredState desiredState) {
     ObjectNode node = stored.deepCopy();
     return node.put("wish", word(desiredState));
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -10,14 +10,14 @@
 import java.util.stream.Stream;
 
 /**
- * How far a drain is, and what holds it up.
+ * The progress of a drain, and what holds it up. Only the leader writes it.
  *
- * @param inService machines that are still in service
+ * @param inService machines that are still in service, or back in it
  * @param cordoned machines that get no new tasks
- * @param drained machines that are empty and held
- * @param released machines that were given back, or are not known any more
+ * @param drained empty machines that are kept out of service
+ * @param released machines that were terminated, or are not known any more
  * @param remainingTasks tasks on cordoned machines
- * @param reasons what holds it up, in the planner's own words
+ * @param reasons what holds it up, for display
  */
 public record DrainStatus(
     State state,
@@ -28,30 +28,30 @@
     int remainingTasks,
     List<String> reasons) {
 
-  /** How far it is. */
+  /** The state of a drain. The names are stored, in lower case. */
   public enum State {
-    /** Nothing is cordoned yet. */
+    /** No machine is cordoned yet. */
     REQUESTED,
     /** Machines are being emptied. */
     DRAINING,
-    /** An operator holds it, or its window is closed. */
+    /** Paused by an operator, or outside its maintenance window. */
     PAUSED,
-    /** All machines are empty and held, or gone. */
+    /** All machines are drained or terminated. */
     DRAINED,
-    /** An operator has taken it back, or ended the maintenance. */
+    /** Cancelled by an operator, or the maintenance is over. */
     CANCELLED,
-    /** Its time was over before all machines were empty; the others are back in service. */
+    /** The deadline passed before all machines were empty; the others are back in service. */
     FAILED
   }
 
-  /** Whether nothing more comes of a drain with that record. */
+  /** Whether the encoded status is final. */
   public static boolean isOver(JsonNode record) {
     String word = record.path("state").asText();
     return Stream.of(State.DRAINED, State.CANCELLED, State.FAILED)
         .anyMatch(state -> word.equals(state.name().toLowerCase(Locale.ROOT)));
   }
 
-  /** The record, with so many reasons at the most. */
+  /** Encodes the status, with at most so many reasons. */
   public ObjectNode toNode(int maxReasons) {
     ObjectNode node =
         MessagePack.map()
@@ -66,7 +66,7 @@
     return node;
   }
 
-  /** The reasons of a record. */
+  /** The reasons of an encoded status. */
   public static List<String> reasonsOf(JsonNode record) {
     List<String> reasons = new ArrayList<>();
     record.path("reasons").forEach(reason -> reasons.add(reason.asText()));
--- a/src/main/java/io/pearscale/drain/IpNetwork.java
+++ b/src/main/java/io/pearscale/drain/IpNetwork.java
@@ -15,7 +15,7 @@
     this.block = block;
   }
 
-  /** Reads a network in the form of CIDR; one with host bits set is not guessed at. */
+  /** Parses a network in CIDR notation; one with host bits set is rejected. */
   public static IpNetwork parse(String text) throws MalformedMessageException {
     try {
       IPAddress address = new IPAddressString(text).toAddress();
--- a/src/main/java/io/pearscale/drain/MachineSelector.java
+++ b/src/main/java/io/pearscale/drain/MachineSelector.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Which machines a drain is asked for. */
+/** Selects the machines of a drain. */
 public sealed interface MachineSelector {
-  /** Whether the machine is meant. */
+  /** Whether the machine is selected. */
   boolean matches(MachineAttributes machine);
 
-  /** What is known of a machine from its record. */
+  /** The attributes of a machine in its stored record; the address is empty if unknown. */
   record MachineAttributes(String name, String zone, String type, String address) {}
 
   /** Machines of these names. */
@@ -53,7 +53,7 @@
 
   /** All machines whose address lies in a network. */
   record Network(IpNetwork network) implements MachineSelector {
-    /** Reads the network. */
+    /** Parses a network in CIDR notation. */
     public static Network parse(String text) throws MalformedMessageException {
       return new Network(IpNetwork.parse(text));
     }
--- a/src/main/java/io/pearscale/drain/MaintenanceWindow.java
+++ b/src/main/java/io/pearscale/drain/MaintenanceWindow.java
@@ -21,17 +21,17 @@
  */
 public record MaintenanceWindow(
     String name, ZoneId zone, Set<DayOfWeek> days, LocalTime startTime, LocalTime endTime) {
-  /** A window is looked for on so many days: each weekday comes twice, should one be left out. */
+  /** Days on which the next opening is searched: two of each weekday, in case one is left out. */
   private static final int SEARCH_DAYS = 14;
 
-  /** Whether drains may disrupt at that time. */
+  /** Whether drains may disrupt tasks at that time. */
   public boolean isOpen(Instant now) {
     LocalDate today = now.atZone(zone).toLocalDate();
     return occurrence(today.minusDays(1)).map(i -> i.contains(now)).orElse(false)
         || occurrence(today).map(i -> i.contains(now)).orElse(false);
   }
 
-  /** When it opens next, if it does within two weeks; now if it is open. */
+  /** When it opens next, if within two weeks; the given time if it is open. */
   public Optional<Instant> nextOpening(Instant now) {
     if (isOpen(now)) {
       return Optional.of(now);
@@ -46,7 +46,7 @@
     return Optional.empty();
   }
 
-  /** The window that begins on that day; empty if none does. */
+  /** The occurrence that begins on that day; empty if none does. */
   Optional<Interval> occurrence(LocalDate day) {
     if (!days.contains(day.getDayOfWeek())) {
       return Optional.empty();
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -19,11 +19,11 @@
 import java.util.function.Consumer;
 
 /**
- * The voluntary disruptions that count, as a successor finds them. One is durable before the stop
- * of its task is sent: a leader that ends in between leaves it as spent.
+ * The stored records of voluntary disruptions. One is durable before the stop command of its task is
+ * sent: if the leader ends in between, its successor counts the disruption as spent.
  */
 final class DisruptionRecords implements TransactionContributor {
-  /** Values are filled to so many bytes. */
+  /** Upper bound in bytes for a packed value, whatever the store accepts. */
   private static final int MAX_PACKED_VALUE_BYTES = 3000;
 
   private final Runnable requestCommit;
@@ -36,9 +36,9 @@
   private RecordPacker<Disruption> packer;
 
   /**
-   * Makes empty records.
+   * Creates empty records.
    *
-   * @param onDurable is told of each disruption once it is durable
+   * @param onDurable receives each disruption once it is durable
    */
   DisruptionRecords(int maxValueBytes, Runnable requestCommit, Consumer<Disruption> onDurable) {
     this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, maxValueBytes / 2);
@@ -47,12 +47,12 @@
     this.packer = new RecordPacker<>(packedValueBytes);
   }
 
-  /** All keys are about to be read anew. */
+  /** Forgets all stored values: a new snapshot is about to be delivered. */
   void forgetStored() {
     stored.clear();
   }
 
-  /** A stored value has changed. */
+  /** Applies a change of a stored value. */
   void storedChanged(KeyChange change) {
     change
         .entry()
@@ -60,7 +60,11 @@
             entry -> stored.put(change.key(), entry.value()), () -> stored.remove(change.key()));
   }
 
-  /** A term begins: takes over what is stored, and returns it. */
+  /**
+   * Takes over the stored disruptions for a term that begins, and returns them.
+   *
+   * @throws MalformedMessageException if a value can't be read; the message names its key
+   */
   List<Disruption> beginTerm() throws MalformedMessageException {
     clear();
     List<Disruption> all = new ArrayList<>();
@@ -77,7 +81,7 @@
     return all;
   }
 
-  /** The term is over. */
+  /** Drops all records: the term is over. */
   void clear() {
     packer = new RecordPacker<>(packedValueBytes);
     pending.clear();
@@ -85,7 +89,7 @@
     valuesInFlight.clear();
   }
 
-  /** The disruption is to be recorded before it is carried out. */
+  /** Records a disruption as soon as possible; it may be carried out once that is durable. */
   void record(Disruption disruption) {
     packer.assignSlot(disruption, disruption.maximumSize());
     packer.markDue(disruption);
@@ -93,14 +97,14 @@
     requestCommit.run();
   }
 
-  /** The disruption does not count any more; its value is written without it in time. */
+  /** Drops a disruption that does not count any more. */
   void remove(Disruption disruption) {
     pending.remove(disruption);
     packer.markDue(disruption);
     packer.remove(disruption);
   }
 
-  /** Whether the task's stop waits for its record. */
+  /** Whether the task has a disruption that is not durable yet. */
   boolean isPending(TaskId task) {
     return pending.stream().anyMatch(disruption -> disruption.task().equals(task));
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -2,7 +2,6 @@
 
 import io.pearscale.drain.DrainPlanner;
 import io.pearscale.drain.DrainPlanner.TaskView;
-import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.Machine;
@@ -16,27 +15,25 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Looks for room for tasks of machines that are drained, and sets it aside for one round. */
+/** Finds capacity for tasks of drained machines, and reserves it for one round. */
 final class DrainCapacity implements DrainPlanner.ReplacementCapacity {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
   private final Map<Machine, Machine.Resources> available = new HashMap<>();
 
-  DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, AgentTimings times) {
+  DrainCapacity(MachineInventory inventory, JobTable jobs, Instant now, Responsiveness responsiveness) {
     this.jobs = jobs;
     for (Machine machine : inventory.all()) {
-      boolean responsive = !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
       if (machine.maintenance.isInService()
           && machine.lifecycle == Machine.Lifecycle.UP
           && machine.reconciled
-          && !machine.leaseExpired
           && !machine.quarantined
-          && responsive
+          && responsiveness.isResponsive(machine, now)
           && machine.preemptionNoticeAt.isEmpty()) {
         usable.add(machine);
       }
     }
-    // What goes to a machine that is drained later has to move once more.
+    // A task that goes to a machine that is to be drained later has to be moved again.
     usable.sort(Comparator.comparing(machine -> machine.drainPlanned));
   }
 
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The drains that operators want, as they are stored: a record for each, and beside it values with
- * the names of its machines.
+ * The stored drain requests of operators: a record for each, and values with the names of its
+ * machines.
  */
 final class DrainRequests {
   private static final Logger LOG = LoggerFactory.getLogger(DrainRequests.class);
@@ -23,13 +23,13 @@
   private final Map<String, JsonNode> requests = new TreeMap<>();
   private final Map<String, JsonNode> machineNames = new TreeMap<>();
 
-  /** All keys are about to be read anew. */
+  /** Forgets all stored values: a new snapshot is about to be delivered. */
   void forgetStored() {
     requests.clear();
     machineNames.clear();
   }
 
-  /** A stored value has changed. */
+  /** Applies a change of a stored value. */
   void storedChanged(KeyChange change) {
     Map<String, JsonNode> values = Keys.isDrain(change.key()) ? requests : machineNames;
     change
@@ -38,12 +38,12 @@
             entry -> values.put(change.key(), entry.value()), () -> values.remove(change.key()));
   }
 
-  /** Whether the drain is stored, even if it can't be read. */
+  /** Whether the drain is stored, even if its record can't be read. */
   boolean isKnown(String id) {
     return requests.containsKey(Keys.drain(id));
   }
 
-  /** All drains that can be read; one that can't be read does nothing and releases nothing. */
+  /** All drains that can be read; one that can't be read drains and releases no machine. */
   List<Drain> readable() {
     List<Drain> drains = new ArrayList<>();
     for (Map.Entry<String, JsonNode> request : requests.entrySet()) {
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
@@ -0,0 +1,55 @@
+package io.pearscale.scheduler.maintenance;
+
+import io.pearscale.drain.DrainPlanner.MachineView;
+import io.pearscale.drain.DrainPlanner.TaskView;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.Machine.Lifecycle;
+import io.pearscale.scheduler.model.TaskAttempt;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Shows machines and their tasks to the drain planner as they are now.
+ *
+ * @param disruptions decides which tasks count as running
+ * @param responsiveness decides which machines are heard
+ */
+record DrainViews(DisruptionTracker disruptions, Responsiveness responsiveness) {
+  /** The machine with all its tasks. */
+  MachineView view(Machine machine, Instant now) {
+    List<TaskView> tasks = new ArrayList<>();
+    boolean reachable =
+        machine.lifecycle == Lifecycle.UP
+            && machine.reconciled
+            && responsiveness.isResponsive(machine, now)
+            && !machine.quarantined;
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      tasks.add(view(attempt, now));
+    }
+    return new MachineView(
+        machine.name,
+        machine.maintenance,
+        machine.maintenance.equals(machine.recordedMaintenance) && machine.recorded,
+        reachable,
+        tasks);
+  }
+
+  private TaskView view(TaskAttempt attempt, Instant now) {
+    boolean saves = !attempt.job.spec.checkpointInterval().isZero();
+    Duration ran = attempt.runningTime(now);
+    return new TaskView(
+        attempt.task,
+        attempt.job.spec.team(),
+        attempt.job.spec.jobClass(),
+        disruptions.isRunning(attempt, now),
+        attempt.stopping,
+        attempt.job.spec.isService() || attempt.job.spec.estimatedDuration().minus(ran).isNegative()
+            ? Optional.empty()
+            : Optional.of(attempt.job.spec.estimatedDuration().minus(ran)),
+        attempt.job.spec.isService() || saves ? Duration.ZERO : ran,
+        DisruptionTracker.gangMembersOf(attempt));
+  }
+}
--- a/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
@@ -16,11 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader publishes for operators' commands: values that nobody decides by, written behind
- * all else, when they have changed, and seldom.
+ * The status values that the leader publishes for operators' commands. Nothing is decided by them,
+ * so they are written behind all else, only when changed, and at a low rate.
  */
 final class PublishedRecords implements TransactionContributor {
-  /** A value is written at this distance at the least. */
+  /** Shortest time between two writes. */
   static final Duration WRITE_INTERVAL = Duration.ofSeconds(5);
 
   private static final Logger LOG = LoggerFactory.getLogger(PublishedRecords.class);
@@ -32,13 +32,13 @@
   private final Map<LeaderTransaction, Map<String, JsonNode>> inFlight = new HashMap<>();
   private Instant nextWriteAt = Instant.MIN;
 
-  /** Publishes values of that length at the most. */
+  /** Creates a publisher of values of at most that length in bytes. */
   PublishedRecords(InstantSource clock, int maxValueBytes) {
     this.clock = clock;
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** The value is to be seen under the key; one that is too long would refuse the transaction. */
+  /** Publishes a value; one that is too long is dropped, as it would make the commit invalid. */
   void publish(String key, JsonNode value) {
     int length = value.toString().length();
     if (length <= maxValueBytes) {
@@ -48,13 +48,13 @@
     }
   }
 
-  /** Values under such keys are not published any more. */
+  /** Stops publishing the values whose keys match. */
   void withdraw(Predicate<String> keys) {
     latest.keySet().removeIf(keys);
     lastWritten.keySet().removeIf(keys);
   }
 
-  /** The term is over. */
+  /** Forgets all values: the term is over. */
   void clear() {
     latest.clear();
     lastWritten.clear();
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -18,12 +18,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What operators' commands show: budgets, what is disrupted, drains, and why jobs wait. */
+/** Publishes the status that operators' commands show: budgets, disruptions, drains, waiting jobs. */
 final class StatusPublisher {
-  /** The time in what is published changes in such steps. */
+  /** Granularity of the published time, so that an unchanged status is rarely written. */
   private static final Duration TIMESTAMP_GRANULARITY = Duration.ofSeconds(10);
 
-  /** What a reason takes of a value, with the job's id: half of a value is for reasons. */
+  /** Bytes for a reason with its job's id; half of a value is for reasons. */
   private static final int REASON_BYTES = 200;
 
   private final Leadership leadership;
@@ -49,13 +49,13 @@
     this.maxReasons = Math.max(1, maxValueBytes / 2 / REASON_BYTES);
   }
 
-  /** Publishes how drains stand. */
+  /** Publishes the status of drains, by id. */
   void publish(Map<String, DrainStatus> drains) {
     drains.forEach(
         (id, status) -> published.publish(Keys.drainStatus(id), status.toNode(maxReasons)));
   }
 
-  /** Publishes that a drain can't go on before the level of stored state is raised. */
+  /** Publishes that a drain can't start before the schema level is raised. */
   void publishBlockedByLevel(DrainRequest request) {
     DrainStatus status =
         new DrainStatus(
@@ -69,7 +69,7 @@
     publish(Map.of(request.id(), status));
   }
 
-  /** Publishes the state of the cluster. */
+  /** Publishes the status of the cluster. */
   void publishCluster() {
     // In steps, so that an unchanged cluster costs a write a step and no more.
     long step = TIMESTAMP_GRANULARITY.toMillis();
