--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -15,7 +15,8 @@
 /**
  * A disruption of a task: it was stopped, or is about to be, and does not run again yet.
  *
- * @param voluntary whether the scheduler chose it; then it is durable before the stop command is sent
+ * @param voluntary whether the scheduler chose it; then it is durable before the stop command is
+ *     sent
  * @param lostWork running time that has to be repeated
  */
 public record Disruption(
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -75,7 +75,8 @@
   /**
    * Updates the availability of all groups.
    *
-   * @param current availability by group; what is unavailable includes all disruptions that are open
+   * @param current availability by group; what is unavailable includes all disruptions that are
+   *     open
    */
   public void updateAvailability(Map<Group, Availability> current) {
     availabilityByGroup = new HashMap<>(current);
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -16,7 +16,8 @@
 import java.util.regex.Pattern;
 
 /**
- * An operator's request for a drain. Only operators write it; the leader writes {@link DrainStatus}.
+ * An operator's request for a drain. Only operators write it; the leader writes {@link
+ * DrainStatus}.
  *
  * @param selector how the machines were selected, for display; their names are stored beside
  * @param maxConcurrentMachines the most machines that are cordoned at a time
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -111,8 +111,7 @@
       reasons.add(
           "window %s opens at %s"
               .formatted(
-                  window.name(),
-                  window.nextOpening(now).map(Instant::toString).orElse("no time")));
+                  window.name(), window.nextOpening(now).map(Instant::toString).orElse("no time")));
       return true;
     }
     return false;
@@ -123,8 +122,8 @@
       case CORDONED -> decideOnCordoned(machine);
       case DRAINED -> {
         if (isCancelled()) {
-          plan.maintenanceChanges().put(
-              machine.name(), new Maintenance(Stage.PROBATION, request.id()));
+          plan.maintenanceChanges()
+              .put(machine.name(), new Maintenance(Stage.PROBATION, request.id()));
           inService++;
         } else {
           drained++;
@@ -195,7 +194,8 @@
       } else if (!machine.reachable()) {
         reasons.add("machine " + machine.name() + " is silent or not up");
       } else {
-        plan.maintenanceChanges().put(machine.name(), new Maintenance(Stage.CORDONED, request.id()));
+        plan.maintenanceChanges()
+            .put(machine.name(), new Maintenance(Stage.CORDONED, request.id()));
         cordoned++;
         inService--;
         remainingTasks += machine.tasks().size();
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 
 /**
- * The stored records of voluntary disruptions. One is durable before the stop command of its task is
- * sent: if the leader ends in between, its successor counts the disruption as spent.
+ * The stored records of voluntary disruptions. One is durable before the stop command of its task
+ * is sent: if the leader ends in between, its successor counts the disruption as spent.
  */
 final class DisruptionRecords implements TransactionContributor {
   /** Upper bound in bytes for a packed value, whatever the store accepts. */
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
@@ -99,7 +99,7 @@
    */
   boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
-    if (ledger.isOpen(attempt.task) || ledger.trySpend(disruption).isPresent()) {
+    if (ledger.isOpen(attempt.task()) || ledger.trySpend(disruption).isPresent()) {
       return false;
     }
     records.record(disruption);
@@ -108,9 +108,9 @@
 
   private static Disruption disruption(TaskAttempt attempt, boolean voluntary) {
     return new Disruption(
-        attempt.task,
-        attempt.job.spec.team(),
-        attempt.job.spec.jobClass(),
+        attempt.task(),
+        attempt.job().spec().team(),
+        attempt.job().spec().jobClass(),
         voluntary,
         Duration.ZERO);
   }
@@ -121,7 +121,7 @@
    */
   private void stop(Disruption disruption) {
     Optional<TaskAttempt> found = attemptOf(disruption.task());
-    if (found.isEmpty() || found.get().stopping) {
+    if (found.isEmpty() || found.get().stopping()) {
       return;
     }
     TaskAttempt attempt = found.get();
@@ -131,34 +131,34 @@
     LOG.info(
         "event=drain_stop term={} machine={} task={} attempt={}",
         leadership.term(),
-        attempt.machine.name,
-        attempt.task,
-        attempt.number);
+        attempt.machine().name(),
+        attempt.task(),
+        attempt.number());
     gracefulTermination.stop(attempt);
-    List.copyOf(attempt.job.attempts.values()).stream()
-        .filter(stopped -> stopped.stopping)
-        .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine));
+    List.copyOf(attempt.job().attempts().values()).stream()
+        .filter(stopped -> stopped.stopping())
+        .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine()));
   }
 
   /** The other tasks of the attempt's gang; none if it is of no gang. */
   static List<TaskId> gangMembersOf(TaskAttempt attempt) {
-    if (!attempt.job.spec.isGang()) {
+    if (!attempt.job().spec().isGang()) {
       return List.of();
     }
-    return attempt.job.attempts.values().stream()
+    return attempt.job().attempts().values().stream()
         .filter(member -> member != attempt)
-        .map(member -> member.task)
+        .map(member -> member.task())
         .toList();
   }
 
   private Optional<TaskAttempt> attemptOf(TaskId task) {
-    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts.get(task.index()));
+    return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts().get(task.index()));
   }
 
   /** Counts involuntary disruptions as well, so that voluntary ones wait for them. */
   private void noteRemoved(TaskAttempt attempt) {
-    boolean wasRunning = attempt.stage == Stage.RUNNING || attempt.stage == Stage.CHECKPOINTING;
-    if (wasRunning && jobs.contains(attempt.job) && !attempt.job.spec.isService()) {
+    boolean wasRunning = attempt.stage() == Stage.RUNNING || attempt.stage() == Stage.CHECKPOINTING;
+    if (wasRunning && jobs.contains(attempt.job()) && !attempt.job().spec().isService()) {
       ledger.recordInvoluntary(disruption(attempt, /* voluntary= */ false));
     }
   }
@@ -169,23 +169,24 @@
             task -> {
               Job job = jobs.get(task.job());
               return job == null
-                  || job.doneTasks.get(task.index())
+                  || job.isDone(task.index())
                   || attemptOf(task).map(attempt -> isRunning(attempt, now)).orElse(false);
             });
     closed.stream().filter(Disruption::voluntary).forEach(records::remove);
   }
 
   /**
-   * Whether the task was reported as running, and nothing is under way that would stop it. A machine
-   * counts as responsive only once it has shown a fencing token of this term, after which no stop
-   * command of a previous leader can reach it: a new leader takes all others' tasks as down.
+   * Whether the task was reported as running, and nothing is under way that would stop it. A
+   * machine counts as responsive only once it has shown a fencing token of this term, after which
+   * no stop command of a previous leader can reach it: a new leader takes all others' tasks as
+   * down.
    */
   boolean isRunning(TaskAttempt attempt, Instant now) {
-    return attempt.stage == Stage.RUNNING
-        && attempt.observed
-        && !attempt.stopping
-        && responsiveness.isResponsive(attempt.machine, now)
-        && !records.isPending(attempt.task);
+    return attempt.stage() == Stage.RUNNING
+        && attempt.observed()
+        && !attempt.stopping()
+        && responsiveness.isResponsive(attempt.machine(), now)
+        && !records.isPending(attempt.task());
   }
 
   private Map<Group, Availability> availabilityByGroup(Instant now) {
@@ -193,9 +194,9 @@
     ledger.open().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
     Map<Group, Availability> availability = new HashMap<>();
     for (Job job : jobs.all()) {
-      if (!job.failsEverywhere()) {
-        Group group = new Group(job.spec.team(), job.spec.jobClass());
-        int open = openByJob.getOrDefault(job.spec.id(), 0);
+      if (!job.failures().failsEverywhere()) {
+        Group group = new Group(job.spec().team(), job.spec().jobClass());
+        int open = openByJob.getOrDefault(job.spec().id(), 0);
         availability.merge(group, availabilityOf(job, open, now), Availability::plus);
       }
     }
@@ -215,13 +216,13 @@
   private Availability availabilityOf(Job job, int open, Instant now) {
     int running = 0;
     int stopping = 0;
-    for (TaskAttempt attempt : job.attempts.values()) {
-      boolean disrupted = ledger.isOpen(attempt.task);
+    for (TaskAttempt attempt : job.attempts().values()) {
+      boolean disrupted = ledger.isOpen(attempt.task());
       running += isRunning(attempt, now) && !disrupted ? 1 : 0;
-      stopping += attempt.stopping && !disrupted ? 1 : 0;
+      stopping += attempt.stopping() && !disrupted ? 1 : 0;
     }
-    if (job.spec.isService()) {
-      return new Availability(job.spec.tasks(), job.spec.tasks() - running, Duration.ZERO);
+    if (job.spec().isService()) {
+      return new Availability(job.spec().tasks(), job.spec().tasks() - running, Duration.ZERO);
     }
     return new Availability(running + stopping + open, stopping + open, Duration.ZERO);
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -152,7 +152,9 @@
   /** Records idle machines too: operators select the machines to drain from the records. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
-      if (machine.lifecycle == Lifecycle.UP && machine.reconciled && !records.hasSlot(machine)) {
+      if (machine.lifecycle() == Lifecycle.UP
+          && machine.reconciled()
+          && !records.hasSlot(machine)) {
         records.assignSlot(machine);
         records.recordMachineDeferred(machine);
       }
@@ -164,11 +166,11 @@
     List<Drain> drains = requests.readable();
     if (!drains.isEmpty()) {
       inventory.all().stream()
-          .filter(machine -> machine.lifecycle != Lifecycle.RETIRING)
-          .forEach(machine -> machines.put(machine.name, views.view(machine, now)));
+          .filter(machine -> machine.lifecycle() != Lifecycle.RETIRING)
+          .forEach(machine -> machines.put(machine.name(), views.view(machine, now)));
     }
     Instant today = timeOfDay.instant();
-    inventory.all().forEach(machine -> machine.drainPlanned = false);
+    inventory.all().forEach(machine -> machine.planDrain(false));
     drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
     DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, responsiveness);
     return planner.plan(drains, machines, ledger, capacity, today);
@@ -178,7 +180,7 @@
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.drainPlanned = true;
+        machine.planDrain(true);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
@@ -22,34 +22,36 @@
   MachineView view(Machine machine, Instant now) {
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
-        machine.lifecycle == Lifecycle.UP
-            && machine.reconciled
+        machine.lifecycle() == Lifecycle.UP
+            && machine.reconciled()
             && responsiveness.isResponsive(machine, now)
-            && !machine.quarantined;
-    for (TaskAttempt attempt : machine.attempts.values()) {
+            && !machine.failures().isQuarantined();
+    for (TaskAttempt attempt : machine.attempts().values()) {
       tasks.add(view(attempt, now));
     }
     return new MachineView(
-        machine.name,
-        machine.maintenance,
-        machine.maintenance.equals(machine.recordedMaintenance) && machine.recorded,
+        machine.name(),
+        machine.maintenance(),
+        machine.maintenance().equals(machine.record().maintenance())
+            && machine.record().isRecorded(),
         reachable,
         tasks);
   }
 
   private TaskView view(TaskAttempt attempt, Instant now) {
-    boolean saves = !attempt.job.spec.checkpointInterval().isZero();
+    boolean saves = !attempt.job().spec().checkpointInterval().isZero();
     Duration ran = attempt.runningTime(now);
     return new TaskView(
-        attempt.task,
-        attempt.job.spec.team(),
-        attempt.job.spec.jobClass(),
+        attempt.task(),
+        attempt.job().spec().team(),
+        attempt.job().spec().jobClass(),
         disruptions.isRunning(attempt, now),
-        attempt.stopping,
-        attempt.job.spec.isService() || attempt.job.spec.estimatedDuration().minus(ran).isNegative()
+        attempt.stopping(),
+        attempt.job().spec().isService()
+                || attempt.job().spec().estimatedDuration().minus(ran).isNegative()
             ? Optional.empty()
-            : Optional.of(attempt.job.spec.estimatedDuration().minus(ran)),
-        attempt.job.spec.isService() || saves ? Duration.ZERO : ran,
+            : Optional.of(attempt.job().spec().estimatedDuration().minus(ran)),
+        attempt.job().spec().isService() || saves ? Duration.ZERO : ran,
         DisruptionTracker.gangMembersOf(attempt));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -52,10 +52,7 @@
         name,
         maintenance.stage(),
         maintenance.drain());
-    machine.maintenance = maintenance;
-    if (maintenance.stage() == Maintenance.Stage.PROBATION) {
-      machine.cachedImages.clear();
-    }
+    machine.changeMaintenance(maintenance);
     if (!maintenance.isSchedulable()) {
       inventory.withdrawPlanned(machine);
     }
@@ -67,9 +64,10 @@
   void releaseOrphaned(Predicate<String> isKnownDrain) {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphaned =
-          !machine.maintenance.isSchedulable() && !isKnownDrain.test(machine.maintenance.drain());
+          !machine.maintenance().isSchedulable()
+              && !isKnownDrain.test(machine.maintenance().drain());
       if (orphaned) {
-        change(machine.name, new Maintenance(Maintenance.Stage.PROBATION, ""));
+        change(machine.name(), new Maintenance(Maintenance.Stage.PROBATION, ""));
       }
     }
   }
@@ -77,8 +75,8 @@
   /** Puts all machines back into service: below schema level 1 no record can hold maintenance. */
   void releaseAll() {
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (!machine.maintenance.isInService()) {
-        change(machine.name, Maintenance.IN_SERVICE);
+      if (!machine.maintenance().isInService()) {
+        change(machine.name(), Maintenance.IN_SERVICE);
       }
     }
   }
@@ -86,7 +84,7 @@
   /** Ends the probation of machines that have proven to work. */
   void endProbations(Instant now) {
     for (Machine machine : List.copyOf(inventory.all())) {
-      if (machine.maintenance.stage() != Maintenance.Stage.PROBATION) {
+      if (machine.maintenance().stage() != Maintenance.Stage.PROBATION) {
         probationSince.remove(machine);
         continue;
       }
@@ -96,8 +94,8 @@
         probationSince.put(machine, now);
       }
       Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
-      if (responsive && (!machine.cachedImages.isEmpty() || now.isAfter(provenAt))) {
-        change(machine.name, Maintenance.IN_SERVICE);
+      if (responsive && (!machine.images().isEmpty() || now.isAfter(provenAt))) {
+        change(machine.name(), Maintenance.IN_SERVICE);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/Responsiveness.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/Responsiveness.java
@@ -12,7 +12,7 @@
 record Responsiveness(AgentTimings times) {
   /** Whether the machine's agent holds its lease and sent a heartbeat lately. */
   boolean isResponsive(Machine machine, Instant now) {
-    return !machine.leaseExpired
-        && !now.isAfter(machine.lastReachableAt.plus(times.unresponsiveAfter()));
+    return !machine.leaseExpired()
+        && !now.isAfter(machine.reachability().lastReachableAt().plus(times.unresponsiveAfter()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -19,18 +19,18 @@
   static JobPartition containing(Job job, int task, RecordLayout layout) {
     int firstTask = task - task % layout.tasksPerPartition();
     return new JobPartition(
-        job, firstTask, Math.min(layout.tasksPerPartition(), job.spec.tasks() - firstTask));
+        job, firstTask, Math.min(layout.tasksPerPartition(), job.spec().tasks() - firstTask));
   }
 
   /** All partitions of a job. */
   static List<JobPartition> allOf(Job job, RecordLayout layout) {
-    return covering(job, 0, job.spec.tasks(), layout);
+    return covering(job, 0, job.spec().tasks(), layout);
   }
 
   /** The partitions that hold the tasks from the first index up to the second, exclusive. */
   static List<JobPartition> covering(Job job, int fromTask, int toTask, RecordLayout layout) {
     List<JobPartition> partitions = new ArrayList<>();
-    int end = Math.min(toTask, job.spec.tasks());
+    int end = Math.min(toTask, job.spec().tasks());
     for (int task = fromTask - fromTask % layout.tasksPerPartition();
         task < end;
         task += layout.tasksPerPartition()) {
@@ -41,15 +41,15 @@
 
   /** Upper bound in bytes for the placement record of this partition. */
   int maximumRecordSize(RecordLayout layout) {
-    return PlacementRecordCodec.maximumSize(job.spec.id(), taskCount, layout)
+    return PlacementRecordCodec.maximumSize(job.spec().id(), taskCount, layout)
         + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
   /** The attempts of its tasks that exist, or may exist. */
   List<TaskAttempt> attempts() {
     List<TaskAttempt> attempts = new ArrayList<>();
-    for (TaskAttempt attempt : job.attempts.values()) {
-      int index = attempt.task.index() - firstTask;
+    for (TaskAttempt attempt : job.attempts().values()) {
+      int index = attempt.task().index() - firstTask;
       if (index >= 0 && index < taskCount) {
         attempts.add(attempt);
       }
@@ -59,7 +59,7 @@
 
   /** Its tasks that are done, counted from its first task. */
   BitSet doneTasks() {
-    return job.doneTasks.get(firstTask, firstTask + taskCount);
+    return job.doneTasks(firstTask, taskCount);
   }
 
   /** Notes that these tasks, counted from its first, are durably recorded as done. */
--- a/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
+++ b/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
@@ -50,13 +50,13 @@
   }
 
   private void repackMachine(Machine machine) {
-    machine.recorded = false;
+    machine.record().markUnrecorded();
     packed.assignSlot(machine);
     boolean hasPlannedTasks =
-        machine.attempts.values().stream()
-            .anyMatch(attempt -> attempt.stage == TaskAttempt.Stage.PLANNED);
+        machine.attempts().values().stream()
+            .anyMatch(attempt -> attempt.stage() == TaskAttempt.Stage.PLANNED);
     if (hasPlannedTasks
-        || (machine.lifecycle == Machine.Lifecycle.RETIRING && !machine.recordedRetiring)) {
+        || (machine.lifecycle() == Machine.Lifecycle.RETIRING && !machine.record().isRetiring())) {
       packed.machines().markDue(machine);
     }
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -101,11 +101,11 @@
 
   /** Records the machine of the attempt as soon as possible; its start waits for that. */
   public void recordPlacement(TaskAttempt attempt) {
-    packed.assignSlot(attempt.machine);
-    if (!attempt.machine.recorded) {
-      packed.machines().markDue(attempt.machine);
+    packed.assignSlot(attempt.machine());
+    if (!attempt.machine().record().isRecorded()) {
+      packed.machines().markDue(attempt.machine());
     }
-    packed.placements().markDue(packed.assignSlot(attempt.job, attempt.task.index()));
+    packed.placements().markDue(packed.assignSlot(attempt.job(), attempt.task().index()));
     requestCommit.run();
   }
 
@@ -152,8 +152,7 @@
     recordMachineDeferred(machine);
     packed.machines().remove(machine);
     previousLayout.noteCopied(machine);
-    machine.recorded = false;
-    machine.recordedRetiring = false;
+    machine.record().markRemoved();
   }
 
   /** Drops the placement records of a job. */
@@ -171,7 +170,7 @@
    */
   public void closeJob(Job job) {
     finishedJobs.remove(job);
-    if (job.quotaClaim().isEmpty() || job.attempts.isEmpty()) {
+    if (job.quotaClaim().isEmpty() || job.attempts().isEmpty()) {
       removeJob(job);
     }
   }
@@ -250,7 +249,7 @@
 
   /** Notes as durable what an applied transaction carried. */
   void onApplied(LeaderTransaction transaction) {
-    transaction.newlyRecordedAttempts().forEach(attempt -> attempt.placementRecorded = true);
+    transaction.newlyRecordedAttempts().forEach(attempt -> attempt.markPlacementRecorded());
     transaction
         .doneTasksByPartition()
         .forEach(
@@ -275,10 +274,12 @@
    */
   void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachine written) {
     if (packed.isInSlot(machine, written)) {
-      machine.recorded = true;
-      machine.recordedRetiring = written.record().retiring();
-      machine.recordedAddress = written.record().address();
-      machine.recordedMaintenance = written.record().maintenance();
+      machine
+          .record()
+          .recordWritten(
+              written.record().retiring(),
+              written.record().address(),
+              written.record().maintenance());
       previousLayout.noteCopied(machine);
     }
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -81,8 +81,8 @@
         leadership.termRevision(),
         jobs.size(),
         inventory.size(),
-        jobs.all().stream().mapToInt(job -> job.attempts.size()).sum(),
-        inventory.all().stream().filter(machine -> !machine.maintenance.isSchedulable()).count());
+        jobs.all().stream().mapToInt(job -> job.attempts().size()).sum(),
+        inventory.all().stream().filter(machine -> !machine.maintenance().isSchedulable()).count());
     return true;
   }
 
@@ -114,7 +114,7 @@
   public void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
-      inventory.all().forEach(machine -> machine.lease.previousLeadersEnded(now));
+      inventory.all().forEach(machine -> machine.lease().previousLeadersEnded(now));
       LOG.info(
           "event=previous_leader_leases_expired term={} after_ms={}",
           leadership.term(),
@@ -126,7 +126,7 @@
   public void noteProgress() {
     if (complete
         || inventory.all().stream()
-            .anyMatch(machine -> !machine.reconciled && !machine.attempts.isEmpty())) {
+            .anyMatch(machine -> !machine.reconciled() && !machine.attempts().isEmpty())) {
       return;
     }
     complete = true;
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -95,8 +95,8 @@
 
   /** Assigns a slot to the machine's record, and a record number if the layout needs one. */
   void assignSlot(Machine machine) {
-    if (layout == RecordLayout.NUMBERED && machine.recordNumber == 0) {
-      machine.recordNumber = recordNumbers.allocate();
+    if (layout == RecordLayout.NUMBERED && machine.record().number() == 0) {
+      machine.record().assignNumber(recordNumbers.allocate());
     }
     machines.assignSlot(machine, MachineRecordCodec.maximumSize(machine.machineRecord(0)));
   }
@@ -113,7 +113,9 @@
     return slot.isPresent()
         && slot.get().value() == written.value()
         && number
-            == (layout == RecordLayout.NUMBERED ? machine.recordNumber : slot.get().position());
+            == (layout == RecordLayout.NUMBERED
+                ? machine.record().number()
+                : slot.get().position());
   }
 
   /** The number by which placement records refer to the machine; 0 while it has no slot. */
@@ -123,7 +125,7 @@
       return 0;
     }
     return layout == RecordLayout.NUMBERED
-        ? machine.recordNumber
+        ? machine.record().number()
         : PlacementRecordCodec.positionalReference(
             slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -14,8 +14,8 @@
 
 /**
  * Packs records into shared values of the key-value store, whose rate limit counts writes and not
- * bytes. Each item keeps its slot, a value and a position in it, until it is removed. A changed item
- * is written together with all others of its value, so new items prefer values that are to be
+ * bytes. Each item keeps its slot, a value and a position in it, until it is removed. A changed
+ * item is written together with all others of its value, so new items prefer values that are to be
  * written anyway.
  *
  * @param <T> what a record is about
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -194,7 +194,7 @@
     }
     // These jobs were cancelled first; the watch brings the news.
     transaction.finishedJobs().stream()
-        .filter(job -> failedKeys.contains(Keys.liveJob(job.spec.id())))
+        .filter(job -> failedKeys.contains(Keys.liveJob(job.spec().id())))
         .forEach(records::withdrawJobFinished);
     scheduleCommit();
   }
@@ -251,15 +251,15 @@
   }
 
   private void finishJob(Job job) {
-    jobs.remove(job.spec.id());
+    jobs.remove(job.spec().id());
     listener.onJobFinished(job);
     records.closeJob(job);
-    job.durablyDoneTasks.or(job.doneTasks);
+    job.recordAllDurablyDone();
     LOG.info(
         "event=job_done term={} job={} after_ms={}",
         leadership.term(),
-        job.spec.id(),
-        Duration.between(job.submittedAt, clock.instant()).toMillis());
-    List.copyOf(job.attempts.values()).forEach(inventory::stop);
+        job.spec().id(),
+        Duration.between(job.submittedAt(), clock.instant()).toMillis());
+    List.copyOf(job.attempts().values()).forEach(inventory::stop);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -8,8 +8,8 @@
 
 /**
  * Values that the store rejects as too long, because its limit is lower than when they were first
- * written. They stay as they are until their records are copied into another layout; changes in them
- * wait until then, and nothing else does.
+ * written. They stay as they are until their records are copied into another layout; changes in
+ * them wait until then, and nothing else does.
  */
 final class RejectedValues {
   private static final Logger LOG = LoggerFactory.getLogger(RejectedValues.class);
@@ -35,7 +35,8 @@
     valueLengths.forEach(
         (key, length) -> {
           if (length > maxValueBytes && keys.add(key)) {
-            LOG.warn("event=value_rejected key={} bytes={} max_bytes={}", key, length, maxValueBytes);
+            LOG.warn(
+                "event=value_rejected key={} bytes={} max_bytes={}", key, length, maxValueBytes);
           }
         });
   }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -35,18 +35,19 @@
   void adoptMachine(Machine machine, StoredRecords.StoredMachine stored) {
     if (stored.layout() != packed.layout()) {
       packed.assignSlot(machine);
-      previousLayout.add(stored.key(), machine.recorded ? List.of() : List.of(machine));
+      previousLayout.add(
+          stored.key(), machine.record().isRecorded() ? List.of() : List.of(machine));
       return;
     }
     MachineRecord record = stored.record();
     int size = MachineRecordCodec.maximumSize(record);
     if (packed.layout() == RecordLayout.NUMBERED) {
-      machine.recordNumber = record.number();
+      machine.record().assignNumber(record.number());
       packed.machines().adopt(machine, size, stored.value());
     } else {
       packed.machines().adopt(machine, size, stored.value(), record.number());
     }
-    machine.recorded = true;
+    machine.record().markRecorded();
   }
 
   /** Marks the record number of a stored machine as in use. */
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
@@ -14,8 +14,8 @@
 
 /**
  * The stored records of machines and tasks, decoded as a whole before a new leader takes any of
- * them over. A record that can't be read fails the whole: a leader that passed it over would
- * start its tasks a second time.
+ * them over. A record that can't be read fails the whole: a leader that passed it over would start
+ * its tasks a second time.
  *
  * @param machines the machine records, first those in the layout in force
  * @param partitions the placement records, first those in the layout in force: of a task that is in
--- a/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
@@ -113,8 +113,8 @@
     Set<Integer> missing = new LinkedHashSet<>();
     for (JobPartition partition : packed.placements().itemsByPosition(value).values()) {
       for (TaskAttempt attempt : partition.attempts()) {
-        if (!attempt.machine.recorded) {
-          packed.machines().slotOf(attempt.machine).ifPresent(slot -> missing.add(slot.value()));
+        if (!attempt.machine().record().isRecorded()) {
+          packed.machines().slotOf(attempt.machine()).ifPresent(slot -> missing.add(slot.value()));
         }
       }
     }
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -36,7 +36,9 @@
   private final Supplier<OptionalLong> levelRevision;
   private Optional<Instant> lastSuccess = Optional.empty();
 
-  /** Creates a client that writes only while no schema level is stored, as before there were any. */
+  /**
+   * Creates a client that writes only while no schema level is stored, as before there were any.
+   */
   public KeyValueStoreClient(EventLoop loop, HttpClient httpClient, Settings settings) {
     this(loop, httpClient, settings, () -> OptionalLong.of(0));
   }
@@ -44,8 +46,8 @@
   /**
    * Uses the service named in the settings.
    *
-   * @param levelRevision the revision of {@link Keys#LEVEL} as far as known, a precondition of each write;
-   *     empty while this build must not write
+   * @param levelRevision the revision of {@link Keys#LEVEL} as far as known, a precondition of each
+   *     write; empty while this build must not write
    */
   public KeyValueStoreClient(
       EventLoop loop,
@@ -56,7 +58,8 @@
     this.loop = loop;
     this.httpClient = httpClient;
     this.address = settings.storeAddress();
-    // Load is uneven: one controller may take half of all, which leaves capacity for the two others.
+    // Load is uneven: one controller may take half of all, which leaves capacity for the two
+    // others.
     this.requestBucket = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
     this.writeBucket = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
   }
@@ -64,7 +67,9 @@
   /** A condition of a compare-and-swap: the key has that mod revision; 0 if it must not exist. */
   public record Precondition(String key, long revision) {}
 
-  /** A change of a key: a value to put, or none to delete it; the lease it is attached to, if any. */
+  /**
+   * A change of a key: a value to put, or none to delete it; the lease it is attached to, if any.
+   */
   public record Mutation(String key, Optional<JsonNode> value, Optional<Long> leaseId) {
     /** Puts a value, attached to no lease. */
     public static Mutation put(String key, JsonNode value) {
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -16,8 +16,8 @@
 
 /**
  * Holds a replica of the watched keys. It is fed by a long-poll watch, for speed, and by read
- * barriers, short watches sent after a read was requested, for linearizable reads. Their replies may
- * overlap: what is not newer than the replica is passed over.
+ * barriers, short watches sent after a read was requested, for linearizable reads. Their replies
+ * may overlap: what is not newer than the replica is passed over.
  */
 public final class StoreReplicaActor extends Actor<StoreReplicaActor.Message> {
   private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(2);
--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -1,8 +1,6 @@
 package io.pearscale.upgrade;
 
-/**
- * What can be used only from some schema level on; below it, a build behaves as before.
- */
+/** What can be used only from some schema level on; below it, a build behaves as before. */
 public enum Feature {
   /** Machine records hold the machine's maintenance state. */
   MACHINE_MAINTENANCE(1, "can't say that machines are in maintenance: "),
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/MemberSupport.java
@@ -7,8 +7,8 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * What a controller announces of its build. The record is attached to a store lease that the running
- * process renews, so it is gone soon after the process has ended.
+ * What a controller announces of its build. The record is attached to a store lease that the
+ * running process renews, so it is gone soon after the process has ended.
  *
  * @param incarnation identifies this process; another one has another incarnation
  * @param release the build's release, for people
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at one
- * moment; whoever carries a step out makes it conditional on the revisions of what was read.
+ * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at
+ * one moment; whoever carries a step out makes it conditional on the revisions of what was read.
  *
  * @param inForce the stored schema level
  * @param hosts all configured controllers
