--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -217,7 +217,7 @@
               id,
               selector.toString(),
               machinesAtOnce(machines.size()),
-              hold ? CompletionAction.HOLD : CompletionAction.RETURN,
+              hold ? CompletionAction.HOLD : CompletionAction.TERMINATE,
               DesiredState.RUN,
               now,
               now.plus(time),
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -11,7 +11,6 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Optional;
 import java.util.regex.Pattern;
 
@@ -34,22 +33,52 @@
     Instant deadline,
     Optional<String> window) {
 
-  /** What becomes of a machine that is empty. The names are stored, in lower case. */
+  /** What becomes of a machine that is empty. */
   public enum CompletionAction {
     /** It is terminated; another one is provisioned where it is needed. */
-    RETURN,
+    TERMINATE("return"),
     /** It stays out of service until the drain is ended. */
-    HOLD
+    HOLD("hold");
+
+    private final String storedName;
+
+    CompletionAction(String storedName) {
+      this.storedName = storedName;
+    }
+
+    private static CompletionAction parse(String text) throws MalformedMessageException {
+      for (CompletionAction action : values()) {
+        if (action.storedName.equals(text)) {
+          return action;
+        }
+      }
+      throw unknown(text);
+    }
   }
 
-  /** What the operator wants now. The names are stored, in lower case. */
+  /** What the operator wants now. */
   public enum DesiredState {
     /** Cordon machines, and disrupt tasks as budgets allow. */
-    RUN,
+    RUN("run"),
     /** Cordon nothing and disrupt nothing; cordoned machines stay so. */
-    PAUSE,
+    PAUSE("pause"),
     /** Put all machines back into service that are not terminated yet. */
-    CANCEL
+    CANCEL("cancel");
+
+    private final String storedName;
+
+    DesiredState(String storedName) {
+      this.storedName = storedName;
+    }
+
+    private static DesiredState parse(String text) throws MalformedMessageException {
+      for (DesiredState state : values()) {
+        if (state.storedName.equals(text)) {
+          return state;
+        }
+      }
+      throw unknown(text);
+    }
   }
 
   /** How much of a value is filled with names, in percent. */
@@ -73,25 +102,15 @@
         id,
         MessageFields.text(map, "selector"),
         (int) MessageFields.integer(map, "atOnce", 1, Integer.MAX_VALUE),
-        parseConstant(CompletionAction.class, MessageFields.text(map, "afterwards")),
-        parseConstant(DesiredState.class, MessageFields.text(map, "wish")),
+        CompletionAction.parse(MessageFields.text(map, "afterwards")),
+        DesiredState.parse(MessageFields.text(map, "wish")),
         Instant.ofEpochMilli(MessageFields.integer(map, "requestedMs", 0, Long.MAX_VALUE)),
         Instant.ofEpochMilli(MessageFields.integer(map, "deadlineMs", 0, Long.MAX_VALUE)),
         MessageFields.optionalText(map, "window"));
   }
 
-  private static <E extends Enum<E>> E parseConstant(Class<E> type, String text)
-      throws MalformedMessageException {
-    for (E each : type.getEnumConstants()) {
-      if (word(each).equals(text)) {
-        return each;
-      }
-    }
-    throw new MalformedMessageException("unknown word " + text);
-  }
-
-  private static String word(Enum<?> constant) {
-    return constant.name().toLowerCase(Locale.ROOT);
+  private static MalformedMessageException unknown(String text) {
+    return new MalformedMessageException("unknown word " + text);
   }
 
   /** Encodes the record. */
@@ -100,8 +119,8 @@
         MessagePack.map()
             .put("selector", selector)
             .put("atOnce", maxConcurrentMachines)
-            .put("afterwards", word(completionAction))
-            .put("wish", word(desiredState))
+            .put("afterwards", completionAction.storedName)
+            .put("wish", desiredState.storedName)
             .put("requestedMs", requestedAt.toEpochMilli())
             .put("deadlineMs", deadline.toEpochMilli());
     window.ifPresent(name -> node.put("window", name));
@@ -136,6 +155,6 @@
   /** The stored record with another desired state; its other fields are kept. */
   public static ObjectNode withDesiredState(JsonNode stored, DesiredState desiredState) {
     ObjectNode node = stored.deepCopy();
-    return node.put("wish", word(desiredState));
+    return node.put("wish", desiredState.storedName);
   }
 }
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -149,7 +149,7 @@
   }
 
   private void decideOnEmpty(MachineView machine) {
-    if (request.completionAction() == DrainRequest.CompletionAction.RETURN) {
+    if (request.completionAction() == DrainRequest.CompletionAction.TERMINATE) {
       plan.machinesToRelease().add(machine.name());
       released++;
     } else {
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -6,7 +6,6 @@
 import io.pearscale.transport.MessagePack;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.stream.Stream;
 
 /**
@@ -28,34 +27,40 @@
     int remainingTasks,
     List<String> reasons) {
 
-  /** The state of a drain. The names are stored, in lower case. */
+  /** The state of a drain. */
   public enum State {
     /** No machine is cordoned yet. */
-    REQUESTED,
+    REQUESTED("requested"),
     /** Machines are being emptied. */
-    DRAINING,
+    DRAINING("draining"),
     /** Paused by an operator, or outside its maintenance window. */
-    PAUSED,
+    PAUSED("paused"),
     /** All machines are drained or terminated. */
-    DRAINED,
+    DRAINED("drained"),
     /** Cancelled by an operator, or the maintenance is over. */
-    CANCELLED,
+    CANCELLED("cancelled"),
     /** The deadline passed before all machines were empty; the others are back in service. */
-    FAILED
+    FAILED("failed");
+
+    private final String storedName;
+
+    State(String storedName) {
+      this.storedName = storedName;
+    }
   }
 
   /** Whether the encoded status is final. */
   public static boolean isOver(JsonNode record) {
-    String word = record.path("state").asText();
+    String stored = record.path("state").asText();
     return Stream.of(State.DRAINED, State.CANCELLED, State.FAILED)
-        .anyMatch(state -> word.equals(state.name().toLowerCase(Locale.ROOT)));
+        .anyMatch(state -> stored.equals(state.storedName));
   }
 
   /** Encodes the status, with at most so many reasons. */
   public ObjectNode toNode(int maxReasons) {
     ObjectNode node =
         MessagePack.map()
-            .put("state", state.name().toLowerCase(Locale.ROOT))
+            .put("state", state.storedName)
             .put("waiting", inService)
             .put("cordoned", cordoned)
             .put("drained", drained)
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -26,13 +26,20 @@
   /** Upper bound in bytes for a packed value, whatever the store accepts. */
   private static final int MAX_PACKED_VALUE_BYTES = 3000;
 
+  /**
+   * What a transaction under way carries.
+   *
+   * @param disruptions those that become durable with it
+   * @param values numbers of the values that it writes
+   */
+  private record InFlight(List<Disruption> disruptions, List<Integer> values) {}
+
   private final Runnable requestCommit;
   private final Consumer<Disruption> onDurable;
   private final int packedValueBytes;
   private final Map<String, JsonNode> stored = new TreeMap<>();
   private final Set<Disruption> pending = new LinkedHashSet<>();
-  private final Map<LeaderTransaction, List<Disruption>> disruptionsInFlight = new HashMap<>();
-  private final Map<LeaderTransaction, List<Integer>> valuesInFlight = new HashMap<>();
+  private final Map<LeaderTransaction, InFlight> inFlight = new HashMap<>();
   private RecordPacker<Disruption> packer;
 
   /**
@@ -85,8 +92,7 @@
   void clear() {
     packer = new RecordPacker<>(packedValueBytes);
     pending.clear();
-    disruptionsInFlight.clear();
-    valuesInFlight.clear();
+    inFlight.clear();
   }
 
   /** Records a disruption as soon as possible; it may be carried out once that is durable. */
@@ -116,40 +122,42 @@
 
   @Override
   public void contribute(LeaderTransaction transaction) {
-    List<Disruption> going = new ArrayList<>();
-    List<Integer> numbers = new ArrayList<>();
-    for (int number : packer.urgentValues()) {
+    List<Disruption> included = new ArrayList<>();
+    List<Integer> valueNumbers = new ArrayList<>();
+    for (int valueNumber : packer.urgentValues()) {
       if (!transaction.hasCapacity()) {
         break;
       }
-      List<Disruption> content = List.copyOf(packer.itemsByPosition(number).values());
+      List<Disruption> content = List.copyOf(packer.itemsByPosition(valueNumber).values());
       transaction.addUntrackedValue(
-          Keys.disruptions(number),
+          Keys.disruptions(valueNumber),
           Disruption.encode(content),
           content.stream().mapToInt(Disruption::maximumSize).sum());
-      packer.markSent(number);
-      numbers.add(number);
-      content.stream().filter(pending::contains).forEach(going::add);
+      packer.markSent(valueNumber);
+      valueNumbers.add(valueNumber);
+      content.stream().filter(pending::contains).forEach(included::add);
     }
-    disruptionsInFlight.put(transaction, going);
-    valuesInFlight.put(transaction, numbers);
+    inFlight.put(transaction, new InFlight(included, valueNumbers));
   }
 
   @Override
   public void onApplied(LeaderTransaction transaction) {
-    valuesInFlight.remove(transaction);
-    for (Disruption disruption : disruptionsInFlight.getOrDefault(transaction, List.of())) {
+    InFlight carried = inFlight.remove(transaction);
+    if (carried == null) {
+      return;
+    }
+    for (Disruption disruption : carried.disruptions) {
       if (pending.remove(disruption)) {
         onDurable.accept(disruption);
       }
     }
-    disruptionsInFlight.remove(transaction);
   }
 
   @Override
   public void onNotApplied(LeaderTransaction transaction) {
-    disruptionsInFlight.remove(transaction);
-    valuesInFlight.getOrDefault(transaction, List.of()).forEach(packer::markDue);
-    valuesInFlight.remove(transaction);
+    InFlight carried = inFlight.remove(transaction);
+    if (carried != null) {
+      carried.values.forEach(packer::markDue);
+    }
   }
 }
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -194,7 +194,7 @@
     machine("m-1", cordoned("d1"), 0);
     machine("m-2", cordoned("d2"), 0);
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
-    drain("d2", CompletionAction.RETURN, DesiredState.RUN, Optional.empty(), "m-2");
+    drain("d2", CompletionAction.TERMINATE, DesiredState.RUN, Optional.empty(), "m-2");
     Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(Map.of("m-1", new Maintenance(Stage.DRAINED, "d1")), plan.maintenanceChanges());
     assertEquals(List.of("m-2"), plan.machinesToRelease());
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -406,7 +406,7 @@
             (int) number(o, "at-once", 1),
             o.containsKey("hold")
                 ? DrainRequest.CompletionAction.HOLD
-                : DrainRequest.CompletionAction.RETURN,
+                : DrainRequest.CompletionAction.TERMINATE,
             DrainRequest.DesiredState.RUN,
             world.now,
             world.now.plus(seconds(o.getOrDefault("for", "3600"))),
