--- a/src/main/java/io/pearscale/scheduler/CommitEffects.java
+++ b/src/main/java/io/pearscale/scheduler/CommitEffects.java
@@ -1,8 +1,8 @@
 package io.pearscale.scheduler;
 
 import io.pearscale.scheduler.agents.CommandDispatcher;
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.MachineRetirement;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.records.CommitListener;
 
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -13,6 +13,7 @@
 import io.pearscale.scheduler.agents.MachineRetirement.Reason;
 import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
 import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -20,7 +21,6 @@
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.records.LeaderRecords;
 import io.pearscale.scheduler.records.TransactionContributor;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
@@ -45,7 +45,7 @@
 
   private final JobTable jobs;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final Responsiveness responsiveness;
   private final LevelGate levelGate;
   private final InstantSource timeOfDay;
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -1,11 +1,11 @@
 package io.pearscale.scheduler.maintenance;
 
 import io.pearscale.scheduler.model.AgentTimings;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.records.LeaderRecords;
 import io.pearscale.storage.Maintenance;
 import java.time.Instant;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
 
   private final Leadership leadership;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final AgentTimings times;
   private final Responsiveness responsiveness;
   private final Map<Machine, Instant> probationSince = new HashMap<>();
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -4,10 +4,11 @@
 import io.pearscale.protocol.TaskId;
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.AttemptNumbers;
+import io.pearscale.scheduler.model.DecisionRecorder;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobClasses;
 import io.pearscale.scheduler.model.JobTable;
@@ -20,7 +21,6 @@
 import io.pearscale.scheduler.model.TaskAttempt.Stage;
 import io.pearscale.scheduler.model.TermExecutor;
 import io.pearscale.scheduler.model.Tuning;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -48,7 +48,7 @@
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final InstantSource clock;
   private final AgentTimings timings;
   private final Policy policy;
@@ -162,7 +162,7 @@
     boolean oneTaskOnly =
         QueueOrder.isFirstStartOverdue(job, now) || job.failures().failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
-      Optional<Placer.Assignment> assignment = placer.place(job, mayPreempt);
+      Optional<Assignment> assignment = placer.place(job, mayPreempt);
       job.recordSchedulingResult(assignment.isPresent());
       if (assignment.isEmpty()) {
         return;
@@ -181,8 +181,7 @@
       return;
     }
     int tasks = job.pendingTasks();
-    List<Placer.Assignment> assignments =
-        gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
+    List<Assignment> assignments = gangPlacer.place(job, tasks, QueueOrder.mayPreempt(job, now));
     job.recordSchedulingResult(!assignments.isEmpty());
     if (assignments.isEmpty()) {
       if (QueueOrder.isFirstStartOverdue(job, now)) {
@@ -197,7 +196,7 @@
     }
     long attemptNumber = gangs.attemptNumber(job);
     int task = job.nextPendingTask(0);
-    for (Placer.Assignment assignment : assignments) {
+    for (Assignment assignment : assignments) {
       start(job, task, assignment, attemptNumber, touched, now);
       task = job.nextPendingTask(task + 1);
     }
@@ -206,7 +205,7 @@
   private void start(
       Job job,
       int taskIndex,
-      Placer.Assignment assignment,
+      Assignment assignment,
       long attemptNumber,
       Set<Machine> touched,
       Instant now) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -3,6 +3,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings.StoreLimits;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.TaskAttempt;
@@ -22,7 +23,7 @@
  * <p>Stored values are taken over by {@link StoredRecordAdopter}, packed by {@link PackedRecords},
  * repacked by {@link LayoutChange}, and put into transactions by {@link TransactionPlanner}.
  */
-public final class LeaderRecords {
+public final class LeaderRecords implements DecisionRecorder {
   /** Changes that nobody waits for are written within this time, together with others. */
   private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
@@ -100,6 +101,7 @@
   // ---- What is to be written ----
 
   /** Records the machine of the attempt as soon as possible; its start waits for that. */
+  @Override
   public void recordPlacement(TaskAttempt attempt) {
     packed.assignSlot(attempt.machine());
     if (!attempt.machine().record().isRecorded()) {
@@ -110,12 +112,14 @@
   }
 
   /** Records that a task is done. Its agent reports that until it is durable: it can wait. */
+  @Override
   public void recordTaskDone(Job job, int task) {
     JobPartition partition = packed.assignSlot(job, task);
     packed.placements().markDue(partition, clock.instant().plus(DEFERRED_WRITE_DELAY));
   }
 
   /** Records as soon as possible that all tasks of the job are done. */
+  @Override
   public void recordJobFinished(Job job) {
     finishedJobs.add(job);
     requestCommit.run();
@@ -127,27 +131,32 @@
   }
 
   /** Assigns a slot to the machine's record, unless it has one. */
+  @Override
   public void assignSlot(Machine machine) {
     packed.assignSlot(machine);
   }
 
   /** Records the machine within that time. It must have a slot; otherwise nothing is done. */
+  @Override
   public void recordMachine(Machine machine, Duration within) {
     packed.machines().markDue(machine, clock.instant().plus(within));
   }
 
   /** Records a change of the machine that nobody waits for. */
+  @Override
   public void recordMachineDeferred(Machine machine) {
     recordMachine(machine, DEFERRED_WRITE_DELAY);
   }
 
   /** Records the machine as soon as possible. */
+  @Override
   public void recordMachineNow(Machine machine) {
     packed.machines().markDue(machine);
     requestCommit.run();
   }
 
   /** Drops the record of a machine that is gone, or on which no task can be any more. */
+  @Override
   public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
     packed.machines().remove(machine);
@@ -156,6 +165,7 @@
   }
 
   /** Drops the placement records of a job. */
+  @Override
   public void removeJob(Job job) {
     for (JobPartition partition : JobPartition.allOf(job, packed.layout())) {
       packed.placements().remove(partition);
@@ -176,12 +186,14 @@
   }
 
   /** Records the machine types that the cloud offers, if the stored catalogue has others. */
+  @Override
   public void updateCatalogue(Set<String> typeNames) {
     catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
     requestCommit.run();
   }
 
   /** Requests a transaction. */
+  @Override
   public void requestCommit() {
     requestCommit.run();
   }
@@ -204,6 +216,7 @@
   }
 
   /** Whether a slot is assigned to the machine's record. */
+  @Override
   public boolean hasSlot(Machine machine) {
     return packed.hasSlot(machine);
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -34,12 +34,15 @@
    *     read
    */
   public LeaderRecovery(
-      LeaderState state, Runnable probeRecordedMachines, Consumer<String> onUnfitToLead) {
+      LeaderState state,
+      LeaderRecords records,
+      Runnable probeRecordedMachines,
+      Consumer<String> onUnfitToLead) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
-    this.records = state.records();
+    this.records = records;
     this.clock = state.clock();
     this.probeRecordedMachines = probeRecordedMachines;
     this.onUnfitToLead = onUnfitToLead;
@@ -69,7 +72,7 @@
     leadership.becomeReady();
     jobs.forgetLeaderState();
     records.clear();
-    new RecordAdoption(state).adopt(stored.get());
+    new RecordAdoption(state, records).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
     probeRecordedMachines.run();
     LOG.info(
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -40,10 +40,10 @@
   /** Jobs that are over, while attempts of them may still exist. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
-  RecordAdoption(LeaderState state) {
+  RecordAdoption(LeaderState state, LeaderRecords records) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
-    this.records = state.records();
+    this.records = records;
     this.adopter = records.adopter();
     this.clock = state.clock();
     for (RecordLayout layout : RecordLayout.values()) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -78,6 +78,7 @@
    */
   public RecordWriter(
       LeaderState leaderState,
+      LeaderRecords records,
       Store store,
       List<TransactionContributor> contributors,
       TermExecutor executor,
@@ -86,7 +87,7 @@
     this.leadership = leaderState.leadership();
     this.jobs = leaderState.jobs();
     this.inventory = leaderState.inventory();
-    this.records = leaderState.records();
+    this.records = records;
     this.clock = leaderState.clock();
     this.store = store;
     this.contributors = contributors;
