--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -11,18 +11,17 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Optional;
 import java.util.regex.Pattern;
 
 /**
- * What operators want of a drain. Operators alone write it; what comes of it is the leader's
- * record.
+ * An operator's request for a drain. Only operators write it; the leader writes {@link
+ * DrainStatus}.
  *
- * @param selector how the machines were chosen, for people: the names are stored beside
- * @param maxConcurrentMachines so many machines are cordoned at a time
+ * @param selector how the machines were selected, for display; their names are stored beside
+ * @param maxConcurrentMachines the most machines that are cordoned at a time
  * @param completionAction what becomes of a machine that is empty
- * @param window the maintenance window in which it may disrupt
+ * @param window name of the maintenance window in which it may disrupt; empty for any time
  */
 public record DrainRequest(
     String id,
@@ -36,72 +35,92 @@
 
   /** What becomes of a machine that is empty. */
   public enum CompletionAction {
-    /** It is given back to the cloud; another one is rented where it is needed. */
-    RETURN,
+    /** It is terminated; another one is provisioned where it is needed. */
+    TERMINATE("return"),
     /** It stays out of service until the drain is ended. */
-    HOLD
+    HOLD("hold");
+
+    private final String storedName;
+
+    CompletionAction(String storedName) {
+      this.storedName = storedName;
+    }
+
+    private static CompletionAction parse(String text) throws MalformedMessageException {
+      for (CompletionAction action : values()) {
+        if (action.storedName.equals(text)) {
+          return action;
+        }
+      }
+      throw unknown(text);
+    }
   }
 
-  /** What is to be done now. */
+  /** What the operator wants now. */
   public enum DesiredState {
-    /** Go on. */
-    RUN,
-    /** Disrupt nothing and cordon nothing; what is cordoned stays so. */
-    PAUSE,
-    /** Put back into service what is not drained yet, and what is held. */
-    CANCEL
+    /** Cordon machines, and disrupt tasks as budgets allow. */
+    RUN("run"),
+    /** Cordon nothing and disrupt nothing; cordoned machines stay so. */
+    PAUSE("pause"),
+    /** Put all machines back into service that are not terminated yet. */
+    CANCEL("cancel");
+
+    private final String storedName;
+
+    DesiredState(String storedName) {
+      this.storedName = storedName;
+    }
+
+    private static DesiredState parse(String text) throws MalformedMessageException {
+      for (DesiredState state : values()) {
+        if (state.storedName.equals(text)) {
+          return state;
+        }
+      }
+      throw unknown(text);
+    }
   }
 
-  /** So much of a value is filled with names, in percent. */
+  /** How much of a value is filled with names, in percent. */
   private static final int VALUE_FILL_PERCENT = 80;
 
-  /** What a name takes in a list beside its letters. */
+  /** Bytes of a name in a list beside its characters. */
   private static final int NAME_PUNCTUATION_LENGTH = 3;
 
-  /** Ids are part of keys and of each machine's record, so they are short. */
+  /** Ids are part of keys and of machine records, so they are short. */
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
 
-  /** Whether the text may be an id. */
+  /** Whether the text is a valid id. */
   public static boolean isId(String text) {
     return ID.matcher(text).matches();
   }
 
-  /** Reads the record. */
+  /** Decodes the record. */
   public static DrainRequest parse(String id, JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     return new DrainRequest(
         id,
         MessageFields.text(map, "selector"),
         (int) MessageFields.integer(map, "atOnce", 1, Integer.MAX_VALUE),
-        parseConstant(CompletionAction.class, MessageFields.text(map, "afterwards")),
-        parseConstant(DesiredState.class, MessageFields.text(map, "wish")),
+        CompletionAction.parse(MessageFields.text(map, "afterwards")),
+        DesiredState.parse(MessageFields.text(map, "wish")),
         Instant.ofEpochMilli(MessageFields.integer(map, "requestedMs", 0, Long.MAX_VALUE)),
         Instant.ofEpochMilli(MessageFields.integer(map, "deadlineMs", 0, Long.MAX_VALUE)),
         MessageFields.optionalText(map, "window"));
   }
 
-  private static <E extends Enum<E>> E parseConstant(Class<E> type, String text)
-      throws MalformedMessageException {
-    for (E each : type.getEnumConstants()) {
-      if (word(each).equals(text)) {
-        return each;
-      }
-    }
-    throw new MalformedMessageException("unknown word " + text);
-  }
-
-  private static String word(Enum<?> constant) {
-    return constant.name().toLowerCase(Locale.ROOT);
+  private static MalformedMessageException unknown(String text) {
+    return new MalformedMessageException("unknown word " + text);
   }
 
-  /** The record. */
+  /** Encodes the record. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
             .put("selector", selector)
             .put("atOnce", maxConcurrentMachines)
-            .put("afterwards", word(completionAction))
-            .put("wish", word(desiredState))
+            .put("afterwards", completionAction.storedName)
+            .put("wish", desiredState.storedName)
             .put("requestedMs", requestedAt.toEpochMilli())
             .put("deadlineMs", deadline.toEpochMilli());
     window.ifPresent(name -> node.put("window", name));
@@ -109,7 +128,7 @@
   }
 
   /**
-   * What is written when a drain is asked for: the record, and the names of the machines in as many
+   * The mutations that store a new request: its record, and the names of the machines in as many
    * values as they need.
    */
   public List<Mutation> toMutations(List<String> machines, int maxValueBytes) {
@@ -133,9 +152,9 @@
     return mutations;
   }
 
-  /** The stored record with another wish; whatever else is stored stays. */
+  /** The stored record with another desired state; its other fields are kept. */
   public static ObjectNode withDesiredState(JsonNode stored, DesiredState desiredState) {
     ObjectNode node = stored.deepCopy();
-    return node.put("wish", word(desiredState));
+    return node.put("wish", desiredState.storedName);
   }
 }
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -6,18 +6,17 @@
 import io.pearscale.transport.MessagePack;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.stream.Stream;
 
 /**
- * How far a drain is, and what holds it up.
+ * The progress of a drain, and what holds it up. Only the leader writes it.
  *
- * @param inService machines that are still in service
+ * @param inService machines that are still in service, or back in it
  * @param cordoned machines that get no new tasks
- * @param drained machines that are empty and held
- * @param released machines that were given back, or are not known any more
+ * @param drained empty machines that are kept out of service
+ * @param released machines that were terminated, or are not known any more
  * @param remainingTasks tasks on cordoned machines
- * @param reasons what holds it up, in the planner's own words
+ * @param reasons what holds it up, for display
  */
 public record DrainStatus(
     State state,
@@ -28,34 +27,40 @@
     int remainingTasks,
     List<String> reasons) {
 
-  /** How far it is. */
+  /** The state of a drain. */
   public enum State {
-    /** Nothing is cordoned yet. */
-    REQUESTED,
+    /** No machine is cordoned yet. */
+    REQUESTED("requested"),
     /** Machines are being emptied. */
-    DRAINING,
-    /** An operator holds it, or its window is closed. */
-    PAUSED,
-    /** All machines are empty and held, or gone. */
-    DRAINED,
-    /** An operator has taken it back, or ended the maintenance. */
-    CANCELLED,
-    /** Its time was over before all machines were empty; the others are back in service. */
-    FAILED
+    DRAINING("draining"),
+    /** Paused by an operator, or outside its maintenance window. */
+    PAUSED("paused"),
+    /** All machines are drained or terminated. */
+    DRAINED("drained"),
+    /** Cancelled by an operator, or the maintenance is over. */
+    CANCELLED("cancelled"),
+    /** The deadline passed before all machines were empty; the others are back in service. */
+    FAILED("failed");
+
+    private final String storedName;
+
+    State(String storedName) {
+      this.storedName = storedName;
+    }
   }
 
-  /** Whether nothing more comes of a drain with that record. */
+  /** Whether the encoded status is final. */
   public static boolean isOver(JsonNode record) {
-    String word = record.path("state").asText();
+    String stored = record.path("state").asText();
     return Stream.of(State.DRAINED, State.CANCELLED, State.FAILED)
-        .anyMatch(state -> word.equals(state.name().toLowerCase(Locale.ROOT)));
+        .anyMatch(state -> stored.equals(state.storedName));
   }
 
-  /** The record, with so many reasons at the most. */
+  /** Encodes the status, with at most so many reasons. */
   public ObjectNode toNode(int maxReasons) {
     ObjectNode node =
         MessagePack.map()
-            .put("state", state.name().toLowerCase(Locale.ROOT))
+            .put("state", state.storedName)
             .put("waiting", inService)
             .put("cordoned", cordoned)
             .put("drained", drained)
@@ -66,7 +71,7 @@
     return node;
   }
 
-  /** The reasons of a record. */
+  /** The reasons of an encoded status. */
   public static List<String> reasonsOf(JsonNode record) {
     List<String> reasons = new ArrayList<>();
     record.path("reasons").forEach(reason -> reasons.add(reason.asText()));
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -109,25 +109,40 @@
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(leaderState, records, dispatcher, listener::recordUnreadable);
+    recovery = recovery(leaderState, listener);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
     machineProvisioner =
         machineProvisioner(environment, leaderState, cloud, retirement, classes, order);
     levelRaiser =
         new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
-    recordWriter =
-        new RecordWriter(
-            leaderState,
-            records,
-            environment,
-            transactionSources(environment),
-            executor,
-            dispatcher,
-            retirement);
+    recordWriter = recordWriter(environment, leaderState, executor, retirement);
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
+  private LeaderRecovery recovery(LeaderState leaderState, Listener listener) {
+    return new LeaderRecovery(
+        leaderState, records, dispatcher::probeRecordedMachines, listener::recordUnreadable);
+  }
+
+  private RecordWriter recordWriter(
+      Environment environment,
+      LeaderState leaderState,
+      TermExecutor executor,
+      MachineRetirement retirement) {
+    var store =
+        new RecordWriter.Store(
+            environment.store(), environment.settings().storeLimits(), environment.levelGate());
+    return new RecordWriter(
+        leaderState,
+        records,
+        store,
+        transactionContributors(environment),
+        executor,
+        environment.random(),
+        new CommitEffects(gangs, dispatcher, retirement, environment.listener()));
+  }
+
   private SchedulingPass schedulingPass(
       Environment environment,
       LeaderState leaderState,
@@ -225,7 +240,7 @@
   }
 
   /** The components that have more to write than the records of jobs and machines. */
-  private List<TransactionContributor> transactionSources(Environment environment) {
+  private List<TransactionContributor> transactionContributors(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
       sources.add(levelRaiser);
