--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -144,15 +144,15 @@
 
   private void probeIfSilent(Machine machine, Instant now) {
     boolean silent = sinceLastContact(machine, now).compareTo(agentTimeouts.heartbeatDue()) > 0;
-    boolean unreconciled = !machine.reconciled() && dispatcher.hasProbedAllRecorded();
+    boolean unreconciled = !machine.reconciled() && dispatcher.prober().hasProbedAllRecorded();
     if (machine.lifecycle() == Lifecycle.UP
         && machine.reachability().heartbeatEverReceived()
         && !machine.leaseExpired()
         && (unreconciled || silent)
         && !machine.reachability().commandInFlight()
-        && dispatcher.mayProbe()
+        && dispatcher.prober().mayProbe()
         && now.isAfter(machine.reachability().directCommandsAfter())) {
-      dispatcher.probe(machine);
+      dispatcher.prober().probe(machine);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -16,9 +16,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the reports of workers, each answer renewing a lease. */
+/**
+ * Responds to heartbeats. Each response renews the lease of its machine, so a heartbeat is refused
+ * unless this leader may renew leases, and knows the machine as well as all later heartbeats.
+ */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
+
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
@@ -30,7 +34,7 @@
   /**
    * Makes a handler.
    *
-   * @param onHigherTerm is told of a higher term than ours
+   * @param onHigherTerm is called with a higher term than this leader's when an agent shows one
    */
   public HeartbeatHandler(
       LeaderState state,
@@ -47,9 +51,9 @@
   }
 
   /**
-   * Takes a report in and answers it.
+   * Takes a heartbeat in and responds to it.
    *
-   * @param relay the controller that it came to
+   * @param relay the host of the controller that received it
    */
   public HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
     if (!leadership.isReady() || !leadership.mayRenewLeases()) {
@@ -57,7 +61,7 @@
     }
     if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
       LOG.warn(
-          "event=report_of_higher_term machine={} token={}",
+          "event=heartbeat_of_higher_term machine={} token={}",
           heartbeat.machine(),
           heartbeat.fencingToken());
       onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
@@ -65,7 +69,7 @@
     }
     Machine machine = machineOf(heartbeat);
     if (machine == null || !machine.lease().isNewer(heartbeat)) {
-      LOG.debug("event=report_dropped machine={}", heartbeat.machine());
+      LOG.debug("event=heartbeat_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
     }
     boolean reachable = machine.fencing().acknowledgeResponse(heartbeat.fencingToken(), relay);
@@ -78,10 +82,10 @@
     return new HeartbeatResponse(200, machine.fencing().current(), commands);
   }
 
-  /** What goes with the answer to a report, which renews the lease of all that the machine runs. */
+  /** The commands of a response, which renews the lease of all that the machine runs. */
   private List<AgentCommand> commandsForResponse(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.fencingToken() > machine.fencing().current()) {
-      // The machine drops the answer, so that nothing is renewed.
+      // The agent drops the response, so that nothing is renewed.
       return List.of();
     }
     return machine.reconciled()
--- a/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
@@ -13,27 +13,27 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which tasks a machine is told to stop. A stop is owed until a message of the machine
- * shows that the task has ended: that it was sent once proves nothing, since a command may get lost
- * and an answer may come too late to be accepted.
+ * Decides which stop commands an agent is due. A stop is due until a heartbeat shows that the task
+ * has ended: that it was sent once proves nothing, since a command may get lost and a heartbeat
+ * response may come too late to be accepted.
  *
- * <p>The invariant that bounds how long a cancelled task can go on: every answer that renews a
- * machine's lease carries the stop of every cancelled task that the machine may hold. So whatever
- * the machine accepts either stops the task or does not renew its lease.
+ * <p>Invariant: every heartbeat response that renews a machine's lease carries the stop of every
+ * cancelled task that the machine may hold. So whatever the agent accepts either stops the task or
+ * does not renew its lease, which bounds how long a cancelled task can go on.
  */
 final class StopCommands {
-  /** For how long a stop that is repeated outside of answers to reports waits for its effect. */
+  /** A stop that is sent again in a direct command waits for its effect for so long. */
   private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
 
-  /** What the saving of a stopped task may take beyond the time that its job names. */
+  /** Time that a stopped task gets for its checkpoint beyond what its job names. */
   private static final Duration CHECKPOINT_MARGIN = Duration.ofSeconds(2);
 
   private StopCommands() {}
 
   /**
-   * The stops that a machine is to be sent now; they count as sent from here on.
+   * The stops that an agent is to get now; they count as sent from here on.
    *
-   * @param inHeartbeatResponse whether they go with an answer that renews the machine's lease
+   * @param inHeartbeatResponse whether they go with a response that renews the machine's lease
    */
   static List<AgentCommand> due(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
@@ -43,21 +43,21 @@
         .unknown()
         .keySet()
         .forEach(e -> stops.add(AgentCommand.stop(e.task(), e.attempt(), Duration.ZERO)));
-    for (TaskAttempt placement : machine.attempts().values()) {
-      if (isDue(placement, inHeartbeatResponse, now)) {
-        stops.add(stopCommand(placement));
-        placement.stopSent(now);
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (isDue(attempt, inHeartbeatResponse, now)) {
+        stops.add(stopCommand(attempt));
+        attempt.stopSent(now);
       }
     }
     return stops;
   }
 
   /**
-   * The stops that go with the answer to a machine which has not shown a token of this term. The
-   * inventory says nothing of it yet, but its report names what runs there, and the answer renews
-   * the lease of all of that.
+   * The stops that go with the response to a machine that is not reconciled. The inventory says
+   * nothing of it yet, but its heartbeat lists what runs there, and the response renews the lease
+   * of all of that.
    *
-   * @param isLive whether a job is not over
+   * @param isLive whether the job of that id is not over
    */
   static List<AgentCommand> forUnreconciled(Heartbeat heartbeat, Predicate<String> isLive) {
     List<AgentCommand> stops = new ArrayList<>();
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Whether a stop waits that no command has carried yet, so that a direct one is worth its cost.
+   * Whether a stop is due that no command has carried yet, so that a direct one is worth its cost.
    */
   static boolean hasUnsent(Machine machine) {
     return machine.reportedAttempts().unknown().containsValue(Instant.MIN)
@@ -92,12 +92,12 @@
     return Duration.between(attempt.lastStopSentAt(), now).compareTo(resendAfter) >= 0;
   }
 
-  /** Whether the task does what its stop asked of it, so that another one would only cut it off. */
+  /** Whether the task saves, as its stop asked, so that another stop would only cut that off. */
   private static boolean isCheckpointing(TaskAttempt attempt) {
     return attempt.stage() == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint();
   }
 
-  /** The command itself. A task that was given its time to save is told to end at once. */
+  /** The command itself. A task that had its time for a checkpoint is stopped at once. */
   private static AgentCommand stopCommand(TaskAttempt attempt) {
     boolean mayStillCheckpoint =
         !attempt.stopsWithoutCheckpoint()
