--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -8,7 +8,6 @@
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
-import io.pearscale.scheduler.agents.FaultAttribution;
 import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.HeartbeatHandler;
@@ -87,8 +86,7 @@
     statistics = new LeaderStatistics(leaderState);
     gracefulTermination = new GracefulTermination(leaderState, times);
     HeartbeatProcessor processor =
-        new HeartbeatProcessor(
-            leaderState, new FaultAttribution(leaderState), gracefulTermination, statistics);
+        new HeartbeatProcessor(leaderState, gracefulTermination, statistics);
     dispatcher =
         new CommandDispatcher(
             leaderState,
--- a/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
@@ -22,11 +22,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The present attempt of each gang job that has, or had, tasks on machines. */
+/** Tracks the present attempt of each gang job that has, or had, tasks on machines. */
 public final class GangTracker {
   private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
-  /** So many machines are named at the most where a gang is held up. */
+  /** Machines that are named at most as what a gang waits for. */
   private static final int MAX_MACHINES_NAMED = 3;
 
   private final Leadership leadership;
@@ -37,7 +37,7 @@
   private Duration lostWork = Duration.ZERO;
 
   /**
-   * Knows of no gangs.
+   * Makes a tracker that knows of no gangs.
    *
    * @param formingTimeout how long a task of a gang waits for the others
    */
@@ -47,14 +47,14 @@
     this.formingTimeout = formingTimeout;
   }
 
-  /** Forgets all gangs. */
+  /** Forgets all gangs, since the term is over. */
   public void clear() {
     attempts.clear();
     phaseSince.clear();
     lostWork = Duration.ZERO;
   }
 
-  /** The job is over. */
+  /** Forgets a gang whose job is over. */
   public void forget(Job job) {
     attempts.remove(job);
     phaseSince.remove(job);
@@ -65,18 +65,18 @@
     return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formingTimeout));
   }
 
-  /** What the job's attempt is at. */
+  /** The phase of the job's present attempt, when it was last looked at. */
   Phase phase(Job job) {
     return attemptOf(job).phase();
   }
 
-  /** Whether tasks of the gang have machines, but do not run. */
+  /** Whether tasks of the gang are placed, but do not run. */
   public boolean isHeldUp(Job job) {
     Phase phase = phase(job);
     return phase != Phase.VACANT && phase != Phase.RUNNING;
   }
 
-  /** What a gang that is held up waits for, in words for operators. */
+  /** What a gang that is held up waits for, as a phrase for operators. */
   public String waitReason(Job job) {
     return switch (phase(job)) {
       case FORMING ->
@@ -84,40 +84,41 @@
               .formatted(
                   countInStage(job, Stage.WAITING_FOR_GANG), job.spec().tasks(), stragglers(job));
       case ENDING ->
-          "tasks of the attempt before are not yet proven gone: " + machinesOf(job, placed -> true);
+          "tasks of the attempt before are not yet proven gone: "
+              + machinesOf(job, attempt -> true);
       case UNKNOWN ->
           "tasks that a former leader placed were not shown yet: "
-              + machinesOf(job, placed -> !placed.observed());
+              + machinesOf(job, attempt -> !attempt.observed());
       case VACANT, RUNNING -> "it does not wait";
     };
   }
 
   private static long countInStage(Job job, Stage stage) {
-    return job.attempts().values().stream().filter(placed -> placed.stage() == stage).count();
+    return job.attempts().values().stream().filter(attempt -> attempt.stage() == stage).count();
   }
 
   private static String stragglers(Job job) {
-    return machinesOf(job, placed -> placed.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
+    return machinesOf(job, attempt -> attempt.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
   private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
     return job.attempts().values().stream()
         .filter(which)
         .limit(MAX_MACHINES_NAMED)
-        .map(placed -> placed.machine().name())
+        .map(attempt -> attempt.machine().name())
         .distinct()
         .collect(Collectors.joining(", "));
   }
 
-  /** What is to be done for the gang now. */
+  /** What is to be done for the gang now; looks at what its tasks are at. */
   public Action nextAction(Job job) {
     if (job.hasDoneTasks()) {
-      return Action.NONE; // One task that is done makes all done: what is left exits by itself.
+      return Action.NONE; // One completed task completes all: what is left exits by itself.
     }
     GangAttempt attempt = attemptOf(job);
     Phase before = attempt.phase();
     Action action = attempt.nextAction(membersOf(job), clock.instant());
-    notePhaseChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* checkpointed= */ false);
     return action;
   }
 
@@ -145,7 +146,7 @@
         lasted.toMillis());
   }
 
-  /** The work since the last checkpoint, of all tasks, as far as this leader saw them run. */
+  /** Time that all tasks together ran since their last checkpoint, as far as this leader knows. */
   private static Duration workSinceCheckpoint(Job job, Duration ran) {
     long checkpointMillis = job.spec().checkpointInterval().toMillis();
     long sinceCheckpoint =
@@ -172,11 +173,11 @@
     };
   }
 
-  /** An attempt is started under that number. */
+  /** An attempt begins under that number. */
   public void beginAttempt(Job job, long number) {
     Phase before = phase(job);
     attemptOf(job).begin(number, clock.instant());
-    notePhaseChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* checkpointed= */ false);
   }
 
   /** The number under which missing tasks of the present attempt are started. */
@@ -185,9 +186,9 @@
   }
 
   /**
-   * All tasks of the gang are told to stop.
+   * All tasks of the gang are being stopped.
    *
-   * @param checkpoints whether they are given the time to save
+   * @param checkpoints whether they get time for a checkpoint
    */
   void noteEnding(Job job, boolean checkpoints) {
     Phase before = phase(job);
@@ -195,14 +196,15 @@
     notePhaseChange(job, before, checkpoints);
   }
 
-  /** A task of that attempt has exited since others are missing or gone. */
+  /** A task of the attempt of that number has exited since others are missing or gone. */
   void noteBroken(Job job, long attempt) {
     attemptOf(job).noteBroken(attempt);
   }
 
   /**
-   * Whether starts of the job may be sent: those of a gang only when all its tasks have a machine
-   * and all marks are durable, so that none is started in vain and a successor knows of each.
+   * Whether starts of the job may be sent: those of a gang only when all its tasks are placed and
+   * all placement records are durable, so that none is started in vain and a successor knows of
+   * each.
    */
   static boolean mayStart(Job job) {
     if (!job.spec().isGang()) {
@@ -218,8 +220,8 @@
   }
 
   /**
-   * How many gangs are in each phase, how many attempts have ended, and the work that was lost, as
-   * fields of a log line.
+   * Fields of a log line: how many gangs are in each phase, how many attempts have ended, and the
+   * work that was lost.
    */
   public String logFields() {
     int[] phases = new int[Phase.values().length];
@@ -228,7 +230,7 @@
       phases[attempt.phase().ordinal()]++;
       ended += attempt.endedAttempts();
     }
-    return ("gangs_forming=%d gangs_running=%d gangs_ending=%d gangs_unknown=%d attempts_ended=%d"
+    return ("gangs_forming=%d gangs_running=%d gangs_ending=%d gangs_unknown=%d gang_attempts_ended=%d"
             + " gang_work_lost_s=%d")
         .formatted(
             phases[Phase.FORMING.ordinal()],
