--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -100,7 +100,9 @@
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
-    MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
+    MachineRetirement retirement =
+        new MachineRetirement(
+            leaderState, names -> cloud.tell(new CloudActor.DeleteMachines(names)));
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
     recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
--- a/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -10,24 +10,26 @@
 import java.util.function.Function;
 
 /**
- * How much of the fleet is silent: many silent machines point at ourselves, not at them.
+ * How much of the fleet is silent: many silent machines point at the leader's own network, not at
+ * them.
  *
  * @param fewUnreachable whether few machines are silent
- * @param minorityUnreachable whether it is not most of them
- * @param unreachableZones the zones of which most machines are
+ * @param minorityUnreachable whether less than half of the machines are silent
+ * @param unreachableZones the zones of which most machines are silent
  */
 record FleetReachability(
     boolean fewUnreachable, boolean minorityUnreachable, Set<String> unreachableZones) {
-  /** So many may be silent in the smallest fleet, and one of so many in a larger one. */
+  /** Machines that count as few in the smallest fleet. */
   private static final int MIN_FEW = 2;
 
+  /** In a larger fleet, one machine of so many counts as few. */
   private static final int FEW_IS_ONE_IN = 6;
 
   /**
    * Counts the machines that are up.
    *
-   * @param lastContact when a machine was last heard
-   * @param silentSince what was not heard since then is silent
+   * @param lastContact when a machine was last reached
+   * @param silentSince a machine that was not reached since then is silent
    */
   static FleetReachability count(
       Collection<Machine> machines, Function<Machine, Instant> lastContact, Instant silentSince) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -1,6 +1,6 @@
 package io.pearscale.scheduler.agents;
 
-import io.pearscale.scheduler.autoscaling.CloudActor;
+import io.pearscale.protocol.CloudApi;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
@@ -14,63 +14,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives machines back: first it is recorded that they are never used again, since a late deletion
- * may still reach them, then the cloud is asked.
+ * Releases machines: first it is recorded durably that they are never used again, since a late
+ * deletion may still reach them, then the provider is asked to delete them.
  */
 public final class MachineRetirement {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRetirement.class);
 
-  /** Why a machine is given back. */
+  /** Why a machine is released. */
   public enum Reason {
-    /** It did not come up in several times the usual time. */
+    /** It has not come up in several times the usual time. */
     BOOT_TIMEOUT,
-    /** The cloud has taken it, as it said it would. */
+    /** The provider has taken it back, as its notice said. */
     PREEMPTED,
-    /** It fails what it starts. */
+    /** Tasks fail there that run elsewhere. */
     QUARANTINED,
-    /** It does not answer, while others do. */
+    /** It answers no probes, while other machines do. */
     UNREACHABLE,
-    /** It answers, but does not report. */
+    /** It answers commands, but sends no heartbeats. */
     HEARTBEAT_PATH_DOWN,
-    /** Nothing was heard of it for longer than any lease. */
+    /** Its lease has expired, and nothing was heard of it for several leases. */
     MISSED_HEARTBEATS,
-    /** It is not needed. */
+    /** It has no tasks and is not needed. */
     IDLE,
-    /** It was drained, and is not to be held. */
+    /** It was drained, and is not to be kept. */
     DRAINED,
-    /** The cloud says that it stopped. */
+    /** The provider lists it as stopped. */
     STOPPED_BY_PROVIDER,
-    /** The cloud does not list it any more. */
+    /** The provider does not list it any more. */
     NOT_LISTED;
 
+    /** As the log names it. */
     String logName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** The cloud deletes so many machines with one request. */
-  private static final int MAX_DELETIONS_PER_REQUEST = 100;
-
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private final CloudActor cloud;
+  private final MachineDeleter deleter;
 
-  /** Creates the retirement of machines, which deletes them through the given cloud. */
-  public MachineRetirement(LeaderState state, CloudActor cloud) {
+  /** Makes a retirement that asks the deleter. */
+  public MachineRetirement(LeaderState state, MachineDeleter deleter) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
-    this.cloud = cloud;
+    this.deleter = deleter;
   }
 
-  /** The machine is not used any more; it is deleted once that is durable. */
+  /** The machine is not used any more; it is deleted once that is durable. Done once a machine. */
   public void retire(Machine machine, Reason reason) {
     if (machine.lifecycle() == Lifecycle.RETIRING) {
       return;
     }
     LOG.info(
-        "event=give_back term={} machine={} why={}",
+        "event=scale_in term={} machine={} reason={}",
         leadership.term(),
         machine.name(),
         reason.logName());
@@ -79,24 +77,24 @@
     records.recordMachineNow(machine);
   }
 
-  /** Asks the cloud to delete what is durably recorded as retiring. */
+  /** Requests the deletion of machines that are durably recorded as retiring. */
   public void deleteRetired() {
     List<String> names = new ArrayList<>();
     for (Machine machine : inventory.all()) {
       if (machine.lifecycle() == Lifecycle.RETIRING
           && machine.record().isRetiring()
           && !machine.cloud().isDeletionRequested()
-          && names.size() < MAX_DELETIONS_PER_REQUEST) {
+          && names.size() < CloudApi.MAX_DELETED_PER_REQUEST) {
         machine.cloud().deletionRequested();
         names.add(machine.name());
       }
     }
     if (!names.isEmpty()) {
-      cloud.tell(new CloudActor.DeleteMachines(names));
+      deleter.delete(names);
     }
   }
 
-  /** The cloud has not deleted the machines, as far as known: it is asked again. */
+  /** The machines were not deleted, as far as known: their deletion is requested again. */
   public void retryDeletion(List<String> names) {
     for (String name : names) {
       Machine machine = inventory.get(name);
