--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -16,6 +16,7 @@
 import io.pearscale.scheduler.autoscaling.Autoscaler;
 import io.pearscale.scheduler.autoscaling.CloudActor;
 import io.pearscale.scheduler.autoscaling.MachineProvisioner;
+import io.pearscale.scheduler.autoscaling.RelocationGate;
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
@@ -159,7 +160,7 @@
         retirement,
         dispatcher,
         recovery,
-        drainCoordinator);
+        drainCoordinator.map(RelocationGate.class::cast));
   }
 
   private static Map<String, Team> teams(Settings settings) {
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -11,27 +11,36 @@
 import java.util.Optional;
 
 /**
- * The room that is kept in each zone for classes whose tasks are expected to start at once. Counted
- * once over all machines; giving one up only subtracts what it has.
+ * Headroom: capacity that is kept in each zone for classes whose tasks could not wait for a machine
+ * to boot. Counted once over all machines; releasing one only subtracts what it has.
  */
 final class Headroom {
-  /** How many tasks of a class, like those of the sample job, are to have room in each zone. */
+  /**
+   * What is to be kept for one class.
+   *
+   * @param sample a job of the class: capacity is counted in tasks like its own
+   * @param tasksPerZone how many tasks are to have room in each zone
+   */
   record Target(Job sample, int tasksPerZone) {}
 
   private record ZoneTarget(Job sample, String zone) {}
 
   private final Collection<Target> targets;
+
+  /** Tasks without room, by class and zone; below 0 where there is more room than needed. */
   private final Map<ZoneTarget, Integer> deficits = new LinkedHashMap<>();
 
   Headroom(Collection<Target> targets, Collection<String> zones, Collection<Machine> schedulable) {
     this.targets = targets;
-    for (Target w : targets) {
-      Map<String, Integer> free = new HashMap<>();
+    for (Target target : targets) {
+      Map<String, Integer> slotsByZone = new HashMap<>();
       for (Machine machine : schedulable) {
-        free.merge(machine.zone(), slots(w.sample, machine), Integer::sum);
+        slotsByZone.merge(machine.zone(), slots(target.sample, machine), Integer::sum);
       }
       for (String zone : zones) {
-        deficits.put(new ZoneTarget(w.sample, zone), w.tasksPerZone - free.getOrDefault(zone, 0));
+        deficits.put(
+            new ZoneTarget(target.sample, zone),
+            target.tasksPerZone - slotsByZone.getOrDefault(zone, 0));
       }
     }
   }
@@ -42,37 +51,40 @@
         : 0;
   }
 
-  /** What has to be rented so that each zone has its room. */
+  /** What has to be provisioned so that each zone has its headroom. */
   List<ScaleOutPlanner.Demand> demands() {
     List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
     deficits.forEach(
-        (part, n) -> {
-          if (n > 0) {
-            demands.add(new ScaleOutPlanner.Demand(part.sample, n, Optional.of(part.zone)));
+        (target, lacking) -> {
+          if (lacking > 0) {
+            demands.add(
+                new ScaleOutPlanner.Demand(target.sample, lacking, Optional.of(target.zone)));
           }
         });
     return demands;
   }
 
   /**
-   * Whether no zone would lack more without the machine. What no machine here can give, in a zone
-   * that is full, must not keep all others.
+   * Whether no zone would lack more without the machine. A deficit to which the machine contributes
+   * nothing must not keep it.
    */
   boolean canRelease(Machine machine) {
-    for (Target w : targets) {
-      int deficit = deficits.getOrDefault(new ZoneTarget(w.sample, machine.zone()), 0);
-      if (Math.max(0, deficit + slots(w.sample, machine)) > Math.max(0, deficit)) {
+    for (Target target : targets) {
+      int deficit = deficits.getOrDefault(new ZoneTarget(target.sample, machine.zone()), 0);
+      if (Math.max(0, deficit + slots(target.sample, machine)) > Math.max(0, deficit)) {
         return false;
       }
     }
     return true;
   }
 
-  /** The machine is to be given back. */
+  /** The machine is to be released. */
   void release(Machine machine) {
-    for (Target w : targets) {
+    for (Target target : targets) {
       deficits.merge(
-          new ZoneTarget(w.sample, machine.zone()), slots(w.sample, machine), Integer::sum);
+          new ZoneTarget(target.sample, machine.zone()),
+          slots(target.sample, machine),
+          Integer::sum);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -7,7 +7,7 @@
 import io.pearscale.scheduler.agents.FailureDetector;
 import io.pearscale.scheduler.agents.MachineRetirement;
 import io.pearscale.scheduler.agents.MachineRetirement.Reason;
-import io.pearscale.scheduler.maintenance.DrainCoordinator;
+import io.pearscale.scheduler.autoscaling.ScaleOutPlanner.Offering;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
@@ -29,22 +29,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines and gives spare ones back, and takes in what the cloud says. */
+/** Carries out what the autoscaler plans, and takes in what the cloud answers. */
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
+
+  /** A round of planning takes one part in 20 of the time. */
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
-  /** A machine may be given back while the state service can be written, as of so long ago. */
+  /** Machines are released only if the key-value store could be written so lately. */
   private static final Duration STORE_PROOF_MAX_AGE = Duration.ofSeconds(2);
 
-  /** The record of a rented machine is written within that time, long before its first start. */
+  /** The record of a new machine is written within that time, long before its first start. */
   private static final Duration MACHINE_RECORD_DELAY = Duration.ofSeconds(1);
 
-  /** A machine missing in the list is gone only if nothing was heard of it for so long. */
+  /** A machine missing in the list is gone only if it was not reached for so long. */
   private static final Duration UNLISTED_SILENCE = Duration.ofSeconds(6);
 
-  /** After so many times the usual lag a list shows what was listed before. */
+  /** After so many times its usual lag a list shows what a list has shown before. */
   private static final int LIST_LAG_FACTOR = 3;
 
   private final Leadership leadership;
@@ -60,13 +62,13 @@
   private final MachineRetirement retirement;
   private final CommandDispatcher dispatcher;
   private final LeaderRecovery recovery;
-  private final Optional<DrainCoordinator> drains;
+  private final Optional<RelocationGate> relocationGate;
   private Instant nextScaling = Instant.MIN;
 
   /**
-   * Makes a supply.
+   * Makes a provisioner.
    *
-   * @param drains if they are switched on, is asked before a replica is moved, and stops it
+   * @param relocationGate empty where drains are switched off: replicas are relocated directly
    */
   public MachineProvisioner(
       LeaderState state,
@@ -78,7 +80,7 @@
       MachineRetirement retirement,
       CommandDispatcher dispatcher,
       LeaderRecovery recovery,
-      Optional<DrainCoordinator> drains) {
+      Optional<RelocationGate> relocationGate) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.inventory = state.inventory();
@@ -92,21 +94,21 @@
     this.retirement = retirement;
     this.dispatcher = dispatcher;
     this.recovery = recovery;
-    this.drains = drains;
+    this.relocationGate = relocationGate;
   }
 
-  /** A term has begun. */
+  /** A term has begun: the cloud is called from now on. */
   public void begin() {
     autoscaler.begin();
     cloud.tell(new CloudActor.BeginTerm(leadership.term()));
   }
 
-  /** The term is over. */
+  /** The term is over: the cloud is not called any more. */
   public void end() {
     cloud.tell(new CloudActor.EndTerm());
   }
 
-  /** Rents and gives back, unless that was done just now. */
+  /** Provisions and releases machines, unless that was done just now. */
   public void scaleIfDue(Instant now) {
     if (now.isAfter(nextScaling)) {
       scale(now);
@@ -119,19 +121,19 @@
     if (inventory.catalogue().types().isEmpty()) {
       return;
     }
-    // When the state service can't be written, a machine marked now would be of no use to anybody.
+    // When the store can't be written, a machine retired now would be of no use to anybody.
     boolean mayScaleIn = recovery.isComplete() && leadership.provenWithin(STORE_PROOF_MAX_AGE);
     Autoscaler.ScalingPlan plan =
         autoscaler.plan(
             new Autoscaler.ClusterView(
                 inventory.all(),
-                m -> failureDetector.isSchedulable(m, now),
+                machine -> failureDetector.isSchedulable(machine, now),
                 jobs.all(),
                 queueOrder.sorted(jobs.queued(), queueOrder.ranks(now), now),
                 inventory.quotaUsage(),
                 inventory.catalogue().types(),
                 failureDetector.unreachableZones(now),
-                drains.map(DrainCoordinator::replacementDemands).orElse(List.of()),
+                relocationGate.map(RelocationGate::replacementDemands).orElse(List.of()),
                 mayScaleIn),
             now);
     plan.scaleOut().forEach(this::requestMachines);
@@ -139,9 +141,9 @@
     plan.scaleIn().forEach(machine -> retirement.retire(machine, Reason.IDLE));
   }
 
-  private void requestMachines(ScaleOutPlanner.Offering offering, int count) {
+  private void requestMachines(Offering offering, int count) {
     LOG.info(
-        "event=rent term={} type={} zone={} spot={} count={}",
+        "event=scale_out term={} type={} zone={} spot={} count={}",
         leadership.term(),
         offering.type(),
         offering.zone(),
@@ -151,22 +153,22 @@
   }
 
   private void relocate(TaskAttempt attempt) {
-    if (drains.isPresent() && !drains.get().requestRelocation(attempt)) {
+    if (relocationGate.isPresent() && !relocationGate.get().requestRelocation(attempt)) {
       return;
     }
     LOG.info(
-        "event=move term={} machine={} task={} attempt={}",
+        "event=replica_relocation term={} machine={} task={} attempt={}",
         leadership.term(),
         attempt.machine().name(),
         attempt.task(),
         attempt.number());
-    if (drains.isEmpty()) {
+    if (relocationGate.isEmpty()) {
       inventory.stop(attempt);
       dispatcher.sendDueCommands(attempt.machine());
     }
   }
 
-  /** Takes in what the cloud says. */
+  /** Takes in what the cloud has answered. */
   public void handleCloudEvent(CloudActor.Event event) {
     Instant now = clock.instant();
     if (event instanceof CloudActor.CatalogueReceived received) {
@@ -188,7 +190,7 @@
   }
 
   private void handleProvisioned(CloudActor.MachinesProvisioned event, Instant now) {
-    ScaleOutPlanner.Offering offering = event.offering();
+    Offering offering = event.offering();
     autoscaler.scaleOutPlanner().noteGranted(offering);
     Optional<MachineType> type = inventory.catalogue().find(offering.type());
     for (String name : event.names()) {
@@ -202,18 +204,23 @@
       }
     }
     LOG.info(
-        "event=rented term={} kind={} count={}", leadership.term(), offering, event.names().size());
+        "event=machines_provisioned term={} offering={} count={}",
+        leadership.term(),
+        offering,
+        event.names().size());
   }
 
+  /** After an error of the provider the offering may be requested again at once. */
   private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
     if (event.providerError()) {
       autoscaler.scaleOutPlanner().noteGranted(event.offering());
     } else {
       autoscaler.scaleOutPlanner().noteRefused(event.offering(), now);
-      LOG.info("event=no_capacity term={} kind={}", leadership.term(), event.offering());
+      LOG.info("event=no_capacity term={} offering={}", leadership.term(), event.offering());
     }
   }
 
+  /** Takes in the whole machine list: machines that it misses may be gone. */
   private void handleListed(List<ListedMachine> listing, Instant now) {
     Set<String> names = new HashSet<>();
     for (ListedMachine listed : listing) {
@@ -229,6 +236,7 @@
     }
   }
 
+  /** Takes in a line of the machine list, which may name a machine that nobody knew. */
   private void handleListed(ListedMachine listed, Instant now) {
     Machine machine = inventory.get(listed.name());
     if (machine == null) {
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -12,41 +12,44 @@
 import java.util.Set;
 
 /**
- * Room that the replicas of machines to be emptied could move to. Both how many machines are asked
- * about and how many have to be looked at for each grow with the fleet, so that the looks of one
- * plan are bounded by the fleet's size: what is not found by then is left for the next plan.
+ * Capacity that the replicas of machines to be emptied could be relocated to. Both the number of
+ * machines to be emptied and the number of machines to check for each grow with the fleet, so the
+ * checks of one plan are bounded in proportion to the fleet's size: what is not found by then is
+ * left for the next plan.
  */
-public final class ReplicaCapacity {
+final class ReplicaCapacity {
+  /** Checks that a plan may take for each machine of the fleet. */
   private static final int CHECKS_PER_MACHINE = 32;
 
-  /** A small fleet is looked through as a whole. */
+  /** Checks that a plan may take in any fleet: a small one is searched as a whole. */
   private static final int MIN_CHECKS = 10_000;
 
   private final Set<Machine> machines;
   private final Map<Machine, Resources> available = new HashMap<>();
   private int checksLeft;
 
-  /** Begins with the room of machines that may take tasks. */
-  public ReplicaCapacity(Collection<Machine> schedulable) {
+  /** Begins with what is available on machines that tasks may be placed on. */
+  ReplicaCapacity(Collection<Machine> schedulable) {
     machines = new LinkedHashSet<>(schedulable);
     checksLeft = Math.max(MIN_CHECKS, CHECKS_PER_MACHINE * schedulable.size());
   }
 
-  /** A machine that is to be emptied is no place to move to. */
-  public void remove(Machine machine) {
+  /** A machine that is to be emptied takes no replicas. */
+  void remove(Machine machine) {
     machines.remove(machine);
   }
 
-  /** Looks that this plan may still take. */
-  public int checksLeft() {
+  /** Checks that this plan may still take. */
+  int checksLeft() {
     return checksLeft;
   }
 
   /**
-   * Whether each replica of the machine could go to one of the others that has its image; if so,
-   * their room is taken.
+   * Reserves capacity for each replica of the machine on another one that has its image.
+   *
+   * @return whether all replicas have a place; if not, what was reserved stays reserved
    */
-  public boolean reserveForReplicasOf(Machine machine, Instant now) {
+  boolean reserveForReplicasOf(Machine machine, Instant now) {
     for (TaskAttempt attempt : machine.attempts().values()) {
       if (attempt.job().spec().isService() && !(isStable(attempt, now) && reserve(attempt))) {
         return false;
--- /dev/null
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
@@ -0,0 +1,90 @@
+package io.pearscale.scheduler.autoscaling;
+
+import io.pearscale.scheduler.autoscaling.Autoscaler.ScalingPlan;
+import io.pearscale.scheduler.model.JobClasses;
+import io.pearscale.scheduler.model.Machine;
+import io.pearscale.scheduler.model.TaskAttempt;
+import io.pearscale.scheduler.model.Tuning;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+
+/**
+ * Decides which machines to release, and which replicas to move off those that are to be released.
+ * New tasks are placed last on machines that are not needed, so these run empty.
+ */
+final class ScaleInPlanner {
+  /** Replicas are relocated in rounds with this interval between them. */
+  private static final Duration RELOCATION_INTERVAL = Duration.ofSeconds(3);
+
+  /** A machine is not released sooner after it was provisioned, since that much is paid for. */
+  private static final Duration MIN_MACHINE_AGE = Duration.ofSeconds(60);
+
+  private final Tuning tuning;
+  private final JobClasses classes;
+  private Instant nextRelocations = Instant.MIN;
+
+  /** Relocations that may still begin in the present round. */
+  private int relocationsLeft;
+
+  ScaleInPlanner(Tuning tuning, JobClasses classes) {
+    this.tuning = tuning;
+    this.classes = classes;
+  }
+
+  /**
+   * Adds to the plan the machines to release and the replicas to relocate, and marks machines that
+   * are not needed.
+   *
+   * @param lacksCapacity whether the last scheduling pass found no machine for some task
+   */
+  void addTo(
+      ScalingPlan plan,
+      List<Machine> schedulable,
+      boolean lacksCapacity,
+      Headroom headroom,
+      Instant now) {
+    IdleMachineSelector selector =
+        new IdleMachineSelector(schedulable, lacksCapacity, headroom, tuning, classes);
+    if (!now.isBefore(nextRelocations)) {
+      nextRelocations = now.plus(RELOCATION_INTERVAL);
+      relocationsLeft = selector.maxEmptied();
+    }
+    for (IdleMachineSelector.Candidate candidate : selector.candidates()) {
+      Machine machine = candidate.machine();
+      if (!selector.select(candidate, now)) {
+        machine.cloud().clearScaleInCandidate();
+        continue;
+      }
+      machine.cloud().markScaleInCandidate(now);
+      Instant dueAfter = machine.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle());
+      if (now.isAfter(dueAfter)) {
+        release(candidate, plan, now);
+      }
+    }
+  }
+
+  /** Releases a machine that was not needed for long; first its replicas have to leave it. */
+  private void release(IdleMachineSelector.Candidate candidate, ScalingPlan plan, Instant now) {
+    Machine machine = candidate.machine();
+    if (candidate.replicas() > 0) {
+      relocateOneReplica(machine, plan);
+    } else if (machine.attempts().isEmpty()
+        && now.isAfter(machine.provisionedAt().plus(MIN_MACHINE_AGE))) {
+      plan.scaleIn().add(machine);
+    }
+  }
+
+  private void relocateOneReplica(Machine machine, ScalingPlan plan) {
+    if (relocationsLeft <= 0) {
+      return;
+    }
+    for (TaskAttempt attempt : machine.attempts().values()) {
+      if (attempt.spec().isService() && !attempt.stopping()) {
+        relocationsLeft--;
+        plan.relocations().add(attempt);
+        return;
+      }
+    }
+  }
+}
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -1,5 +1,6 @@
 package io.pearscale.scheduler.autoscaling;
 
+import io.pearscale.protocol.CloudApi;
 import io.pearscale.protocol.MachineType;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
@@ -17,21 +18,43 @@
 import java.util.Set;
 
 /**
- * Decides what to rent: work that finds no room is packed into machines that are on their way, and
- * for what is left over the cheapest kind that can be had is chosen.
+ * Plans which machines to provision: demands are packed into machines that are booting, and for
+ * what is left over the cheapest offering that can be had is chosen.
  */
 public final class ScaleOutPlanner {
+  /** Machines that one plan may provision in a small fleet. */
   private static final int MIN_SCALE_OUT_LIMIT = 12;
 
-  /** The cloud takes no more in one call. */
-  private static final int MAX_PER_REQUEST = 50;
+  /** One plan may provision one machine for so many of the fleet. */
+  private static final int FLEET_PER_PROVISIONED = 4;
 
-  /** A kind of machine: what is refused is refused for one of these. */
+  /** An offering that was refused is left alone for so long at first, and at the most. */
+  private static final long REFUSAL_BACKOFF_S = 6;
+
+  private static final long MAX_REFUSAL_BACKOFF_S = 60;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+  /** An answer to a request is waited for so long. */
+  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(15);
+
+  /** Keeps the size of a task that needs nothing above zero. */
+  private static final double MIN_TASK_SIZE = 1e-6;
+
+  /** A gigabyte of memory counts as so much of a processor. */
+  private static final double MEMORY_WEIGHT = 1e-3;
+
+  /** What the cloud offers, and grants or refuses: a machine type in a zone, spot or not. */
   record Offering(String type, String zone, boolean spot) {}
 
-  /** Work to find room for. */
+  /**
+   * Tasks that capacity is needed for.
+   *
+   * @param job what each of the tasks needs
+   * @param zone the zone that they have to run in, if it matters
+   */
   public record Demand(Job job, int tasks, Optional<String> zone) {}
 
+  /** An offering is not requested before {@code until}; it was refused so many times in a row. */
   private record Refusal(Instant until, int times) {}
 
   private final Tuning tuning;
@@ -42,30 +65,36 @@
     this.tuning = tuning;
   }
 
-  /** The cloud has none of this kind now: it is left alone for a while, longer each time. */
+  /** The cloud has no capacity of the offering: it is left alone for a while, longer each time. */
   void noteRefused(Offering offering, Instant now) {
     requested.remove(offering);
-    int times = refusals.containsKey(offering) ? refusals.get(offering).times + 1 : 1;
-    refusals.put(
-        offering, new Refusal(now.plusSeconds(Math.min(60, 6L << Math.min(4, times))), times));
+    int times = refusedTimes(offering) + 1;
+    long backoffSeconds = REFUSAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, times);
+    Instant until = now.plusSeconds(Math.min(MAX_REFUSAL_BACKOFF_S, backoffSeconds));
+    refusals.put(offering, new Refusal(until, times));
   }
 
   /**
-   * This kind was asked for: not again before there is an answer, or it is overdue. What was asked
-   * for counts as coming, else the same work would ask for another kind meanwhile.
+   * Machines of the offering were requested: no more are before there is an answer, or it is
+   * overdue. They count as booting, else the same demand would request another offering meanwhile.
    */
   void noteRequested(Offering offering, int count, Instant now) {
     requested.put(offering, count);
-    int times = refusals.containsKey(offering) ? refusals.get(offering).times : 0;
-    refusals.put(offering, new Refusal(now.plusSeconds(15), times));
+    refusals.put(offering, new Refusal(now.plus(ANSWER_TIMEOUT), refusedTimes(offering)));
   }
 
-  /** The cloud gave one of this kind. */
+  private int refusedTimes(Offering offering) {
+    Refusal refusal = refusals.get(offering);
+    return refusal == null ? 0 : refusal.times;
+  }
+
+  /** The request was answered, and the offering may be requested again. */
   void noteGranted(Offering offering) {
     requested.remove(offering);
     refusals.remove(offering);
   }
 
+  /** A machine that demands are packed into. */
   private static final class Bin {
     final MachineType type;
     final String zone;
@@ -79,6 +108,7 @@
       this.available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
+    /** Packs as many of the tasks as fit; returns how many. */
     int pack(Demand demand, int tasks) {
       if (!demand.job().spec().allows(type, zone, spot)
           || !demand.zone().map(zone::equals).orElse(true)) {
@@ -93,9 +123,10 @@
   }
 
   /**
-   * What to rent now, given what is on its way.
+   * Plans how many machines to provision of each offering.
    *
-   * @param unreachableZones zones in which nothing is to be rented
+   * @param booting machines that will take tasks soon
+   * @param unreachableZones zones in which nothing is to be provisioned
    * @param fleetSize how many machines there are: a large fleet may grow by more at once
    */
   Map<Offering, Integer> plan(
@@ -105,23 +136,52 @@
       Set<String> unreachableZones,
       int fleetSize,
       Instant now) {
-    int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / 4);
-    List<Bin> bins = new ArrayList<>();
-    for (Machine machine : booting) {
-      bins.add(new Bin(machine.type(), machine.zone(), machine.spot()));
+    Plan plan = new Plan(types, unreachableZones, now);
+    plan.addComing(booting);
+    int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / FLEET_PER_PROVISIONED);
+    for (int i = 0; i < demands.size(); i++) {
+      plan.meet(demands.get(i), demands.subList(i + 1, demands.size()), limit);
     }
-    requested.forEach(
-        (offering, n) -> {
-          for (MachineType type : types) {
-            for (int i = 0; i < n && type.name().equals(offering.type()); i++) {
-              bins.add(new Bin(type, offering.zone(), offering.spot()));
+    return plan.scaleOut;
+  }
+
+  /** A plan that is being made, for one demand after the other. */
+  private final class Plan {
+    private final Collection<MachineType> types;
+    private final Set<String> unreachableZones;
+    private final Instant now;
+    private final List<Bin> bins = new ArrayList<>();
+    private final Map<Offering, Integer> scaleOut = new LinkedHashMap<>();
+    private int total;
+
+    Plan(Collection<MachineType> types, Set<String> unreachableZones, Instant now) {
+      this.types = types;
+      this.unreachableZones = unreachableZones;
+      this.now = now;
+    }
+
+    /** Adds empty bins for the machines that are booting or were requested. */
+    void addComing(Collection<Machine> booting) {
+      for (Machine machine : booting) {
+        bins.add(new Bin(machine.type(), machine.zone(), machine.spot()));
+      }
+      requested.forEach(
+          (offering, count) -> {
+            for (MachineType type : types) {
+              for (int i = 0; i < count && type.name().equals(offering.type()); i++) {
+                bins.add(new Bin(type, offering.zone(), offering.spot()));
+              }
             }
-          }
-        });
-    Map<Offering, Integer> scaleOut = new LinkedHashMap<>();
-    int total = 0;
-    for (int i = 0; i < demands.size(); i++) {
-      Demand demand = demands.get(i);
+          });
+    }
+
+    /**
+     * Packs the demand into the bins, and adds bins for what is left over.
+     *
+     * @param later the demands after it
+     * @param limit how many machines the plan may provision in all
+     */
+    void meet(Demand demand, List<Demand> later, int limit) {
       int left = demand.tasks();
       for (Bin bin : bins) {
         if (left == 0) {
@@ -130,75 +190,75 @@
         left -= bin.pack(demand, left);
       }
       while (left > 0 && total < limit) {
-        Optional<Bin> best =
-            cheapest(
-                demand,
-                left,
-                demands.subList(i + 1, demands.size()),
-                types,
-                unreachableZones,
-                scaleOut,
-                now);
-        if (best.isEmpty()) {
+        Optional<Bin> cheapest = cheapest(demand, left, later);
+        if (cheapest.isEmpty()) {
           break;
         }
-        Bin bin = best.get();
+        Bin bin = cheapest.get();
         left -= bin.pack(demand, left);
         bins.add(bin);
         scaleOut.merge(new Offering(bin.type.name(), bin.zone, bin.spot), 1, Integer::sum);
         total++;
       }
     }
-    return scaleOut;
-  }
 
-  /**
-   * The cheapest kind by the price of a place that will be used. What is asked for later in the
-   * list counts as use too: many small jobs fill a large machine as well as one large job does.
-   */
-  private Optional<Bin> cheapest(
-      Demand demand,
-      int tasks,
-      List<Demand> later,
-      Collection<MachineType> types,
-      Set<String> unreachableZones,
-      Map<Offering, Integer> scaleOut,
-      Instant now) {
-    Bin best = null;
-    double bestCost = Double.MAX_VALUE;
-    for (MachineType type : types) {
-      for (String zone : type.zones()) {
-        for (boolean spot : new boolean[] {true, false}) {
-          Offering offering = new Offering(type.name(), zone, spot);
-          Refusal refusal = refusals.get(offering);
-          if (unreachableZones.contains(zone)
-              || (refusal != null && now.isBefore(refusal.until))
-              || scaleOut.getOrDefault(offering, 0) >= MAX_PER_REQUEST) {
-            continue;
-          }
-          Bin bin = new Bin(type, zone, spot);
-          Bin trial = new Bin(type, zone, spot);
-          double used = trial.pack(demand, tasks) * taskSize(demand.job());
-          if (used == 0) {
-            continue;
-          }
-          for (Demand other : later) {
-            used += trial.pack(other, other.tasks()) * taskSize(other.job());
-          }
-          double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / used;
-          if (cost < bestCost) {
-            bestCost = cost;
-            best = bin;
+    /**
+     * The cheapest offering by the price of what will be used. Later demands count as use too: many
+     * small jobs fill a large machine as well as one large job does.
+     */
+    private Optional<Bin> cheapest(Demand demand, int tasks, List<Demand> later) {
+      Bin best = null;
+      double bestCost = Double.MAX_VALUE;
+      for (MachineType type : types) {
+        for (String zone : type.zones()) {
+          for (boolean spot : new boolean[] {true, false}) {
+            if (!isAvailable(new Offering(type.name(), zone, spot))) {
+              continue;
+            }
+            double used = sizeOfUse(new Bin(type, zone, spot), demand, tasks, later);
+            if (used == 0) {
+              continue;
+            }
+            double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / used;
+            if (cost < bestCost) {
+              bestCost = cost;
+              best = new Bin(type, zone, spot);
+            }
           }
         }
       }
+      return Optional.ofNullable(best);
+    }
+
+    private boolean isAvailable(Offering offering) {
+      return !unreachableZones.contains(offering.zone)
+          && !isRefused(offering, now)
+          && scaleOut.getOrDefault(offering, 0) < CloudApi.MAX_PROVISIONED_PER_REQUEST;
+    }
+  }
+
+  /** The size of all tasks that would be packed into the bin; zero if none is of the demand. */
+  private static double sizeOfUse(Bin trial, Demand demand, int tasks, List<Demand> later) {
+    double used = trial.pack(demand, tasks) * taskSize(demand.job());
+    if (used == 0) {
+      return 0;
+    }
+    for (Demand other : later) {
+      used += trial.pack(other, other.tasks()) * taskSize(other.job());
     }
-    return Optional.ofNullable(best);
+    return used;
+  }
+
+  private boolean isRefused(Offering offering, Instant now) {
+    Refusal refusal = refusals.get(offering);
+    return refusal != null && now.isBefore(refusal.until);
   }
 
   /** A measure of a task that is comparable between machine types. */
   private static double taskSize(Job job) {
-    return Math.max(1e-6, job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * 1e-3);
+    return Math.max(
+        MIN_TASK_SIZE,
+        job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * MEMORY_WEIGHT);
   }
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
@@ -206,7 +266,7 @@
     return type.bootTime().multipliedBy(3).dividedBy(2);
   }
 
-  /** How long a machine may boot before it no longer counts as coming. */
+  /** How long a machine may boot before it no longer counts as booting. */
   static Duration bootTimeout(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -16,6 +16,7 @@
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.MachineRetirement;
 import io.pearscale.scheduler.agents.MachineRetirement.Reason;
+import io.pearscale.scheduler.autoscaling.RelocationGate;
 import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.Job;
@@ -50,7 +51,7 @@
  * Carries drains out: shows the planner the jobs and machines as they are, and does what it
  * decides. All that is voluntary asks here before a task is stopped.
  */
-public final class DrainCoordinator {
+public final class DrainCoordinator implements RelocationGate {
   private static final Logger LOG = LoggerFactory.getLogger(DrainCoordinator.class);
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
@@ -280,6 +281,7 @@
   // ---- Disruptions ----
 
   /** Whether a replica may be moved for a reason of our own; it is stopped once that is durable. */
+  @Override
   public boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
     if (ledger.isOpen(attempt.task()) || ledger.trySpend(disruption).isPresent()) {
@@ -453,6 +455,7 @@
   }
 
   /** What should be rented so that drains find room. */
+  @Override
   public List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
     for (TaskView task : tasksWithoutCapacity) {
--- a/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
+++ b/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * How long to leave a kind of work alone after it was done once, so that however much there is to
- * decide, most of the time is left to those who report.
+ * How long a kind of work rests after it was done, in proportion to the time that it took: however
+ * much there is to decide, most of the time is left for heartbeats.
  *
  * @param restFactor the work may take one part in so many of the time
  * @param minRest the shortest rest
