--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -101,9 +101,7 @@
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
-    MachineRetirement retirement =
-        new MachineRetirement(
-            leaderState, names -> cloud.tell(new CloudActor.DeleteMachines(names)));
+    MachineRetirement retirement = new MachineRetirement(leaderState, cloud::deleteMachines);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
     recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -53,7 +53,7 @@
   record ProvisionMachines(Offering offering, int count) implements Message {}
 
   /** Deletes machines. */
-  public record DeleteMachines(List<String> names) implements Message {}
+  record DeleteMachines(List<String> names) implements Message {}
 
   private record Tick(int generation) implements Message {}
 
@@ -139,6 +139,11 @@
     this.rateLimit = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * RATE_SHARE);
   }
 
+  /** Requests that machines be deleted, before all requests for machines that wait. */
+  public void deleteMachines(List<String> names) {
+    tell(new DeleteMachines(names));
+  }
+
   @Override
   protected void receive(Message message) {
     if (message instanceof BeginTerm begun) {
