--- a/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
@@ -2,6 +2,7 @@
 
 import io.pearscale.protocol.AgentCommand;
 import io.pearscale.scheduler.model.AttemptId;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.Leadership;
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -4,11 +4,11 @@
 import io.pearscale.scheduler.model.AbsenceProof;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.records.LeaderRecords;
 import io.pearscale.storage.Maintenance;
 import java.time.Instant;
 import java.util.Optional;
@@ -20,7 +20,7 @@
  */
 public final class FailureDetector {
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final AgentTimings timings;
   private final MachineProber prober;
   private final MachineRetirement retirement;
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -3,6 +3,7 @@
 import io.pearscale.protocol.Heartbeat;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
 import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.LeaderStatistics;
 import io.pearscale.scheduler.model.Leadership;
@@ -10,7 +11,6 @@
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.ReportedAttempts;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -29,7 +29,7 @@
 
   private final Leadership leadership;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final InstantSource clock;
   private final Runnable requestPass;
   private final DecisionLog decisions;
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -1,12 +1,12 @@
 package io.pearscale.scheduler.agents;
 
 import io.pearscale.protocol.CloudApi;
+import io.pearscale.scheduler.model.DecisionRecorder;
 import io.pearscale.scheduler.model.LeaderState;
 import io.pearscale.scheduler.model.Leadership;
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -51,7 +51,7 @@
 
   private final Leadership leadership;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final MachineDeleter deleter;
 
   /** Makes a retirement that asks the deleter. */
--- a/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
@@ -2,6 +2,8 @@
 
 import io.pearscale.protocol.EndCause;
 import io.pearscale.protocol.Heartbeat.TaskStatus;
+import io.pearscale.scheduler.model.DecisionRecorder;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -9,7 +11,6 @@
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.TaskAttempt;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -27,7 +28,7 @@
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
-  private final LeaderRecords records;
+  private final DecisionRecorder records;
   private final InstantSource clock;
   private final GangTracker gangs;
   private final FaultAttribution faultAttribution;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -261,11 +261,6 @@
         job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * MEMORY_WEIGHT);
   }
 
-  /** How long most machines take to boot: up to half as long again as the catalogue says. */
-  public static Duration bootTime(MachineType type) {
-    return type.bootTime().multipliedBy(3).dividedBy(2);
-  }
-
   /** How long a machine may boot before it no longer counts as booting. */
   static Duration bootTimeout(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
