--- a/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
@@ -21,7 +21,7 @@
 
   LargeJobCapacity(JobClasses classes, List<Machine> schedulable) {
     this.classes = classes;
-    for (String jobClass : classes.sized()) {
+    for (String jobClass : classes.classesWithKnownSizes()) {
       largeJobTasks.put(jobClass, classes.largeJobTasks(jobClass));
       for (Machine machine : schedulable) {
         slots.merge(jobClass, slotsOn(machine, jobClass), Integer::sum);
@@ -31,7 +31,7 @@
 
   /** Whether a large job of each class that could use the machine has room without it. */
   boolean canRelease(Machine machine) {
-    for (String jobClass : classes.sized()) {
+    for (String jobClass : classes.classesWithKnownSizes()) {
       int lost = slotsOn(machine, jobClass);
       if (lost > 0 && slots.get(jobClass) - lost < largeJobTasks.get(jobClass)) {
         return false;
@@ -42,7 +42,7 @@
 
   /** The machine is to be released. */
   void release(Machine machine) {
-    for (String jobClass : classes.sized()) {
+    for (String jobClass : classes.classesWithKnownSizes()) {
       slots.merge(jobClass, -slotsOn(machine, jobClass), Integer::sum);
     }
   }
