--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -8,7 +8,6 @@
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
-import io.pearscale.scheduler.agents.FaultAttribution;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.HeartbeatHandler;
 import io.pearscale.scheduler.agents.HeartbeatProcessor;
@@ -16,6 +15,7 @@
 import io.pearscale.scheduler.autoscaling.Autoscaler;
 import io.pearscale.scheduler.autoscaling.CloudActor;
 import io.pearscale.scheduler.autoscaling.MachineProvisioner;
+import io.pearscale.scheduler.autoscaling.RelocationGate;
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
@@ -92,8 +92,7 @@
     statistics = new LeaderStatistics(leaderState);
     gracefulTermination = new GracefulTermination(leaderState, times);
     HeartbeatProcessor processor =
-        new HeartbeatProcessor(
-            leaderState, new FaultAttribution(leaderState), gracefulTermination, statistics);
+        new HeartbeatProcessor(leaderState, gracefulTermination, statistics);
     dispatcher =
         new CommandDispatcher(
             leaderState,
@@ -107,7 +106,7 @@
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
-    MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
+    MachineRetirement retirement = new MachineRetirement(leaderState, cloud::deleteMachines);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
     recovery = recovery(leaderState, listener);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
@@ -180,7 +179,7 @@
         retirement,
         dispatcher,
         recovery,
-        drainCoordinator);
+        drainCoordinator.map(RelocationGate.class::cast));
   }
 
   private static Map<String, Team> teams(Settings settings) {
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -11,6 +11,7 @@
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.MachineRetirement;
 import io.pearscale.scheduler.agents.MachineRetirement.Reason;
+import io.pearscale.scheduler.autoscaling.RelocationGate;
 import io.pearscale.scheduler.autoscaling.ScaleOutPlanner;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionRecorder;
@@ -40,7 +41,7 @@
  * Carries drains out in rounds: shows the planner the jobs and machines as they are, and does what
  * it decides. Whoever stops a task voluntarily asks here first.
  */
-public final class DrainCoordinator {
+public final class DrainCoordinator implements RelocationGate {
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
   private final JobTable jobs;
@@ -198,11 +199,13 @@
   }
 
   /** Whether a replica may be relocated; if so, it is stopped once that is durably recorded. */
+  @Override
   public boolean requestRelocation(TaskAttempt attempt) {
     return disruptions.requestRelocation(attempt);
   }
 
   /** What should be provisioned so that drained tasks find capacity elsewhere. */
+  @Override
   public List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
     for (TaskView task : tasksWithoutCapacity) {
--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -56,8 +56,6 @@
    */
   private static final Set<String> REMAINING =
       Set.of(
-          "scheduler.agents.MachineRetirement -> scheduler.autoscaling.CloudActor",
-          "scheduler.autoscaling.MachineProvisioner -> scheduler.maintenance.DrainCoordinator",
           "scheduler.records.LeaderRecovery -> scheduler.agents.CommandDispatcher",
           "scheduler.records.RecordWriter -> scheduler.SchedulerActor",
           "scheduler.records.RecordWriter -> scheduler.agents.CommandDispatcher",
