--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -54,12 +54,7 @@
    * Arrows that still point upward, each from one class to another; empty in the end. One that is
    * gone is taken off the list, and none is added.
    */
-  private static final Set<String> REMAINING =
-      Set.of(
-          "scheduler.records.LeaderRecovery -> scheduler.agents.CommandDispatcher",
-          "scheduler.records.RecordWriter -> scheduler.SchedulerActor",
-          "scheduler.records.RecordWriter -> scheduler.agents.CommandDispatcher",
-          "scheduler.records.RecordWriter -> scheduler.agents.MachineRetirement");
+  private static final Set<String> REMAINING = Set.of();
 
   private static final Pattern REFERENCE =
       Pattern.compile("(?<![\\w.])io\\.pearscale\\.([a-z][\\w]*(?:\\.[a-z]\\w*)*)\\.([A-Z]\\w*)");
