--- a/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -21,12 +21,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Reports on their way to the leader: each is answered once, and few timers watch over them. */
+/** Heartbeats on their way to the leader: each is answered once, and they share a timer. */
 class HeartbeatRelayActorTest {
   private static final Heartbeat HEARTBEAT =
       new Heartbeat("m-1", "a:1", "small", "a", false, 1, 1, 0, Optional.empty(), List.of());
 
-  /** Of a controller that is to serve 4,000 workers while it is the only one. */
+  /** Of a controller that is to serve 4,000 agents while it is the only one. */
   private static final int SOCKETS = 8000;
 
   private final CountingEventLoop loop = new CountingEventLoop();
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aReportWithoutAnAnswerIsAnswered503InTime() {
+  void aHeartbeatWithoutAResponseIsRefusedInTime() {
     sendHeartbeat();
     loop.pass(Duration.ofMillis(1499));
     assertEquals(List.of(), answers);
@@ -80,9 +80,9 @@
     assertEquals(List.of(503), answers);
   }
 
-  /** A refused worker asks again in a second, at a controller that knows no more. */
+  /** A refused agent asks again in a second, at a controller that knows no more. */
   @Test
-  void aReportThatComesDuringAnElectionIsAnsweredByTheLeaderToCome() {
+  void aHeartbeatDuringAnElectionIsAnsweredByTheNextLeader() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
     loop.pass(Duration.ofMillis(900));
@@ -111,9 +111,9 @@
     assertEquals(4000, sent.size());
   }
 
-  /** Waiting reports hold connections, of which those that ask meanwhile need some too. */
+  /** Parked heartbeats hold connections, of which agents that ask meanwhile need some too. */
   @Test
-  void whatFindsNoRoomToWaitIsRefusedAtOnce() {
+  void heartbeatsBeyondTheParkingLimitAreRefusedAtOnce() {
     int most = ConnectionLimits.of(SOCKETS).parkedHeartbeats();
     assertTrue(most < ConnectionLimits.of(SOCKETS).inbound());
     relay.tell(new LeaderChanged(2, Optional.empty()));
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aReportWithoutALeaderIsAnswered503InTime() {
+  void aHeartbeatWithoutALeaderIsRefusedInTime() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
     loop.pass(Duration.ofMillis(1800));
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void aThousandReportsShareTimers() {
+  void aThousandHeartbeatsShareTimers() {
     for (int i = 0; i < 1000; i++) {
       sendHeartbeat();
       loop.pass(Duration.ofMillis(2));
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The grant is renewed while the main loop is busy, and not for a main loop that stands still. */
+/** The lease is renewed while the main loop is busy, and not while it is stalled. */
 class LeaderLeaseRenewerTest {
   private static final Duration STALL_TIMEOUT = Duration.ofSeconds(4);
 
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void renewsWhileTheMainLoopIsBusyAndTellsItWhenItAsked() {
+  void renewsWhileTheMainLoopIsBusyAndReportsWhenItAsked() {
     renewer.start(7, (sent, reply) -> answeredAt.add(sent));
     renewalLoop.pass(Duration.ofSeconds(3));
     assertTrue(extended.size() >= 5, "renewals: " + extended.size());
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void renewsNothingForAMainLoopThatStandsStill() {
+  void renewsNothingForAStalledMainLoop() {
     renewer.start(7, (sent, reply) -> {});
     renewalLoop.pass(STALL_TIMEOUT);
     int renewals = extended.size();
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void renewsNoGrantThatWasReleasedOrFollowedByAnother() {
+  void renewsNoLeaseAfterStopNorAnEarlierOne() {
     renewer.start(7, (sent, reply) -> {});
     renewer.start(8, (sent, reply) -> {});
     renewalLoop.pass(Duration.ofSeconds(1));
--- a/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatDecoderTest.java
@@ -14,11 +14,11 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** Reports read from their bytes, against the same reports read as trees. */
+/** Heartbeats decoded from their bytes, against the same ones read as trees. */
 class HeartbeatDecoderTest {
   private static final int HEARTBEATS = 2000;
 
-  /** The tree of such a report takes 5.9 kB, reading it from its bytes 3.1 kB. */
+  /** The tree of such a heartbeat takes 5.9 kB, decoding it from its bytes 3.1 kB. */
   private static final long MOST_BYTES = 4000;
 
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void aReportPaysForNoTree() throws MalformedMessageException {
+  void decodingAHeartbeatMakesNoTree() throws MalformedMessageException {
     byte[] body = MessagePack.encode(heartbeat(3));
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     HeartbeatDecoder.decode(body);
--- a/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
@@ -14,7 +14,7 @@
 class HeartbeatResponseTest {
   private static final TaskId TASK = new TaskId("wk-000412", 4);
 
-  /** Encoding the tree of an answer without commands takes 1.3 kB, writing it half as much. */
+  /** Encoding the tree of a response without commands takes 1.3 kB, writing it half as much. */
   private static final long MOST_BYTES = 800;
 
   @Test
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void anAnswerWithoutCommandsPaysForNoTree() {
+  void encodingAResponseWithoutCommandsMakesNoTree() {
     HeartbeatResponse answer = new HeartbeatResponse(200, 50331649L, List.of());
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     answer.encode();
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -23,16 +23,16 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** An election whose news come late, and what peers say meanwhile. */
+/** An election whose result comes late, and what peers announce and confirm meanwhile. */
 class ElectionTest extends SimulatedEventLoop implements HttpClient, ElectionListener {
-  private final List<String> told = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private boolean holdCommits;
-  private Runnable held = () -> {};
+  private Runnable heldReply = () -> {};
 
-  /** The state service answers nobody. */
+  /** The key-value store answers nobody. */
   private boolean out;
 
-  private final List<Long> questions = new ArrayList<>();
+  private final List<Long> nonces = new ArrayList<>();
 
   private ElectionActor election() {
     for (int i = 0; i < 3; i++) {
@@ -66,10 +66,10 @@
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
     election.tell(new ElectionActor.LeaderAnnounced("hive-2", 0, Optional.empty()));
     play(10);
-    assertEquals(List.of("won 1"), told);
+    assertEquals(List.of("won 1"), events);
     election.tell(new ElectionActor.LeaderAnnounced("hive-2", 1, Optional.of("hive-0")));
     play(10);
-    assertEquals(List.of("won 1", "acknowledged"), told);
+    assertEquals(List.of("won 1", "acknowledged"), events);
   }
 
   @Test
@@ -80,55 +80,55 @@
     play(500);
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, Optional.of("hive-1")));
     play(10);
-    held.run();
+    heldReply.run();
     play(10);
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), events);
   }
 
-  /** One that leads and asks its peers, since the state service answers nobody any more. */
-  private ElectionActor leaderWithoutStateService() {
+  /** One that leads and asks its peers, since the key-value store answers nobody any more. */
+  private ElectionActor leaderWithoutStore() {
     ElectionActor election = election();
     election.tell(new ElectionActor.Loaded(Map.of()));
     play(500);
     out = true;
     play(2500);
-    told.clear();
+    events.clear();
     return election;
   }
 
-  private void word(ElectionActor election, String peer, long question, String... cancelled) {
+  private void confirm(ElectionActor election, String peer, long nonce, String... cancelled) {
     election.tell(
-        new ElectionActor.PeerConfirmed(peer, question, 1, List.of(cancelled), Optional.empty()));
+        new ElectionActor.PeerConfirmed(peer, nonce, 1, List.of(cancelled), Optional.empty()));
     play(1);
   }
 
   @Test
-  void onlyAllWordsToOneQuestionExtendTheProof() {
-    ElectionActor election = leaderWithoutStateService();
-    int last = questions.size() - 1;
-    assertTrue(last >= 1, "the leader asked " + questions.size() + " times");
-    long before = questions.get(last - 1);
-    long question = questions.get(last);
-    word(election, "hive-0", before);
-    word(election, "hive-1", before, "wk-old");
-    word(election, "hive-2", before);
-    word(election, "hive-0", question);
-    word(election, "hive-1", question, "wk-1");
-    assertEquals(List.of(), told, "hive-2 has not answered this question");
-    word(election, "hive-2", question, "wk-2");
-    assertEquals(List.of("vouched [wk-1, wk-2]"), told);
+  void onlyAllConfirmationsOfOneRequestExtendTheProof() {
+    ElectionActor election = leaderWithoutStore();
+    int last = nonces.size() - 1;
+    assertTrue(last >= 1, "the leader asked " + nonces.size() + " times");
+    long before = nonces.get(last - 1);
+    long nonce = nonces.get(last);
+    confirm(election, "hive-0", before);
+    confirm(election, "hive-1", before, "wk-old");
+    confirm(election, "hive-2", before);
+    confirm(election, "hive-0", nonce);
+    confirm(election, "hive-1", nonce, "wk-1");
+    assertEquals(List.of(), events, "hive-2 has not answered this request");
+    confirm(election, "hive-2", nonce, "wk-2");
+    assertEquals(List.of("confirmed [wk-1, wk-2]"), events);
   }
 
   @Test
-  void aWordOfANewerTermDeposes() {
-    ElectionActor election = leaderWithoutStateService();
-    long question = questions.get(questions.size() - 1);
-    word(election, "hive-0", question);
-    word(election, "hive-1", question);
+  void aConfirmationOfANewerTermDeposes() {
+    ElectionActor election = leaderWithoutStore();
+    long nonce = nonces.get(nonces.size() - 1);
+    confirm(election, "hive-0", nonce);
+    confirm(election, "hive-1", nonce);
     election.tell(
-        new ElectionActor.PeerConfirmed("hive-2", question, 2, List.of(), Optional.empty()));
+        new ElectionActor.PeerConfirmed("hive-2", nonce, 2, List.of(), Optional.empty()));
     play(1);
-    assertEquals(List.of("lost 1"), told);
+    assertEquals(List.of("lost 1"), events);
   }
 
   @Override
@@ -143,7 +143,7 @@
       schedule(timeout, () -> answer.accept(Reply.NO_RESPONSE));
     } else if (path.equals("/commit") && holdCommits) {
       world.store.serve(
-          "hive-0", method, path, body, r -> held = () -> execute(() -> answer.accept(r)));
+          "hive-0", method, path, body, r -> heldReply = () -> execute(() -> answer.accept(r)));
     } else {
       world.store.serve("hive-0", method, path, body, r -> execute(() -> answer.accept(r)));
     }
@@ -151,7 +151,7 @@
 
   @Override
   public void elected(long term, long termStamp, Instant evidence) {
-    told.add("won " + term);
+    events.add("won " + term);
   }
 
   @Override
@@ -159,22 +159,22 @@
 
   @Override
   public void confirmedByPeers(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
-    told.add("vouched " + new TreeSet<>(cancelled));
+    events.add("confirmed " + new TreeSet<>(cancelled));
   }
 
   @Override
   public void electionAcknowledged() {
-    told.add("acknowledged");
+    events.add("acknowledged");
   }
 
   @Override
   public void requestConfirmations(long nonce) {
-    questions.add(nonce);
+    nonces.add(nonce);
   }
 
   @Override
   public void leadershipLost(long term) {
-    told.add("lost " + term);
+    events.add("lost " + term);
   }
 
   @Override
