--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -1,13 +1,12 @@
 package io.pearscale.scheduler.model;
 
-import io.pearscale.scheduler.agents.GangTracker;
-import io.pearscale.scheduler.records.LeaderRecords;
 import java.time.InstantSource;
 
 /**
  * What the components of a leader share. Each of them owns its state, and changes it by its methods
  * alone.
  *
+ * @param records what a successor must find stored
  * @param requestPass requests a scheduling pass
  * @param gangs the attempts of gang jobs
  * @param decisions logs what starts and proofs of absence rest on
@@ -16,7 +15,7 @@
     Leadership leadership,
     JobTable jobs,
     MachineInventory inventory,
-    LeaderRecords records,
+    DecisionRecorder records,
     InstantSource clock,
     Runnable requestPass,
     DecisionLog decisions,
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -125,8 +125,7 @@
     long nonce = nonces.get(nonces.size() - 1);
     confirm(election, "hive-0", nonce);
     confirm(election, "hive-1", nonce);
-    election.tell(
-        new ElectionActor.PeerConfirmed("hive-2", nonce, 2, List.of(), Optional.empty()));
+    election.tell(new ElectionActor.PeerConfirmed("hive-2", nonce, 2, List.of(), Optional.empty()));
     play(1);
     assertEquals(List.of("lost 1"), events);
   }
