--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -94,15 +94,7 @@
     HeartbeatProcessor processor =
         new HeartbeatProcessor(
             leaderState, new FaultAttribution(leaderState), gracefulTermination, statistics);
-    dispatcher =
-        new CommandDispatcher(
-            leaderState,
-            settings,
-            times,
-            environment.httpClient(),
-            executor,
-            listener::higherTermSeen,
-            processor);
+    dispatcher = commandDispatcher(environment, leaderState, times, executor, processor);
     heartbeatHandler =
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
@@ -128,6 +120,22 @@
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
+  private static CommandDispatcher commandDispatcher(
+      Environment environment,
+      LeaderState leaderState,
+      AgentTimings times,
+      TermExecutor executor,
+      HeartbeatProcessor processor) {
+    return new CommandDispatcher(
+        leaderState,
+        environment.settings(),
+        times,
+        environment.httpClient(),
+        executor,
+        environment.listener()::higherTermSeen,
+        processor);
+  }
+
   private SchedulingPass schedulingPass(
       Environment environment,
       LeaderState leaderState,
--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -6,8 +6,8 @@
  * What the components of a leader share. Each of them owns its state, and changes it by its methods
  * alone.
  *
- * @param records what a successor must find stored
  * @param requestPass requests a scheduling pass
+ * @param records says what a successor must find stored
  * @param gangs the attempts of gang jobs
  * @param decisions logs what starts and proofs of absence rest on
  */
