--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -93,15 +93,7 @@
     gracefulTermination = new GracefulTermination(leaderState, times);
     HeartbeatProcessor processor =
         new HeartbeatProcessor(leaderState, gracefulTermination, statistics);
-    dispatcher =
-        new CommandDispatcher(
-            leaderState,
-            settings,
-            times,
-            environment.httpClient(),
-            executor,
-            listener::higherTermSeen,
-            processor);
+    dispatcher = commandDispatcher(environment, leaderState, times, executor, processor);
     heartbeatHandler =
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
@@ -142,6 +134,22 @@
         new CommitEffects(gangs, dispatcher, retirement, environment.listener()));
   }
 
+  private static CommandDispatcher commandDispatcher(
+      Environment environment,
+      LeaderState leaderState,
+      AgentTimings times,
+      TermExecutor executor,
+      HeartbeatProcessor processor) {
+    return new CommandDispatcher(
+        leaderState,
+        environment.settings(),
+        times,
+        environment.httpClient(),
+        executor,
+        environment.listener()::higherTermSeen,
+        processor);
+  }
+
   private SchedulingPass schedulingPass(
       Environment environment,
       LeaderState leaderState,
--- a/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
@@ -118,10 +118,11 @@
 
     drill.start(0, OLD_BUILD);
     submit("batch");
-    for (int i = 0; i < 100 && !logHas(0, "event=stays_out"); i++) {
+    for (int i = 0; i < 100 && !logHas(0, "event=incompatible_build"); i++) {
       TimeUnit.MILLISECONDS.sleep(100);
     }
-    assertTrue(logHas(0, "event=stays_out"), () -> "the old build took part:\n" + drill.logs());
+    assertTrue(
+        logHas(0, "event=incompatible_build"), () -> "the old build took part:\n" + drill.logs());
     assertEquals(2, drill.loopback.ask(this::announced));
 
     CommandResult back = drill.run("upgrade", "rollback");
