--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -127,12 +127,13 @@
 
   @Override
   public boolean isConnected(String peer) {
-    Peer p = peers.get(peer);
-    return p != null && isConnected(p, loop.clock().instant().minus(LIVENESS_TIMEOUT));
+    Peer candidate = peers.get(peer);
+    return candidate != null
+        && isConnected(candidate, loop.clock().instant().minus(LIVENESS_TIMEOUT));
   }
 
-  private static boolean isConnected(Peer p, Instant limit) {
-    return p.outbound != null && p.lastReceived.isAfter(limit);
+  private static boolean isConnected(Peer candidate, Instant limit) {
+    return candidate.outbound != null && candidate.lastReceived.isAfter(limit);
   }
 
   @Override
--- a/src/main/java/io/pearscale/transport/UndertowHttpClient.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -171,7 +171,7 @@
             }
 
             @Override
-            public void failed(IOException e) {
+            public void failed(IOException failure) {
               finish(Reply.NO_RESPONSE, false);
             }
           });
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public void failed(IOException e) {
+    public void failed(IOException failure) {
       finish(Reply.NO_RESPONSE, false);
     }
 
@@ -382,7 +382,7 @@
               }
 
               @Override
-              public void failed(IOException e) {
+              public void failed(IOException failure) {
                 if (pending.connectInProgress) {
                   pending.connectAttemptEnded();
                   pending.finish(Reply.NO_RESPONSE, false);
--- a/src/test/java/io/pearscale/cli/GoldenTest.java
+++ b/src/test/java/io/pearscale/cli/GoldenTest.java
@@ -49,12 +49,26 @@
     settings
         .teams()
         .forEach(
-            t ->
-                text.append(" team " + t.name() + ' ' + t.guaranteedCpus() + ' ' + t.cpuLimit())
-                    .append(" " + t.guaranteedGpus() + ' ' + t.gpuLimit()));
+            tuning ->
+                text.append(
+                        " team "
+                            + tuning.name()
+                            + ' '
+                            + tuning.guaranteedCpus()
+                            + ' '
+                            + tuning.cpuLimit())
+                    .append(" " + tuning.guaranteedGpus() + ' ' + tuning.gpuLimit()));
     settings
         .serviceLevelObjectives()
-        .forEach(o -> text.append(" aim " + o.kind() + ' ' + o.jobClass() + ' ' + o.target()));
+        .forEach(
+            operations ->
+                text.append(
+                    " aim "
+                        + operations.kind()
+                        + ' '
+                        + operations.jobClass()
+                        + ' '
+                        + operations.target()));
     Settings.AgentSettings w = settings.agents();
     text.append(
         " workers " + w.heartbeatInterval() + ' ' + w.leaseTtl() + ' ' + w.cancellationTimeout());
@@ -90,19 +104,29 @@
     return text.toString();
   }
 
-  private static String dump(Tuning t) {
+  private static String dump(Tuning tuning) {
     return String.join(
         " ",
-        t.sampleSize() + " " + t.strandedWeight() + " " + t.sameMachineWeight(),
-        t.packingWeight() + " " + t.sameZoneWeight() + " " + t.zoneBalanceWeight(),
-        t.cachedImageWeight() + " " + t.onDemandWeight() + " " + t.scaleInAfterIdle(),
-        t.reserveShare() + " " + t.headroomShare() + " " + t.spotRiskFactor());
+        tuning.sampleSize() + " " + tuning.strandedWeight() + " " + tuning.sameMachineWeight(),
+        tuning.packingWeight() + " " + tuning.sameZoneWeight() + " " + tuning.zoneBalanceWeight(),
+        tuning.cachedImageWeight()
+            + " "
+            + tuning.onDemandWeight()
+            + " "
+            + tuning.scaleInAfterIdle(),
+        tuning.reserveShare() + " " + tuning.headroomShare() + " " + tuning.spotRiskFactor());
   }
 
-  private static String dump(OperatorSettings o) {
+  private static String dump(OperatorSettings operations) {
     StringBuilder text = new StringBuilder();
-    text.append(o.supportRecordTtl() + " " + o.highestLevel() + ' ' + o.automaticLevel());
-    o.drains()
+    text.append(
+        operations.supportRecordTtl()
+            + " "
+            + operations.highestLevel()
+            + ' '
+            + operations.automaticLevel());
+    operations
+        .drains()
         .ifPresent(
             drains -> {
               drains
--- a/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
@@ -27,6 +27,7 @@
   private static final MachineType BIG =
       new MachineType("big", 8, 0, 64, 100, 1, 1, 0.4, Duration.ofSeconds(20), List.of("a"));
 
+  /** A replica of a service that takes so many CPUs. */
   public static JobSpec replica(int cpus, Priority priority) {
     return new JobSpec(
         "wk-1",
--- a/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
+++ b/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
@@ -29,8 +29,8 @@
   private int stops;
   private int mostDown;
 
-  DisruptionBudgetChecker(SimulatedCluster world) {
-    this.world = world;
+  DisruptionBudgetChecker(SimulatedCluster cluster) {
+    this.world = cluster;
   }
 
   void add(DisruptionBudget budget) {
--- a/src/test/java/io/pearscale/sim/GangRunsTest.java
+++ b/src/test/java/io/pearscale/sim/GangRunsTest.java
@@ -191,8 +191,8 @@
   /** The checker finds a job of which two attempts run. */
   @Test
   void twoAttemptsAtOnceAreFound() {
-    SimulatedCluster world = new SimulatedCluster(1);
-    Scenario.submit(world, List.of("submit", "wk-1", "gang", "tasks=1"));
+    SimulatedCluster cluster = new SimulatedCluster(1);
+    Scenario.submit(cluster, List.of("submit", "wk-1", "gang", "tasks=1"));
     SimGangRendezvous.Member member =
         new SimGangRendezvous.Member() {
           @Override
@@ -206,9 +206,9 @@
             return false;
           }
         };
-    world.gangs.join(SimUser.task("wk-1/0"), 1, member);
-    assertEquals(List.of(), world.violations);
-    world.gangs.join(SimUser.task("wk-1/0"), 2, member);
-    assertTrue(world.violations.stream().anyMatch(rule -> rule.startsWith("gang_twice")));
+    cluster.gangs.join(SimUser.task("wk-1/0"), 1, member);
+    assertEquals(List.of(), cluster.violations);
+    cluster.gangs.join(SimUser.task("wk-1/0"), 2, member);
+    assertTrue(cluster.violations.stream().anyMatch(rule -> rule.startsWith("gang_twice")));
   }
 }
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -134,17 +134,18 @@
         Optional.of(new DrainSettings(List.of(), Map.of())));
   }
 
-  private Optional<String> line(List<String> w) throws MalformedMessageException {
-    switch (w.get(0)) {
+  private Optional<String> line(List<String> words) throws MalformedMessageException {
+    switch (words.get(0)) {
       case "drains" -> {
         // Read before the first line is played.
       }
-      case "type" -> world.cloud.types.put(w.get(1), Scenario.type(w.get(1), world.zones, w));
-      case "job" -> job(w);
-      case "drop" -> changed("c/live/" + w.get(1), Optional.empty());
-      case "marks" -> writePlacementRecords(w.get(1), w.subList(2, w.size()));
+      case "type" ->
+          world.cloud.types.put(words.get(1), Scenario.type(words.get(1), world.zones, words));
+      case "job" -> job(words);
+      case "drop" -> changed("c/live/" + words.get(1), Optional.empty());
+      case "marks" -> writePlacementRecords(words.get(1), words.subList(2, words.size()));
       case "host" -> {
-        String m = w.get(1);
+        String m = words.get(1);
         hosts.add(
             new MachineRecordCodec.MachineRecord(
                 hosts.size(),
@@ -154,29 +155,31 @@
                 zone(m),
                 false,
                 1,
-                w.get(2).equals("retiring"),
+                words.get(2).equals("retiring"),
                 Maintenance.IN_SERVICE));
         changed("c/roster/0", Optional.of(MachineRecordCodec.encode(hosts, 0)));
       }
-      case "damaged" -> changed(w.get(1), Optional.of(SimulatedCluster.map().put("wk-1/0", "?")));
+      case "damaged" ->
+          changed(words.get(1), Optional.of(SimulatedCluster.map().put("wk-1/0", "?")));
       case "damaged-job" ->
-          changed("c/live/" + w.get(1), Optional.of(SimulatedCluster.map().put("spec", "?")));
-      case "won" -> won(Long.parseLong(w.get(1)), w.contains("on-old-copy"));
+          changed("c/live/" + words.get(1), Optional.of(SimulatedCluster.map().put("spec", "?")));
+      case "won" -> won(Long.parseLong(words.get(1)), words.contains("on-old-copy"));
       case "caught-up" -> {
         core.tell(new SchedulerActor.KeysChanged(List.of(), revision));
         settle(Duration.ofMillis(100));
       }
-      case "vouch" -> receiveConfirmation(List.of(), w.subList(1, w.size()));
+      case "vouch" -> receiveConfirmation(List.of(), words.subList(1, words.size()));
       case "vouch-live" ->
-          receiveConfirmation(List.of(new LiveJobs(revision, w.subList(1, w.size()))), List.of());
+          receiveConfirmation(
+              List.of(new LiveJobs(revision, words.subList(1, words.size()))), List.of());
       case "acknowledged" -> core.tell(new SchedulerActor.ElectionAcknowledged(term));
       case "confirm" -> confirm();
       case "wait" -> {
-        for (int i = 0; i < 20 * Double.parseDouble(w.get(1)); i++) {
-          if (!w.contains("unconfirmed")) {
+        for (int i = 0; i < 20 * Double.parseDouble(words.get(1)); i++) {
+          if (!words.contains("unconfirmed")) {
             confirm();
           }
-          if (w.contains("unconfirmed") && w.contains("stale")) {
+          if (words.contains("unconfirmed") && words.contains("stale")) {
             core.tell(new SchedulerActor.LeadershipProven(world.now));
           }
           settle(Duration.ofMillis(50));
@@ -185,12 +188,12 @@
       case "raise-term" -> {
         ObjectNode body = SimulatedCluster.map();
         ObjectNode change = body.putArray("then").addObject().put("write", "c/term");
-        change.set("value", SimulatedCluster.map().put("term", Long.parseLong(w.get(1))));
+        change.set("value", SimulatedCluster.map().put("term", Long.parseLong(words.get(1))));
         world.store.serve("x", "POST", "/commit", body, r -> {});
       }
       case "cancelled-unseen" -> {
         ObjectNode body = SimulatedCluster.map();
-        body.putArray("then").addObject().put("drop", "c/live/" + w.get(1));
+        body.putArray("then").addObject().put("drop", "c/live/" + words.get(1));
         world.store.serve("x", "POST", "/commit", body, r -> {});
       }
       case "hold-commits" -> holdCommits = true;
@@ -214,26 +217,28 @@
       case "report" -> {
         answer = Optional.empty();
         core.tell(
-            new SchedulerActor.HeartbeatReceived(report(w), via, a -> answer = Optional.of(a)));
+            new SchedulerActor.HeartbeatReceived(report(words), via, a -> answer = Optional.of(a)));
         settle(Duration.ofMillis(1));
         answer.ifPresent(a -> a.commands().forEach(command -> note(command.toNode())));
       }
-      case "via" -> via = w.get(1);
+      case "via" -> via = words.get(1);
       case "reply" -> {
-        Pending p = direct.remove(w.get(1));
+        Pending p = direct.remove(words.get(1));
         if (p == null) {
-          return Optional.of("nothing was sent to " + w.get(1));
+          return Optional.of("nothing was sent to " + words.get(1));
         }
         p.answer.accept(
-            w.get(2).equals("none")
+            words.get(2).equals("none")
                 ? Reply.NO_RESPONSE
-                : new Reply(Integer.parseInt(w.get(2)), body(w.get(1), w.subList(3, w.size()))));
+                : new Reply(
+                    Integer.parseInt(words.get(2)),
+                    body(words.get(1), words.subList(3, words.size()))));
         settle(Duration.ofMillis(60));
       }
       case "expect" -> {
-        return expect(w.subList(1, w.size()));
+        return expect(words.subList(1, words.size()));
       }
-      default -> throw new IllegalArgumentException("script: " + w);
+      default -> throw new IllegalArgumentException("script: " + words);
     }
     return Optional.empty();
   }
@@ -320,15 +325,16 @@
     return machine.startsWith("b") ? "b" : "a";
   }
 
-  private void job(List<String> w) {
+  private void job(List<String> words) {
     Map<String, String> o = new HashMap<>();
-    w.subList(3, w.size())
+    words
+        .subList(3, words.size())
         .forEach(x -> o.put(x.split("=")[0], x.contains("=") ? x.split("=")[1] : "true"));
     JobSpec spec =
-        Scenario.job(w.get(1), WorkloadType.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
+        Scenario.job(words.get(1), WorkloadType.valueOf(words.get(2).toUpperCase(Locale.ROOT)), o);
     ObjectNode v = SimulatedCluster.map().put("at", world.now.toEpochMilli());
     v.set("spec", spec.toNode());
-    changed("c/live/" + w.get(1), Optional.of(v));
+    changed("c/live/" + words.get(1), Optional.of(v));
   }
 
   private void changed(String key, Optional<JsonNode> value) {
@@ -349,8 +355,8 @@
     }
   }
 
-  private void won(long t, boolean old) {
-    term = t;
+  private void won(long wonTerm, boolean old) {
+    term = wonTerm;
     ObjectNode types = SimulatedCluster.map();
     var list = types.putArray("breeds");
     world.cloud.types.values().forEach(x -> list.add(x.toNode()));
@@ -358,7 +364,7 @@
     changedTerm();
     core.tell(new SchedulerActor.Loaded(new TreeMap<>(keys), old ? 1 : revision));
     core.tell(new SchedulerActor.ReplicaFresh(world.now));
-    core.tell(new SchedulerActor.Elected(t, world.store.revisionOf("c/term"), world.now));
+    core.tell(new SchedulerActor.Elected(wonTerm, world.store.revisionOf("c/term"), world.now));
     settle(Duration.ofMillis(5));
   }
 
@@ -377,17 +383,17 @@
     revision = world.store.storeRevision();
   }
 
-  private Heartbeat report(List<String> w) throws MalformedMessageException {
-    return Heartbeat.parse(body(w.get(1), w.subList(2, w.size())));
+  private Heartbeat report(List<String> words) throws MalformedMessageException {
+    return Heartbeat.parse(body(words.get(1), words.subList(2, words.size())));
   }
 
   /** Words: session sequence token, then tasks like wk-1/0:running or wk-1/0:ended:done. */
-  private ObjectNode body(String machine, List<String> w) {
+  private ObjectNode body(String machine, List<String> words) {
     long current = (term << 24) + 1;
     long token =
-        w.get(2).startsWith("current")
-            ? current + Long.parseLong("0" + w.get(2).substring(7).replace("+", ""))
-            : Long.parseLong(w.get(2));
+        words.get(2).startsWith("current")
+            ? current + Long.parseLong("0" + words.get(2).substring(7).replace("+", ""))
+            : Long.parseLong(words.get(2));
     ObjectNode n =
         SimulatedCluster.map()
             .put("hive", machine)
@@ -395,11 +401,11 @@
             .put("breed", "small")
             .put("yard", zone(machine))
             .put("windfall", false)
-            .put("stint", Long.parseLong(w.get(0)))
-            .put("tally", Long.parseLong(w.get(1)))
+            .put("stint", Long.parseLong(words.get(0)))
+            .put("tally", Long.parseLong(words.get(1)))
             .put("baton", token);
     var list = n.putArray("pieces");
-    for (String t : w.subList(3, w.size())) {
+    for (String t : words.subList(3, words.size())) {
       String[] parts = t.split(":");
       ObjectNode p = list.addObject().put("piece", parts[0]).put("stage", parts[1]);
       p.put("try", attempts.getOrDefault(parts[0], 7L));
@@ -423,10 +429,10 @@
     return set;
   }
 
-  private Optional<String> expect(List<String> w) throws MalformedMessageException {
-    switch (w.get(0)) {
+  private Optional<String> expect(List<String> words) throws MalformedMessageException {
+    switch (words.get(0)) {
       case "answer" -> {
-        if (answer.isEmpty() || answer.get().status() != Integer.parseInt(w.get(1))) {
+        if (answer.isEmpty() || answer.get().status() != Integer.parseInt(words.get(1))) {
           return Optional.of("answered " + answer);
         }
         TreeSet<String> got = new TreeSet<>();
@@ -436,40 +442,42 @@
             .forEach(
                 command ->
                     got.addAll(names(SimulatedCluster.map().putArray("x").add(command.toNode()))));
-        TreeSet<String> want = new TreeSet<>(w.subList(2, w.size()));
+        TreeSet<String> want = new TreeSet<>(words.subList(2, words.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("orders " + got);
       }
       case "do" -> {
-        Pending p = direct.get(w.get(1));
+        Pending p = direct.get(words.get(1));
         TreeSet<String> got = p == null ? new TreeSet<>() : names(p.body.path("orders"));
-        TreeSet<String> want = new TreeSet<>(w.subList(2, w.size()));
+        TreeSet<String> want = new TreeSet<>(words.subList(2, words.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("sent " + got);
       }
       case "leeway" -> {
-        JsonNode orders = direct.get(w.get(1)).body.path("orders");
+        JsonNode orders = direct.get(words.get(1)).body.path("orders");
         double got = orders.path(0).path("leewayS").asDouble(-1);
-        return got == Double.parseDouble(w.get(2))
+        return got == Double.parseDouble(words.get(2))
             ? Optional.empty()
             : Optional.of("leeway " + got);
       }
       case "token" -> {
         long got = answer.map(HeartbeatResponse::fencingToken).orElse(-1L) - (term << 24) - 1;
-        return got == Long.parseLong(w.get(1)) ? Optional.empty() : Optional.of("token +" + got);
+        return got == Long.parseLong(words.get(1))
+            ? Optional.empty()
+            : Optional.of("token +" + got);
       }
       case "stored" -> {
-        boolean has = world.store.holds(w.get(1), w.size() > 2 ? w.get(2) : "");
-        return has ? Optional.empty() : Optional.of("stored " + world.store.show(w.get(1)));
+        boolean has = world.store.holds(words.get(1), words.size() > 2 ? words.get(2) : "");
+        return has ? Optional.empty() : Optional.of("stored " + world.store.show(words.get(1)));
       }
       case "not-stored" -> {
-        return world.store.holds(w.get(1), "") ? Optional.of("is stored") : Optional.empty();
+        return world.store.holds(words.get(1), "") ? Optional.of("is stored") : Optional.empty();
       }
       case "started" -> {
-        return terminatedMachines.stream().anyMatch(g -> g.startsWith(w.get(1) + ":"))
+        return terminatedMachines.stream().anyMatch(g -> g.startsWith(words.get(1) + ":"))
             ? Optional.empty()
             : Optional.of("never started");
       }
       case "not-started" -> {
-        return terminatedMachines.stream().noneMatch(g -> g.startsWith(w.get(1) + ":"))
+        return terminatedMachines.stream().noneMatch(g -> g.startsWith(words.get(1) + ":"))
             ? Optional.empty()
             : Optional.of("started");
       }
@@ -479,27 +487,27 @@
             : Optional.of("attempts " + terminatedMachines);
       }
       case "mark" -> {
-        String got = placementOf(w.get(1));
-        return got.equals(w.get(2)) ? Optional.empty() : Optional.of("marked " + got);
+        String got = placementOf(words.get(1));
+        return got.equals(words.get(2)) ? Optional.empty() : Optional.of("marked " + got);
       }
       case "roster" -> {
-        String got = machineRecordOf(w.get(1));
-        return got.equals(w.get(2)) ? Optional.empty() : Optional.of("roster " + got);
+        String got = machineRecordOf(words.get(1));
+        return got.equals(words.get(2)) ? Optional.empty() : Optional.of("roster " + got);
       }
       case "unfit" -> {
-        return unfitReason.contains(w.get(1))
+        return unfitReason.contains(words.get(1))
             ? Optional.empty()
             : Optional.of("unfit: " + unfitReason);
       }
       case "higher-term" -> {
         return higherTermSeen ? Optional.empty() : Optional.of("not noticed");
       }
-      default -> throw new IllegalArgumentException("script: " + w);
+      default -> throw new IllegalArgumentException("script: " + words);
     }
   }
 
-  private void settle(Duration d) {
-    world.playTo(world.elapsed().plus(d));
+  private void settle(Duration time) {
+    world.playTo(world.elapsed().plus(time));
   }
 
   // ---- The seams ----
--- a/src/test/java/io/pearscale/sim/LoopbackCluster.java
+++ b/src/test/java/io/pearscale/sim/LoopbackCluster.java
@@ -55,9 +55,9 @@
    * @param port the services' port; the controllers' follow within thirty
    * @param folder where settings and logs are written
    */
-  LoopbackCluster(SimulatedCluster world, int port, Path folder) throws IOException {
+  LoopbackCluster(SimulatedCluster cluster, int port, Path folder) throws IOException {
     this.port = port;
-    this.world = world;
+    this.world = cluster;
     this.folder = folder;
     this.worker =
         Xnio.getInstance()
@@ -77,10 +77,10 @@
             .setHandler(x -> x.dispatch(SameThreadExecutor.INSTANCE, () -> receive(x)))
             .build();
     server.start();
-    world.machineAddress = this::machineAddress;
+    cluster.machineAddress = this::machineAddress;
     for (int i = 0; i < NODES; i++) {
       int node = i;
-      world
+      cluster
           .controllers
           .get("hive-" + i)
           .answerBy((from, method, path, body, to) -> ask(node, from, method, path, body, to));
--- a/src/test/java/io/pearscale/sim/RandomRunsTest.java
+++ b/src/test/java/io/pearscale/sim/RandomRunsTest.java
@@ -165,85 +165,94 @@
    * The leader is refused at about the time at which users cancel, a controller may end and be
    * back, and then the state service is out for all for longer than a cancel may take.
    */
-  private static void refusedThenOut(RandomGenerator r, StringBuilder s) {
-    double at = 72 + r.nextDouble();
-    s.append("at %.2f call leader-if-any refused\nat %.2f refuse refused\n".formatted(at, at));
-    if (r.nextBoolean()) {
-      String node = "hive-" + r.nextInt(3);
-      double ends = at + r.nextDouble() * 2;
-      s.append("at %.2f crash %s\n".formatted(ends, node))
-          .append("at %.2f start %s\n".formatted(ends + 0.1 + r.nextDouble(), node));
+  private static void refusedThenOut(RandomGenerator random, StringBuilder text) {
+    double at = 72 + random.nextDouble();
+    text.append("at %.2f call leader-if-any refused\nat %.2f refuse refused\n".formatted(at, at));
+    if (random.nextBoolean()) {
+      String node = "hive-" + random.nextInt(3);
+      double ends = at + random.nextDouble() * 2;
+      text.append("at %.2f crash %s\n".formatted(ends, node))
+          .append("at %.2f start %s\n".formatted(ends + 0.1 + random.nextDouble(), node));
     }
-    double out = at + 0.5 + r.nextDouble() * 3;
-    s.append(
-            "at %.2f down state\nat %.2f up state\n".formatted(out, out + 30 + r.nextDouble() * 25))
-        .append("at %.2f serve refused\n".formatted(at + 5 + r.nextDouble() * 60));
+    double out = at + 0.5 + random.nextDouble() * 3;
+    text.append(
+            "at %.2f down state\nat %.2f up state\n"
+                .formatted(out, out + 30 + random.nextDouble() * 25))
+        .append("at %.2f serve refused\n".formatted(at + 5 + random.nextDouble() * 60));
   }
 
   /**
    * Troubles that were added later: repeats, cancels at the end, late commands, slow processors.
    */
-  private static void meetings(RandomGenerator r, StringBuilder s, int jobs) {
+  private static void meetings(RandomGenerator random, StringBuilder text, int jobs) {
     for (int i = 0; i < 3; i++) {
-      s.append("at %.2f resubmit wk-%d\n".formatted(75 + r.nextDouble() * 40, r.nextInt(jobs)));
+      text.append(
+          "at %.2f resubmit wk-%d\n"
+              .formatted(75 + random.nextDouble() * 40, random.nextInt(jobs)));
     }
-    if (r.nextInt(3) == 0) {
-      s.append("at %.2f submit wk-end batch tasks=3 run=5\n".formatted(20 + r.nextDouble() * 40))
+    if (random.nextInt(3) == 0) {
+      text.append(
+              "at %.2f submit wk-end batch tasks=3 run=5\n"
+                  .formatted(20 + random.nextDouble() * 40))
           .append("at 70 cancel-at-end wk-end\nat 1 cancel-at-end wk-end\n");
     }
-    if (r.nextInt(3) == 0) {
-      s.append(
+    if (random.nextInt(3) == 0) {
+      text.append(
           "at %.2f late-commands %d %.2f\n"
-              .formatted(5 + r.nextDouble() * 70, 1 + r.nextInt(12), 2 + r.nextDouble() * 14));
+              .formatted(
+                  5 + random.nextDouble() * 70,
+                  1 + random.nextInt(12),
+                  2 + random.nextDouble() * 14));
     }
-    if (r.nextInt(4) == 0) {
-      double at = r.nextDouble() * 60;
-      String who = r.nextBoolean() ? "all" : "hive-" + r.nextInt(3);
-      s.append("at %.2f slow %s %.4f\n".formatted(at, who, 0.001 + r.nextDouble() * 0.006))
-          .append("at %.2f slow %s 0\n".formatted(at + 10 + r.nextDouble() * 60, who));
+    if (random.nextInt(4) == 0) {
+      double at = random.nextDouble() * 60;
+      String who = random.nextBoolean() ? "all" : "hive-" + random.nextInt(3);
+      text.append("at %.2f slow %s %.4f\n".formatted(at, who, 0.001 + random.nextDouble() * 0.006))
+          .append("at %.2f slow %s 0\n".formatted(at + 10 + random.nextDouble() * 60, who));
     }
   }
 
-  private static void trouble(RandomGenerator r, StringBuilder s, int i) {
-    double at = 6 + r.nextDouble() * 70;
-    double end = at + 1 + r.nextDouble() * 40;
-    String node = "hive-" + r.nextInt(3);
-    String machine = "m-00000" + r.nextInt(6);
-    String hold = r.nextBoolean() ? " hold" : "";
-    switch (r.nextInt(24)) {
-      case 0 -> s.append("at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, end, node));
-      case 1 -> s.append("at %.2f crash all\nat %.2f start all\n".formatted(at, at + 3));
+  private static void trouble(RandomGenerator random, StringBuilder text, int number) {
+    double at = 6 + random.nextDouble() * 70;
+    double end = at + 1 + random.nextDouble() * 40;
+    String node = "hive-" + random.nextInt(3);
+    String machine = "m-00000" + random.nextInt(6);
+    String hold = random.nextBoolean() ? " hold" : "";
+    switch (random.nextInt(24)) {
+      case 0 -> text.append("at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, end, node));
+      case 1 -> text.append("at %.2f crash all\nat %.2f start all\n".formatted(at, at + 3));
       case 2 ->
-          s.append(
+          text.append(
               "at %.2f cut %s all%s\nat %.2f heal %s all\n".formatted(at, node, hold, end, node));
       case 3 ->
-          s.append(
+          text.append(
               "at %.2f cut %s workers%s\nat %.2f heal %s workers\n"
                   .formatted(at, node, hold, end, node));
       case 4 ->
-          s.append(
+          text.append(
               "at %.2f cut %s state%s\nat %.2f heal %s state\n"
                   .formatted(at, node, hold, end, node));
       case 5 ->
-          s.append(
+          text.append(
               "at %.2f cut %s all%s\nat %.2f heal %s all\n"
                   .formatted(at, machine, hold, end, machine));
-      case 6 -> s.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 15));
+      case 6 -> text.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 15));
       case 7 ->
-          s.append(
+          text.append(
               "at %.2f late-commits %d %.2f\n"
-                  .formatted(at, 1 + r.nextInt(4), 1 + r.nextDouble() * 20));
+                  .formatted(at, 1 + random.nextInt(4), 1 + random.nextDouble() * 20));
       case 9 ->
-          s.append("at %.2f deafen %s\nat %.2f undeafen %s\n".formatted(at, machine, end, machine));
+          text.append(
+              "at %.2f deafen %s\nat %.2f undeafen %s\n".formatted(at, machine, end, machine));
       case 10 ->
-          s.append(
+          text.append(
               "at %.2f copies %s %d %.2f\n"
-                  .formatted(at, machine, 1 + r.nextInt(8), 1 + r.nextDouble() * 50));
-      case 11 -> s.append("at %.2f links refused\nat %.2f links up\n".formatted(at, end));
+                  .formatted(at, machine, 1 + random.nextInt(8), 1 + random.nextDouble() * 50));
+      case 11 -> text.append("at %.2f links refused\nat %.2f links up\n".formatted(at, end));
       case 12 -> {
         for (String other : new String[] {"state", "hive-0", "hive-1", "hive-2"}) {
           if (!other.equals(node)) {
-            s.append(
+            text.append(
                 "at %.2f cut %s %s%s\nat %.2f heal %s %s\n"
                     .formatted(at, node, other, hold, end, node, other));
           }
@@ -251,39 +260,45 @@
       }
       case 13 -> {
         for (int k = 0; k < 3; k++) {
-          s.append(
+          text.append(
               "at %.2f crash hive-%d\nat %.2f start hive-%d\n"
-                  .formatted(at + 0.3 * k, k, at + 0.3 * k + 0.1 + r.nextDouble() * 0.3, k));
+                  .formatted(at + 0.3 * k, k, at + 0.3 * k + 0.1 + random.nextDouble() * 0.3, k));
         }
       }
-      case 14 -> s.append("at %.2f reboot %s\n".formatted(at, machine));
+      case 14 -> text.append("at %.2f reboot %s\n".formatted(at, machine));
       case 16, 17 ->
-          s.append(
+          text.append(
               "at %.2f freeze %s %.2f%s\n"
-                  .formatted(at, node, 1 + r.nextDouble() * 35, r.nextBoolean() ? " midway" : ""));
+                  .formatted(
+                      at,
+                      node,
+                      1 + random.nextDouble() * 35,
+                      random.nextBoolean() ? " midway" : ""));
       case 18, 19 ->
-          s.append("at %.2f mute %s\nat %.2f unmute %s\n".formatted(at, machine, end, machine));
+          text.append("at %.2f mute %s\nat %.2f unmute %s\n".formatted(at, machine, end, machine));
       case 20 ->
-          s.append(
-              "at %.2f slow-state %.2f\nat %.2f slow-state 0\n".formatted(at, r.nextDouble(), end));
+          text.append(
+              "at %.2f slow-state %.2f\nat %.2f slow-state 0\n"
+                  .formatted(at, random.nextDouble(), end));
       case 21 ->
-          s.append(
+          text.append(
               "at %.2f slow-links %.2f\nat %.2f slow-links 0\n"
-                  .formatted(at, r.nextDouble() * 0.4, end));
+                  .formatted(at, random.nextDouble() * 0.4, end));
       case 22 -> {
         // Two controllers are gone, the third has lost the state service.
-        s.append("at %.2f refuse %s\n".formatted(at, node));
+        text.append("at %.2f refuse %s\n".formatted(at, node));
         for (int k = 0; k < 3; k++) {
           if (!node.equals("hive-" + k)) {
-            s.append("at %.2f crash hive-%d\nat %.2f start hive-%d\n".formatted(at, k, end, k));
+            text.append("at %.2f crash hive-%d\nat %.2f start hive-%d\n".formatted(at, k, end, k));
           }
         }
-        s.append("at %.2f serve %s\n".formatted(end, node));
+        text.append("at %.2f serve %s\n".formatted(end, node));
       }
-      case 8 -> s.append("at %.2f refuse %s\nat %.2f serve %s\n".formatted(at, node, end, node));
+      case 8 -> text.append("at %.2f refuse %s\nat %.2f serve %s\n".formatted(at, node, end, node));
       default ->
-          s.append(
-              "at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, at + 0.2 + i * 0.1, node));
+          text.append(
+              "at %.2f crash %s\nat %.2f start %s\n"
+                  .formatted(at, node, at + 0.2 + number * 0.1, node));
     }
   }
 }
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -89,12 +89,12 @@
     return options;
   }
 
-  private static Settings.StoreLimits limits(Map<String, String> o) {
+  private static Settings.StoreLimits limits(Map<String, String> options) {
     return new Settings.StoreLimits(
-        number(o, "rps", 100),
-        number(o, "writes", 60),
-        (int) number(o, "value", 8192),
-        (int) number(o, "txn", 24));
+        number(options, "rps", 100),
+        number(options, "writes", 60),
+        (int) number(options, "value", 8192),
+        (int) number(options, "txn", 24));
   }
 
   private static double number(Map<String, String> options, String key, double otherwise) {
@@ -175,48 +175,49 @@
     return type(name, zones, options(words));
   }
 
-  private MachineType type(String name, Map<String, String> o) {
-    return type(name, world.zones, o);
+  private MachineType type(String name, Map<String, String> options) {
+    return type(name, world.zones, options);
   }
 
-  private static MachineType type(String name, List<String> zones, Map<String, String> o) {
+  private static MachineType type(String name, List<String> zones, Map<String, String> options) {
     return new MachineType(
         name,
-        number(o, "cpus", 8),
+        number(options, "cpus", 8),
         0,
-        number(o, "mem", 64),
+        number(options, "mem", 64),
         100,
         1,
-        number(o, "price", 1),
-        number(o, "spot", 0.4),
-        seconds(o.getOrDefault("boot", "5")),
+        number(options, "price", 1),
+        number(options, "spot", 0.4),
+        seconds(options.getOrDefault("boot", "5")),
         zones);
   }
 
-  static JobSpec job(String id, WorkloadType shape, Map<String, String> o) {
+  static JobSpec job(String id, WorkloadType shape, Map<String, String> options) {
     return new JobSpec(
         id,
-        o.getOrDefault("class", "any"),
-        o.getOrDefault("team", "t"),
+        options.getOrDefault("class", "any"),
+        options.getOrDefault("team", "t"),
         shape,
         Priority.parse(
-                o.getOrDefault("priority", shape == WorkloadType.SERVICE ? "critical" : "normal"))
+                options.getOrDefault(
+                    "priority", shape == WorkloadType.SERVICE ? "critical" : "normal"))
             .orElseThrow(),
-        (int) number(o, "tasks", 1),
-        number(o, "cpus", 1),
+        (int) number(options, "tasks", 1),
+        number(options, "cpus", 1),
         0,
-        number(o, "mem", 1),
-        o.getOrDefault("image", "img"),
-        number(o, "image-gb", 1),
-        Optional.ofNullable(o.get("types")).map(t -> List.of(t.split(","))),
-        Optional.ofNullable(o.get("zone")),
-        o.containsKey("one-zone"),
-        o.containsKey("spread"),
-        o.containsKey("spot"),
-        seconds(o.getOrDefault("run", "5")),
-        seconds(o.getOrDefault("checkpoint", "0")),
-        seconds(o.getOrDefault("save", "0")),
-        Optional.ofNullable(o.get("due")).map(Scenario::seconds));
+        number(options, "mem", 1),
+        options.getOrDefault("image", "img"),
+        number(options, "image-gb", 1),
+        Optional.ofNullable(options.get("types")).map(t -> List.of(t.split(","))),
+        Optional.ofNullable(options.get("zone")),
+        options.containsKey("one-zone"),
+        options.containsKey("spread"),
+        options.containsKey("spot"),
+        seconds(options.getOrDefault("run", "5")),
+        seconds(options.getOrDefault("checkpoint", "0")),
+        seconds(options.getOrDefault("save", "0")),
+        Optional.ofNullable(options.get("due")).map(Scenario::seconds));
   }
 
   /** The current leader, as the state service has it. */
@@ -250,62 +251,63 @@
 
   private final Map<String, String> remembered = new HashMap<>();
 
-  private void act(List<String> w) {
-    String verb = w.get(0);
-    world.trace("do " + String.join(" ", w));
+  private void act(List<String> words) {
+    String verb = words.get(0);
+    world.trace("do " + String.join(" ", words));
     switch (verb) {
-      case "call" -> remembered.put(w.get(2), name(w.get(1)));
-      case "submit" -> submit(world, w);
-      case "resubmit" -> world.users.get(w.get(1)).submit();
-      case "cancel" -> world.users.get(w.get(1)).cancel();
-      case "crash" -> nodes(w.get(1)).forEach(SimController::crash);
+      case "call" -> remembered.put(words.get(2), name(words.get(1)));
+      case "submit" -> submit(world, words);
+      case "resubmit" -> world.users.get(words.get(1)).submit();
+      case "cancel" -> world.users.get(words.get(1)).cancel();
+      case "crash" -> nodes(words.get(1)).forEach(SimController::crash);
       case "freeze" ->
-          nodes(w.get(1)).forEach(n -> n.freeze(seconds(w.get(2)), w.contains("midway")));
-      case "start" -> nodes(w.get(1)).forEach(SimController::start);
-      case "cut" -> world.cut(name(w.get(1)), name(w.get(2)), w.contains("hold"));
-      case "heal" -> world.heal(name(w.get(1)), name(w.get(2)));
+          nodes(words.get(1))
+              .forEach(n -> n.freeze(seconds(words.get(2)), words.contains("midway")));
+      case "start" -> nodes(words.get(1)).forEach(SimController::start);
+      case "cut" -> world.cut(name(words.get(1)), name(words.get(2)), words.contains("hold"));
+      case "heal" -> world.heal(name(words.get(1)), name(words.get(2)));
       case "down" -> {
-        if (w.get(1).equals("state")) {
+        if (words.get(1).equals("state")) {
           world.store.down = true;
         } else {
           world.cloud.down = true;
         }
       }
       case "up" -> {
-        if (w.get(1).equals("state")) {
+        if (words.get(1).equals("state")) {
           world.store.up();
         } else {
           world.cloud.down = false;
         }
       }
       case "links" -> {
-        world.linksRefused = w.get(1).equals("refused");
+        world.linksRefused = words.get(1).equals("refused");
         if (world.linksRefused) {
           world.controllers.values().forEach(SimController::refuseLinks);
         }
       }
-      case "reboot" -> worker(w.get(1)).ifPresent(SimAgent::reboot);
-      case "mute" -> world.agentToControllerPathDown.add(name(w.get(1)));
-      case "unmute" -> world.agentToControllerPathDown.remove(name(w.get(1)));
-      case "deafen" -> world.controllerToAgentPathDown.add(name(w.get(1)));
-      case "undeafen" -> world.controllerToAgentPathDown.remove(name(w.get(1)));
+      case "reboot" -> worker(words.get(1)).ifPresent(SimAgent::reboot);
+      case "mute" -> world.agentToControllerPathDown.add(name(words.get(1)));
+      case "unmute" -> world.agentToControllerPathDown.remove(name(words.get(1)));
+      case "deafen" -> world.controllerToAgentPathDown.add(name(words.get(1)));
+      case "undeafen" -> world.controllerToAgentPathDown.remove(name(words.get(1)));
       case "copies" -> {
-        world.duplicatedHeartbeats.put(name(w.get(1)), Integer.parseInt(w.get(2)));
-        world.duplicateDelay = seconds(w.get(3));
+        world.duplicatedHeartbeats.put(name(words.get(1)), Integer.parseInt(words.get(2)));
+        world.duplicateDelay = seconds(words.get(3));
       }
-      case "refuse" -> world.store.refusedClients.add(name(w.get(1)));
-      case "serve" -> world.store.refusedClients.remove(name(w.get(1)));
-      case "storm" -> storm(Integer.parseInt(w.get(1)), seconds(w.get(2)));
-      case "slow-state" -> world.store.extraLatency = seconds(w.get(1));
-      case "slow-links" -> world.extraLatency = seconds(w.get(1));
-      case "slow" -> nodes(w.get(1)).forEach(n -> n.processingTime = seconds(w.get(2)));
-      case "build" -> build(w);
+      case "refuse" -> world.store.refusedClients.add(name(words.get(1)));
+      case "serve" -> world.store.refusedClients.remove(name(words.get(1)));
+      case "storm" -> storm(Integer.parseInt(words.get(1)), seconds(words.get(2)));
+      case "slow-state" -> world.store.extraLatency = seconds(words.get(1));
+      case "slow-links" -> world.extraLatency = seconds(words.get(1));
+      case "slow" -> nodes(words.get(1)).forEach(n -> n.processingTime = seconds(words.get(2)));
+      case "build" -> build(words);
       case "level" ->
           world.store.set(
-              "c/level", SimulatedCluster.map().put("level", Integer.parseInt(w.get(1))));
-      case "drain" -> drain(w);
+              "c/level", SimulatedCluster.map().put("level", Integer.parseInt(words.get(1))));
+      case "drain" -> drain(words);
       case "disrupted" -> {
-        TaskId task = SimUser.task(w.get(1));
+        TaskId task = SimUser.task(words.get(1));
         JobSpec spec = world.submitted.get(task.job());
         world.store.set(
             "c/disrupted/0",
@@ -314,10 +316,10 @@
       }
       case "drain-wish" ->
           world.store.set(
-              "c/drain/" + w.get(1),
+              "c/drain/" + words.get(1),
               DrainRequest.withDesiredState(
-                  world.store.under("c/drain/" + w.get(1)).get("c/drain/" + w.get(1)),
-                  DrainRequest.DesiredState.valueOf(w.get(2))));
+                  world.store.under("c/drain/" + words.get(1)).get("c/drain/" + words.get(1)),
+                  DrainRequest.DesiredState.valueOf(words.get(2))));
       case "level-back" -> {
         int level = world.store.level().level();
         world.store.set(
@@ -325,53 +327,53 @@
         world.trace("level " + level + " is taken back");
       }
       case "limits" -> {
-        Settings.StoreLimits limits = limits(options(w.subList(1, w.size())));
+        Settings.StoreLimits limits = limits(options(words.subList(1, words.size())));
         world.store.valueBytes = limits.maxValueBytes();
         world.store.txnOps = limits.maxTransactionOperations();
         world.store.writeRate = Optional.of(limits.writesPerSecond());
       }
-      case "at-commit" -> world.store.faultAtCommit(Integer.parseInt(w.get(1)), w.get(2));
-      case "damage" -> world.store.damage(w.get(1));
-      case "repair" -> world.store.repair(w.get(1));
+      case "at-commit" -> world.store.faultAtCommit(Integer.parseInt(words.get(1)), words.get(2));
+      case "damage" -> world.store.damage(words.get(1));
+      case "repair" -> world.store.repair(words.get(1));
       case "forget-history" -> world.store.forgetHistory();
-      case "lose-answers" -> world.lostAnswers = Double.parseDouble(w.get(1));
-      case "lose-commands" -> world.lostCommands = Double.parseDouble(w.get(1));
-      case "ignore-kills" -> world.agents.get(name(w.get(1))).ignoresStops = true;
-      case "cancel-at-end" -> world.cancelledAtEnd.add(w.get(1));
-      case "no-sockets" -> world.unsentCommands = Integer.parseInt(w.get(1));
+      case "lose-answers" -> world.lostAnswers = Double.parseDouble(words.get(1));
+      case "lose-commands" -> world.lostCommands = Double.parseDouble(words.get(1));
+      case "ignore-kills" -> world.agents.get(name(words.get(1))).ignoresStops = true;
+      case "cancel-at-end" -> world.cancelledAtEnd.add(words.get(1));
+      case "no-sockets" -> world.unsentCommands = Integer.parseInt(words.get(1));
       case "late-commands" -> {
-        world.lateCommands = Integer.parseInt(w.get(1));
-        world.lateCommandDelay = seconds(w.get(2));
+        world.lateCommands = Integer.parseInt(words.get(1));
+        world.lateCommandDelay = seconds(words.get(2));
       }
       case "late-commits" -> {
-        world.store.lateCommits = Integer.parseInt(w.get(1));
-        world.store.lateCommitDelay = seconds(w.get(2));
+        world.store.lateCommits = Integer.parseInt(words.get(1));
+        world.store.lateCommitDelay = seconds(words.get(2));
       }
-      case "kill-machine" -> world.agents.get(name(w.get(1))).die();
-      case "take" -> world.cloud.terminate(name(w.get(1)));
+      case "kill-machine" -> world.agents.get(name(words.get(1))).die();
+      case "take" -> world.cloud.terminate(name(words.get(1)));
       case "notice" -> {
-        String machine = name(w.get(1));
-        world.agents.get(machine).receivePreemptionNotice(seconds(w.get(2)));
-        world.after(seconds(w.get(2)), () -> world.cloud.terminate(machine));
+        String machine = name(words.get(1));
+        world.agents.get(machine).receivePreemptionNotice(seconds(words.get(2)));
+        world.after(seconds(words.get(2)), () -> world.cloud.terminate(machine));
       }
-      case "hang" -> worker(w.get(1)).ifPresent(SimAgent::hang);
-      case "hang-within-lease" -> worker(w.get(1)).ifPresent(SimAgent::hangWithinLease);
-      case "resume" -> worker(w.get(1)).ifPresent(SimAgent::resume);
+      case "hang" -> worker(words.get(1)).ifPresent(SimAgent::hang);
+      case "hang-within-lease" -> worker(words.get(1)).ifPresent(SimAgent::hangWithinLease);
+      case "resume" -> worker(words.get(1)).ifPresent(SimAgent::resume);
       case "inject" ->
-          world.controllers.get(name(w.get(1))).inject(HexFormat.of().parseHex(w.get(2)));
-      case "check" -> expect(w.subList(1, w.size()), String.join(" ", w));
-      default -> throw new IllegalArgumentException("scenario: " + w);
+          world.controllers.get(name(words.get(1))).inject(HexFormat.of().parseHex(words.get(2)));
+      case "check" -> expect(words.subList(1, words.size()), String.join(" ", words));
+      default -> throw new IllegalArgumentException("scenario: " + words);
     }
   }
 
   /** Switches drains on, with one more budget. */
-  private DisruptionBudget budget(List<String> w) {
+  private DisruptionBudget budget(List<String> words) {
     DisruptionBudget budget =
         new DisruptionBudget(
-            w.get(1),
-            Optional.of(w.get(2)).filter(c -> !c.equals("*")),
-            DisruptionBudget.Kind.parse(w.get(3)).orElseThrow(),
-            Double.parseDouble(w.get(4)));
+            words.get(1),
+            Optional.of(words.get(2)).filter(c -> !c.equals("*")),
+            DisruptionBudget.Kind.parse(words.get(3)).orElseThrow(),
+            Double.parseDouble(words.get(4)));
     List<DisruptionBudget> budgets = new ArrayList<>();
     world.operations.drains().ifPresent(set -> budgets.addAll(set.budgets()));
     budgets.add(budget);
@@ -385,8 +387,8 @@
   }
 
   /** Asks for a drain, as an operator's command does. */
-  private void drain(List<String> w) {
-    Map<String, String> o = options(w.subList(2, w.size()));
+  private void drain(List<String> words) {
+    Map<String, String> o = options(words.subList(2, words.size()));
     List<String> machines = new ArrayList<>();
     List<String> named =
         Arrays.stream(o.getOrDefault("machines", "").split(",")).map(this::name).toList();
@@ -401,8 +403,8 @@
     }
     DrainRequest request =
         new DrainRequest(
-            w.get(1),
-            String.join(" ", w),
+            words.get(1),
+            String.join(" ", words),
             (int) number(o, "at-once", 1),
             o.containsKey("hold")
                 ? DrainRequest.CompletionAction.HOLD
@@ -417,27 +419,28 @@
   }
 
   /** A user submits a job, as the words of a scenario's line say. */
-  static void submit(SimulatedCluster world, List<String> w) {
-    Map<String, String> o = options(w.subList(3, w.size()));
-    JobSpec spec = job(w.get(1), WorkloadType.valueOf(w.get(2).toUpperCase(Locale.ROOT)), o);
+  static void submit(SimulatedCluster cluster, List<String> words) {
+    Map<String, String> o = options(words.subList(3, words.size()));
+    JobSpec spec =
+        job(words.get(1), WorkloadType.valueOf(words.get(2).toUpperCase(Locale.ROOT)), o);
     SimUser user =
         new SimUser(
-            world,
+            cluster,
             spec,
             spec.estimatedDuration(),
             seconds(o.getOrDefault("apart", "0")),
             o.containsKey("mistake"));
-    world.submitted.put(spec.id(), spec);
-    world.users.put(spec.id(), user);
+    cluster.submitted.put(spec.id(), spec);
+    cluster.users.put(spec.id(), user);
     user.submit();
   }
 
   /**
    * Installs a build that supports those levels of stored forms; it runs from the next start on.
    */
-  private void build(List<String> w) {
-    world.controllers.get(w.get(1)).installedLevels =
-        new SupportedLevels(Integer.parseInt(w.get(2)), Integer.parseInt(w.get(3)));
+  private void build(List<String> words) {
+    world.controllers.get(words.get(1)).installedLevels =
+        new SupportedLevels(Integer.parseInt(words.get(2)), Integer.parseInt(words.get(3)));
   }
 
   /** The machine of that name; none if it was given back. */
@@ -461,73 +464,75 @@
         : List.of(world.controllers.get(name(word)));
   }
 
-  private void expect(List<String> w, String line) {
+  private void expect(List<String> words, String line) {
     Predicate<SimUser> test =
-        switch (w.get(1)) {
+        switch (words.get(1)) {
           case "done" ->
               u ->
                   u.stage.equals("done")
-                      && (w.size() < 4
+                      && (words.size() < 4
                           || Duration.between(SimulatedCluster.START, u.doneAt)
-                                  .compareTo(seconds(w.get(3)))
+                                  .compareTo(seconds(words.get(3)))
                               <= 0);
-          case "stage" -> u -> u.stage.equals(w.get(2));
+          case "stage" -> u -> u.stage.equals(words.get(2));
           case "present" ->
               u ->
                   world.present.stream().filter(p -> p.task().job().equals(u.spec.id())).count()
-                      == Long.parseLong(w.get(2));
+                      == Long.parseLong(words.get(2));
           default -> null;
         };
     boolean good;
-    if (w.get(0).equals("rentals")) {
-      good = world.cloud.machinesProvisioned <= Integer.parseInt(w.get(2));
-    } else if (w.get(0).equals("told")) {
+    if (words.get(0).equals("rentals")) {
+      good = world.cloud.machinesProvisioned <= Integer.parseInt(words.get(2));
+    } else if (words.get(0).equals("told")) {
       good =
           world.stormQueries > 0
-              && world.answeredStormQueries >= world.stormQueries * Double.parseDouble(w.get(2));
-    } else if (w.get(0).equals("state-requests")) {
-      good = world.store.requests <= Long.parseLong(w.get(2));
-    } else if (w.get(0).equals("commands")) {
-      good = world.directCommands <= Long.parseLong(w.get(2));
-    } else if (w.get(0).equals("repeats")) {
-      good = world.startsOfDoneTasks <= Integer.parseInt(w.get(2));
-    } else if (w.get(0).equals("level")) {
+              && world.answeredStormQueries
+                  >= world.stormQueries * Double.parseDouble(words.get(2));
+    } else if (words.get(0).equals("state-requests")) {
+      good = world.store.requests <= Long.parseLong(words.get(2));
+    } else if (words.get(0).equals("commands")) {
+      good = world.directCommands <= Long.parseLong(words.get(2));
+    } else if (words.get(0).equals("repeats")) {
+      good = world.startsOfDoneTasks <= Integer.parseInt(words.get(2));
+    } else if (words.get(0).equals("level")) {
       good =
           world.store.level().migrated()
-              && world.store.level().level() == Integer.parseInt(w.get(1));
-    } else if (w.get(0).equals("drain")) {
-      good = world.store.holds("c/drain-status/" + w.get(1), "\"state\":\"" + w.get(2) + "\"");
-    } else if (w.get(0).equals("voluntary-stops")) {
-      good = world.disruptions.stops() >= Integer.parseInt(w.get(2));
-    } else if (w.get(0).equals("gangs")) {
+              && world.store.level().level() == Integer.parseInt(words.get(1));
+    } else if (words.get(0).equals("drain")) {
+      good =
+          world.store.holds("c/drain-status/" + words.get(1), "\"state\":\"" + words.get(2) + "\"");
+    } else if (words.get(0).equals("voluntary-stops")) {
+      good = world.disruptions.stops() >= Integer.parseInt(words.get(2));
+    } else if (words.get(0).equals("gangs")) {
       int count =
-          switch (w.get(1)) {
+          switch (words.get(1)) {
             case "begun" -> world.gangs.attemptsBegun;
             case "broken" -> world.gangs.attemptsBroken;
             default -> world.gangs.attemptsNeverComplete;
           };
-      int bound = Integer.parseInt(w.get(3));
-      good = w.get(2).equals("<=") ? count <= bound : count >= bound;
-    } else if (w.get(0).equals("announced")) {
-      good = world.store.under("c/member/").size() == Integer.parseInt(w.get(2));
-    } else if (w.get(0).equals("leader")) {
+      int bound = Integer.parseInt(words.get(3));
+      good = words.get(2).equals("<=") ? count <= bound : count >= bound;
+    } else if (words.get(0).equals("announced")) {
+      good = world.store.under("c/member/").size() == Integer.parseInt(words.get(2));
+    } else if (words.get(0).equals("leader")) {
       good = world.store.leader().isPresent();
-    } else if (w.get(0).equals("leader-not")) {
-      good = !world.store.leader().equals(Optional.of(w.get(1)));
-    } else if (w.get(0).equals("nobody")) {
+    } else if (words.get(0).equals("leader-not")) {
+      good = !world.store.leader().equals(Optional.of(words.get(1)));
+    } else if (words.get(0).equals("nobody")) {
       good = world.store.leader().isEmpty();
-    } else if (w.get(0).equals("terms")) {
+    } else if (words.get(0).equals("terms")) {
       good =
           world.store.under("c/term").get("c/term").path("term").asLong()
-              <= Long.parseLong(w.get(2));
-    } else if (w.get(0).equals("gone")) {
-      good = world.agents.get(name(w.get(1))).isDead();
-    } else if (w.get(0).equals("starts")) {
-      int starts = world.starts.getOrDefault(w.get(1), 0);
-      int bound = Integer.parseInt(w.get(3));
-      good = w.get(2).equals("<=") ? starts <= bound : starts >= bound;
+              <= Long.parseLong(words.get(2));
+    } else if (words.get(0).equals("gone")) {
+      good = world.agents.get(name(words.get(1))).isDead();
+    } else if (words.get(0).equals("starts")) {
+      int starts = world.starts.getOrDefault(words.get(1), 0);
+      int bound = Integer.parseInt(words.get(3));
+      good = words.get(2).equals("<=") ? starts <= bound : starts >= bound;
     } else {
-      SimUser u = world.users.get(w.get(0));
+      SimUser u = world.users.get(words.get(0));
       good = u != null && test.test(u);
     }
     if (!good) {
--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -57,8 +57,8 @@
   Duration notice;
   private Instant preemptionTime;
 
-  SimAgent(SimulatedCluster world, String name, MachineType type, String zone, boolean spot) {
-    this.world = world;
+  SimAgent(SimulatedCluster cluster, String name, MachineType type, String zone, boolean spot) {
+    this.world = cluster;
     this.name = name;
     this.type = type;
     this.zone = zone;
@@ -77,13 +77,13 @@
     return dead;
   }
 
-  static Set<TaskId> completed(SimulatedCluster world) {
-    return COMPLETED.computeIfAbsent(world, w -> new HashSet<>());
+  static Set<TaskId> completed(SimulatedCluster cluster) {
+    return COMPLETED.computeIfAbsent(cluster, w -> new HashSet<>());
   }
 
   /** Whether all tasks of a job have completed, told or not. */
-  static boolean allDone(SimulatedCluster world, JobSpec spec) {
-    Set<TaskId> done = completed(world);
+  static boolean allDone(SimulatedCluster cluster, JobSpec spec) {
+    Set<TaskId> done = completed(cluster);
     for (int i = 0; i < spec.tasks(); i++) {
       if (!done.contains(new TaskId(spec.id(), i))) {
         return false;
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -42,8 +42,8 @@
   int machinesProvisioned;
   final Set<String> faulty = new HashSet<>();
 
-  SimCloud(SimulatedCluster world) {
-    this.world = world;
+  SimCloud(SimulatedCluster cluster) {
+    this.world = cluster;
   }
 
   private static String kind(String type, String zone, boolean spot) {
@@ -84,16 +84,19 @@
     return false;
   }
 
-  private void handleProvisionRequest(JsonNode b, Consumer<Reply> answer) {
-    String request = b.path("hire").asText();
+  private void handleProvisionRequest(JsonNode body, Consumer<Reply> answer) {
+    String request = body.path("hire").asText();
     if (answers.containsKey(request)) {
       answer.accept(names(answers.get(request)));
       return;
     }
     String kind =
-        kind(b.path("breed").asText(), b.path("yard").asText(), b.path("windfall").asBoolean());
+        kind(
+            body.path("breed").asText(),
+            body.path("yard").asText(),
+            body.path("windfall").asBoolean());
     int left = capacity.getOrDefault(kind, 0);
-    int n = Math.min(left, b.path("count").asInt());
+    int n = Math.min(left, body.path("count").asInt());
     if (n == 0) {
       answer.accept(new Reply(503, SimulatedCluster.map().put("error", "no capacity")));
       return;
@@ -103,10 +106,10 @@
     for (int i = 0; i < n; i++) {
       names.add(
           provision(
-              b.path("breed").asText(),
-              b.path("yard").asText(),
-              b.path("windfall").asBoolean(),
-              types.get(b.path("breed").asText()).bootTime()));
+              body.path("breed").asText(),
+              body.path("yard").asText(),
+              body.path("windfall").asBoolean(),
+              types.get(body.path("breed").asText()).bootTime()));
     }
     answers.put(request, names);
     answer.accept(names(names));
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -54,8 +54,8 @@
   /** How fast the steady clock runs. */
   double drift = 1.0;
 
-  SimController(SimulatedCluster world, String name) {
-    this.world = world;
+  SimController(SimulatedCluster cluster, String name) {
+    this.world = cluster;
     this.name = name;
   }
 
--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -51,8 +51,8 @@
   int attemptsBroken;
   int attemptsNeverComplete;
 
-  SimGangRendezvous(SimulatedCluster world) {
-    this.world = world;
+  SimGangRendezvous(SimulatedCluster cluster) {
+    this.world = cluster;
   }
 
   /** A task has its image and waits for the others. */
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -72,8 +72,8 @@
   private int commitsUntilFault;
   private String fault = "";
 
-  SimKeyValueStore(SimulatedCluster world) {
-    this.world = world;
+  SimKeyValueStore(SimulatedCluster cluster) {
+    this.world = cluster;
   }
 
   /** After an outage every lease has its full time again. */
@@ -187,13 +187,14 @@
     return q;
   }
 
-  private void list(Map<String, String> q, Consumer<Reply> answer) {
+  private void list(Map<String, String> query, Consumer<Reply> answer) {
     ObjectNode n = SimulatedCluster.map().put("epoch", storeRevision);
     var list = n.putArray("pairs");
-    int left = Integer.parseInt(q.get("limit"));
+    int left = Integer.parseInt(query.get("limit"));
     boolean more = false;
-    for (var e : pairs.tailMap(q.getOrDefault("since", q.get("prefix")), false).entrySet()) {
-      if (!e.getKey().startsWith(q.get("prefix"))) {
+    for (var e :
+        pairs.tailMap(query.getOrDefault("since", query.get("prefix")), false).entrySet()) {
+      if (!e.getKey().startsWith(query.get("prefix"))) {
         break;
       }
       if (left-- == 0) {
@@ -418,23 +419,23 @@
         });
   }
 
-  private List<Changed> events(Watch w) {
+  private List<Changed> events(Watch watch) {
     return history.stream()
-        .filter(c -> c.revision > w.since && c.key.startsWith(w.prefix))
+        .filter(c -> c.revision > watch.since && c.key.startsWith(watch.prefix))
         .toList();
   }
 
-  private void answerWatch(Watch w) {
+  private void answerWatch(Watch watch) {
     ObjectNode n = SimulatedCluster.map().put("epoch", storeRevision);
     var list = n.putArray("events");
-    for (Changed c : events(w)) {
+    for (Changed c : events(watch)) {
       ObjectNode e = list.addObject().put(c.value == null ? "drop" : "write", c.key);
       e.put("stamp", c.revision);
       if (c.value != null) {
         e.set("value", c.value);
       }
     }
-    w.answer.accept(ok(n));
+    watch.answer.accept(ok(n));
   }
 
   private void notifyWatches() {
--- a/src/test/java/io/pearscale/sim/SimUser.java
+++ b/src/test/java/io/pearscale/sim/SimUser.java
@@ -34,10 +34,10 @@
   Instant doneAt;
   private boolean polling;
 
-  SimUser(SimulatedCluster world, JobSpec spec, Duration run, Duration apart, boolean mistake) {
+  SimUser(SimulatedCluster cluster, JobSpec spec, Duration run, Duration apart, boolean mistake) {
     this.failsEverywhere = mistake;
     this.runTimeStep = apart;
-    this.world = world;
+    this.world = cluster;
     this.spec = spec;
     this.run = run;
   }
@@ -122,18 +122,18 @@
    * Takes in an answer. One to a question that was asked before the job's end was told may be older
    * than that: the two were under way at once.
    */
-  private void receiveStage(String s, Instant asked) {
+  private void receiveStage(String reported, Instant asked) {
     boolean settled = stage.equals("done") || stage.equals("withdrawn");
-    if (settled && !s.equals(stage) && !asked.isAfter(endReportedAt)) {
+    if (settled && !reported.equals(stage) && !asked.isAfter(endReportedAt)) {
       return;
     }
-    if (settled && !s.equals(stage)) {
-      world.reportViolation("went_back", spec.id() + " was " + stage + ", is called " + s);
+    if (settled && !reported.equals(stage)) {
+      world.reportViolation("went_back", spec.id() + " was " + stage + ", is called " + reported);
     }
-    if (s.equals("withdrawn") && !cancelAsked) {
+    if (reported.equals("withdrawn") && !cancelAsked) {
       world.reportViolation("went_back", spec.id() + " withdrawn, but nobody cancelled it");
     }
-    if (s.equals("done") && !stage.equals("done")) {
+    if (reported.equals("done") && !stage.equals("done")) {
       doneAt = world.now;
       world.trace("user: " + spec.id() + " done");
       Set<TaskId> done = SimAgent.completed(world);
@@ -143,14 +143,14 @@
         }
       }
     }
-    if (s.equals("withdrawn") && cancelledAt == null) {
+    if (reported.equals("withdrawn") && cancelledAt == null) {
       cancelledAt = world.now;
       world.gangChecker().cancelIsConfirmed(spec.id(), world.now);
     }
-    if (!settled && (s.equals("done") || s.equals("withdrawn"))) {
+    if (!settled && (reported.equals("done") || reported.equals("withdrawn"))) {
       endReportedAt = world.now;
     }
-    stage = s;
+    stage = reported;
   }
 
   void poll() {
--- a/src/test/java/io/pearscale/sim/SimulatedCluster.java
+++ b/src/test/java/io/pearscale/sim/SimulatedCluster.java
@@ -200,16 +200,16 @@
 
   // ---- Network ----
 
-  private static String pair(String a, String b) {
-    return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
+  private static String pair(String one, String other) {
+    return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
   }
 
-  private boolean matches(Set<String> set, String a, String b) {
-    return set.contains(pair(a, b))
-        || set.contains(pair(a, "all"))
-        || set.contains(pair(b, "all"))
-        || (kind(b).equals("worker") && set.contains(pair(a, "workers")))
-        || (kind(a).equals("worker") && set.contains(pair(b, "workers")));
+  private boolean matches(Set<String> set, String one, String other) {
+    return set.contains(pair(one, other))
+        || set.contains(pair(one, "all"))
+        || set.contains(pair(other, "all"))
+        || (kind(other).equals("worker") && set.contains(pair(one, "workers")))
+        || (kind(one).equals("worker") && set.contains(pair(other, "workers")));
   }
 
   private String kind(String name) {
@@ -217,17 +217,17 @@
   }
 
   /** Cuts the network between two names, or a name and {@code all} or {@code workers}. */
-  void cut(String a, String b, boolean hold) {
-    cuts.add(pair(a, b));
+  void cut(String one, String other, boolean hold) {
+    cuts.add(pair(one, other));
     if (hold) {
-      holds.add(pair(a, b));
+      holds.add(pair(one, other));
     }
   }
 
   /** Heals a cut; what was held is delivered now, in order. */
-  void heal(String a, String b) {
-    cuts.remove(pair(a, b));
-    holds.remove(pair(a, b));
+  void heal(String one, String other) {
+    cuts.remove(pair(one, other));
+    holds.remove(pair(one, other));
     for (String key : List.copyOf(held.keySet())) {
       String[] ends = key.split("\\|");
       if (!matches(cuts, ends[0], ends[1])) {
--- a/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
@@ -100,16 +100,16 @@
         until 120
         """;
     Scenario scenario = Scenario.of(text, 1);
-    SimulatedCluster world = scenario.world();
+    SimulatedCluster cluster = scenario.world();
     long[] writes = new long[2];
     Duration[] ended = new Duration[1];
-    world.at(SimulatedCluster.START.plusSeconds(40), () -> writes[0] = world.store.writes);
-    world.at(
+    cluster.at(SimulatedCluster.START.plusSeconds(40), () -> writes[0] = cluster.store.writes);
+    cluster.at(
         SimulatedCluster.START.plusSeconds(40),
-        () -> world.store.set("c/level", SimulatedCluster.map().put("level", 1)));
-    awaitLevel(world, writes, ended);
+        () -> cluster.store.set("c/level", SimulatedCluster.map().put("level", 1)));
+    awaitLevel(cluster, writes, ended);
     assertEquals(List.of(), scenario.run());
-    int values = world.store.under("c/roster/").size();
+    int values = cluster.store.under("c/roster/").size();
     long added = writes[1] - writes[0];
     assertTrue(values >= 40, "values " + values);
     assertTrue(added <= values + 2L * (values / 3 + 2), added + " writes for " + values);
@@ -126,17 +126,17 @@
                 "at 70.001 at-commit %d %s".formatted(number, trouble)));
   }
 
-  private static void awaitLevel(SimulatedCluster world, long[] writes, Duration[] ended) {
-    world.at(
+  private static void awaitLevel(SimulatedCluster cluster, long[] writes, Duration[] ended) {
+    cluster.at(
         SimulatedCluster.START.plusSeconds(41),
         new Runnable() {
           @Override
           public void run() {
-            if (world.store.level().migrated()) {
-              writes[1] = world.store.writes;
-              ended[0] = world.elapsed();
+            if (cluster.store.level().migrated()) {
+              writes[1] = cluster.store.writes;
+              ended[0] = cluster.elapsed();
             } else {
-              world.after(Duration.ofMillis(100), this);
+              cluster.after(Duration.ofMillis(100), this);
             }
           }
         });
--- a/src/test/java/io/pearscale/transport/UndertowHttpClientTest.java
+++ b/src/test/java/io/pearscale/transport/UndertowHttpClientTest.java
@@ -92,11 +92,11 @@
     return "127.0.0.1:" + s.getLocalPort();
   }
 
-  private void answer(ServerSocket s) {
+  private void answer(ServerSocket socket) {
     byte[] ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.UTF_8);
     try {
       while (true) {
-        Socket c = s.accept();
+        Socket c = socket.accept();
         sockets.add(c);
         if (c.getInputStream().read(new byte[4096]) > 0) {
           c.getOutputStream().write(ok);
