--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -46,7 +46,7 @@
     }
     for (int i = ID_PREFIX.length(); i < id.length(); i++) {
       char c = id.charAt(i);
-      if (!(c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z')) {
+      if (!((c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z'))) {
         return false;
       }
     }
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -33,7 +33,7 @@
         try {
           result.add(parse(n));
         } catch (MalformedMessageException e) {
-          continue;
+          // One bad line must not hide the others.
         }
       }
     } catch (MalformedMessageException e) {
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -47,7 +47,7 @@
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
   private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
-  private static final Duration PROBE_TIMEOUT = Duration.ofMillis(1000);
+  private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
   /** So many machines are asked to show themselves at a time. */
   private static final int MAX_CONCURRENT_PROBES = 40;
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -13,7 +13,6 @@
 import io.pearscale.storage.Maintenance;
 import java.time.Duration;
 import java.time.Instant;
-import java.time.InstantSource;
 import java.util.Optional;
 import java.util.Set;
 
@@ -45,7 +44,6 @@
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private final InstantSource clock;
   private final AgentTimings agentTimeouts;
   private final CommandDispatcher dispatcher;
   private final MachineRetirement retirement;
@@ -61,7 +59,6 @@
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
-    this.clock = state.clock();
     this.agentTimeouts = agentTimeouts;
     this.dispatcher = dispatcher;
     this.retirement = retirement;
--- a/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GangTracker.java
@@ -117,7 +117,7 @@
     GangAttempt attempt = attemptOf(job);
     Phase before = attempt.phase();
     Action action = attempt.nextAction(membersOf(job), clock.instant());
-    notePhaseChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* checkpointed= */ false);
     return action;
   }
 
@@ -176,7 +176,7 @@
   public void beginAttempt(Job job, long number) {
     Phase before = phase(job);
     attemptOf(job).begin(number, clock.instant());
-    notePhaseChange(job, before, /* saved= */ false);
+    notePhaseChange(job, before, /* checkpointed= */ false);
   }
 
   /** The number under which missing tasks of the present attempt are started. */
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -44,7 +44,7 @@
 
   /** Stops a task; what it has done is saved if that is possible. */
   public void stop(TaskAttempt attempt) {
-    stop(attempt, /* atOnce= */ false);
+    stop(attempt, /* withoutCheckpoint= */ false);
   }
 
   /**
@@ -67,7 +67,7 @@
   public void endBrokenGangs() {
     for (Job job : jobs.gangs()) {
       if (gangs.nextAction(job) == Action.END) {
-        stopGang(job, /* atOnce= */ true);
+        stopGang(job, /* withoutCheckpoint= */ true);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -147,7 +147,7 @@
       generation++;
       requests.clear();
     } else if (message instanceof ProvisionMachines) {
-      requests.add(new PendingRequest(message, "r-" + term + "-" + (++requestCount), 0));
+      requests.add(new PendingRequest(message, "r-" + term + "-" + ++requestCount, 0));
     } else if (message instanceof DeleteMachines) {
       requests.addFirst(new PendingRequest(message, "", 0));
     } else if (message instanceof CallCompleted call && call.generation == generation) {
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -174,7 +174,7 @@
   private void reserve(Job job, int tasks) {
     List<Assignment> largest = List.of();
     for (Predicate<Machine> among : fleetParts(job)) {
-      List<Assignment> assignments = choose(job, tasks, /* mayStopOthers= */ false, among);
+      List<Assignment> assignments = choose(job, tasks, /* mayPreempt= */ false, among);
       release(job, assignments);
       largest = assignments.size() > largest.size() ? assignments : largest;
     }
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -170,7 +170,7 @@
   private static int[] decodeReferences(byte[] bytes, int width) {
     int[] references = new int[bytes.length / width];
     for (int i = 0; i < references.length * width; i++) {
-      references[i / width] = references[i / width] << 8 | bytes[i] & 0xff;
+      references[i / width] = (references[i / width] << 8) | (bytes[i] & 0xff);
     }
     return references;
   }
--- a/src/main/java/io/pearscale/transport/HttpClient.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -33,7 +33,8 @@
     /** There was no socket for it. It was not sent, and will not be carried out. */
     public static final Reply NOT_SENT = new Reply(0, MessagePack.map());
 
-    /** Whether the request never left this process. */
+    /** Whether the request never left this process: no answer of a host is equal to this one. */
+    @SuppressWarnings("ReferenceEquality")
     public boolean notSent() {
       return this == NOT_SENT;
     }
--- a/src/main/java/io/pearscale/upgrade/SchemaLevel.java
+++ b/src/main/java/io/pearscale/upgrade/SchemaLevel.java
@@ -28,7 +28,7 @@
 
   /** A level that may rise by itself. */
   public SchemaLevel(int level, int written, boolean migrated) {
-    this(level, written, migrated, /* held= */ false);
+    this(level, written, migrated, /* pinned= */ false);
   }
 
   /** The level that is in force, given what is stored, if anything is. */
@@ -67,7 +67,7 @@
 
   /** The forms of the level below are written; it comes into force when all records have them. */
   public SchemaLevel rollingBack() {
-    return new SchemaLevel(level, level - 1, false, /* held= */ true);
+    return new SchemaLevel(level, level - 1, false, /* pinned= */ true);
   }
 
   /** All records have the form that is written. */
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -246,7 +246,7 @@
   void whatIsSilentStartsOrEndsByItselfIsNotStopped() {
     TaskView starting = task(false, Optional.empty());
     TaskView ending = task(true, Optional.of(Duration.ofSeconds(30)));
-    TaskView longer = task(true, Optional.of(Duration.ofSeconds(300)));
+    TaskView longer = task(true, Optional.of(Duration.ofMinutes(5)));
     machines.put(
         "m-1",
         new MachineView("m-1", cordoned("d1"), true, true, List.of(starting, ending, longer)));
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -486,7 +486,7 @@
     client.get("c/lead", reply -> {});
     client.list("c/", Optional.empty(), 500, reply -> {});
     client.list("c/", Optional.of("c/live/wk-1"), 500, reply -> {});
-    client.watch("c/", 431, Duration.ofMillis(2000), reply -> {});
+    client.watch("c/", 431, Duration.ofSeconds(2), reply -> {});
     client.grantLease(Duration.ofMillis(2200), reply -> {});
     client.renewLease(77, reply -> {});
     client.revokeLease(77, reply -> {});
--- a/src/test/java/io/pearscale/knownred/KnownRedTest.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedTest.java
@@ -8,6 +8,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -67,8 +68,8 @@
 
   private String printedByCheck() throws IOException {
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    KnownRedCheck.check(list(), results(), new PrintStream(printed, true));
-    return printed.toString();
+    KnownRedCheck.check(list(), results(), new PrintStream(printed, true, StandardCharsets.UTF_8));
+    return printed.toString(StandardCharsets.UTF_8);
   }
 
   private void assertFinds(String problems) {
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -36,6 +36,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -423,7 +424,7 @@
     }
   }
 
-  private static TreeSet<String> names(JsonNode orders) {
+  private static SortedSet<String> names(JsonNode orders) {
     TreeSet<String> set = new TreeSet<>();
     orders.forEach(o -> set.add(o.path("verb").asText() + ":" + o.path("piece").asText()));
     return set;
@@ -442,13 +443,13 @@
             .forEach(
                 command ->
                     got.addAll(names(SimulatedCluster.map().putArray("x").add(command.toNode()))));
-        TreeSet<String> want = new TreeSet<>(words.subList(2, words.size()));
+        SortedSet<String> want = new TreeSet<>(words.subList(2, words.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("orders " + got);
       }
       case "do" -> {
         Pending p = direct.get(words.get(1));
-        TreeSet<String> got = p == null ? new TreeSet<>() : names(p.body.path("orders"));
-        TreeSet<String> want = new TreeSet<>(words.subList(2, words.size()));
+        SortedSet<String> got = p == null ? new TreeSet<>() : names(p.body.path("orders"));
+        SortedSet<String> want = new TreeSet<>(words.subList(2, words.size()));
         return got.equals(want) ? Optional.empty() : Optional.of("sent " + got);
       }
       case "leeway" -> {
--- a/src/test/java/io/pearscale/sim/RandomRunsTest.java
+++ b/src/test/java/io/pearscale/sim/RandomRunsTest.java
@@ -133,7 +133,7 @@
                       tasks,
                       1 + r.nextInt(3)))
           .append(service ? " class=web" : "")
-          .append(limit && service || r.nextInt(4) == 0 ? " team=u" : "")
+          .append((limit && service) || r.nextInt(4) == 0 ? " team=u" : "")
           .append(r.nextInt(3) == 0 ? " spread" : r.nextInt(6) == 0 ? " one-zone" : "")
           .append(!service && r.nextInt(2) == 0 ? " spot" : "")
           .append(r.nextInt(3) == 0 && !service ? " priority=idle checkpoint=3 save=1" : "")
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -75,7 +75,7 @@
   }
 
   /** The seam that real sockets fill in production. */
-  private final class Process implements EventLoop, HttpClient, PeerTransport {
+  private final class SimProcess implements EventLoop, HttpClient, PeerTransport {
     final int incarnationOfProcess = incarnation;
 
     private boolean alive() {
@@ -265,7 +265,7 @@
     incarnation++;
     clearQueues();
     runningLevels = installedLevels;
-    Process p = new Process();
+    SimProcess p = new SimProcess();
     controller =
         new Controller(
             p,
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -326,7 +326,7 @@
         .forEach(
             (key, value) -> {
               int form = MachineRecordCodec.levelOf(value).orElse(level.writtenLevel());
-              if (form > level.level() || level.migrated() && form < level.level()) {
+              if (form > level.level() || (level.migrated() && form < level.level())) {
                 world.reportViolation(
                     "form_of_other_level", key + " has form " + form + " at " + level);
               }
--- a/src/test/java/io/pearscale/sim/SimulatedCluster.java
+++ b/src/test/java/io/pearscale/sim/SimulatedCluster.java
@@ -296,8 +296,8 @@
     }
     boolean requestLost = path.equals("/do") && happens(lostCommands / 2);
     boolean answerLost =
-        path.equals("/do") && happens(lostCommands / 2)
-            || path.equals("/checkin") && happens(lostAnswers);
+        (path.equals("/do") && happens(lostCommands / 2))
+            || (path.equals("/checkin") && happens(lostAnswers));
     if (requestLost) {
       return;
     }
