--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -9,7 +9,6 @@
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
 import io.pearscale.scheduler.agents.FaultAttribution;
-import io.pearscale.scheduler.agents.GangTracker;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.HeartbeatHandler;
 import io.pearscale.scheduler.agents.HeartbeatProcessor;
@@ -20,6 +19,7 @@
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
+import io.pearscale.scheduler.model.GangTracker;
 import io.pearscale.scheduler.model.JobClasses;
 import io.pearscale.scheduler.model.JobTable;
 import io.pearscale.scheduler.model.LeaderState;
@@ -44,7 +44,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Makes the parts of a leader and joins them; they know each other by their constructors alone. */
+/** Makes the components of a leader; they know each other by their constructors alone. */
 final class LeaderComponents {
   final Leadership leadership;
   final JobTable jobs;
@@ -65,10 +65,10 @@
   final TaskCountPublisher taskCountPublisher;
 
   /**
-   * Makes all parts.
+   * Makes all components, of a controller that does not lead.
    *
-   * @param executor runs what they put off
-   * @param cloudEvents is told what the cloud says
+   * @param executor runs what they defer
+   * @param cloudEvents takes what the cloud answers
    */
   LeaderComponents(
       Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
@@ -78,9 +78,14 @@
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
+    records =
+        new LeaderRecords(
+            settings.storeLimits(),
+            environment.levelGate(),
+            environment.loop().clock(),
+            this::requestCommit);
     LeaderState leaderState = leaderState(environment, teams(settings), classes, catalogue);
     leadership = leaderState.leadership();
-    records = leaderState.records();
     jobs = leaderState.jobs();
     gangs = leaderState.gangs();
     inventory = leaderState.inventory();
@@ -104,7 +109,7 @@
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
+    recovery = new LeaderRecovery(leaderState, records, dispatcher, listener::recordUnreadable);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
     machineProvisioner =
@@ -114,6 +119,7 @@
     recordWriter =
         new RecordWriter(
             leaderState,
+            records,
             environment,
             transactionSources(environment),
             executor,
@@ -168,7 +174,7 @@
     return teams;
   }
 
-  /** What all parts share. */
+  /** What all components share. */
   private LeaderState leaderState(
       Environment environment,
       Map<String, Team> teams,
@@ -178,9 +184,6 @@
     InstantSource clock = environment.loop().clock();
     Runnable requestPass = this::requestPass;
     Leadership term = new Leadership(clock, settings.renewalAuthorityTimeout());
-    LeaderRecords stored =
-        new LeaderRecords(
-            settings.storeLimits(), environment.levelGate(), clock, this::requestCommit);
     JobTable table =
         new JobTable(
             teams,
@@ -194,9 +197,9 @@
     Duration forming =
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
     MachineInventory machines =
-        new MachineInventory(catalogue, teams, term, table, stored, clock, requestPass, decisions);
+        new MachineInventory(catalogue, teams, term, table, records, clock, requestPass, decisions);
     GangTracker attempts = new GangTracker(term, clock, forming);
-    return new LeaderState(term, table, machines, stored, clock, requestPass, decisions, attempts);
+    return new LeaderState(term, table, machines, records, clock, requestPass, decisions, attempts);
   }
 
   private Optional<DrainCoordinator> drainCoordinator(
@@ -221,7 +224,7 @@
                     retirement));
   }
 
-  /** What has more to write than the records of jobs and machines. */
+  /** The components that have more to write than the records of jobs and machines. */
   private List<TransactionContributor> transactionSources(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
