--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -34,7 +34,7 @@
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
   private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
-  private static final Duration PROBE_TIMEOUT = Duration.ofMillis(1000);
+  private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
   /**
    * No direct command is sent for so long after a call that was not sent, or a first missed probe.
--- a/src/main/java/io/pearscale/upgrade/SchemaLevel.java
+++ b/src/main/java/io/pearscale/upgrade/SchemaLevel.java
@@ -28,7 +28,7 @@
 
   /** Creates a level that may be raised automatically. */
   public SchemaLevel(int level, int written, boolean migrated) {
-    this(level, written, migrated, /* held= */ false);
+    this(level, written, migrated, /* pinned= */ false);
   }
 
   /** The level in force, given the stored record, if there is one. */
@@ -67,7 +67,7 @@
 
   /** A rollback: the form of the level below is written, which comes into force once migrated. */
   public SchemaLevel rollingBack() {
-    return new SchemaLevel(level, level - 1, false, /* held= */ true);
+    return new SchemaLevel(level, level - 1, false, /* pinned= */ true);
   }
 
   /** The migration is complete: the written level is in force. */
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -54,8 +54,8 @@
   /** How fast the steady clock runs. */
   double drift = 1.0;
 
-  SimController(SimulatedCluster world, String name) {
-    this.world = world;
+  SimController(SimulatedCluster cluster, String name) {
+    this.world = cluster;
     this.name = name;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** The seam that real sockets fill in production. */
-  private final class Process implements EventLoop, HttpClient, PeerTransport {
+  private final class SimProcess implements EventLoop, HttpClient, PeerTransport {
     final int incarnationOfProcess = incarnation;
 
     private boolean alive() {
@@ -265,7 +265,7 @@
     incarnation++;
     clearQueues();
     runningLevels = installedLevels;
-    Process p = new Process();
+    SimProcess p = new SimProcess();
     controller =
         new Controller(
             p,
