--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -78,12 +78,7 @@
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
-    records =
-        new LeaderRecords(
-            settings.storeLimits(),
-            environment.levelGate(),
-            environment.loop().clock(),
-            this::requestCommit);
+    records = leaderRecords(environment);
     LeaderState leaderState = leaderState(environment, teams(settings), classes, catalogue);
     leadership = leaderState.leadership();
     jobs = leaderState.jobs();
@@ -174,6 +169,14 @@
     return teams;
   }
 
+  private LeaderRecords leaderRecords(Environment environment) {
+    return new LeaderRecords(
+        environment.settings().storeLimits(),
+        environment.levelGate(),
+        environment.loop().clock(),
+        this::requestCommit);
+  }
+
   /** What all parts share. */
   private LeaderState leaderState(
       Environment environment,
--- a/src/main/java/io/pearscale/scheduler/placement/Assignment.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Assignment.java
@@ -8,7 +8,8 @@
 /**
  * Where a task goes, and who has to leave for it.
  *
- * @param victims attempts on that machine, to be stopped first; none where there is room without
+ * @param victims attempts on that machine, to be stopped first; none where there is capacity
+ *     without
  */
 record Assignment(Machine machine, List<TaskAttempt> victims) {
   /** How many tasks end with the victims: a gang that runs loses all of its tasks with one. */
--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -14,7 +14,7 @@
 import java.util.function.Predicate;
 
 /**
- * The machines with room that a pass has met for each class of like tasks, so that those of one
+ * The machines with capacity that a pass has met for each class of like tasks, so that those of one
  * class are looked for once. Each class begins its scan at a random place of its own.
  */
 final class FeasibleMachines {
@@ -40,12 +40,12 @@
       zoneCrowding = zoneCapacity.crowding(like);
     }
 
-    /** The machines met so far that have room. */
+    /** The machines met so far that have capacity. */
     List<Machine> found() {
       return found;
     }
 
-    /** How little room each zone has for such tasks, from 0 to 1. */
+    /** How little capacity each zone has for such tasks, from 0 to 1. */
     Map<String, Double> zoneCrowding() {
       return zoneCrowding;
     }
@@ -71,8 +71,8 @@
   /**
    * Knows of no machines yet.
    *
-   * @param waiting the jobs that the pass is for: machines without room for the smallest task of
-   *     any of them are left out
+   * @param waiting the jobs that the pass is for: machines without capacity for the smallest task
+   *     of any of them are left out
    */
   FeasibleMachines(
       PassContext context,
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Drops what has no room any more, and goes on with the scan until enough machines are found.
+   * Drops what has no capacity any more, and goes on with the scan until enough machines are found.
    * Where tasks are expected to start soon, up to half of them are machines that have the image, if
    * there are so many: in a large fleet a random scan would hardly ever meet one.
    *
@@ -150,7 +150,7 @@
     }
   }
 
-  /** The machines with some room that have the image, in the order of this pass. */
+  /** The machines with some capacity that have the image, in the order of this pass. */
   private List<Machine> imageHoldersOf(String image) {
     List<Machine> found = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
@@ -162,7 +162,7 @@
     return found;
   }
 
-  /** Adds a machine that has room for the task to those that were met for its class. */
+  /** Adds a machine that has capacity for the task to those that were met for its class. */
   private boolean addIfFeasible(Scan scan, Job job, Machine machine) {
     boolean isFeasible =
         PlacementConstraints.allowsKind(job.spec(), machine)
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -14,9 +14,9 @@
 import java.util.function.Predicate;
 
 /**
- * Finds room for several tasks of a gang at once, or for none: what was booked for some of them is
- * released when one finds no place. Of the zones that have room for all, the one with the fewest
- * victims is taken, then the one in which the slowest image is there first.
+ * Finds capacity for several tasks of a gang at once, or for none: what was reserved for some of
+ * them is released when one finds no place. Of the zones that have capacity for all, the one with
+ * the fewest victims is taken, then the one in which the slowest image is there first.
  */
 final class GangPlacer {
   private static final Comparator<Plan> BEST_FIRST =
@@ -50,7 +50,7 @@
 
   private final Collection<Machine> machines;
 
-  /** A gang for which room was kept in this pass, since it has waited for long. */
+  /** A gang for which capacity was kept in this pass, since it has waited for long. */
   private Optional<Job> longWaitingGang = Optional.empty();
 
   /** What part of the fleet's places was kept in this pass for gangs that have just come. */
@@ -68,7 +68,7 @@
   }
 
   /**
-   * Books room for so many tasks.
+   * Reserves capacity for so many tasks.
    *
    * @return an assignment for each of them; none if one of them finds no place
    */
@@ -129,10 +129,10 @@
   }
 
   /**
-   * Keeps what free room there is for a gang that has waited for long, so that jobs that come after
-   * it in this pass don't take it away. Only one gang at a time: two would each hold half of what
-   * both need. One that the machines could not take if they were empty gets nothing: it waits for
-   * other machines.
+   * Keeps what free capacity there is for a gang that has waited for long, so that jobs that come
+   * after it in this pass don't take it away. Only one gang at a time: two would each hold half of
+   * what both need. One that the machines could not take if they were empty gets nothing: it waits
+   * for other machines.
    */
   void reserveFor(Job job, int tasks) {
     if (longWaitingGang.isEmpty() && shareOf(job, tasks) <= 1) {
@@ -143,7 +143,7 @@
 
   /**
    * The same for a gang that is expected to start soon, as long as all of them together would take
-   * a small part of the fleet: its room comes free within a moment, and costs others no more.
+   * a small part of the fleet: its capacity comes free within a moment, and costs others no more.
    */
   void reserveIfSmall(Job job, int tasks) {
     double share = shareOf(job, tasks);
--- a/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The room of machines, and what teams have in use, after all that was booked in a pass. */
+/** The capacity of machines, and what teams have in use, after all that was reserved in a pass. */
 final class PassCapacity {
   private final QuotaUsage quotaUsage;
   private final Map<Machine, Resources> availableByMachine = new HashMap<>();
@@ -33,7 +33,7 @@
     return victims.contains(attempt);
   }
 
-  /** Books a task's room, after that of its victims has become free. */
+  /** Reserves a task's capacity, after that of its victims has become free. */
   void reserve(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
     assignment.victims().forEach(victim -> available.add(victim.job().spec()));
@@ -42,7 +42,7 @@
     quotaUsage.charge(job.spec(), 1);
   }
 
-  /** Takes back what was booked for a task. */
+  /** Takes back what was reserved for a task. */
   void release(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
     assignment.victims().forEach(victim -> available.subtract(victim.job().spec()));
--- a/src/main/java/io/pearscale/scheduler/placement/PassContext.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassContext.java
@@ -17,8 +17,8 @@
  *
  * @param machines those that may take tasks now
  * @param startObjective in which time tasks like these are expected to start, if any
- * @param queueOrder the order of jobs of one priority: the last is the first to make room
- * @param reachableSince machines heard since then are sure to be reached
+ * @param queueOrder the order of jobs of one priority: the last is the first to be preempted
+ * @param reachableSince machines reached since then are taken to be reachable
  */
 record PassContext(
     Tuning tuning,
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -7,7 +7,7 @@
 import io.pearscale.storage.Maintenance;
 
 /**
- * Rules that a task's place must keep beside having room. Those that depend on where the job's
+ * Rules that a task's place must keep beside having capacity. Those that depend on where the job's
  * other tasks are count every attempt that may still be somewhere.
  */
 final class PlacementConstraints {
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -25,8 +25,8 @@
   /**
    * Prepares a pass.
    *
-   * @param waiting the jobs that the pass is for: machines without room for the smallest task of
-   *     any of them are met only in search of victims
+   * @param waiting the jobs that the pass is for: machines without capacity for the smallest task
+   *     of any of them are met only in search of victims
    * @param quotaUsage what each team may have on machines
    */
   Placer(PassContext context, Collection<Job> waiting, QuotaUsage quotaUsage) {
@@ -39,7 +39,7 @@
     this.feasibleMachines = new FeasibleMachines(context, capacity, zoneCapacity, waiting);
   }
 
-  /** The order for those who look for victims, on machines with room or without. */
+  /** The order for those who look for victims, on machines with capacity or without. */
   private RandomizedMachineScan allMachines() {
     if (allMachines.isEmpty()) {
       allMachines = Optional.of(new RandomizedMachineScan(context.machines(), context.random()));
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Finds a machine for one more task of the job and books the room.
+   * Finds a machine for one more task of the job and reserves the capacity.
    *
    * @param mayPreempt whether others may be stopped for it
    */
@@ -99,7 +99,7 @@
     return assignment;
   }
 
-  /** The best of the first few machines that have room for the task. */
+  /** The best of the first few machines that have capacity for the task. */
   private Optional<Machine> bestFeasible(Job job, Scan scan, Predicate<Machine> allowed) {
     feasibleMachines.extend(scan, job, allowed);
     Machine best = null;
@@ -117,12 +117,12 @@
     return Optional.ofNullable(best);
   }
 
-  /** Books a task's room, after that of its victims has become free. */
+  /** Reserves a task's capacity, after that of its victims has become free. */
   void reserve(Job job, Assignment assignment) {
     capacity.reserve(job, assignment);
   }
 
-  /** Takes back what was booked for a task. */
+  /** Takes back what was reserved for a task. */
   void release(Job job, Assignment assignment) {
     capacity.release(job, assignment);
   }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -70,7 +70,7 @@
     futileSearches.add(searchKey(job, Optional.empty()));
   }
 
-  /** Books the room of victims on any machine that is allowed. */
+  /** Reserves the capacity of victims on any machine that is allowed. */
   Optional<Assignment> preempt(Job job, Predicate<Machine> allowed) {
     return preempt(job, Optional.empty(), allowed);
   }
@@ -109,8 +109,9 @@
     RandomizedMachineScan scan = machines.get();
     int start = scan.randomStart();
     int found = 0;
-    // As with room, the best of the first that will do: at size, seeing all would cost more than a
-    // better victim saves. Ending a gang costs all of its tasks, so then the search is longer.
+    // As with machines that have capacity, the best of the first that will do: at size, seeing all
+    // would cost more than a better victim saves. Ending a gang costs all of its tasks, so then the
+    // search is longer.
     int enough = context.tuning().sampleSize();
     for (int i = 0; i < scan.size() && found < enough; i++) {
       Machine machine = scan.get(start, i);
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -143,8 +143,9 @@
   }
 
   /**
-   * Whether the job can't wait for room to become free by itself. Work with a deadline stops others
-   * only when waiting longer would put the deadline at risk, since what it stops is done again.
+   * Whether the job can't wait for capacity to become free by itself. Work with a deadline stops
+   * others only when waiting longer would put the deadline at risk, since what it stops is done
+   * again.
    */
   static boolean mayPreempt(Job job, Instant now) {
     if (job.spec().isService() || job.spec().deadline().isEmpty()) {
--- a/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -10,7 +10,7 @@
 
 /**
  * Machines in an order that is shuffled once a pass; each visit begins at a random place of its
- * own. Machines that can be spared are met last, so that they run empty.
+ * own. Candidates for scale-in and machines to be drained are met last, so that they run empty.
  */
 final class RandomizedMachineScan {
   private final RandomGenerator random;
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -30,7 +30,7 @@
     this.machines = machines;
   }
 
-  /** Books the room of a replica that moves on. */
+  /** Reserves the capacity of a replica that moves on. */
   Optional<Assignment> makeWay(Job job) {
     if (!job.spec().isService()) {
       return Optional.empty();
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -158,7 +158,8 @@
 
   private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
     boolean mayPreempt = QueueOrder.mayPreempt(job, now);
-    // Of a job that fails everywhere one task is tried at a time: it takes no room and no writes.
+    // Of a job that fails everywhere one task is tried at a time: it takes no capacity and no
+    // writes.
     boolean oneTaskOnly =
         QueueOrder.isFirstStartOverdue(job, now) || job.failures().failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Scores a machine that has room for the task.
+   * Scores a machine that has capacity for the task.
    *
-   * @param zoneCrowding how little room each zone has for such tasks
+   * @param zoneCrowding how little capacity each zone has for such tasks
    */
   double score(Job job, Machine machine, Map<String, Double> zoneCrowding) {
     JobSpec spec = job.spec();
@@ -37,8 +37,8 @@
             * fetchShare(job, machine)
             * competingFetches(spec.image(), machine)
         + (spec.spotAllowed() && !machine.spot() ? tuning.onDemandWeight() : 0)
-        // A machine that just missed a direct command gets its starts by report only, which is
-        // slow.
+        // A machine that just missed a direct command gets its starts with heartbeat responses
+        // only, which is slow.
         + (context.now().isBefore(machine.reachability().directCommandsAfter())
             ? tuning.cachedImageWeight()
             : 0);
@@ -46,7 +46,7 @@
 
   /**
    * Waiting tasks of a batch job are alike and would all go where the first one goes: what counts
-   * is the room that is left after them.
+   * is the capacity that is left after them.
    */
   private int expectedTasks(Job job, Machine machine) {
     return job.spec().isService()
--- a/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
+++ b/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
@@ -26,7 +26,7 @@
   }
 
   /**
-   * Who would have to leave the machine; nobody if that would not make room enough.
+   * Who would have to leave the machine; nobody if that would not free enough capacity.
    *
    * @param guaranteed whether the task is within what its team is guaranteed
    */
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many tasks of a shape each zone has room for, with all that may be evicted for them. */
+/**
+ * How many tasks of a class each zone has capacity for, with all that may be preempted for them.
+ */
 final class ZoneCapacity {
   private final List<Machine> machines;
   private final Map<EquivalenceClass, Map<String, Integer>> tasksByClass = new HashMap<>();
@@ -44,8 +46,8 @@
   }
 
   /**
-   * How much less room for such tasks each zone has than the roomiest one, from 0 to 1. A job that
-   * must spread can't do without the smaller zone; one that need not shouldn't fill it up.
+   * How much less capacity for such tasks each zone has than the zone with the most, from 0 to 1. A
+   * job that must spread can't do without the smaller zone; one that need not shouldn't fill it up.
    */
   Map<String, Double> crowding(Job like) {
     Map<String, Integer> tasksByZone = tasksByZone(like);
