--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -7,24 +7,21 @@
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.PeerMessage.JobTaskCount;
 import io.pearscale.protocol.Settings;
-import io.pearscale.protocol.Settings.Team;
+import io.pearscale.storage.JobOutcome;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
 import io.pearscale.storage.Keys;
-import io.pearscale.storage.PlacementRecordCodec;
-import io.pearscale.storage.RecordLayout;
 import io.pearscale.storage.StoreReplicaActor;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
+import io.pearscale.storage.StoreReplies;
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
 import io.pearscale.transport.HttpClient.Reply;
 import io.pearscale.transport.HttpServer.Response;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
-import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
 import java.util.HashMap;
@@ -38,44 +35,54 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users. Accepted, cancelled and done are told only once they are durable; anything that
- * could still change is told only as fresh as the question, by a read of the state service that
- * began after it. What can't be told so is answered 503 at once.
+ * Answers users. That a job is accepted, cancelled or done is acknowledged only once it is durable;
+ * anything that could still change is answered only as fresh as the request, by a linearizable read
+ * of the key-value store that began after it. What can't be answered so is refused with 503 at
+ * once.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
+  /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
   private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
-  private static final int MAX_LIVE_JOBS = 20_000;
-  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-  /** The level rises within about a second of when the last controller says what it supports. */
-  private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
+  /** Beyond so many counts of tasks those of jobs that are over are dropped. */
+  private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
+
+  /** The most that the value of a job holds beside its specification, in bytes. */
+  private static final int VALUE_OVERHEAD = 100;
+
+  /** How often a cancellation that meets a change of the job is tried again. */
+  private static final int MAX_CANCELLATION_RETRIES = 3;
 
   /** What the actor understands. */
   public sealed interface Message {}
 
-  /** A user submits. */
+  /** A user submits a job; the body is empty if it is no MessagePack. */
   public record Submit(Optional<JsonNode> body, Consumer<Response> respond) implements Message {}
 
-  /** A user asks for a job. */
+  /** A user asks for the status of a job. */
   public record Query(String jobId, Consumer<Response> respond) implements Message {}
 
   /** A user cancels a job. */
   public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** The replica was loaded. */
+  /** The copy of the keys was loaded. */
   public record Loaded(Map<String, Entry> entries) implements Message {}
 
   /** Keys changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
 
-  /** Asks which jobs this controller has told as cancelled lately, and which are live. */
+  /**
+   * Asks for the cancellations that this controller has acknowledged lately.
+   *
+   * @param respond takes the ids of those jobs, and of all that are live
+   */
   public record RecentCancellations(BiConsumer<List<String>, List<String>> respond)
       implements Message {}
 
-  /** A peer says that it tells a job as cancelled: durable, so it may be told here as well. */
+  /** A peer acknowledges that a job is cancelled, which is durable; so it may be done here too. */
   public record JobCancelled(String job) implements Message {}
 
-  /** The leader's counts, for display. */
+  /** The leader's counts of tasks, for display. */
   public record TaskCountsChanged(List<JobTaskCount> jobs) implements Message {}
 
   private record SubmissionCommitted(JobSpec spec, Consumer<Response> respond, Reply reply)
@@ -91,7 +98,7 @@
   private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> then)
       implements Message {}
 
-  /** What is known of a job, as fresh as the question. */
+  /** What is known of a job, as fresh as the request. */
   private sealed interface Lookup {}
 
   private record LiveJob(Entry entry) implements Lookup {}
@@ -102,22 +109,27 @@
 
   private record Undetermined() implements Lookup {}
 
-  /** How a job ended. */
-  private record JobOutcome(String stage, int tasks) {}
-
   private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
   private final Settings settings;
   private final InstantSource wallClock;
-  private final LevelGate levelGate;
+  private final SubmissionValidator validator;
   private final Consumer<String> cancellationListener;
-  private final Map<String, Team> teams = new HashMap<>();
   private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
+
+  /** All jobs that are not over, as far as the copy of the keys shows. */
   private final Set<String> liveJobs = new HashSet<>();
+
   private List<MachineType> machineTypes = List.of();
   private boolean loaded;
+
+  /** Requests of users that are not responded to yet. */
   private int openRequests;
+
+  /** When each cancelled job was last acknowledged to be, or was by a peer; the oldest first. */
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
+
+  /** How jobs ended, by id. */
   private final Map<String, JobOutcome> outcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -129,10 +141,11 @@
       };
 
   /**
-   * Answers from the state service and its replica.
+   * Answers from the key-value store and the copy of it.
    *
+   * @param wallClock the time of day, with which submissions are stored
    * @param levelGate says whether gang jobs can be stored yet
-   * @param cancellationListener is told of each job that users are about to be told as cancelled
+   * @param cancellationListener takes each job whose cancellation is about to be acknowledged
    */
   public ApiActor(
       EventLoop loop,
@@ -147,9 +160,8 @@
     this.replica = replica;
     this.settings = settings;
     this.wallClock = wallClock;
-    this.levelGate = levelGate;
+    this.validator = new SubmissionValidator(settings, levelGate);
     this.cancellationListener = cancellationListener;
-    settings.teams().forEach(t -> teams.put(t.name(), t));
   }
 
   @Override
@@ -169,13 +181,13 @@
       m.changes.forEach(this::applyChange);
     } else if (message instanceof TaskCountsChanged m) {
       m.jobs.forEach(c -> taskCounts.put(c.job(), c));
-      if (taskCounts.size() > 2 * MAX_LIVE_JOBS) {
+      if (taskCounts.size() > MAX_TASK_COUNTS) {
         taskCounts.keySet().retainAll(liveJobs);
       }
     } else if (message instanceof RecentCancellations m) {
       m.respond.accept(recentCancellations(), List.copyOf(liveJobs));
     } else if (message instanceof JobCancelled m) {
-      outcomes.put(m.job, new JobOutcome("withdrawn", 0));
+      outcomes.put(m.job, JobOutcome.cancelled(0));
       liveJobs.remove(m.job);
       acknowledgedCancellations.put(m.job, loop.clock().instant());
     } else if (message instanceof SubmissionCommitted m) {
@@ -217,23 +229,18 @@
   private void submit(Optional<JsonNode> body, Consumer<Response> answer) {
     JobSpec spec;
     try {
-      spec =
-          JobSpec.parse(
-              body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-      if (spec.toNode().toString().length() + 100 > settings.storeLimits().maxValueBytes()) {
-        throw new MalformedMessageException("too long");
-      }
+      spec = parse(body);
     } catch (MalformedMessageException e) {
-      answer.accept(Response.of(400, MessagePack.map().put("error", e.getMessage())));
+      answer.accept(JobResponses.malformed(e.getMessage()));
       return;
     }
     JobOutcome outcome = outcomes.get(spec.id());
     if (outcome != null) {
-      answer.accept(Response.of(200, stageBody(spec.id(), outcome.stage)));
+      answer.accept(JobResponses.stage(spec.id(), outcome.stage()));
       return;
     }
     if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
-      answer.accept(Response.unavailable(RETRY_AFTER, loaded ? "busy" : "starting"));
+      answer.accept(JobResponses.unavailable(loaded ? "busy" : "starting"));
       return;
     }
     if (liveJobs.contains(spec.id())) {
@@ -242,12 +249,27 @@
           lookup -> answer.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
       return;
     }
-    Optional<Response> refusal = validate(spec);
+    Optional<Response> refusal = validator.refusal(spec, machineTypes, liveJobs.size());
     if (refusal.isPresent()) {
-      // An id that is known already is not judged again.
+      // An id that is known already is not validated again.
       lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
+    commitSubmission(spec, answer);
+  }
+
+  private JobSpec parse(Optional<JsonNode> body) throws MalformedMessageException {
+    JobSpec spec =
+        JobSpec.parse(
+            body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
+    if (spec.toNode().toString().length() + VALUE_OVERHEAD
+        > settings.storeLimits().maxValueBytes()) {
+      throw new MalformedMessageException("too long");
+    }
+    return spec;
+  }
+
+  private void commitSubmission(JobSpec spec, Consumer<Response> answer) {
     ObjectNode value = MessagePack.map().put("at", wallClock.instant().toEpochMilli());
     value.set("spec", spec.toNode());
     store.compareAndSwap(
@@ -258,113 +280,31 @@
         reply -> tell(new SubmissionCommitted(spec, answer, reply)));
   }
 
-  /** What stands against a new job; empty when it can be accepted. */
-  private Optional<Response> validate(JobSpec spec) {
-    if (machineTypes.isEmpty()) {
-      return Optional.of(
-          Response.unavailable(Duration.ofSeconds(2), "machine types unknown as yet"));
-    }
-    if (liveJobs.size() >= MAX_LIVE_JOBS) {
-      return Optional.of(Response.unavailable(Duration.ofSeconds(30), "too many jobs"));
-    }
-    Team team = teams.get(spec.team());
-    if (team == null) {
-      return reject("unknown team");
-    }
-    if (spec.isGang()) {
-      Optional<Response> refusal = validateGangSupport();
-      if (refusal.isPresent()) {
-        return refusal;
-      }
-    }
-    int simultaneousTasks = spec.isService() || spec.isGang() ? spec.tasks() : 1;
-    if ((team.cpuLimit() > 0 && simultaneousTasks * spec.cpus() > team.cpuLimit() + 1e-6)
-        || (team.gpuLimit() > 0 && simultaneousTasks * spec.gpus() > team.gpuLimit() + 1e-6)) {
-      return reject("beyond the team's limit");
-    }
-    if (spec.spreadAcrossZones()
-        && spec.tasks() > 1
-        && (spec.singleZone() || spec.zone().isPresent())) {
-      return reject("tasks must spread over zones and stay in one");
-    }
-    Optional<Response> unrecordable = validateRecordSize(spec);
-    if (unrecordable.isPresent()) {
-      return unrecordable;
-    }
-    if (machineTypes.stream().anyMatch(spec::allowsInSomeZone)) {
-      return Optional.empty();
-    }
-    return reject("no allowed machine type is large enough");
-  }
-
-  /**
-   * A job whose tasks can't be recorded could never start one of them. Where a later level takes
-   * smaller parts of jobs, it is only a matter of time.
-   */
-  private Optional<Response> validateRecordSize(JobSpec spec) {
-    int longest = settings.storeLimits().maxValueBytes();
-    if (maxRecordSize(spec, RecordLayout.ofLevel(levelGate.inForce().writtenLevel())) <= longest) {
-      return Optional.empty();
-    }
-    return maxRecordSize(spec, RecordLayout.NUMBERED) <= longest
-            && levelGate.supports(Feature.SMALL_VALUES)
-        ? Optional.of(
-            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
-        : reject("its tasks can't be recorded in values of " + longest + " bytes");
-  }
-
-  private int maxRecordSize(JobSpec spec, RecordLayout layout) {
-    Team team = teams.get(spec.team());
-    int claim =
-        team != null && team.hasQuotaLimit()
-            ? new PlacementRecordCodec.QuotaClaim(
-                    spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
-                .maximumSize()
-            : 0;
-    return PlacementRecordCodec.maximumSize(
-            spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
-        + claim;
-  }
-
-  /** What stands against any gang job. */
-  private Optional<Response> validateGangSupport() {
-    if (settings.agents().gangs().isEmpty()) {
-      return reject("the settings name no gang_wait_s and gang_peer_s: gangs are not served");
-    }
-    return levelGate.isEnabled(Feature.GANG_JOBS)
-        ? Optional.empty()
-        : Optional.of(
-            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
-  }
-
-  private static Optional<Response> reject(String reason) {
-    return Optional.of(Response.of(422, MessagePack.map().put("error", reason)));
-  }
-
   private void submissionCommitted(SubmissionCommitted m) {
     String jobId = m.spec.id();
     if (m.reply.ok()) {
       liveJobs.add(jobId);
-      log.info("event=accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
-      m.respond.accept(Response.of(201, stageBody(jobId, "pending")));
-    } else if (m.reply.status() == 409) {
+      log.info(
+          "event=job_accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
+      m.respond.accept(JobResponses.accepted(jobId));
+    } else if (StoreReplies.isConflict(m.reply)) {
       lookup(jobId, lookup -> m.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
-      log.info("event=refused job={} status={}", jobId, m.reply.status());
-      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
+      log.info("event=job_refused job={} status={}", jobId, m.reply.status());
+      m.respond.accept(JobResponses.storeUnavailable());
     }
   }
 
   private Response knownJobResponse(String jobId, Lookup lookup, Optional<Response> otherwise) {
     if (lookup instanceof LiveJob) {
-      return Response.of(200, stageBody(jobId, liveStage(jobId)));
+      return JobResponses.stage(jobId, liveStage(jobId));
     } else if (lookup instanceof FinishedJob o) {
-      return Response.of(200, stageBody(jobId, o.outcome.stage));
+      return JobResponses.stage(jobId, o.outcome.stage());
     } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
       return otherwise.get();
     }
-    return Response.unavailable(RETRY_AFTER, "state service");
+    return JobResponses.storeUnavailable();
   }
 
   // ---- Asking ----
@@ -387,27 +327,25 @@
   private void liveRecordRead(LiveRecordRead m) {
     JobOutcome outcome = outcomes.get(m.jobId);
     if (outcome != null) {
-      // It ended while the question was under way, and this controller has said so.
+      // It ended while the read was under way, and this controller has acknowledged that.
       m.then.accept(new FinishedJob(outcome));
     } else if (m.entry.isEmpty()) {
       m.then.accept(new Undetermined());
     } else if (m.entry.get().isPresent()) {
       m.then.accept(new LiveJob(m.entry.get().get()));
     } else {
-      // Not live at a time after the question: over by then, or never accepted by then.
+      // Not live at a time after the request: over by then, or never accepted by then.
       store.get(Keys.finishedJob(m.jobId), r -> tell(new FinishedRecordRead(m.jobId, r, m.then)));
     }
   }
 
   private void finishedRecordRead(FinishedRecordRead m) {
     if (m.reply.ok()) {
-      JsonNode value = m.reply.body().path("value");
-      JobOutcome outcome =
-          new JobOutcome(value.path("stage").asText(), value.path("pieces").asInt());
+      JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(m.reply));
       outcomes.put(m.jobId, outcome);
       acknowledgeCancellation(m.jobId, outcome);
       m.then.accept(new FinishedJob(outcome));
-    } else if (m.reply.status() == 404) {
+    } else if (StoreReplies.isNotFound(m.reply)) {
       m.then.accept(new NoSuchJob());
     } else {
       m.then.accept(new Undetermined());
@@ -415,18 +353,20 @@
   }
 
   /**
-   * Users are about to be told that the job is cancelled. The word goes to all controllers first:
-   * the leader may not hear of it from the state service, and should this process end, another
-   * still knows.
+   * A cancellation is about to be acknowledged to users. All controllers are told first: the leader
+   * may not learn of it from the key-value store, and should this process end, another still knows.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
-    if (outcome.stage.equals("withdrawn")
+    if (outcome.isCancelled()
         && acknowledgedCancellations.put(jobId, loop.clock().instant()) == null) {
       cancellationListener.accept(jobId);
     }
   }
 
-  /** What a leader may not know although it has a proof: that is never older than hold. */
+  /**
+   * The cancellations that a leader may not know of although its proof of leadership holds; that is
+   * never older than the renewal authority timeout.
+   */
   private List<String> recentCancellations() {
     Instant limit =
         loop.clock().instant().minus(settings.renewalAuthorityTimeout().multipliedBy(2));
@@ -436,29 +376,19 @@
 
   private String liveStage(String jobId) {
     JobTaskCount count = taskCounts.get(jobId);
-    return count != null && count.running() > 0 ? "running" : "pending";
-  }
-
-  private static ObjectNode stageBody(String jobId, String stage) {
-    return MessagePack.map().put("uid", jobId).put("stage", stage);
+    return count != null && count.running() > 0 ? JobResponses.RUNNING : JobResponses.PENDING;
   }
 
   private Response statusResponse(String jobId, Lookup lookup) {
     if (lookup instanceof LiveJob) {
       JobTaskCount count = taskCounts.getOrDefault(jobId, new JobTaskCount(jobId, 0, 0));
-      return Response.of(
-          200,
-          stageBody(jobId, liveStage(jobId))
-              .put("done", count.done())
-              .put("running", count.running()));
+      return JobResponses.status(jobId, liveStage(jobId), count.done(), count.running());
     } else if (lookup instanceof FinishedJob o) {
-      int done = o.outcome.stage.equals("done") ? o.outcome.tasks : 0;
-      return Response.of(
-          200, stageBody(jobId, o.outcome.stage).put("done", done).put("running", 0));
+      return JobResponses.status(jobId, o.outcome);
     } else if (lookup instanceof NoSuchJob) {
-      return Response.of(404, MessagePack.map().put("error", "no such job"));
+      return JobResponses.notFound();
     }
-    return Response.unavailable(RETRY_AFTER, "state service");
+    return JobResponses.storeUnavailable();
   }
 
   // ---- Cancelling ----
@@ -467,39 +397,42 @@
     lookup(
         jobId,
         lookup -> {
-          if (lookup instanceof LiveJob x) {
-            int tasks = x.entry.value().path("spec").path("pieces").asInt();
-            store.compareAndSwap(
-                List.of(
-                    new Precondition(Keys.liveJob(jobId), x.entry.revision()),
-                    new Precondition(Keys.finishedJob(jobId), 0)),
-                List.of(
-                    Mutation.delete(Keys.liveJob(jobId)),
-                    Mutation.put(
-                        Keys.finishedJob(jobId),
-                        MessagePack.map().put("stage", "withdrawn").put("pieces", tasks))),
-                reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
-          } else if (lookup instanceof FinishedJob o) {
-            answer.accept(Response.of(200, stageBody(jobId, o.outcome.stage)));
+          if (lookup instanceof LiveJob live) {
+            commitCancellation(jobId, live.entry, answer, retries);
+          } else if (lookup instanceof FinishedJob finished) {
+            answer.accept(JobResponses.stage(jobId, finished.outcome.stage()));
           } else {
             answer.accept(statusResponse(jobId, lookup));
           }
         });
   }
 
+  private void commitCancellation(
+      String jobId, Entry live, Consumer<Response> answer, int retries) {
+    int tasks = live.value().path("spec").path("pieces").asInt();
+    store.compareAndSwap(
+        List.of(
+            new Precondition(Keys.liveJob(jobId), live.revision()),
+            new Precondition(Keys.finishedJob(jobId), 0)),
+        List.of(
+            Mutation.delete(Keys.liveJob(jobId)),
+            Mutation.put(Keys.finishedJob(jobId), JobOutcome.cancelled(tasks).encode())),
+        reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
+  }
+
   private void cancellationCommitted(CancellationCommitted m) {
     if (m.reply.ok()) {
-      JobOutcome outcome = new JobOutcome("withdrawn", m.tasks);
+      JobOutcome outcome = JobOutcome.cancelled(m.tasks);
       outcomes.put(m.jobId, outcome);
       acknowledgeCancellation(m.jobId, outcome);
       liveJobs.remove(m.jobId);
-      log.info("event=withdrawn job={}", m.jobId);
-      m.respond.accept(Response.of(200, stageBody(m.jobId, "withdrawn")));
-    } else if (m.reply.status() == 409 && m.retries < 3) {
+      log.info("event=job_cancelled job={}", m.jobId);
+      m.respond.accept(JobResponses.stage(m.jobId, JobOutcome.CANCELLED));
+    } else if (StoreReplies.isConflict(m.reply) && m.retries < MAX_CANCELLATION_RETRIES) {
       // Done or cancelled meanwhile: look again.
       cancel(m.jobId, m.respond, m.retries + 1);
     } else {
-      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
+      m.respond.accept(JobResponses.storeUnavailable());
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
+++ b/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Runs what the parts of a leader put off: each action as a message of the scheduler, one after the
- * other, and only if the term in which it was put off still lasts. A timer or a response of a
- * previous term never acts in a later one.
+ * Runs what the components of a leader defer: each action as a message of the scheduler, one after
+ * the other, and only if the term in which it was deferred still lasts. A timer or an answer of an
+ * earlier term never acts in a later one.
  */
 public interface TermExecutor {
   /** Runs the action after the message that is being handled now. */
@@ -15,6 +15,6 @@
   /** Runs the action after the delay. */
   void after(Duration delay, Runnable action);
 
-  /** Wraps a handler of what comes later, such as a response, in the same way. */
+  /** Hands an answer that comes later to the handler. */
   <T> Consumer<T> callback(Consumer<T> handler);
 }
