--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -8,7 +8,6 @@
 import io.pearscale.scheduler.SchedulerActor.Listener;
 import io.pearscale.scheduler.agents.CommandDispatcher;
 import io.pearscale.scheduler.agents.FailureDetector;
-import io.pearscale.scheduler.agents.FaultAttribution;
 import io.pearscale.scheduler.agents.GracefulTermination;
 import io.pearscale.scheduler.agents.HeartbeatHandler;
 import io.pearscale.scheduler.agents.HeartbeatProcessor;
@@ -16,6 +15,7 @@
 import io.pearscale.scheduler.autoscaling.Autoscaler;
 import io.pearscale.scheduler.autoscaling.CloudActor;
 import io.pearscale.scheduler.autoscaling.MachineProvisioner;
+import io.pearscale.scheduler.autoscaling.RelocationGate;
 import io.pearscale.scheduler.maintenance.DrainCoordinator;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.DecisionLog;
@@ -87,8 +87,7 @@
     statistics = new LeaderStatistics(leaderState);
     gracefulTermination = new GracefulTermination(leaderState, times);
     HeartbeatProcessor processor =
-        new HeartbeatProcessor(
-            leaderState, new FaultAttribution(leaderState), gracefulTermination, statistics);
+        new HeartbeatProcessor(leaderState, gracefulTermination, statistics);
     dispatcher =
         new CommandDispatcher(
             leaderState,
@@ -102,27 +101,42 @@
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
-    MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
+    MachineRetirement retirement = new MachineRetirement(leaderState, cloud::deleteMachines);
     failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(leaderState, records, dispatcher, listener::recordUnreadable);
+    recovery = recovery(leaderState, listener);
     placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
     drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
     machineProvisioner =
         machineProvisioner(environment, leaderState, cloud, retirement, classes, order);
     levelRaiser =
         new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
-    recordWriter =
-        new RecordWriter(
-            leaderState,
-            records,
-            environment,
-            transactionSources(environment),
-            executor,
-            dispatcher,
-            retirement);
+    recordWriter = recordWriter(environment, leaderState, executor, retirement);
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
+  private LeaderRecovery recovery(LeaderState leaderState, Listener listener) {
+    return new LeaderRecovery(
+        leaderState, records, dispatcher::probeRecordedMachines, listener::recordUnreadable);
+  }
+
+  private RecordWriter recordWriter(
+      Environment environment,
+      LeaderState leaderState,
+      TermExecutor executor,
+      MachineRetirement retirement) {
+    var store =
+        new RecordWriter.Store(
+            environment.store(), environment.settings().storeLimits(), environment.levelGate());
+    return new RecordWriter(
+        leaderState,
+        records,
+        store,
+        transactionContributors(environment),
+        executor,
+        environment.random(),
+        new CommitEffects(gangs, dispatcher, retirement, environment.listener()));
+  }
+
   private SchedulingPass schedulingPass(
       Environment environment,
       LeaderState leaderState,
@@ -160,7 +174,7 @@
         retirement,
         dispatcher,
         recovery,
-        drainCoordinator);
+        drainCoordinator.map(RelocationGate.class::cast));
   }
 
   private static Map<String, Team> teams(Settings settings) {
@@ -228,7 +242,7 @@
   }
 
   /** The components that have more to write than the records of jobs and machines. */
-  private List<TransactionContributor> transactionSources(Environment environment) {
+  private List<TransactionContributor> transactionContributors(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
       sources.add(levelRaiser);
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -22,36 +22,39 @@
 import java.util.Map;
 
 /**
- * Takes the records of predecessors into a new leader's books. Of a machine or a task that stands
- * in both layouts, what the layout that is written says is newer, and the other is passed over.
+ * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. Of a
+ * machine or a task that is recorded in both layouts, the record in the layout in force is newer,
+ * and the other is passed over.
  */
 final class RecordAdoption {
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
+  private final StoredRecordAdopter adopter;
   private final InstantSource clock;
   private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
 
-  /** Of each job, the tasks that a part in the layout that is written has told of. */
+  /** Of each job, the tasks that have a record in the layout in force. */
   private final Map<String, BitSet> tasksInCurrentLayout = new HashMap<>();
 
-  /** Jobs that are over, of which tasks may be left. */
+  /** Jobs that are over, while attempts of them may still exist. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
   RecordAdoption(LeaderState state, LeaderRecords records) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = records;
+    this.adopter = records.adopter();
     this.clock = state.clock();
     for (RecordLayout layout : RecordLayout.values()) {
       machinesByReference.put(layout, new HashMap<>());
     }
   }
 
-  /** Takes all of it over. */
+  /** Adopts all records. */
   void adopt(StoredRecords stored) {
-    stored.machines().forEach(records::reserveRecordNumber);
+    stored.machines().forEach(adopter::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
     stored.partitions().forEach(this::noteOrphanedJob);
     stored.partitions().forEach(this::adopt);
@@ -75,15 +78,15 @@
               record, inventory.catalogue().typeOf(record.type()), clock.instant());
       inventory.addFromPreviousLeader(machine);
     } else if (record.retiring() && machine.lifecycle() != Lifecycle.RETIRING) {
-      // That it may be under deletion is never taken back, whichever record says so.
+      // Once recorded as retiring, in either layout, a machine may be deleted at any time.
       machine.beginRetirement();
       machine.record().markRetiring();
     }
     machinesByReference.get(stored.layout()).put(stored.reference(), machine);
-    records.adoptMachine(machine, stored);
+    adopter.adoptMachine(machine, stored);
   }
 
-  /** Finds how many tasks a job had that is over, but may still be somewhere. */
+  /** Notes a job that is over, with the number of tasks of which attempts may still exist. */
   private void noteOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
@@ -104,20 +107,20 @@
     if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec().tasks()) {
       adopt(job, stored);
     } else {
-      records.noteObsolete(stored);
+      adopter.noteObsolete(stored);
     }
   }
 
   /**
-   * Takes over what is known of a part of a job. A task that is not done may be on the machine that
-   * its mark names, and on no other: the mark is durable before the start is sent, and is changed
-   * only when the task is known to be gone from there. So it waits for that machine alone.
+   * Adopts the placement record of a partition. A task that is not done may be on the machine that
+   * its record names, and on no other: the record is durable before the start command is sent, and
+   * changes only once the task is proven absent there. So the task waits for that machine alone.
    */
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     BitSet alreadyAdopted =
         tasksInCurrentLayout.computeIfAbsent(job.spec().id(), id -> new BitSet());
-    boolean currentLayout = records.isCurrentLayout(stored.layout());
+    boolean currentLayout = adopter.isCurrentLayout(stored.layout());
     int firstTask = record.firstTask();
     record.doneTasks().stream()
         .map(i -> firstTask + i)
@@ -128,7 +131,7 @@
       // Its tasks complete together, also those of parts that were not written again.
       job.markAllDone();
     }
-    records.adoptPartition(job, stored);
+    adopter.adoptPartition(job, stored);
     for (int i = 0;
         i < record.machineReferences().length && firstTask + i < job.spec().tasks();
         i++) {
