--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -280,19 +280,24 @@
         reply -> tell(new SubmissionCommitted(spec, answer, reply)));
   }
 
-  private void submissionCommitted(SubmissionCommitted m) {
-    String jobId = m.spec.id();
-    if (m.reply.ok()) {
+  private void submissionCommitted(SubmissionCommitted message) {
+    String jobId = message.spec.id();
+    if (message.reply.ok()) {
       liveJobs.add(jobId);
       log.info(
-          "event=job_accepted job={} class={} tasks={}", jobId, m.spec.jobClass(), m.spec.tasks());
-      m.respond.accept(JobResponses.accepted(jobId));
-    } else if (StoreReplies.isConflict(m.reply)) {
-      lookup(jobId, lookup -> m.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
+          "event=job_accepted job={} class={} tasks={}",
+          jobId,
+          message.spec.jobClass(),
+          message.spec.tasks());
+      message.respond.accept(JobResponses.accepted(jobId));
+    } else if (StoreReplies.isConflict(message.reply)) {
+      lookup(
+          jobId,
+          lookup -> message.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
-      log.info("event=job_refused job={} status={}", jobId, m.reply.status());
-      m.respond.accept(JobResponses.storeUnavailable());
+      log.info("event=job_refused job={} status={}", jobId, message.reply.status());
+      message.respond.accept(JobResponses.storeUnavailable());
     }
   }
 
@@ -324,31 +329,33 @@
             Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, then))));
   }
 
-  private void liveRecordRead(LiveRecordRead m) {
-    JobOutcome outcome = outcomes.get(m.jobId);
+  private void liveRecordRead(LiveRecordRead message) {
+    JobOutcome outcome = outcomes.get(message.jobId);
     if (outcome != null) {
       // It ended while the read was under way, and this controller has acknowledged that.
-      m.then.accept(new FinishedJob(outcome));
-    } else if (m.entry.isEmpty()) {
-      m.then.accept(new Undetermined());
-    } else if (m.entry.get().isPresent()) {
-      m.then.accept(new LiveJob(m.entry.get().get()));
+      message.then.accept(new FinishedJob(outcome));
+    } else if (message.entry.isEmpty()) {
+      message.then.accept(new Undetermined());
+    } else if (message.entry.get().isPresent()) {
+      message.then.accept(new LiveJob(message.entry.get().get()));
     } else {
       // Not live at a time after the request: over by then, or never accepted by then.
-      store.get(Keys.finishedJob(m.jobId), r -> tell(new FinishedRecordRead(m.jobId, r, m.then)));
+      store.get(
+          Keys.finishedJob(message.jobId),
+          r -> tell(new FinishedRecordRead(message.jobId, r, message.then)));
     }
   }
 
-  private void finishedRecordRead(FinishedRecordRead m) {
-    if (m.reply.ok()) {
-      JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(m.reply));
-      outcomes.put(m.jobId, outcome);
-      acknowledgeCancellation(m.jobId, outcome);
-      m.then.accept(new FinishedJob(outcome));
-    } else if (StoreReplies.isNotFound(m.reply)) {
-      m.then.accept(new NoSuchJob());
+  private void finishedRecordRead(FinishedRecordRead message) {
+    if (message.reply.ok()) {
+      JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(message.reply));
+      outcomes.put(message.jobId, outcome);
+      acknowledgeCancellation(message.jobId, outcome);
+      message.then.accept(new FinishedJob(outcome));
+    } else if (StoreReplies.isNotFound(message.reply)) {
+      message.then.accept(new NoSuchJob());
     } else {
-      m.then.accept(new Undetermined());
+      message.then.accept(new Undetermined());
     }
   }
 
@@ -420,19 +427,20 @@
         reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
   }
 
-  private void cancellationCommitted(CancellationCommitted m) {
-    if (m.reply.ok()) {
-      JobOutcome outcome = JobOutcome.cancelled(m.tasks);
-      outcomes.put(m.jobId, outcome);
-      acknowledgeCancellation(m.jobId, outcome);
-      liveJobs.remove(m.jobId);
-      log.info("event=job_cancelled job={}", m.jobId);
-      m.respond.accept(JobResponses.stage(m.jobId, JobOutcome.CANCELLED));
-    } else if (StoreReplies.isConflict(m.reply) && m.retries < MAX_CANCELLATION_RETRIES) {
+  private void cancellationCommitted(CancellationCommitted message) {
+    if (message.reply.ok()) {
+      JobOutcome outcome = JobOutcome.cancelled(message.tasks);
+      outcomes.put(message.jobId, outcome);
+      acknowledgeCancellation(message.jobId, outcome);
+      liveJobs.remove(message.jobId);
+      log.info("event=job_cancelled job={}", message.jobId);
+      message.respond.accept(JobResponses.stage(message.jobId, JobOutcome.CANCELLED));
+    } else if (StoreReplies.isConflict(message.reply)
+        && message.retries < MAX_CANCELLATION_RETRIES) {
       // Done or cancelled meanwhile: look again.
-      cancel(m.jobId, m.respond, m.retries + 1);
+      cancel(message.jobId, message.respond, message.retries + 1);
     } else {
-      m.respond.accept(JobResponses.storeUnavailable());
+      message.respond.accept(JobResponses.storeUnavailable());
     }
   }
 }
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -158,19 +158,20 @@
     }
   }
 
-  private void electionAnswered(ElectionAnswered m) {
-    if (m.reply.ok()) {
-      election.electionWon(m.round, StoreReplies.committedRevision(m.reply));
+  private void electionAnswered(ElectionAnswered message) {
+    if (message.reply.ok()) {
+      election.electionWon(message.round, StoreReplies.committedRevision(message.reply));
     } else {
-      election.electionNotWon(m.round, StoreReplies.isConflict(m.reply), m.reply.status());
+      election.electionNotWon(
+          message.round, StoreReplies.isConflict(message.reply), message.reply.status());
     }
   }
 
-  private void renewalAnswered(LeaseRenewalAnswered m) {
-    if (m.reply.ok()) {
-      election.leaseRenewed(m.round, m.sentAt);
-    } else if (StoreReplies.isNotFound(m.reply)) {
-      election.leaseExpired(m.round);
+  private void renewalAnswered(LeaseRenewalAnswered message) {
+    if (message.reply.ok()) {
+      election.leaseRenewed(message.round, message.sentAt);
+    } else if (StoreReplies.isNotFound(message.reply)) {
+      election.leaseExpired(message.round);
     }
   }
 
--- a/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -72,33 +72,34 @@
     }
   }
 
-  private static void writeControllerHeartbeat(DataOutputStream out, ControllerHeartbeat m)
+  private static void writeControllerHeartbeat(DataOutputStream out, ControllerHeartbeat message)
       throws IOException {
     out.writeByte(CONTROLLER_HEARTBEAT);
-    out.writeLong(m.term());
-    out.writeUTF(m.leader());
-    out.writeBoolean(m.storeHealthy());
+    out.writeLong(message.term());
+    out.writeUTF(message.leader());
+    out.writeBoolean(message.storeHealthy());
   }
 
-  private static void writeTaskCounts(DataOutputStream out, TaskCounts m) throws IOException {
+  private static void writeTaskCounts(DataOutputStream out, TaskCounts message) throws IOException {
     out.writeByte(TASK_COUNTS);
-    out.writeInt(m.jobs().size());
-    for (JobTaskCount count : m.jobs()) {
+    out.writeInt(message.jobs().size());
+    for (JobTaskCount count : message.jobs()) {
       out.writeUTF(count.job());
       out.writeInt(count.done());
       out.writeInt(count.running());
     }
   }
 
-  private static void writeConfirmation(DataOutputStream out, Confirmation m) throws IOException {
+  private static void writeConfirmation(DataOutputStream out, Confirmation message)
+      throws IOException {
     out.writeByte(CONFIRMATION);
-    out.writeLong(m.nonce());
-    out.writeLong(m.term());
-    writeTexts(out, m.cancelledJobs());
-    out.writeBoolean(m.liveJobs().isPresent());
-    if (m.liveJobs().isPresent()) {
-      out.writeLong(m.liveJobs().get().storeRevision());
-      writeTexts(out, m.liveJobs().get().jobs());
+    out.writeLong(message.nonce());
+    out.writeLong(message.term());
+    writeTexts(out, message.cancelledJobs());
+    out.writeBoolean(message.liveJobs().isPresent());
+    if (message.liveJobs().isPresent()) {
+      out.writeLong(message.liveJobs().get().storeRevision());
+      writeTexts(out, message.liveJobs().get().jobs());
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -188,23 +188,23 @@
     }
   }
 
-  private void keysChanged(KeysChanged m) {
-    m.changes.forEach(storedKeyUpdates::apply);
-    lifecycle.replicaAdvanced(m.storeRevision);
+  private void keysChanged(KeysChanged message) {
+    message.changes.forEach(storedKeyUpdates::apply);
+    lifecycle.replicaAdvanced(message.storeRevision);
     if (leadership.isReady()) {
       components.placementPass.request();
     }
   }
 
-  private void confirmedByPeers(ConfirmedByPeers m) {
+  private void confirmedByPeers(ConfirmedByPeers message) {
     // First what was cancelled, then the proof: it extends leases, of cancelled tasks too.
-    m.cancelledJobs.forEach(jobTermination::jobCancelled);
-    m.liveJobs.forEach(jobTermination::endAllBut);
-    leadership.recordPeerConfirmation(m.provenAt);
+    message.cancelledJobs.forEach(jobTermination::jobCancelled);
+    message.liveJobs.forEach(jobTermination::endAllBut);
+    leadership.recordPeerConfirmation(message.provenAt);
   }
 
-  private void elected(Elected m) {
-    lifecycle.beginTerm(m.term, m.termRevision, m.provenAt);
+  private void elected(Elected message) {
+    lifecycle.beginTerm(message.term, message.termRevision, message.provenAt);
     scheduleTick();
     lifecycle.takeOverWhenPossible();
   }
--- a/src/test/java/io/pearscale/cli/StartTest.java
+++ b/src/test/java/io/pearscale/cli/StartTest.java
@@ -44,12 +44,12 @@
             .start();
     try {
       List<String> loaded = List.of();
-      for (int i = 0; i < 100 && !names(loaded, "io.pearscale.transport.PeerLinks"); i++) {
+      for (int i = 0; i < 100 && !names(loaded, "io.pearscale.transport.TcpPeerTransport"); i++) {
         assertTrue(process.isAlive(), "ended");
         TimeUnit.MILLISECONDS.sleep(100);
         loaded = Files.exists(classes) ? Files.readAllLines(classes) : loaded;
       }
-      assertTrue(names(loaded, "io.pearscale.transport.PeerLinks"), "did not start");
+      assertTrue(names(loaded, "io.pearscale.transport.TcpPeerTransport"), "did not start");
       assertEquals(0, loaded.stream().filter(line -> line.contains(" picocli.")).count());
     } finally {
       process.destroyForcibly().waitFor();
