--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -2,7 +2,7 @@
 
 import io.pearscale.protocol.ConnectionLimits;
 import io.pearscale.protocol.Settings;
-import io.pearscale.scheduler.Operations;
+import io.pearscale.scheduler.OperatorSettings;
 import io.pearscale.scheduler.Tuning;
 import io.pearscale.upgrade.Release;
 import java.nio.file.Path;
@@ -67,7 +67,7 @@
       return TuningReader.read(Optional.ofNullable(tuning));
     }
 
-    Operations operations() throws SettingsException {
+    OperatorSettings operations() throws SettingsException {
       return OperationsReader.read(Optional.ofNullable(operations));
     }
   }
--- a/src/main/java/io/pearscale/cli/OperationsReader.java
+++ b/src/main/java/io/pearscale/cli/OperationsReader.java
@@ -4,7 +4,7 @@
 import io.pearscale.drain.DisruptionBudget.Kind;
 import io.pearscale.drain.DrainSettings;
 import io.pearscale.drain.MaintenanceWindow;
-import io.pearscale.scheduler.Operations;
+import io.pearscale.scheduler.OperatorSettings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -43,7 +43,7 @@
   private final List<DisruptionBudget> budgets = new ArrayList<>();
   private final Map<String, MaintenanceWindow> windows = new LinkedHashMap<>();
   private boolean drains;
-  private Optional<Duration> announceSupport = Operations.standard().announceSupport();
+  private Optional<Duration> announceSupport = OperatorSettings.defaults().supportRecordTtl();
   private boolean automaticLevel = true;
   private int highestLevel = Integer.MAX_VALUE;
 
@@ -51,11 +51,11 @@
     this.file = file;
   }
 
-  static Operations read(Optional<Path> file) throws SettingsException {
-    return file.isEmpty() ? Operations.standard() : new OperationsReader(file.get()).read();
+  static OperatorSettings read(Optional<Path> file) throws SettingsException {
+    return file.isEmpty() ? OperatorSettings.defaults() : new OperationsReader(file.get()).read();
   }
 
-  private Operations read() throws SettingsException {
+  private OperatorSettings read() throws SettingsException {
     try {
       for (List<String> entry : Sexp.read(Files.readString(file))) {
         take(entry);
@@ -65,7 +65,7 @@
     } catch (Sexp.Bad e) {
       throw new SettingsException(file, "file", e.getMessage(), "S-expressions");
     }
-    return new Operations(
+    return new OperatorSettings(
         announceSupport,
         highestLevel,
         automaticLevel,
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.PeerVersions;
 import io.pearscale.protocol.Settings;
 import io.pearscale.scheduler.Controller;
-import io.pearscale.scheduler.Operations;
+import io.pearscale.scheduler.OperatorSettings;
 import io.pearscale.scheduler.Tuning;
 import io.pearscale.transport.HttpServer;
 import io.pearscale.transport.PeerTransport;
@@ -44,7 +44,7 @@
   private final HttpServer http;
   private Controller controller;
 
-  Server(Settings settings, Tuning tuning, Operations operations) throws IOException {
+  Server(Settings settings, Tuning tuning, OperatorSettings operations) throws IOException {
     worker = oneThread();
     renewalWorker = oneThread();
     XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
@@ -60,7 +60,7 @@
         new Controller(
             loop,
             calls,
-            new Controller.Lane(renewalLoop, renewalCalls),
+            new Controller.RenewalLoop(renewalLoop, renewalCalls),
             links,
             settings,
             SupportedLevels.OF_THIS_BUILD,
@@ -74,8 +74,8 @@
             buffers,
             settings.connectionLimits().inbound(),
             settings.connectionLimits().keptAlive(),
-            Controller.REPORTS::equals,
-            controller::request);
+            Controller.HEARTBEAT_PATH::equals,
+            controller::handleRequest);
     loop.after(SOCKETS_LOGGED, () -> logSockets(loop, calls));
     loop.execute(
         () -> {
@@ -108,12 +108,12 @@
         new PeerTransport.Receiver() {
           @Override
           public void received(String peer, byte[] frame) {
-            controller.fromPeer(peer, frame);
+            controller.handlePeerRecord(peer, frame);
           }
 
           @Override
           public void ended(String peer) {
-            controller.peerEnded(peer);
+            controller.peerConnectionRefused(peer);
           }
         };
     return new TcpPeerTransport(
@@ -148,7 +148,7 @@
   }
 
   private void listen(XnioEventLoop loop, InetSocketAddress address) {
-    if (!controller.ready()) {
+    if (!controller.isReady()) {
       loop.after(LISTEN_RETRY, () -> listen(loop, address));
       return;
     }
--- a/src/main/java/io/pearscale/cli/WarmUp.java
+++ b/src/main/java/io/pearscale/cli/WarmUp.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.scheduler.Operations;
+import io.pearscale.scheduler.OperatorSettings;
 import io.pearscale.transport.HttpServer;
 import io.pearscale.transport.MessagePack;
 import io.pearscale.transport.UndertowHttpClient;
@@ -142,7 +142,7 @@
           new Server(
               SettingsReader.read(file),
               TuningReader.read(Optional.empty()),
-              Operations.standard());
+              OperatorSettings.defaults());
       server.awaitListening(START);
       return server;
     } finally {
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -48,136 +48,138 @@
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   /** Where workers report. */
-  public static final String REPORTS = "/checkin";
+  public static final String HEARTBEAT_PATH = "/checkin";
 
-  private static final Duration HEARTBEAT = Duration.ofMillis(700);
-  private static final Duration STARTING = Duration.ofSeconds(5);
-  private static final Duration STORE_SILENT = Duration.ofMillis(4500);
+  private static final Duration PEER_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
+  private static final Duration STARTUP_GRACE_PERIOD = Duration.ofSeconds(5);
+  private static final Duration STORE_HEALTH_TIMEOUT = Duration.ofMillis(4500);
 
   /** When users are to ask again whom a build that must stay out has refused. */
-  private static final Duration OTHERS_SERVE = Duration.ofSeconds(5);
+  private static final Duration INCOMPATIBLE_RETRY_AFTER = Duration.ofSeconds(5);
 
-  private record PeerState(Instant heard, boolean storeOk) {}
+  private record PeerState(Instant heartbeatAt, boolean storeHealthy) {}
 
   private final EventLoop loop;
   private final Settings settings;
-  private final PeerTransport links;
-  private final KeyValueStoreClient state;
+  private final PeerTransport peerTransport;
+  private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
   private final ElectionActor election;
   private final HeartbeatRelayActor relay;
   private final SchedulerActor scheduler;
   private final ApiActor api;
-  private final LevelGate level;
-  private final Optional<SupportAnnouncer> announcer;
+  private final LevelGate levelGate;
+  private final Optional<SupportAnnouncer> supportAnnouncer;
   private final Map<String, PeerState> peers = new HashMap<>();
   private long term;
   private Optional<String> leader = Optional.empty();
   private boolean loaded;
 
   /** How new the copy of the keys was when it was first loaded, and how new it is. */
-  private long loadEpoch;
+  private long firstLoadRevision;
 
-  private long copyEpoch;
-  private Instant started = Instant.EPOCH;
+  private long storeRevision;
+  private Instant startedAt = Instant.EPOCH;
 
   /** What operators have set. */
-  public record Options(Tuning tuning, Operations operations) {}
+  public record Options(Tuning tuning, OperatorSettings operatorSettings) {}
 
   /** A loop, and the calls that are made on it. */
-  public record Lane(EventLoop loop, HttpClient calls) {}
+  public record RenewalLoop(EventLoop loop, HttpClient httpClient) {}
 
   /**
    * Wires a controller; {@link #start} sets it going.
    *
-   * @param renewals where leadership is renewed, in production beside all else
+   * @param renewalLoop where leadership is renewed, in production beside all else
    * @param supported the levels of stored forms that this build reads and writes
    */
   public Controller(
       EventLoop loop,
-      HttpClient calls,
-      Lane renewals,
-      PeerTransport links,
+      HttpClient httpClient,
+      RenewalLoop renewalLoop,
+      PeerTransport peerTransport,
       Settings settings,
       SupportedLevels supported,
       Options options,
       RandomGenerator random,
-      InstantSource timeOfDay) {
+      InstantSource wallClock) {
     this.loop = loop;
     this.settings = settings;
-    this.links = links;
-    this.level = new LevelGate(supported.upTo(options.operations.highestLevel()));
-    this.state = new KeyValueStoreClient(loop, calls, settings, level::writeRevision);
-    this.replica = new StoreReplicaActor(loop, state, random);
+    this.peerTransport = peerTransport;
+    this.levelGate = new LevelGate(supported.upTo(options.operatorSettings.highestLevel()));
+    this.store = new KeyValueStoreClient(loop, httpClient, settings, levelGate::writeRevision);
+    this.replica = new StoreReplicaActor(loop, store, random);
     this.api =
         new ApiActor(
             loop,
-            state,
+            store,
             replica,
             settings,
-            timeOfDay,
-            level,
+            wallClock,
+            levelGate,
             job -> {
-              sendAll(new PeerMessage.JobCancelled(job));
-              cancelled(job);
+              broadcast(new PeerMessage.JobCancelled(job));
+              jobCancelled(job);
             });
-    LeaderLeaseRenewer keeper =
+    LeaderLeaseRenewer leaseRenewer =
         new LeaderLeaseRenewer(
-            renewals.loop,
+            renewalLoop.loop,
             loop,
-            new KeyValueStoreClient(renewals.loop, renewals.calls, settings),
+            new KeyValueStoreClient(renewalLoop.loop, renewalLoop.httpClient, settings),
             settings.leaderLeaseTtl().multipliedBy(2));
     this.election =
         new ElectionActor(
             loop,
-            state,
-            keeper,
+            store,
+            leaseRenewer,
             settings,
             random,
-            level::objection,
+            levelGate::objection,
             List.of(new ElectionListener()));
     this.scheduler =
         new SchedulerActor(
             new SchedulerActor.Environment(
                 loop,
-                state,
-                calls,
+                store,
+                httpClient,
                 settings,
                 options.tuning,
-                options.operations,
+                options.operatorSettings,
                 random,
-                timeOfDay,
-                level,
+                wallClock,
+                levelGate,
                 new SchedulerListener()));
     this.relay =
         new HeartbeatRelayActor(
             loop,
             settings.host(),
-            links,
+            peerTransport,
             settings.relayTimeout(),
             settings.connectionLimits().parkedHeartbeats(),
-            (heartbeat, answer) -> local(heartbeat, settings.host(), answer));
-    this.announcer =
+            (heartbeat, answer) -> processLocally(heartbeat, settings.host(), answer));
+    this.supportAnnouncer =
         options
-            .operations
-            .announceSupport()
+            .operatorSettings
+            .supportRecordTtl()
             .map(
-                time -> announcer(supported.upTo(options.operations.highestLevel()), time, random));
+                time ->
+                    announcer(
+                        supported.upTo(options.operatorSettings.highestLevel()), time, random));
     replica.addListener(new ReplicaListener());
   }
 
   private SupportAnnouncer announcer(
       SupportedLevels supported, Duration grantTime, RandomGenerator random) {
     MemberSupport support = new MemberSupport(supported, random.nextLong(), Release.name());
-    return new SupportAnnouncer(loop, state, settings.host(), support, grantTime);
+    return new SupportAnnouncer(loop, store, settings.host(), support, grantTime);
   }
 
   private void tellElection(ElectionActor.Message m) {
     election.tell(m);
   }
 
-  private void local(Heartbeat heartbeat, String via, Consumer<HeartbeatResponse> answer) {
-    if (!scheduler.offer(new SchedulerActor.Reported(heartbeat, via, answer))) {
+  private void processLocally(Heartbeat heartbeat, String via, Consumer<HeartbeatResponse> answer) {
+    if (!scheduler.offer(new SchedulerActor.HeartbeatReceived(heartbeat, via, answer))) {
       answer.accept(HeartbeatResponse.UNAVAILABLE);
     }
   }
@@ -187,9 +189,9 @@
     public void onSnapshotLoaded(Map<String, Entry> all, long epoch) {
       // First of all: what the others do with the keys depends on it.
       updateLevel(Optional.ofNullable(all.get(Keys.LEVEL)));
-      loadEpoch = loaded ? loadEpoch : epoch;
+      firstLoadRevision = loaded ? firstLoadRevision : epoch;
       loaded = true;
-      copyEpoch = epoch;
+      storeRevision = epoch;
       scheduler.tell(new SchedulerActor.Loaded(all, epoch));
       api.tell(new ApiActor.Loaded(all));
       election.tell(new ElectionActor.Loaded(all));
@@ -198,46 +200,46 @@
     @Override
     public void onKeysChanged(List<KeyChange> changes, long epoch) {
       changes.stream().filter(c -> c.key().equals(Keys.LEVEL)).forEach(c -> updateLevel(c.entry()));
-      copyEpoch = epoch;
-      scheduler.tell(new SchedulerActor.Changed(changes, epoch));
+      storeRevision = epoch;
+      scheduler.tell(new SchedulerActor.KeysChanged(changes, epoch));
       api.tell(new ApiActor.KeysChanged(changes));
       election.tell(new ElectionActor.KeysChanged(changes));
     }
 
     @Override
     public void onUpToDate(Instant asOf) {
-      scheduler.tell(new SchedulerActor.Fresh(asOf));
+      scheduler.tell(new SchedulerActor.ReplicaFresh(asOf));
     }
   }
 
   private void updateLevel(Optional<Entry> stored) {
-    level.update(stored.map(Entry::value), stored.map(Entry::revision).orElse(0L));
+    levelGate.update(stored.map(Entry::value), stored.map(Entry::revision).orElse(0L));
   }
 
   private final class ElectionListener implements ElectionActor.Listener {
     @Override
     public void elected(long newTerm, long termStamp, Instant evidence) {
-      scheduler.tell(new SchedulerActor.Won(newTerm, termStamp, evidence));
+      scheduler.tell(new SchedulerActor.Elected(newTerm, termStamp, evidence));
     }
 
     @Override
     public void leadershipProven(Instant evidence) {
-      scheduler.tell(new SchedulerActor.Confirmed(evidence));
+      scheduler.tell(new SchedulerActor.LeadershipProven(evidence));
     }
 
     @Override
     public void confirmedByPeers(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
-      scheduler.tell(new SchedulerActor.Vouched(evidence, cancelled, live));
+      scheduler.tell(new SchedulerActor.ConfirmedByPeers(evidence, cancelled, live));
     }
 
     @Override
     public void electionAcknowledged() {
-      scheduler.tell(new SchedulerActor.Acknowledged(term));
+      scheduler.tell(new SchedulerActor.ElectionAcknowledged(term));
     }
 
     @Override
     public void requestConfirmations(long nonce) {
-      sendAll(new PeerMessage.ConfirmationRequest(nonce, copyEpoch));
+      broadcast(new PeerMessage.ConfirmationRequest(nonce, storeRevision));
       // What this controller told itself counts as well: the watch may not have shown it yet.
       long known = term;
       api.tell(
@@ -250,7 +252,7 @@
 
     @Override
     public void leadershipLost(long oldTerm) {
-      scheduler.tell(new SchedulerActor.Lost(oldTerm));
+      scheduler.tell(new SchedulerActor.LeadershipLost(oldTerm));
     }
 
     @Override
@@ -263,38 +265,38 @@
 
   private final class SchedulerListener implements SchedulerActor.Listener {
     @Override
-    public void higherTerm(long newTerm) {
+    public void higherTermSeen(long newTerm) {
       election.tell(new ElectionActor.HigherTermSeen(newTerm));
     }
 
     @Override
-    public void unfit(String reason) {
+    public void recordUnreadable(String reason) {
       election.tell(new ElectionActor.RecordUnreadable(reason));
     }
 
     @Override
-    public void counts(List<PeerMessage.JobTaskCount> jobs) {
+    public void taskCountsChanged(List<PeerMessage.JobTaskCount> jobs) {
       api.tell(new ApiActor.TaskCountsChanged(jobs));
-      sendAll(new TaskCounts(jobs));
+      broadcast(new TaskCounts(jobs));
     }
   }
 
-  private void sendAll(PeerMessage message) {
+  private void broadcast(PeerMessage message) {
     byte[] frame = PeerMessage.encode(message);
-    settings.peers().keySet().forEach(p -> links.send(p, frame));
+    settings.peers().keySet().forEach(p -> peerTransport.send(p, frame));
   }
 
-  private void cancelled(String job) {
-    scheduler.tell(new SchedulerActor.Cancelled(job));
+  private void jobCancelled(String job) {
+    scheduler.tell(new SchedulerActor.JobCancelled(job));
   }
 
   /** Begins to work. */
   public void start() {
-    started = loop.clock().instant();
+    startedAt = loop.clock().instant();
     replica.tell(new StoreReplicaActor.Start());
-    announcer.ifPresent(a -> a.tell(new SupportAnnouncer.Start()));
-    heartbeat();
-    beat();
+    supportAnnouncer.ifPresent(a -> a.tell(new SupportAnnouncer.Start()));
+    peerHeartbeat();
+    storeHeartbeat();
   }
 
   /**
@@ -303,35 +305,37 @@
    * time that loading needs: they are refused without a word and ask elsewhere. A state service
    * that is out is not waited for, since users are to be told when to come back.
    */
-  public boolean ready() {
-    Duration running = Duration.between(started, loop.clock().instant());
+  public boolean isReady() {
+    Duration running = Duration.between(startedAt, loop.clock().instant());
     return loaded || running.compareTo(settings.leaderLeaseTtl()) > 0;
   }
 
   /** While a peer can't be reached, the leader shows by writes that it lives. */
-  private void beat() {
-    if (links.connected().size() < settings.peers().size()) {
-      scheduler.tell(new SchedulerActor.Beat());
+  private void storeHeartbeat() {
+    if (peerTransport.connected().size() < settings.peers().size()) {
+      scheduler.tell(new SchedulerActor.StoreHeartbeatDue());
     }
-    loop.after(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::beat);
+    loop.after(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::storeHeartbeat);
   }
 
-  private void heartbeat() {
-    sendAll(new ControllerHeartbeat(term, leader.orElse(""), storeOk()));
-    loop.after(HEARTBEAT, this::heartbeat);
+  private void peerHeartbeat() {
+    broadcast(new ControllerHeartbeat(term, leader.orElse(""), isStoreHealthy()));
+    loop.after(PEER_HEARTBEAT_INTERVAL, this::peerHeartbeat);
   }
 
-  private boolean storeOk() {
+  private boolean isStoreHealthy() {
     return loaded
-        && level.objection().isEmpty()
-        && state
+        && levelGate.objection().isEmpty()
+        && store
             .lastSuccess()
-            .map(t -> Duration.between(t, loop.clock().instant()).compareTo(STORE_SILENT) < 0)
+            .map(
+                t ->
+                    Duration.between(t, loop.clock().instant()).compareTo(STORE_HEALTH_TIMEOUT) < 0)
             .orElse(false);
   }
 
   /** A record of a peer. What can't be read is dropped and changes nothing. */
-  public void fromPeer(String peer, byte[] frame) {
+  public void handlePeerRecord(String peer, byte[] frame) {
     PeerMessage message;
     try {
       message = PeerMessage.decode(frame);
@@ -343,8 +347,8 @@
       peers.put(peer, new PeerState(loop.clock().instant(), m.storeHealthy()));
       election.tell(new ElectionActor.LeaderAnnounced(peer, m.term(), m.leader()));
     } else if (message instanceof PeerMessage.ConfirmationRequest m) {
-      if (loaded && level.objection().isEmpty()) {
-        vouch(peer, m);
+      if (loaded && levelGate.objection().isEmpty()) {
+        confirm(peer, m);
       }
     } else if (message instanceof PeerMessage.Confirmation m) {
       election.tell(
@@ -352,13 +356,13 @@
               peer, m.nonce(), m.term(), m.cancelledJobs(), m.liveJobs()));
     } else if (message instanceof PeerMessage.JobCancelled m) {
       api.tell(new ApiActor.JobCancelled(m.job()));
-      cancelled(m.job());
+      jobCancelled(m.job());
     } else if (message instanceof ForwardedHeartbeat m) {
-      local(
+      processLocally(
           m.heartbeat(),
           peer,
           a ->
-              links.send(
+              peerTransport.send(
                   peer, PeerMessage.encode(new ForwardedHeartbeatResponse(m.exchange(), a))));
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       relay.tell(new HeartbeatRelayActor.LeaderResponded(m));
@@ -372,14 +376,14 @@
    * but it was durable before our copy was loaded. So a leader whose copy is older than that also
    * gets all that is live.
    */
-  private void vouch(String peer, PeerMessage.ConfirmationRequest q) {
+  private void confirm(String peer, PeerMessage.ConfirmationRequest q) {
     long known = term;
-    long epoch = copyEpoch;
-    boolean older = q.storeRevision() < loadEpoch;
+    long epoch = storeRevision;
+    boolean older = q.storeRevision() < firstLoadRevision;
     api.tell(
         new ApiActor.RecentCancellations(
             (cancelled, live) ->
-                links.send(
+                peerTransport.send(
                     peer,
                     PeerMessage.encode(
                         new PeerMessage.Confirmation(
@@ -390,7 +394,7 @@
   }
 
   /** A peer refuses connections: its process may have ended. */
-  public void peerEnded(String peer) {
+  public void peerConnectionRefused(String peer) {
     peers.remove(peer);
     election.tell(new ElectionActor.PeerConnectionRefused(peer));
   }
@@ -400,48 +404,49 @@
    * to them while another can; if none can, all stay, since leaving would only add the balancer's
    * pause to the outage.
    */
-  private boolean useful() {
+  private boolean isServing() {
     if (!loaded) {
       // Loading takes a moment, the balancer's return to a node takes seconds: let both run at
       // once.
-      return Duration.between(started, loop.clock().instant()).compareTo(STARTING) < 0;
+      return Duration.between(startedAt, loop.clock().instant()).compareTo(STARTUP_GRACE_PERIOD)
+          < 0;
     }
-    if (storeOk()) {
+    if (isStoreHealthy()) {
       return true;
     }
     Instant limit = loop.clock().instant().minusSeconds(3);
-    return peers.values().stream().noneMatch(p -> p.storeOk && p.heard.isAfter(limit));
+    return peers.values().stream().noneMatch(p -> p.storeHealthy && p.heartbeatAt.isAfter(limit));
   }
 
   /** A request of a user, a worker or the load balancer. */
-  public void request(String method, String path, Body body, Consumer<Response> respond) {
+  public void handleRequest(String method, String path, Body body, Consumer<Response> respond) {
     if (path.equals("/up") && method.equals("GET")) {
       respond.accept(
-          useful()
+          isServing()
               ? Response.of(200, MessagePack.map().put("ok", true))
               : Response.later(Duration.ofSeconds(1), "not ready"));
-    } else if (path.equals(REPORTS) && method.equals("POST")) {
-      checkin(body, respond);
+    } else if (path.equals(HEARTBEAT_PATH) && method.equals("POST")) {
+      handleHeartbeat(body, respond);
     } else if (path.equals("/work") && method.equals("POST")) {
-      toApi(new ApiActor.Submit(body.tree(), respond), respond);
+      forwardToApi(new ApiActor.Submit(body.tree(), respond), respond);
     } else if (path.startsWith("/work/") && method.equals("GET")) {
-      toApi(new ApiActor.Query(path.substring(6), respond), respond);
+      forwardToApi(new ApiActor.Query(path.substring(6), respond), respond);
     } else if (path.startsWith("/work/") && path.endsWith("/cancel") && method.equals("POST")) {
-      toApi(new ApiActor.Cancel(path.substring(6, path.length() - 7), respond), respond);
+      forwardToApi(new ApiActor.Cancel(path.substring(6, path.length() - 7), respond), respond);
     } else {
       respond.accept(Response.of(404, MessagePack.map().put("error", "no such page")));
     }
   }
 
-  private void toApi(ApiActor.Message message, Consumer<Response> respond) {
-    if (level.objection().isPresent()) {
-      respond.accept(Response.later(OTHERS_SERVE, level.objection().get()));
+  private void forwardToApi(ApiActor.Message message, Consumer<Response> respond) {
+    if (levelGate.objection().isPresent()) {
+      respond.accept(Response.later(INCOMPATIBLE_RETRY_AFTER, levelGate.objection().get()));
     } else if (!api.offer(message)) {
       respond.accept(Response.later(Duration.ofSeconds(2), "busy"));
     }
   }
 
-  private void checkin(Body body, Consumer<Response> respond) {
+  private void handleHeartbeat(Body body, Consumer<Response> respond) {
     Heartbeat heartbeat;
     try {
       heartbeat = HeartbeatDecoder.decode(body.bytes());
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -21,18 +21,18 @@
   final MachineInventory inventory;
   final LeaderRecords records;
   final LeaderStatistics statistics;
-  final SchemaLevelUpgrader raiser;
-  final GracefulTermination stops;
+  final SchemaLevelUpgrader levelRaiser;
+  final GracefulTermination gracefulTermination;
   final GangTracker gangs;
   final CommandDispatcher dispatcher;
-  final HeartbeatHandler reports;
-  final FailureDetector health;
+  final HeartbeatHandler heartbeatHandler;
+  final FailureDetector failureDetector;
   final LeaderRecovery recovery;
-  final SchedulingPass passes;
-  final Optional<DrainCoordinator> drains;
-  final MachineProvisioner supply;
-  final RecordWriter writer;
-  final TaskCountPublisher counts;
+  final SchedulingPass placementPass;
+  final Optional<DrainCoordinator> drainCoordinator;
+  final MachineProvisioner machineProvisioner;
+  final RecordWriter recordWriter;
+  final TaskCountPublisher taskCountPublisher;
 
   /**
    * Makes all parts.
@@ -40,52 +40,79 @@
    * @param executor runs what they put off
    * @param cloudEvents is told what the cloud says
    */
-  LeaderComponents(Environment env, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
-    Settings settings = env.settings();
-    Listener listener = env.listener();
+  LeaderComponents(
+      Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
+    Settings settings = environment.settings();
+    Listener listener = environment.listener();
     Map<String, Team> teams = teams(settings);
     AgentTimings times = AgentTimings.of(settings.agents());
     MachineCatalogue catalogue = new MachineCatalogue();
     JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
     QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
-    LeaderState shared = state(env, teams, classes, catalogue);
-    leadership = shared.leadership();
-    records = shared.records();
-    jobs = shared.jobs();
-    gangs = shared.gangs();
-    inventory = shared.inventory();
-    statistics = new LeaderStatistics(shared);
-    stops = new GracefulTermination(shared, times);
+    LeaderState leaderState = leaderState(environment, teams, classes, catalogue);
+    leadership = leaderState.leadership();
+    records = leaderState.records();
+    jobs = leaderState.jobs();
+    gangs = leaderState.gangs();
+    inventory = leaderState.inventory();
+    statistics = new LeaderStatistics(leaderState);
+    gracefulTermination = new GracefulTermination(leaderState, times);
     HeartbeatProcessor processor =
-        new HeartbeatProcessor(shared, new FaultAttribution(shared), stops, statistics);
+        new HeartbeatProcessor(
+            leaderState, new FaultAttribution(leaderState), gracefulTermination, statistics);
     dispatcher =
         new CommandDispatcher(
-            shared, settings, times, env.calls(), executor, listener::higherTerm, processor);
-    reports = new HeartbeatHandler(shared, processor, dispatcher, listener::higherTerm);
-    CloudActor cloud = new CloudActor(env.loop(), env.calls(), settings, cloudEvents);
-    MachineRetirement retirement = new MachineRetirement(shared, cloud);
-    health = new FailureDetector(shared, times, dispatcher, retirement);
-    recovery = new LeaderRecovery(shared, dispatcher, listener::unfit);
-    var policy = new SchedulingPass.Policy(env.tuning(), env.random(), classes, order);
-    passes =
-        new SchedulingPass(shared, times, policy, executor, health, dispatcher, stops, statistics);
-    drains = drains(env, shared, times, retirement);
-    Autoscaler fleet = new Autoscaler(env.tuning(), classes);
-    supply =
+            leaderState,
+            settings,
+            times,
+            environment.httpClient(),
+            executor,
+            listener::higherTermSeen,
+            processor);
+    heartbeatHandler =
+        new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
+    CloudActor cloud =
+        new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
+    MachineRetirement retirement = new MachineRetirement(leaderState, cloud);
+    failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
+    recovery = new LeaderRecovery(leaderState, dispatcher, listener::recordUnreadable);
+    var policy =
+        new SchedulingPass.Policy(environment.tuning(), environment.random(), classes, order);
+    placementPass =
+        new SchedulingPass(
+            leaderState,
+            times,
+            policy,
+            executor,
+            failureDetector,
+            dispatcher,
+            gracefulTermination,
+            statistics);
+    drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
+    Autoscaler fleet = new Autoscaler(environment.tuning(), classes);
+    machineProvisioner =
         new MachineProvisioner(
-            shared,
+            leaderState,
             settings,
             cloud,
             fleet,
             order,
-            health,
+            failureDetector,
             retirement,
             dispatcher,
             recovery,
-            drains);
-    raiser = new SchemaLevelUpgrader(env.level(), settings.hosts(), shared.clock());
-    writer = new RecordWriter(shared, env, sources(env), executor, dispatcher, retirement);
-    counts = new TaskCountPublisher(jobs, listener::counts);
+            drainCoordinator);
+    levelRaiser =
+        new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
+    recordWriter =
+        new RecordWriter(
+            leaderState,
+            environment,
+            transactionSources(environment),
+            executor,
+            dispatcher,
+            retirement);
+    taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
   private static Map<String, Team> teams(Settings settings) {
@@ -95,17 +122,27 @@
   }
 
   /** What all parts share. */
-  private LeaderState state(
-      Environment env, Map<String, Team> teams, JobClasses classes, MachineCatalogue catalogue) {
-    Settings settings = env.settings();
-    InstantSource clock = env.loop().clock();
+  private LeaderState leaderState(
+      Environment environment,
+      Map<String, Team> teams,
+      JobClasses classes,
+      MachineCatalogue catalogue) {
+    Settings settings = environment.settings();
+    InstantSource clock = environment.loop().clock();
     Runnable requestPass = this::requestPass;
     Leadership term = new Leadership(clock, settings.renewalAuthorityTimeout());
     LeaderRecords stored =
-        new LeaderRecords(settings.storeLimits(), env.level(), clock, this::requestCommit);
+        new LeaderRecords(
+            settings.storeLimits(), environment.levelGate(), clock, this::requestCommit);
     JobTable table =
         new JobTable(
-            teams, term, clock, env.timeOfDay(), env.level(), classes::observe, requestPass);
+            teams,
+            term,
+            clock,
+            environment.wallClock(),
+            environment.levelGate(),
+            classes::observe,
+            requestPass);
     DecisionLog decisions = new DecisionLog(term, clock);
     Duration forming =
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
@@ -115,39 +152,43 @@
     return new LeaderState(term, table, machines, stored, clock, requestPass, decisions, attempts);
   }
 
-  private Optional<DrainCoordinator> drains(
-      Environment env, LeaderState shared, AgentTimings times, MachineRetirement retirement) {
-    return env.operations()
+  private Optional<DrainCoordinator> drainCoordinator(
+      Environment environment,
+      LeaderState leaderState,
+      AgentTimings times,
+      MachineRetirement retirement) {
+    return environment
+        .operatorSettings()
         .drains()
         .map(
             set ->
                 new DrainCoordinator(
-                    shared,
+                    leaderState,
                     set,
                     times,
-                    stops,
-                    env.level(),
-                    env.settings().storeLimits().maxValueBytes(),
-                    env.timeOfDay(),
+                    gracefulTermination,
+                    environment.levelGate(),
+                    environment.settings().storeLimits().maxValueBytes(),
+                    environment.wallClock(),
                     dispatcher,
                     retirement));
   }
 
   /** What has more to write than the records of jobs and machines. */
-  private List<TransactionContributor> sources(Environment env) {
+  private List<TransactionContributor> transactionSources(Environment environment) {
     List<TransactionContributor> sources = new ArrayList<>();
-    if (env.operations().automaticLevel()) {
-      sources.add(raiser);
+    if (environment.operatorSettings().automaticLevel()) {
+      sources.add(levelRaiser);
     }
-    drains.ifPresent(coordinator -> sources.addAll(coordinator.contributors()));
+    drainCoordinator.ifPresent(coordinator -> sources.addAll(coordinator.contributors()));
     return sources;
   }
 
   private void requestPass() {
-    passes.request();
+    placementPass.request();
   }
 
   private void requestCommit() {
-    writer.scheduleCommit();
+    recordWriter.scheduleCommit();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/RecordWriter.java
@@ -84,9 +84,9 @@
     this.clock = leaderState.clock();
     this.gangs = leaderState.gangs();
     this.limits = environment.settings().storeLimits();
-    this.store = environment.state();
+    this.store = environment.store();
     this.random = environment.random();
-    this.levelGate = environment.level();
+    this.levelGate = environment.levelGate();
     this.listener = environment.listener();
     this.contributors = contributors;
     this.executor = executor;
@@ -225,7 +225,7 @@
     }
     long storedTerm = reply.body().path("value").path("term").asLong();
     if (storedTerm > leadership.term()) {
-      listener.higherTerm(storedTerm);
+      listener.higherTermSeen(storedTerm);
       return;
     }
     // Applied or not: what is due is still marked as due and goes out again, guarded by the
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -32,180 +32,181 @@
  * does not lead it only keeps the jobs and the stored records at hand.
  */
 public final class SchedulerActor extends Actor<SchedulerActor.Message> {
-  private static final Duration TICK = Duration.ofMillis(250);
-  private static final Duration COUNTS_SPACING = Duration.ofSeconds(1);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
+  private static final Duration TASK_COUNTS_INTERVAL = Duration.ofSeconds(1);
 
   /** A large fleet is looked after in slices of so many machines, in so many at most. */
-  private static final int SLICE = 100;
+  private static final int MACHINES_PER_SLICE = 100;
 
-  private static final int MOST_SLICES = 4;
+  private static final int MAX_SLICES = 4;
 
   /** What the actor understands. */
   public sealed interface Message {}
 
   /** The replica was loaded. */
-  public record Loaded(Map<String, Entry> all, long epoch) implements Message {}
+  public record Loaded(Map<String, Entry> entries, long storeRevision) implements Message {}
 
   /** Keys changed. */
-  public record Changed(List<KeyChange> changes, long epoch) implements Message {}
+  public record KeysChanged(List<KeyChange> changes, long storeRevision) implements Message {}
 
   /** All changes of the keys that were made by then are known. */
-  public record Fresh(Instant asOf) implements Message {}
+  public record ReplicaFresh(Instant asOf) implements Message {}
 
   /** This controller leads. */
-  public record Won(long term, long termStamp, Instant evidence) implements Message {}
+  public record Elected(long term, long termRevision, Instant provenAt) implements Message {}
 
   /** It still led at that time. */
-  public record Confirmed(Instant evidence) implements Message {}
+  public record LeadershipProven(Instant provenAt) implements Message {}
 
   /** The peers have said so; they told these jobs as cancelled, and these are live. */
-  public record Vouched(Instant evidence, Set<String> cancelled, List<LiveJobs> live)
-      implements Message {}
+  public record ConfirmedByPeers(
+      Instant provenAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) implements Message {}
 
   /** Some controller is about to tell users that the job is cancelled. */
-  public record Cancelled(String job) implements Message {}
+  public record JobCancelled(String job) implements Message {}
 
   /** It does not lead any more. */
-  public record Lost(long term) implements Message {}
+  public record LeadershipLost(long term) implements Message {}
 
   /** All peers know of the election of that term, so none of them leads in an older one. */
-  public record Acknowledged(long term) implements Message {}
+  public record ElectionAcknowledged(long term) implements Message {}
 
   /** A worker's report, to be answered; {@code via} is the controller that it came to. */
-  public record Reported(Heartbeat report, String via, Consumer<HeartbeatResponse> answer)
-      implements Message {}
+  public record HeartbeatReceived(
+      Heartbeat heartbeat, String relay, Consumer<HeartbeatResponse> respond) implements Message {}
 
   /** The leader is to show that it lives, by a write if there is none to be made anyway. */
-  public record Beat() implements Message {}
+  public record StoreHeartbeatDue() implements Message {}
 
   /** What a part of the leader has put off, void when the term is over. */
-  private record Continuation(long term, Runnable action) implements Message {}
+  private record DeferredAction(long term, Runnable action) implements Message {}
 
-  private record CloudSaid(CloudActor.Event event) implements Message {}
+  private record CloudEventReceived(CloudActor.Event event) implements Message {}
 
   /** What the scheduler tells its controller. */
   public interface Listener {
     /** Somebody leads in a higher term than ours. */
-    void higherTerm(long term);
+    void higherTermSeen(long term);
 
     /** This controller can't lead, because of a record that it can't read. */
-    void unfit(String reason);
+    void recordUnreadable(String reason);
 
     /** Counts of tasks have changed. */
-    void counts(List<JobTaskCount> counts);
+    void taskCountsChanged(List<JobTaskCount> counts);
   }
 
   /**
    * What the scheduler is given.
    *
-   * @param timeOfDay on it, submissions carry their time
-   * @param level says in the forms of which level records are written
+   * @param wallClock on it, submissions carry their time
+   * @param levelGate says in the forms of which level records are written
    */
   public record Environment(
       EventLoop loop,
-      KeyValueStoreClient state,
-      HttpClient calls,
+      KeyValueStoreClient store,
+      HttpClient httpClient,
       Settings settings,
       Tuning tuning,
-      Operations operations,
+      OperatorSettings operatorSettings,
       RandomGenerator random,
-      InstantSource timeOfDay,
-      LevelGate level,
+      InstantSource wallClock,
+      LevelGate levelGate,
       Listener listener) {}
 
-  private final LeaderComponents parts;
+  private final LeaderComponents components;
   private final Leadership leadership;
   private final JobTable jobs;
   private final MachineInventory inventory;
   private final LeaderRecords records;
-  private long epoch;
+  private long storeRevision;
   private boolean loaded;
-  private Instant nextCounts = Instant.MIN;
+  private Instant nextTaskCountsAt = Instant.MIN;
   private int ticks;
 
   /** Makes a scheduler that does not lead. */
   public SchedulerActor(Environment environment) {
     super(environment.loop);
-    parts =
-        new LeaderComponents(environment, new Continuations(), event -> tell(new CloudSaid(event)));
-    leadership = parts.leadership;
-    jobs = parts.jobs;
-    inventory = parts.inventory;
-    records = parts.records;
+    components =
+        new LeaderComponents(
+            environment, new DeferredActions(), event -> tell(new CloudEventReceived(event)));
+    leadership = components.leadership;
+    jobs = components.jobs;
+    inventory = components.inventory;
+    records = components.records;
   }
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof Reported m) {
-      m.answer.accept(parts.reports.handle(m.report, m.via));
-    } else if (message instanceof Continuation m) {
+    if (message instanceof HeartbeatReceived m) {
+      m.respond.accept(components.heartbeatHandler.handle(m.heartbeat, m.relay));
+    } else if (message instanceof DeferredAction m) {
       if (leadership.leadsIn(m.term)) {
         m.action.run();
       }
-    } else if (message instanceof Changed m) {
-      changed(m);
-    } else if (message instanceof Fresh m) {
+    } else if (message instanceof KeysChanged m) {
+      applyChanges(m);
+    } else if (message instanceof ReplicaFresh m) {
       leadership.recordReplicaAsOf(m.asOf);
       jobs.replicaCaughtUpTo(m.asOf);
     } else if (message instanceof Loaded m) {
-      loaded(m);
-    } else if (message instanceof Won m) {
-      won(m);
-    } else if (message instanceof Confirmed m) {
-      leadership.recordProof(m.evidence);
-    } else if (message instanceof Cancelled m) {
-      cancelled(m.job);
-    } else if (message instanceof Vouched m) {
-      vouched(m);
-    } else if (message instanceof Acknowledged m && leadership.leadsIn(m.term)) {
-      parts.recovery.notePreviousLeadersEnded();
-    } else if (message instanceof Lost) {
-      lost();
-    } else if (message instanceof CloudSaid m && leadership.isLeading()) {
-      parts.supply.handleCloudEvent(m.event);
-    } else if (message instanceof Beat && leadership.isReady()) {
-      parts.writer.writeKeepAlive();
+      loadEntries(m);
+    } else if (message instanceof Elected m) {
+      beginTerm(m);
+    } else if (message instanceof LeadershipProven m) {
+      leadership.recordProof(m.provenAt);
+    } else if (message instanceof JobCancelled m) {
+      jobCancelled(m.job);
+    } else if (message instanceof ConfirmedByPeers m) {
+      confirmedByPeers(m);
+    } else if (message instanceof ElectionAcknowledged m && leadership.leadsIn(m.term)) {
+      components.recovery.notePreviousLeadersEnded();
+    } else if (message instanceof LeadershipLost) {
+      endTerm();
+    } else if (message instanceof CloudEventReceived m && leadership.isLeading()) {
+      components.machineProvisioner.handleCloudEvent(m.event);
+    } else if (message instanceof StoreHeartbeatDue && leadership.isReady()) {
+      components.recordWriter.writeKeepAlive();
     }
   }
 
   // ---- What the state service holds ----
 
-  private void loaded(Loaded m) {
-    jobs.absentFrom(m.all.keySet()).forEach(this::jobOver);
+  private void loadEntries(Loaded m) {
+    jobs.absentFrom(m.entries.keySet()).forEach(this::endJob);
     jobs.forgetUnreadable();
     records.storedValues().clear();
-    parts.raiser.forgetStored();
-    parts.drains.ifPresent(DrainCoordinator::forgetStored);
-    m.all.forEach((key, entry) -> changed(new KeyChange(key, Optional.of(entry))));
-    epoch = m.epoch;
+    components.levelRaiser.forgetStored();
+    components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
+    m.entries.forEach((key, entry) -> applyChanges(new KeyChange(key, Optional.of(entry))));
+    storeRevision = m.storeRevision;
     loaded = true;
     takeOverWhenPossible();
   }
 
-  private void changed(Changed m) {
-    m.changes.forEach(this::changed);
-    epoch = m.epoch;
+  private void applyChanges(KeysChanged m) {
+    m.changes.forEach(this::applyChanges);
+    storeRevision = m.storeRevision;
     takeOverWhenPossible();
     if (leadership.isReady()) {
-      parts.passes.request();
+      components.placementPass.request();
     }
   }
 
-  private void changed(KeyChange change) {
+  private void applyChanges(KeyChange change) {
     String key = change.key();
     if (Keys.isLiveJob(key)) {
       if (change.entry().isPresent()) {
         jobs.add(key, change.entry().get());
       } else {
         jobs.forgetUnreadable(key);
-        jobOver(Keys.lastSegment(key));
+        endJob(Keys.lastSegment(key));
       }
     } else if (Keys.isPlacementRecords(key) || Keys.isMachineRecords(key)) {
       records.storedValues().apply(change);
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
-      parts.drains.ifPresent(drains -> drains.storedChanged(change));
+      components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
     } else if (Keys.isMember(key)) {
-      parts.raiser.storedChanged(change);
+      components.levelRaiser.storedChanged(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       List<MachineType> types = MachineType.parseAll(change.entry().get().value());
       records.storedValues().updateCatalogue(types);
@@ -215,31 +216,31 @@
     }
   }
 
-  private void vouched(Vouched m) {
+  private void confirmedByPeers(ConfirmedByPeers m) {
     // First what was cancelled, then the proof.
-    m.cancelled.forEach(this::cancelled);
-    for (LiveJobs list : m.live) {
+    m.cancelledJobs.forEach(this::jobCancelled);
+    for (LiveJobs list : m.liveJobs) {
       Set<String> live = Set.copyOf(list.jobs());
       List.copyOf(jobs.all()).stream()
           .filter(job -> job.revision <= list.storeRevision() && !live.contains(job.spec.id()))
-          .forEach(job -> cancelled(job.spec.id()));
+          .forEach(job -> jobCancelled(job.spec.id()));
     }
-    leadership.recordPeerConfirmation(m.evidence);
+    leadership.recordPeerConfirmation(m.provenAt);
   }
 
   /** A job is over although our copy may not show it yet. */
-  private void cancelled(String id) {
-    jobs.markCancelled(id);
-    jobOver(id);
+  private void jobCancelled(String jobId) {
+    jobs.markCancelled(jobId);
+    endJob(jobId);
   }
 
-  private void jobOver(String id) {
-    Optional<Job> job = jobs.remove(id);
+  private void endJob(String jobId) {
+    Optional<Job> job = jobs.remove(jobId);
     if (job.isEmpty() || !leadership.isLeading()) {
       return;
     }
     records.closeJob(job.get());
-    parts.gangs.forget(job.get());
+    components.gangs.forget(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts.values())) {
       // What a cancelled task has done is of no use to anybody: it does not save, and one that
       // saves already, for whatever reason it was stopped, is told to end.
@@ -247,33 +248,33 @@
       attempt.stopsSent = 0;
       inventory.stop(attempt);
       inventory.markCommandDue(attempt.machine);
-      parts.dispatcher.sendDueCommands(attempt.machine);
+      components.dispatcher.sendDueCommands(attempt.machine);
     }
   }
 
   // ---- Taking over and giving up ----
 
-  private void won(Won m) {
-    leadership.begin(m.term, m.termStamp, m.evidence);
-    parts.passes.beginTerm();
-    parts.writer.beginTerm();
-    parts.dispatcher.begin();
-    parts.recovery.beginTerm();
-    parts.supply.begin();
+  private void beginTerm(Elected m) {
+    leadership.begin(m.term, m.termRevision, m.provenAt);
+    components.placementPass.beginTerm();
+    components.recordWriter.beginTerm();
+    components.dispatcher.begin();
+    components.recovery.beginTerm();
+    components.machineProvisioner.begin();
     scheduleTick();
     takeOverWhenPossible();
   }
 
-  private void lost() {
+  private void endTerm() {
     leadership.end();
     inventory.clear();
     jobs.clearQueue();
-    parts.dispatcher.end();
+    components.dispatcher.end();
     records.clear();
-    parts.counts.clear();
-    parts.gangs.clear();
-    parts.drains.ifPresent(DrainCoordinator::endTerm);
-    parts.supply.end();
+    components.taskCountPublisher.clear();
+    components.gangs.clear();
+    components.drainCoordinator.ifPresent(DrainCoordinator::endTerm);
+    components.machineProvisioner.end();
     jobs.forgetLeaderState();
   }
 
@@ -282,10 +283,11 @@
    * are older than the term, so a copy as new as the term has them all.
    */
   private void takeOverWhenPossible() {
-    boolean possible = leadership.isLeading() && loaded && epoch >= leadership.termRevision();
-    if (possible && !leadership.isReady() && parts.recovery.recover(epoch)) {
-      parts.drains.ifPresent(DrainCoordinator::beginTerm);
-      parts.passes.request();
+    boolean possible =
+        leadership.isLeading() && loaded && storeRevision >= leadership.termRevision();
+    if (possible && !leadership.isReady() && components.recovery.recover(storeRevision)) {
+      components.drainCoordinator.ifPresent(DrainCoordinator::beginTerm);
+      components.placementPass.request();
     }
   }
 
@@ -293,7 +295,7 @@
 
   private void scheduleTick() {
     long term = leadership.term();
-    loop.after(TICK, () -> tell(new Continuation(term, this::tick)));
+    loop.after(TICK_INTERVAL, () -> tell(new DeferredAction(term, this::tick)));
   }
 
   private void tick() {
@@ -303,50 +305,51 @@
     }
     Instant now = loop.clock().instant();
     checkMachines(now);
-    parts.stops.endBrokenGangs();
-    parts.recovery.noteProgress();
-    parts.drains.ifPresent(drains -> drains.roundIfDue(now));
-    parts.passes.request();
-    parts.dispatcher.sendAllDueCommands();
-    parts.supply.scaleIfDue(now);
-    if (now.isAfter(nextCounts)) {
-      nextCounts = now.plus(COUNTS_SPACING);
+    components.gracefulTermination.endBrokenGangs();
+    components.recovery.noteProgress();
+    components.drainCoordinator.ifPresent(drains -> drains.roundIfDue(now));
+    components.placementPass.request();
+    components.dispatcher.sendAllDueCommands();
+    components.machineProvisioner.scaleIfDue(now);
+    if (now.isAfter(nextTaskCountsAt)) {
+      nextTaskCountsAt = now.plus(TASK_COUNTS_INTERVAL);
       records.collectObsoleteValues();
-      parts.counts.publishChanges();
+      components.taskCountPublisher.publishChanges();
     }
-    parts.statistics.logIfDue(now, machine -> parts.health.isSchedulable(machine, now));
-    parts.writer.scheduleCommitIfDue();
+    components.statistics.logIfDue(
+        now, machine -> components.failureDetector.isSchedulable(machine, now));
+    components.recordWriter.scheduleCommitIfDue();
   }
 
   /** Looks after each machine once a second at the latest. */
   private void checkMachines(Instant now) {
-    parts.health.beginRound();
-    int slices = Math.min(MOST_SLICES, 1 + inventory.size() / SLICE);
+    components.failureDetector.beginRound();
+    int slices = Math.min(MAX_SLICES, 1 + inventory.size() / MACHINES_PER_SLICE);
     int i = ++ticks;
     for (Machine machine : List.copyOf(inventory.all())) {
       if (++i % slices == 0 || !machine.reconciled) {
-        parts.health.check(machine, now);
+        components.failureDetector.check(machine, now);
       }
     }
   }
 
-  private final class Continuations implements TermExecutor {
+  private final class DeferredActions implements TermExecutor {
     @Override
     public void execute(Runnable action) {
       long term = leadership.term();
-      loop.execute(() -> tell(new Continuation(term, action)));
+      loop.execute(() -> tell(new DeferredAction(term, action)));
     }
 
     @Override
     public void after(Duration delay, Runnable action) {
       long term = leadership.term();
-      loop.after(delay, () -> tell(new Continuation(term, action)));
+      loop.after(delay, () -> tell(new DeferredAction(term, action)));
     }
 
     @Override
     public <T> Consumer<T> callback(Consumer<T> handler) {
       long term = leadership.term();
-      return answer -> tell(new Continuation(term, () -> handler.accept(answer)));
+      return answer -> tell(new DeferredAction(term, () -> handler.accept(answer)));
     }
   }
 }
