--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -39,7 +39,7 @@
   }
 
   /** Options that all commands with settings share. */
-  static final class Files {
+  static final class SettingsFiles {
     @Option(
         names = "--config",
         required = true,
@@ -77,7 +77,7 @@
       description = "Runs a controller until it is killed.",
       mixinStandardHelpOptions = true)
   static final class Serve implements Callable<Integer> {
-    @CommandLine.Mixin Files files;
+    @CommandLine.Mixin SettingsFiles files;
 
     @Override
     public Integer call() {
@@ -91,7 +91,7 @@
       description = "Checks the settings without serving.",
       mixinStandardHelpOptions = true)
   static final class Check implements Callable<Integer> {
-    @CommandLine.Mixin Files files;
+    @CommandLine.Mixin SettingsFiles files;
 
     @Override
     public Integer call() {
@@ -100,7 +100,7 @@
         files.tuning();
         files.operations();
         System.out.println("settings of " + settings.host() + " are good");
-        System.out.println(sockets(settings.maxConnections(), settings.connectionLimits()));
+        System.out.println(describeSockets(settings.maxConnections(), settings.connectionLimits()));
         return 0;
       } catch (SettingsException e) {
         System.err.println("pearscale: " + e.getMessage());
@@ -110,7 +110,7 @@
   }
 
   /** What the sockets of the settings suffice for. */
-  static String sockets(int fdLimit, ConnectionLimits shares) {
+  static String describeSockets(int fdLimit, ConnectionLimits shares) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
         .formatted(fdLimit, shares.keptAlive(), shares.outbound(), shares.parkedHeartbeats());
   }
--- a/src/main/java/io/pearscale/cli/StateSession.java
+++ b/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
@@ -27,20 +27,20 @@
  * A command's conversation with the state service, one request after the other. Writes are guarded
  * by the level as this session has read it.
  */
-final class StateSession implements AutoCloseable {
+final class KeyValueStoreSession implements AutoCloseable {
   private static final int CONNECTIONS = 2;
   private static final int LONGEST_WAIT_SECONDS = 5;
   private static final int PAGE = 500;
 
   /** A stored value with the stamp of its latest change. */
-  record Stored(JsonNode value, long stamp) {}
+  record StoredValue(JsonNode value, long revision) {}
 
   /** What came of a write. */
-  enum Written {
+  enum WriteOutcome {
     /** It was carried out. */
-    DONE,
+    APPLIED,
     /** Something that it was guarded by has changed; nothing was written. */
-    CHANGED_MEANWHILE,
+    CONFLICT,
     /** There was no clear answer: it may have been carried out, or may yet be. */
     UNKNOWN
   }
@@ -49,10 +49,10 @@
   private final XnioEventLoop loop;
   private final KeyValueStoreClient client;
   private final String address;
-  private OptionalLong levelStamp = OptionalLong.empty();
+  private OptionalLong levelRevision = OptionalLong.empty();
 
-  StateSession(Settings settings) throws IOException {
-    worker = Server.oneThread();
+  KeyValueStoreSession(Settings settings) throws IOException {
+    worker = Server.newSingleThreadWorker();
     loop = new XnioEventLoop(worker.getIoThread());
     UndertowHttpClient calls =
         new UndertowHttpClient(
@@ -60,30 +60,30 @@
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
             CONNECTIONS);
-    client = new KeyValueStoreClient(loop, calls, settings, () -> levelStamp);
+    client = new KeyValueStoreClient(loop, calls, settings, () -> levelRevision);
     address = settings.storeAddress();
   }
 
   /** The key's value and stamp; empty if there is none. */
-  Optional<Stored> read(String key) throws IOException {
+  Optional<StoredValue> read(String key) throws IOException {
     Reply reply = ask(answer -> client.get(key, answer));
     if (reply.status() != 404 && !reply.ok()) {
       throw failure(reply);
     }
-    Optional<Stored> stored =
+    Optional<StoredValue> stored =
         reply.ok()
             ? Optional.of(
-                new Stored(reply.body().path("value"), reply.body().path("stamp").asLong()))
+                new StoredValue(reply.body().path("value"), reply.body().path("stamp").asLong()))
             : Optional.empty();
     if (key.equals(Keys.LEVEL)) {
-      levelStamp = OptionalLong.of(stored.map(Stored::stamp).orElse(0L));
+      levelRevision = OptionalLong.of(stored.map(StoredValue::revision).orElse(0L));
     }
     return stored;
   }
 
   /** All keys with the prefix, by key. */
-  Map<String, Stored> list(String prefix) throws IOException {
-    Map<String, Stored> found = new TreeMap<>();
+  Map<String, StoredValue> list(String prefix) throws IOException {
+    Map<String, StoredValue> found = new TreeMap<>();
     Optional<String> since = Optional.empty();
     boolean more = true;
     while (more) {
@@ -94,7 +94,7 @@
       }
       for (JsonNode pair : reply.body().path("pairs")) {
         String key = pair.path("key").asText();
-        found.put(key, new Stored(pair.path("value"), pair.path("stamp").asLong()));
+        found.put(key, new StoredValue(pair.path("value"), pair.path("stamp").asLong()));
         since = Optional.of(key);
       }
       more = reply.body().path("more").asBoolean() && since.isPresent();
@@ -103,16 +103,16 @@
   }
 
   /** Writes, if nothing has changed that the guards name, nor the level that was read. */
-  Written write(List<Precondition> guards, List<Mutation> changes) throws IOException {
+  WriteOutcome write(List<Precondition> guards, List<Mutation> changes) throws IOException {
     Reply reply = ask(answer -> client.compareAndSwap(guards, changes, answer));
     if (reply.ok()) {
-      return Written.DONE;
+      return WriteOutcome.APPLIED;
     }
     if (reply.status() == 409) {
-      return Written.CHANGED_MEANWHILE;
+      return WriteOutcome.CONFLICT;
     }
     if (reply.status() == 0) {
-      return Written.UNKNOWN;
+      return WriteOutcome.UNKNOWN;
     }
     throw failure(reply);
   }
@@ -128,7 +128,7 @@
     try {
       return answer.get(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException | ExecutionException e) {
-      return Reply.NONE;
+      return Reply.NO_RESPONSE;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/src/main/java/io/pearscale/cli/Main.java
+++ b/src/main/java/io/pearscale/cli/Main.java
@@ -1,6 +1,6 @@
 package io.pearscale.cli;
 
-import io.pearscale.transport.NoManagement;
+import io.pearscale.transport.DisabledMBeanServerBuilder;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Optional;
@@ -27,7 +27,7 @@
   /** Runs a command. */
   public static void main(String[] args) {
     configureLogging();
-    NoManagement.install();
+    DisabledMBeanServerBuilder.install();
     int code =
         isPlainServe(args)
             ? serve(Path.of(args[2]), Optional.empty(), Optional.empty())
--- a/src/main/java/io/pearscale/cli/OperationsReader.java
+++ b/src/main/java/io/pearscale/cli/OperationsReader.java
@@ -57,12 +57,12 @@
 
   private OperatorSettings read() throws SettingsException {
     try {
-      for (List<String> entry : Sexp.read(Files.readString(file))) {
+      for (List<String> entry : SExpressionReader.read(Files.readString(file))) {
         take(entry);
       }
     } catch (IOException e) {
       throw new SettingsException(file, "file", "nothing readable", "a file of S-expressions");
-    } catch (Sexp.Bad e) {
+    } catch (SExpressionReader.SExpressionException e) {
       throw new SettingsException(file, "file", e.getMessage(), "S-expressions");
     }
     return new OperatorSettings(
--- a/src/main/java/io/pearscale/cli/Sexp.java
+++ b/src/main/java/io/pearscale/cli/SExpressionReader.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** Just enough of S-expressions for settings: lists, atoms, and comments from ; to line's end. */
-final class Sexp {
+final class SExpressionReader {
   /** Thrown with the line where reading failed. */
-  static final class Bad extends Exception {
+  static final class SExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Bad(int line, String what) {
+    SExpressionException(int line, String what) {
       super("line " + line + ": " + what, null, false, false);
     }
   }
@@ -18,29 +18,29 @@
   private int at;
   private int line = 1;
 
-  private Sexp(String text) {
+  private SExpressionReader(String text) {
     this.text = text;
   }
 
   /** Reads all top-level lists of atoms, such as {@code (sample 8)}. */
-  static List<List<String>> read(String text) throws Bad {
-    Sexp s = new Sexp(text);
+  static List<List<String>> read(String text) throws SExpressionException {
+    SExpressionReader reader = new SExpressionReader(text);
     List<List<String>> result = new ArrayList<>();
-    while (s.skip()) {
-      result.add(s.list());
+    while (reader.skip()) {
+      result.add(reader.list());
     }
     return result;
   }
 
   private boolean skip() {
     while (at < text.length()) {
-      char c = text.charAt(at);
-      if (c == ';') {
+      char character = text.charAt(at);
+      if (character == ';') {
         while (at < text.length() && text.charAt(at) != '\n') {
           at++;
         }
-      } else if (Character.isWhitespace(c)) {
-        if (c == '\n') {
+      } else if (Character.isWhitespace(character)) {
+        if (character == '\n') {
           line++;
         }
         at++;
@@ -51,20 +51,20 @@
     return false;
   }
 
-  private List<String> list() throws Bad {
+  private List<String> list() throws SExpressionException {
     if (text.charAt(at) != '(') {
-      throw new Bad(line, "'(' expected");
+      throw new SExpressionException(line, "'(' expected");
     }
     at++;
     List<String> atoms = new ArrayList<>();
     while (skip()) {
-      char c = text.charAt(at);
-      if (c == ')') {
+      char character = text.charAt(at);
+      if (character == ')') {
         at++;
         return atoms;
       }
-      if (c == '(') {
-        throw new Bad(line, "a name or number expected, not a list");
+      if (character == '(') {
+        throw new SExpressionException(line, "a name or number expected, not a list");
       }
       int from = at;
       while (at < text.length()
@@ -74,6 +74,6 @@
       }
       atoms.add(text.substring(from, at));
     }
-    throw new Bad(line, "')' missing");
+    throw new SExpressionException(line, "')' missing");
   }
 }
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -45,8 +45,8 @@
   private Controller controller;
 
   Server(Settings settings, Tuning tuning, OperatorSettings operations) throws IOException {
-    worker = oneThread();
-    renewalWorker = oneThread();
+    worker = newSingleThreadWorker();
+    renewalWorker = newSingleThreadWorker();
     XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
     XnioEventLoop renewalLoop = new XnioEventLoop(renewalWorker.getIoThread(), loop.clock());
     ByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 200, 4);
@@ -76,7 +76,7 @@
             settings.connectionLimits().keptAlive(),
             Controller.HEARTBEAT_PATH::equals,
             controller::handleRequest);
-    loop.after(SOCKETS_LOGGED, () -> logSockets(loop, calls));
+    loop.schedule(SOCKETS_LOGGED, () -> logSockets(loop, calls));
     loop.execute(
         () -> {
           try {
@@ -112,7 +112,7 @@
           }
 
           @Override
-          public void ended(String peer) {
+          public void processEnded(String peer) {
             controller.peerConnectionRefused(peer);
           }
         };
@@ -127,7 +127,7 @@
   }
 
   /** A worker of one thread, which is all that a controller or a command needs. */
-  static XnioWorker oneThread() throws IOException {
+  static XnioWorker newSingleThreadWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -141,15 +141,15 @@
   private void logSockets(XnioEventLoop loop, UndertowHttpClient calls) {
     LOG.info(
         "event=sockets served={} called={} calls_refused={}",
-        http.open(),
-        calls.open(),
-        calls.refused());
-    loop.after(SOCKETS_LOGGED, () -> logSockets(loop, calls));
+        http.openConnections(),
+        calls.openConnections(),
+        calls.refusedRequests());
+    loop.schedule(SOCKETS_LOGGED, () -> logSockets(loop, calls));
   }
 
   private void listen(XnioEventLoop loop, InetSocketAddress address) {
     if (!controller.isReady()) {
-      loop.after(LISTEN_RETRY, () -> listen(loop, address));
+      loop.schedule(LISTEN_RETRY, () -> listen(loop, address));
       return;
     }
     try {
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -116,61 +116,64 @@
 
   private Map<String, InetSocketAddress> peers(JsonNode root) throws SettingsException {
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    for (JsonNode p : root.path("peers")) {
-      peers.put(text(p, "host_name", "peers."), address(p, "address", "peers."));
+    for (JsonNode peer : root.path("peers")) {
+      peers.put(text(peer, "host_name", "peers."), address(peer, "address", "peers."));
     }
     return peers;
   }
 
   private List<Settings.Team> teams(JsonNode facts) throws SettingsException {
     List<Settings.Team> teams = new ArrayList<>();
-    for (JsonNode t : facts.path("teams")) {
+    for (JsonNode team : facts.path("teams")) {
       teams.add(
           new Settings.Team(
-              text(t, "name", "facts.teams."),
-              number(t, "cpus", "facts.teams.", 0),
-              number(t, "cpus_max", "facts.teams.", 0),
-              number(t, "gpus", "facts.teams.", 0),
-              number(t, "gpus_max", "facts.teams.", 0)));
+              text(team, "name", "facts.teams."),
+              number(team, "cpus", "facts.teams.", 0),
+              number(team, "cpus_max", "facts.teams.", 0),
+              number(team, "gpus", "facts.teams.", 0),
+              number(team, "gpus_max", "facts.teams.", 0)));
     }
     return teams;
   }
 
   private List<Settings.ServiceLevelObjective> objectives(JsonNode facts) throws SettingsException {
     List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
-    for (JsonNode o : facts.path("objectives")) {
+    for (JsonNode objective : facts.path("objectives")) {
       objectives.add(
           new Settings.ServiceLevelObjective(
-              text(o, "kind", "facts.objectives."),
-              o.path("class").asText(""),
-              MessageFields.duration(Math.max(0, o.path("within_s").asDouble(0)))));
+              text(objective, "kind", "facts.objectives."),
+              objective.path("class").asText(""),
+              MessageFields.duration(Math.max(0, objective.path("within_s").asDouble(0)))));
     }
     return objectives;
   }
 
   private JsonNode table(JsonNode from, String key, String where) throws SettingsException {
-    JsonNode n = from.path(key);
-    if (!n.isObject()) {
-      throw new SettingsException(file, where + key, describe(n), "a table");
+    JsonNode node = from.path(key);
+    if (!node.isObject()) {
+      throw new SettingsException(file, where + key, describe(node), "a table");
     }
-    return n;
+    return node;
   }
 
   private String text(JsonNode from, String key, String where) throws SettingsException {
-    JsonNode n = from.path(key);
-    if (!n.isTextual() || n.textValue().isBlank()) {
-      throw new SettingsException(file, where + key, describe(n), "a text");
+    JsonNode node = from.path(key);
+    if (!node.isTextual() || node.textValue().isBlank()) {
+      throw new SettingsException(file, where + key, describe(node), "a text");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
   private double number(JsonNode from, String key, String where, double least)
       throws SettingsException {
-    JsonNode n = from.path(key);
-    if (!n.isNumber() || !(n.doubleValue() >= least) || Double.isInfinite(n.doubleValue())) {
-      throw new SettingsException(file, where + key, describe(n), "a number of at least " + least);
+    JsonNode node = from.path(key);
+    if (!node.isNumber()
+        || !(node.doubleValue() >= least)
+        || Double.isInfinite(node.doubleValue())) {
+      throw new SettingsException(
+          file, where + key, describe(node), "a number of at least " + least);
     }
-    return n.doubleValue();
+    return node.doubleValue();
   }
 
   /** A limit of the machine that may be left out. */
@@ -206,7 +209,7 @@
     throw new SettingsException(file, where + key, text, "an address like 10.0.0.1:8080");
   }
 
-  private static String describe(JsonNode n) {
-    return n.isMissingNode() ? "nothing" : n.toString();
+  private static String describe(JsonNode node) {
+    return node.isMissingNode() ? "nothing" : node.toString();
   }
 }
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -1,6 +1,6 @@
 package io.pearscale.cli;
 
-import io.pearscale.cli.StateSession.Stored;
+import io.pearscale.cli.KeyValueStoreSession.StoredValue;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
@@ -19,12 +19,12 @@
   private StoredMachineRecords() {}
 
   /** All entries of the roster, one a machine. */
-  static Collection<MachineRecordCodec.MachineRecord> read(StateSession state)
+  static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession state)
       throws IOException, MalformedMessageException {
     Map<String, MachineRecordCodec.MachineRecord> byMachine = new LinkedHashMap<>();
     // What is written now is newer than what the other layout says of the same machine.
     for (RecordLayout layout : layouts(state)) {
-      for (Stored value : state.list(layout.machinePrefix()).values()) {
+      for (StoredValue value : state.list(layout.machinePrefix()).values()) {
         for (MachineRecordCodec.MachineRecord entry : MachineRecordCodec.decode(value.value())) {
           byMachine.putIfAbsent(entry.machine(), entry);
         }
@@ -34,10 +34,10 @@
   }
 
   /** Both layouts, first the one that is written. */
-  static List<RecordLayout> layouts(StateSession state)
+  static List<RecordLayout> layouts(KeyValueStoreSession state)
       throws IOException, MalformedMessageException {
-    Optional<Stored> level = state.read(Keys.LEVEL);
-    SchemaLevel inForce = SchemaLevel.fromStored(level.map(Stored::value));
+    Optional<StoredValue> level = state.read(Keys.LEVEL);
+    SchemaLevel inForce = SchemaLevel.fromStored(level.map(StoredValue::value));
     RecordLayout written = RecordLayout.ofLevel(inForce.writtenLevel());
     List<RecordLayout> layouts = new ArrayList<>();
     layouts.add(written);
--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -35,32 +35,32 @@
   private TuningReader() {}
 
   static Tuning read(Optional<Path> file) throws SettingsException {
-    Tuning d = Tuning.defaults();
+    Tuning defaults = Tuning.defaults();
     if (file.isEmpty()) {
-      return d;
+      return defaults;
     }
     Map<String, Double> values = values(file.get());
     return new Tuning(
-        (int) (double) values.getOrDefault("sample", (double) d.sampleSize()),
-        values.getOrDefault("stranded-weight", d.strandedWeight()),
-        values.getOrDefault("same-machine-weight", d.sameMachineWeight()),
-        values.getOrDefault("together-weight", d.packingWeight()),
-        values.getOrDefault("same-zone-weight", d.sameZoneWeight()),
-        values.getOrDefault("zone-balance-weight", d.zoneBalanceWeight()),
-        values.getOrDefault("image-weight", d.cachedImageWeight()),
-        values.getOrDefault("ordinary-weight", d.onDemandWeight()),
+        (int) (double) values.getOrDefault("sample", (double) defaults.sampleSize()),
+        values.getOrDefault("stranded-weight", defaults.strandedWeight()),
+        values.getOrDefault("same-machine-weight", defaults.sameMachineWeight()),
+        values.getOrDefault("together-weight", defaults.packingWeight()),
+        values.getOrDefault("same-zone-weight", defaults.sameZoneWeight()),
+        values.getOrDefault("zone-balance-weight", defaults.zoneBalanceWeight()),
+        values.getOrDefault("image-weight", defaults.cachedImageWeight()),
+        values.getOrDefault("ordinary-weight", defaults.onDemandWeight()),
         Optional.ofNullable(values.get("idle-release-s"))
             .map(s -> Duration.ofMillis((long) (s * 1000)))
-            .orElse(d.scaleInAfterIdle()),
-        values.getOrDefault("spare-share", d.reserveShare()),
-        values.getOrDefault("headroom-share", d.headroomShare()),
-        values.getOrDefault("spot-risk", d.spotRiskFactor()));
+            .orElse(defaults.scaleInAfterIdle()),
+        values.getOrDefault("spare-share", defaults.reserveShare()),
+        values.getOrDefault("headroom-share", defaults.headroomShare()),
+        values.getOrDefault("spot-risk", defaults.spotRiskFactor()));
   }
 
   private static Map<String, Double> values(Path file) throws SettingsException {
     Map<String, Double> values = new LinkedHashMap<>();
     try {
-      for (List<String> entry : Sexp.read(Files.readString(file))) {
+      for (List<String> entry : SExpressionReader.read(Files.readString(file))) {
         if (entry.size() != 2) {
           throw new SettingsException(file, "entry", entry.toString(), "a name and a value");
         }
@@ -70,18 +70,18 @@
         }
         String expected = "a number from " + range.least + " to " + range.most;
         try {
-          double v = Double.parseDouble(entry.get(1));
-          if (!(v >= range.least && v <= range.most)) {
+          double value = Double.parseDouble(entry.get(1));
+          if (!(value >= range.least && value <= range.most)) {
             throw new SettingsException(file, entry.get(0), entry.get(1), expected);
           }
-          values.put(entry.get(0), v);
+          values.put(entry.get(0), value);
         } catch (NumberFormatException e) {
           throw new SettingsException(file, entry.get(0), entry.get(1), expected);
         }
       }
     } catch (IOException e) {
       throw new SettingsException(file, "file", "nothing readable", "a file of S-expressions");
-    } catch (Sexp.Bad e) {
+    } catch (SExpressionReader.SExpressionException e) {
       throw new SettingsException(file, "file", e.getMessage(), "S-expressions");
     }
     return values;
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pearscale.cli.StateSession.Stored;
+import io.pearscale.cli.KeyValueStoreSession.StoredValue;
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.protocol.MalformedMessageException;
 import io.pearscale.protocol.Settings;
@@ -40,28 +40,28 @@
  * @param plan decides on steps; empty if the level can't be read
  */
 record UpgradeView(
-    Optional<Stored> level,
+    Optional<StoredValue> level,
     SupportedLevels build,
     Optional<String> objection,
     Set<String> hosts,
-    Map<String, Stored> members,
+    Map<String, StoredValue> members,
     int pendingValues,
     Optional<UpgradePlan> plan,
     Optional<String> leader,
     long term) {
 
   /** Reads all of it. */
-  static UpgradeView read(StateSession state, Settings settings, SupportedLevels build)
+  static UpgradeView read(KeyValueStoreSession state, Settings settings, SupportedLevels build)
       throws IOException {
-    Optional<Stored> level = state.read(Keys.LEVEL);
+    Optional<StoredValue> level = state.read(Keys.LEVEL);
     LevelGate gate = new LevelGate(build);
-    gate.update(level.map(Stored::value), level.map(Stored::stamp).orElse(0L));
+    gate.update(level.map(StoredValue::value), level.map(StoredValue::revision).orElse(0L));
     Set<String> hosts = settings.hosts();
-    Map<String, Stored> members = new TreeMap<>();
+    Map<String, StoredValue> members = new TreeMap<>();
     state
         .list(Keys.MEMBERS)
         .forEach((key, stored) -> members.put(key.substring(Keys.MEMBERS.length()), stored));
-    Map<String, Stored> records = new TreeMap<>();
+    Map<String, StoredValue> records = new TreeMap<>();
     for (RecordLayout layout : RecordLayout.values()) {
       records.putAll(state.list(layout.machinePrefix()));
       records.putAll(state.list(layout.placementPrefix()));
@@ -77,21 +77,21 @@
         hosts,
         members,
         inForce.map(l -> pendingValues(records, l.writtenLevel())).orElse(0),
-        inForce.map(l -> new UpgradePlan(l, hosts, supports(members), unsayable)),
+        inForce.map(l -> new UpgradePlan(l, hosts, supportByHost(members), unsayable)),
         state.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
         state.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
   }
 
-  private static Optional<SchemaLevel> parse(Optional<Stored> level) {
+  private static Optional<SchemaLevel> parse(Optional<StoredValue> level) {
     try {
-      return Optional.of(SchemaLevel.fromStored(level.map(Stored::value)));
+      return Optional.of(SchemaLevel.fromStored(level.map(StoredValue::value)));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
 
   /** A record that can't be read says nothing: its controller counts as not seen. */
-  private static Map<String, MemberSupport> supports(Map<String, Stored> members) {
+  private static Map<String, MemberSupport> supportByHost(Map<String, StoredValue> members) {
     Map<String, MemberSupport> supports = new TreeMap<>();
     members.forEach(
         (host, stored) -> {
@@ -104,10 +104,10 @@
     return supports;
   }
 
-  private static int pendingValues(Map<String, Stored> records, int written) {
+  private static int pendingValues(Map<String, StoredValue> records, int written) {
     RecordLayout layout = RecordLayout.ofLevel(written);
     int pending = 0;
-    for (Map.Entry<String, Stored> record : records.entrySet()) {
+    for (Map.Entry<String, StoredValue> record : records.entrySet()) {
       String key = record.getKey();
       boolean inPlace =
           layout.containsKey(key)
@@ -124,7 +124,7 @@
 
   /** Jobs that an earlier level can't hold: gangs, and such as need larger values. */
   private static Map<Feature, List<String>> jobsOfLaterLevels(
-      Map<String, Stored> jobs, Settings settings) {
+      Map<String, StoredValue> jobs, Settings settings) {
     RecordLayout earlier = RecordLayout.POSITIONAL;
     List<String> gangs = new ArrayList<>();
     List<String> large = new ArrayList<>();
@@ -144,9 +144,9 @@
     return Map.of(Feature.GANG_JOBS, gangs, Feature.SMALL_VALUES, large);
   }
 
-  private static List<String> inMaintenance(Map<String, Stored> records) {
+  private static List<String> inMaintenance(Map<String, StoredValue> records) {
     Set<String> names = new TreeSet<>();
-    for (Map.Entry<String, Stored> record : records.entrySet()) {
+    for (Map.Entry<String, StoredValue> record : records.entrySet()) {
       if (!Keys.isMachineRecords(record.getKey())) {
         continue;
       }
@@ -162,10 +162,10 @@
   }
 
   /** What a step is held to: none of the records of controllers that it rests on has changed. */
-  List<Precondition> guards() {
+  List<Precondition> preconditions() {
     List<Precondition> guards = new ArrayList<>();
     for (String host : hosts) {
-      long stamp = members.containsKey(host) ? members.get(host).stamp() : 0;
+      long stamp = members.containsKey(host) ? members.get(host).revision() : 0;
       guards.add(new Precondition(Keys.member(host), stamp));
     }
     return guards;
@@ -173,7 +173,7 @@
 
   /** The stored record of the level, with fields that a later release may have added. */
   JsonNode storedLevel() {
-    return level.map(Stored::value).orElse(MessagePack.MISSING);
+    return level.map(StoredValue::value).orElse(MessagePack.MISSING);
   }
 
   private String levelInForce() {
@@ -198,7 +198,7 @@
   }
 
   private Map<String, String> controllers() {
-    Map<String, MemberSupport> supports = supports(members);
+    Map<String, MemberSupport> supports = supportByHost(members);
     Map<String, String> controllers = new TreeMap<>();
     for (String host : hosts) {
       MemberSupport support = supports.get(host);
--- a/src/main/java/io/pearscale/cli/WarmUp.java
+++ b/src/main/java/io/pearscale/cli/WarmUp.java
@@ -81,7 +81,7 @@
   @Override
   public Integer call() throws Exception {
     int[] ports = freePorts();
-    XnioWorker worker = Server.oneThread();
+    XnioWorker worker = Server.newSingleThreadWorker();
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 50, 4);
     HttpServer stub =
         new HttpServer(
@@ -106,7 +106,7 @@
         ask(loop, calls, self, "POST", "/work", job());
         ask(loop, calls, self, "POST", "/work", gang());
         ask(loop, calls, self, "GET", "/work/wk-000001", MessagePack.MISSING);
-        ask(loop, calls, self, "POST", "/checkin", services.report(stubAddress));
+        ask(loop, calls, self, "POST", "/checkin", services.heartbeat(stubAddress));
         ask(loop, calls, self, "POST", "/checkin", MessagePack.map());
       }
       Thread.sleep(ROUND.toMillis());
@@ -127,8 +127,8 @@
       held[i] = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
       ports[i] = held[i].getLocalPort();
     }
-    for (ServerSocket s : held) {
-      s.close();
+    for (ServerSocket socket : held) {
+      socket.close();
     }
     return ports;
   }
@@ -194,8 +194,8 @@
   }
 
   /** A well-formed report. */
-  static ObjectNode report(String address) {
-    ObjectNode n =
+  static ObjectNode heartbeat(String address) {
+    ObjectNode heartbeat =
         MessagePack.map()
             .put("hive", "m-000001")
             .put("address", address)
@@ -205,11 +205,12 @@
             .put("stint", 1)
             .put("tally", 1)
             .put("baton", 0);
-    n.putArray("pieces")
+    heartbeat
+        .putArray("pieces")
         .addObject()
         .put("piece", "wk-000009/0")
         .put("try", 1)
         .put("stage", "running");
-    return n;
+    return heartbeat;
   }
 }
--- a/src/main/java/io/pearscale/cli/WarmUpServices.java
+++ b/src/main/java/io/pearscale/cli/WarmUpServices.java
@@ -38,7 +38,7 @@
     } else if (path.equals("/do")) {
       token = Math.max(token, request.path("baton").asLong());
       request.path("orders").forEach(this::execute);
-      respond.accept(Response.of(200, report(address)));
+      respond.accept(Response.of(200, heartbeat(address)));
     } else if (path.equals("/keys")) {
       // An old list: what has changed since comes with the watch.
       respond.accept(Response.of(200, anything().put("epoch", 1)));
@@ -82,9 +82,9 @@
   }
 
   /** The worker's next report; every second one says that its tasks are done. */
-  synchronized ObjectNode report(String workerAddress) {
+  synchronized ObjectNode heartbeat(String workerAddress) {
     address = workerAddress;
-    ObjectNode report = WarmUp.report(address).put("tally", ++sequence).put("baton", token);
+    ObjectNode report = WarmUp.heartbeat(address).put("tally", ++sequence).put("baton", token);
     ArrayNode list = report.putArray("pieces");
     tasks.forEach(
         (task, attempt) -> {
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -350,7 +350,7 @@
     long t = knownTerm();
     if (isLeader(peer, t)) {
       // What it wrote last may still be on its way.
-      loop.after(
+      loop.schedule(
           SETTLE_DELAY, () -> store.get(Keys.TERM, r -> tell(new FirstTermProbe(t, peer, r))));
     }
   }
@@ -358,7 +358,7 @@
   private void firstTermProbe(FirstTermProbe m) {
     if (m.reply.ok() && isLeader(m.peer, m.term)) {
       long stamp = m.reply.body().path("stamp").asLong();
-      loop.after(
+      loop.schedule(
           LEADER_PROBE_INTERVAL,
           () -> store.get(Keys.TERM, r -> tell(new SecondTermProbe(m.term, m.peer, stamp, r))));
     }
@@ -379,7 +379,7 @@
   private void scheduleCampaign(Duration delay) {
     campaigning = true;
     int r = ++round;
-    loop.after(delay.plusMillis(1), () -> tell(new CampaignDue(r)));
+    loop.schedule(delay.plusMillis(1), () -> tell(new CampaignDue(r)));
   }
 
   private void campaign() {
@@ -462,7 +462,7 @@
     listeners.forEach(l -> l.elected(term, termStamp, provenAt));
     int r = round;
     leaseRenewer.start(leaseId, (sent, reply) -> tell(new LeaseRenewalAnswered(r, sent, reply)));
-    loop.after(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
+    loop.schedule(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
     scheduleProofExpiry();
   }
 
@@ -471,7 +471,7 @@
     int r = round;
     Instant now = loop.clock().instant();
     leaseRenewer.noteProgress();
-    loop.after(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
+    loop.schedule(LeaderLeaseRenewer.RENEWAL_INTERVAL, () -> tell(new RenewalDue(r)));
     if (Duration.between(provenAt, now).compareTo(CONFIRMATION_TIMEOUT) > 0) {
       requestConfirmations(now);
     }
@@ -534,7 +534,7 @@
     Duration left =
         Duration.between(loop.clock().instant(), provenAt.plus(settings.renewalAuthorityTimeout()))
             .plusMillis(5);
-    loop.after(left.isNegative() ? Duration.ofMillis(1) : left, () -> tell(new ProofExpired(r)));
+    loop.schedule(left.isNegative() ? Duration.ofMillis(1) : left, () -> tell(new ProofExpired(r)));
   }
 
   private void proofExpired() {
--- a/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
+++ b/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
@@ -164,7 +164,7 @@
   private void scheduleSweep() {
     if (!sweepScheduled) {
       sweepScheduled = true;
-      loop.after(SWEEP_INTERVAL, () -> tell(new SweepDue()));
+      loop.schedule(SWEEP_INTERVAL, () -> tell(new SweepDue()));
     }
   }
 
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -63,7 +63,7 @@
 
   private void scheduleRenewal(
       int renewalGeneration, long leaseId, BiConsumer<Instant, Reply> answered) {
-    renewalLoop.after(RENEWAL_INTERVAL, () -> renew(renewalGeneration, leaseId, answered));
+    renewalLoop.schedule(RENEWAL_INTERVAL, () -> renew(renewalGeneration, leaseId, answered));
   }
 
   private void renew(int renewalGeneration, long leaseId, BiConsumer<Instant, Reply> answered) {
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -86,7 +86,7 @@
     } else {
       announce();
     }
-    loop.after(leaseTtl.dividedBy(RENEWALS_PER_LEASE), () -> tell(new RenewalDue()));
+    loop.schedule(leaseTtl.dividedBy(RENEWALS_PER_LEASE), () -> tell(new RenewalDue()));
   }
 
   private void announce() {
@@ -100,7 +100,7 @@
       leaseId = OptionalLong.of(reply.body().path("claim").asLong());
       write();
     } else {
-      loop.after(RETRY_DELAY, () -> tell(new RetryDue()));
+      loop.schedule(RETRY_DELAY, () -> tell(new RetryDue()));
     }
   }
 
@@ -142,7 +142,7 @@
     } else {
       log.debug("event=support_not_announced host={} status={}", host, reply.status());
       leaseId = OptionalLong.empty();
-      loop.after(RETRY_DELAY, () -> tell(new RetryDue()));
+      loop.schedule(RETRY_DELAY, () -> tell(new RetryDue()));
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/ApiActor.java
+++ b/src/main/java/io/pearscale/scheduler/ApiActor.java
@@ -233,7 +233,7 @@
       return;
     }
     if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
-      answer.accept(Response.later(RETRY_AFTER, loaded ? "busy" : "starting"));
+      answer.accept(Response.unavailable(RETRY_AFTER, loaded ? "busy" : "starting"));
       return;
     }
     if (liveJobs.contains(spec.id())) {
@@ -261,10 +261,11 @@
   /** What stands against a new job; empty when it can be accepted. */
   private Optional<Response> validate(JobSpec spec) {
     if (machineTypes.isEmpty()) {
-      return Optional.of(Response.later(Duration.ofSeconds(2), "machine types unknown as yet"));
+      return Optional.of(
+          Response.unavailable(Duration.ofSeconds(2), "machine types unknown as yet"));
     }
     if (liveJobs.size() >= MAX_LIVE_JOBS) {
-      return Optional.of(Response.later(Duration.ofSeconds(30), "too many jobs"));
+      return Optional.of(Response.unavailable(Duration.ofSeconds(30), "too many jobs"));
     }
     Team team = teams.get(spec.team());
     if (team == null) {
@@ -308,7 +309,7 @@
     return maxRecordSize(spec, RecordLayout.NUMBERED) <= longest
             && levelGate.supports(Feature.SMALL_VALUES)
         ? Optional.of(
-            Response.later(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
+            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
         : reject("its tasks can't be recorded in values of " + longest + " bytes");
   }
 
@@ -332,7 +333,8 @@
     }
     return levelGate.isEnabled(Feature.GANG_JOBS)
         ? Optional.empty()
-        : Optional.of(Response.later(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
+        : Optional.of(
+            Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers serve gangs yet"));
   }
 
   private static Optional<Response> reject(String reason) {
@@ -350,7 +352,7 @@
     } else {
       // Whether it was applied is open. The user asks again with the same id, which settles it.
       log.info("event=refused job={} status={}", jobId, m.reply.status());
-      m.respond.accept(Response.later(RETRY_AFTER, "state service"));
+      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
     }
   }
 
@@ -362,7 +364,7 @@
     } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
       return otherwise.get();
     }
-    return Response.later(RETRY_AFTER, "state service");
+    return Response.unavailable(RETRY_AFTER, "state service");
   }
 
   // ---- Asking ----
@@ -456,7 +458,7 @@
     } else if (lookup instanceof NoSuchJob) {
       return Response.of(404, MessagePack.map().put("error", "no such job"));
     }
-    return Response.later(RETRY_AFTER, "state service");
+    return Response.unavailable(RETRY_AFTER, "state service");
   }
 
   // ---- Cancelling ----
@@ -497,7 +499,7 @@
       // Done or cancelled meanwhile: look again.
       cancel(m.jobId, m.respond, m.retries + 1);
     } else {
-      m.respond.accept(Response.later(RETRY_AFTER, "state service"));
+      m.respond.accept(Response.unavailable(RETRY_AFTER, "state service"));
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/CloudActor.java
@@ -139,7 +139,7 @@
     } else if (message instanceof Tick m && m.generation == generation) {
       nextCall();
       int tickGeneration = generation;
-      loop.after(Duration.ofMillis(100), () -> tell(new Tick(tickGeneration)));
+      loop.schedule(Duration.ofMillis(100), () -> tell(new Tick(tickGeneration)));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -315,12 +315,12 @@
     if (peerTransport.connected().size() < settings.peers().size()) {
       scheduler.tell(new SchedulerActor.StoreHeartbeatDue());
     }
-    loop.after(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::storeHeartbeat);
+    loop.schedule(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::storeHeartbeat);
   }
 
   private void peerHeartbeat() {
     broadcast(new ControllerHeartbeat(term, leader.orElse(""), isStoreHealthy()));
-    loop.after(PEER_HEARTBEAT_INTERVAL, this::peerHeartbeat);
+    loop.schedule(PEER_HEARTBEAT_INTERVAL, this::peerHeartbeat);
   }
 
   private boolean isStoreHealthy() {
@@ -424,7 +424,7 @@
       respond.accept(
           isServing()
               ? Response.of(200, MessagePack.map().put("ok", true))
-              : Response.later(Duration.ofSeconds(1), "not ready"));
+              : Response.unavailable(Duration.ofSeconds(1), "not ready"));
     } else if (path.equals(HEARTBEAT_PATH) && method.equals("POST")) {
       handleHeartbeat(body, respond);
     } else if (path.equals("/work") && method.equals("POST")) {
@@ -440,9 +440,9 @@
 
   private void forwardToApi(ApiActor.Message message, Consumer<Response> respond) {
     if (levelGate.objection().isPresent()) {
-      respond.accept(Response.later(INCOMPATIBLE_RETRY_AFTER, levelGate.objection().get()));
+      respond.accept(Response.unavailable(INCOMPATIBLE_RETRY_AFTER, levelGate.objection().get()));
     } else if (!api.offer(message)) {
-      respond.accept(Response.later(Duration.ofSeconds(2), "busy"));
+      respond.accept(Response.unavailable(Duration.ofSeconds(2), "busy"));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -295,7 +295,7 @@
 
   private void scheduleTick() {
     long term = leadership.term();
-    loop.after(TICK_INTERVAL, () -> tell(new DeferredAction(term, this::tick)));
+    loop.schedule(TICK_INTERVAL, () -> tell(new DeferredAction(term, this::tick)));
   }
 
   private void tick() {
@@ -343,7 +343,7 @@
     @Override
     public void after(Duration delay, Runnable action) {
       long term = leadership.term();
-      loop.after(delay, () -> tell(new DeferredAction(term, action)));
+      loop.schedule(delay, () -> tell(new DeferredAction(term, action)));
     }
 
     @Override
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -127,7 +127,7 @@
 
   private void onPage(Reply reply) {
     if (!reply.ok() || !reply.body().path("pairs").isArray()) {
-      loop.after(withJitter(RETRY_DELAY), () -> tell(new Start()));
+      loop.schedule(withJitter(RETRY_DELAY), () -> tell(new Start()));
       return;
     }
     if (snapshotRevision < 0) {
@@ -180,7 +180,7 @@
       listeners.forEach(l -> l.onUpToDate(received.sentAt));
     }
     int requestedGeneration = generation;
-    loop.after(
+    loop.schedule(
         valid ? WATCH_REOPEN_DELAY : withJitter(RETRY_DELAY),
         () -> {
           if (requestedGeneration == generation) {
@@ -231,7 +231,7 @@
   private void scheduleBarrier() {
     if (!barrierScheduled) {
       barrierScheduled = true;
-      loop.after(Duration.ofMillis(2), () -> tell(new SendBarrier()));
+      loop.schedule(Duration.ofMillis(2), () -> tell(new SendBarrier()));
     }
   }
 
@@ -245,7 +245,7 @@
         storeRevision,
         Duration.ZERO,
         reply -> tell(new BarrierReceived(requestedGeneration, sentAt, reads, reply)));
-    loop.after(
+    loop.schedule(
         BARRIER_INTERVAL,
         () -> {
           barrierScheduled = false;
--- a/src/main/java/io/pearscale/transport/Actor.java
+++ b/src/main/java/io/pearscale/transport/Actor.java
@@ -17,15 +17,15 @@
  */
 public abstract class Actor<M> {
   /** Requests are refused while so many messages wait. */
-  static final int MOST_WAITING = 8192;
+  static final int MAILBOX_CAPACITY = 8192;
 
-  private static final int BATCH = 64;
+  private static final int MESSAGES_PER_TURN = 64;
 
   protected final Logger log = LoggerFactory.getLogger(getClass());
   protected final EventLoop loop;
   private final ManyToOneConcurrentLinkedQueue<M> mailbox = new ManyToOneConcurrentLinkedQueue<>();
-  private int waiting;
-  private boolean awake;
+  private int queuedMessages;
+  private boolean drainScheduled;
 
   /** Makes an actor whose messages are handled on the loop, one after the other. */
   protected Actor(EventLoop loop) {
@@ -34,7 +34,7 @@
 
   /** Leaves a request; false when too much waits already and it was not taken. */
   public final boolean offer(M request) {
-    if (waiting >= MOST_WAITING) {
+    if (queuedMessages >= MAILBOX_CAPACITY) {
       log.warn("event=mailbox_full actor={}", getClass().getSimpleName());
       return false;
     }
@@ -45,9 +45,9 @@
   /** Leaves a message; it is handled after those that were left before. */
   public final void tell(M message) {
     mailbox.offer(message);
-    waiting++;
-    if (!awake) {
-      awake = true;
+    queuedMessages++;
+    if (!drainScheduled) {
+      drainScheduled = true;
       loop.execute(this::drain);
     }
   }
@@ -58,8 +58,8 @@
   private void drain() {
     M message;
     int handled = 0;
-    while (handled++ < BATCH && (message = mailbox.poll()) != null) {
-      waiting--;
+    while (handled++ < MESSAGES_PER_TURN && (message = mailbox.poll()) != null) {
+      queuedMessages--;
       try {
         receive(message);
       } catch (RuntimeException e) {
@@ -71,8 +71,8 @@
             e);
       }
     }
-    awake = waiting > 0;
-    if (awake) {
+    drainScheduled = queuedMessages > 0;
+    if (drainScheduled) {
       loop.execute(this::drain);
     }
   }
--- a/src/main/java/io/pearscale/transport/BodyReader.java
+++ b/src/main/java/io/pearscale/transport/BodyReader.java
@@ -13,63 +13,64 @@
  */
 final class BodyReader {
   /** For a body whose length was not said. */
-  private static final int FIRST_SIZE = 1024;
+  private static final int INITIAL_CAPACITY = 1024;
 
-  private final Consumer<byte[]> whole;
-  private final Consumer<IOException> failed;
+  private final Consumer<byte[]> onComplete;
+  private final Consumer<IOException> onFailure;
   private byte[] bytes;
   private int length;
 
-  private BodyReader(long declared, Consumer<byte[]> whole, Consumer<IOException> failed) {
-    this.whole = whole;
-    this.failed = failed;
+  private BodyReader(
+      long contentLength, Consumer<byte[]> onComplete, Consumer<IOException> onFailure) {
+    this.onComplete = onComplete;
+    this.onFailure = onFailure;
     // One more than was said, so that the end is met without another buffer.
-    this.bytes = new byte[declared >= 0 ? (int) declared + 1 : FIRST_SIZE];
+    this.bytes = new byte[contentLength >= 0 ? (int) contentLength + 1 : INITIAL_CAPACITY];
   }
 
   /**
    * Reads to the end, now or when more has come.
    *
-   * @param longest the longest body; a longer one fails
+   * @param maxLength the longest body; a longer one fails
    */
   static void read(
       HttpServerExchange exchange,
-      long longest,
-      Consumer<byte[]> whole,
-      Consumer<IOException> failed) {
+      long maxLength,
+      Consumer<byte[]> onComplete,
+      Consumer<IOException> onFailure) {
     if (exchange.isRequestComplete()) {
-      whole.accept(new byte[0]);
+      onComplete.accept(new byte[0]);
       return;
     }
-    long declared = exchange.getRequestContentLength();
-    if (declared > longest) {
-      failed.accept(new IOException("body of " + declared + " bytes"));
+    long contentLength = exchange.getRequestContentLength();
+    if (contentLength > maxLength) {
+      onFailure.accept(new IOException("body of " + contentLength + " bytes"));
       return;
     }
-    new BodyReader(declared, whole, failed).readMore(exchange.getRequestChannel());
+    new BodyReader(contentLength, onComplete, onFailure).readMore(exchange.getRequestChannel());
   }
 
   private void readMore(StreamSourceChannel channel) {
     try {
-      int n = channel.read(ByteBuffer.wrap(bytes, length, bytes.length - length));
-      while (n > 0) {
-        length += n;
+      int count = channel.read(ByteBuffer.wrap(bytes, length, bytes.length - length));
+      while (count > 0) {
+        length += count;
         if (length == bytes.length) {
           bytes = Arrays.copyOf(bytes, 2 * length);
         }
-        n = channel.read(ByteBuffer.wrap(bytes, length, bytes.length - length));
+        count = channel.read(ByteBuffer.wrap(bytes, length, bytes.length - length));
       }
-      if (n == 0) {
+      if (count == 0) {
         channel.getReadSetter().set(this::readMore);
         channel.resumeReads();
         return;
       }
     } catch (IOException e) {
       channel.suspendReads();
-      failed.accept(e);
+      onFailure.accept(e);
       return;
     }
     channel.suspendReads();
-    whole.accept(Arrays.copyOf(bytes, length));
+    onComplete.accept(Arrays.copyOf(bytes, length));
   }
 }
--- a/src/main/java/io/pearscale/transport/NoManagement.java
+++ b/src/main/java/io/pearscale/transport/DisabledMBeanServerBuilder.java
@@ -10,13 +10,13 @@
  * all of its beans: a tenth of a second of processor time, a quarter of what the main thread takes
  * for a start. XNIO does without when registering fails.
  */
-public final class NoManagement extends MBeanServerBuilder {
+public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
   /** Names the builder of management servers to the JVM. */
   private static final String BUILDER = "javax.management.builder.initial";
 
   /** Is to be called before XNIO is touched. */
   public static void install() {
-    System.setProperty(BUILDER, NoManagement.class.getName());
+    System.setProperty(BUILDER, DisabledMBeanServerBuilder.class.getName());
   }
 
   @Override
--- a/src/main/java/io/pearscale/transport/EventLoop.java
+++ b/src/main/java/io/pearscale/transport/EventLoop.java
@@ -12,7 +12,7 @@
   void execute(Runnable task);
 
   /** Runs the task once, after the delay. */
-  void after(Duration delay, Runnable task);
+  void schedule(Duration delay, Runnable task);
 
   /** The steady clock: never set back, with an arbitrary origin. */
   InstantSource clock();
--- a/src/main/java/io/pearscale/transport/HttpClient.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -28,7 +28,7 @@
    */
   record Reply(int status, JsonNode body) {
     /** No answer came. */
-    public static final Reply NONE = new Reply(0, MessagePack.MISSING);
+    public static final Reply NO_RESPONSE = new Reply(0, MessagePack.MISSING);
 
     /** There was no socket for it. It was not sent, and will not be carried out. */
     public static final Reply NOT_SENT = new Reply(0, MessagePack.map());
--- a/src/main/java/io/pearscale/transport/HttpServer.java
+++ b/src/main/java/io/pearscale/transport/HttpServer.java
@@ -30,10 +30,10 @@
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final long MAX_BODY = 64 * 1024;
+  private static final long MAX_BODY_BYTES = 64 * 1024;
 
   /** A fleet whose controller comes back connects all at once, and a full queue drops attempts. */
-  private static final int LEAST_BACKLOG = 256;
+  private static final int MIN_BACKLOG = 256;
 
   /** What a request is answered with. */
   public record Response(int status, Body body, Optional<Duration> retryAfter, boolean close) {
@@ -48,9 +48,12 @@
     }
 
     /** A refusal that tells the client when to come back; given at once, never held. */
-    public static Response later(Duration when, String why) {
+    public static Response unavailable(Duration retryAfter, String reason) {
       return new Response(
-          503, Body.of(MessagePack.map().put("error", why)), Optional.of(when), /* close= */ true);
+          503,
+          Body.of(MessagePack.map().put("error", reason)),
+          Optional.of(retryAfter),
+          /* close= */ true);
     }
   }
 
@@ -67,29 +70,29 @@
           Optional.empty(),
           /* close= */ true);
 
-  private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
+  private static final AttachmentKey<Boolean> TRACKED = AttachmentKey.create(Boolean.class);
 
   private final Undertow undertow;
-  private final int crowded;
-  private final Predicate<String> yielding;
-  private int open;
+  private final int keepAliveLimit;
+  private final Predicate<String> closedWhenCrowded;
+  private int openConnections;
 
   /**
    * Prepares a server on the address, run by the worker.
    *
-   * @param keptConnections how many may be open before connections are closed with their answers
-   * @param yielding paths of those whose connections are closed then
+   * @param keepAliveLimit how many may be open before connections are closed with their answers
+   * @param closedWhenCrowded paths of those whose connections are closed then
    */
   public HttpServer(
       InetSocketAddress address,
       XnioWorker worker,
       ByteBufferPool buffers,
       int maxConnections,
-      int keptConnections,
-      Predicate<String> yielding,
+      int keepAliveLimit,
+      Predicate<String> closedWhenCrowded,
       Handler handler) {
-    this.crowded = keptConnections;
-    this.yielding = yielding;
+    this.keepAliveLimit = keepAliveLimit;
+    this.closedWhenCrowded = closedWhenCrowded;
     undertow =
         Undertow.builder()
             .setWorker(worker)
@@ -97,8 +100,8 @@
             .addHttpListener(address.getPort(), address.getAddress().getHostAddress())
             .setSocketOption(org.xnio.Options.CONNECTION_HIGH_WATER, maxConnections)
             .setSocketOption(org.xnio.Options.CONNECTION_LOW_WATER, maxConnections)
-            .setSocketOption(org.xnio.Options.BACKLOG, Math.max(LEAST_BACKLOG, maxConnections))
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY)
+            .setSocketOption(org.xnio.Options.BACKLOG, Math.max(MIN_BACKLOG, maxConnections))
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
             .setHandler(
@@ -119,23 +122,23 @@
   }
 
   /** Connections on which anything was asked. */
-  public int open() {
-    return open;
+  public int openConnections() {
+    return openConnections;
   }
 
-  private void count(ServerConnection connection) {
-    if (connection.getAttachment(COUNTED) == null) {
-      connection.putAttachment(COUNTED, true);
-      open++;
-      connection.addCloseListener(c -> open--);
+  private void trackConnection(ServerConnection connection) {
+    if (connection.getAttachment(TRACKED) == null) {
+      connection.putAttachment(TRACKED, true);
+      openConnections++;
+      connection.addCloseListener(c -> openConnections--);
     }
   }
 
   private void receive(HttpServerExchange exchange, Handler handler) {
-    count(exchange.getConnection());
+    trackConnection(exchange.getConnection());
     BodyReader.read(
         exchange,
-        MAX_BODY,
+        MAX_BODY_BYTES,
         bytes -> handle(exchange, bytes, handler),
         failure -> respond(exchange, UNREADABLE));
   }
@@ -150,7 +153,7 @@
     } catch (RuntimeException e) {
       // A user must never see a trace, whatever the request did to us.
       LOG.error("event=request_failed path={}", exchange.getRequestPath(), e);
-      respond(exchange, Response.later(Duration.ofSeconds(1), "internal"));
+      respond(exchange, Response.unavailable(Duration.ofSeconds(1), "internal"));
     }
   }
 
@@ -166,7 +169,9 @@
                 exchange
                     .getResponseHeaders()
                     .put(Headers.RETRY_AFTER, Long.toString(Math.max(1, d.toSeconds()))));
-    if (response.close() || (open > crowded && yielding.test(exchange.getRequestPath()))) {
+    if (response.close()
+        || (openConnections > keepAliveLimit
+            && closedWhenCrowded.test(exchange.getRequestPath()))) {
       exchange.setPersistent(false);
       // At once, not when the client closes its side, which one that is cut off never does.
       exchange.addExchangeCompleteListener(
--- a/src/main/java/io/pearscale/transport/SteadyClock.java
+++ b/src/main/java/io/pearscale/transport/MonotonicClock.java
@@ -7,11 +7,11 @@
  * The machine's steady clock as an {@link InstantSource}. Its origin is the start of the process:
  * leases must not depend on the time of day, which may be wrong and may be set.
  */
-public final class SteadyClock implements InstantSource {
-  private final long origin = System.nanoTime();
+public final class MonotonicClock implements InstantSource {
+  private final long originNanos = System.nanoTime();
 
   @Override
   public Instant instant() {
-    return Instant.EPOCH.plusNanos(System.nanoTime() - origin);
+    return Instant.EPOCH.plusNanos(System.nanoTime() - originNanos);
   }
 }
--- a/src/main/java/io/pearscale/transport/PeerTransport.java
+++ b/src/main/java/io/pearscale/transport/PeerTransport.java
@@ -21,6 +21,6 @@
     void received(String peer, byte[] frame);
 
     /** The peer closed its link and refuses new ones: its process may have ended. */
-    void ended(String peer);
+    void processEnded(String peer);
   }
 }
--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -35,31 +35,31 @@
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
-  private static final int MAX_FRAME = 4 << 20;
-  private static final int MAX_QUEUE = 8 << 20;
-  private static final Duration SILENCE = Duration.ofSeconds(3);
-  private static final Duration RETRY = Duration.ofMillis(400);
-  private static final Duration DIAL = Duration.ofSeconds(2);
-  private static final Duration GATHER = Duration.ofMillis(15);
-  private static final int MOST_GATHERED = 64;
+  private static final int MAX_FRAME_BYTES = 4 << 20;
+  private static final int MAX_QUEUED_BYTES = 8 << 20;
+  private static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration REDIAL_DELAY = Duration.ofMillis(400);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration BATCH_DELAY = Duration.ofMillis(15);
+  private static final int MAX_FRAMES_PER_WRITE = 64;
 
   private final EventLoop loop;
   private final XnioWorker worker;
   private final String self;
   private final String greeting;
-  private final Predicate<String> accepted;
+  private final Predicate<String> acceptsGreeting;
   private final Receiver receiver;
   private final Map<String, Peer> peers = new HashMap<>();
 
   private static final class Peer {
     final String name;
     final InetSocketAddress address;
-    StreamConnection out;
+    StreamConnection outbound;
     final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-    int queued;
-    boolean flushPlanned;
-    Instant heard = Instant.MIN;
-    boolean wasUp;
+    int queuedBytes;
+    boolean flushScheduled;
+    Instant lastReceived = Instant.MIN;
+    boolean wasConnected;
 
     Peer(String name, InetSocketAddress address) {
       this.name = name;
@@ -71,21 +71,22 @@
    * Prepares links.
    *
    * @param greeting names the versions of records that this side understands
-   * @param accepted which greetings of the other side name a version that this one understands
+   * @param acceptsGreeting which greetings of the other side name a version that this one
+   *     understands
    */
   public TcpPeerTransport(
       EventLoop loop,
       XnioWorker worker,
       String self,
       String greeting,
-      Predicate<String> accepted,
+      Predicate<String> acceptsGreeting,
       Map<String, InetSocketAddress> addresses,
       Receiver receiver) {
     this.loop = loop;
     this.worker = worker;
     this.self = self;
     this.greeting = greeting;
-    this.accepted = accepted;
+    this.acceptsGreeting = acceptsGreeting;
     this.receiver = receiver;
     addresses.forEach((name, address) -> peers.put(name, new Peer(name, address)));
   }
@@ -95,9 +96,9 @@
     ChannelListener<org.xnio.channels.AcceptingChannel<StreamConnection>> acceptor =
         channel -> {
           try {
-            StreamConnection c;
-            while ((c = channel.accept()) != null) {
-              new Reader(c).start();
+            StreamConnection connection;
+            while ((connection = channel.accept()) != null) {
+              new FrameReader(connection).start();
             }
           } catch (IOException e) {
             LOG.debug("event=peer_accept_failed reason={}", e.getMessage());
@@ -114,11 +115,11 @@
 
   @Override
   public Set<String> connected() {
-    Instant limit = loop.clock().instant().minus(SILENCE);
+    Instant limit = loop.clock().instant().minus(LIVENESS_TIMEOUT);
     Set<String> result = new LinkedHashSet<>();
-    for (Peer p : peers.values()) {
-      if (isConnected(p, limit)) {
-        result.add(p.name);
+    for (Peer peer : peers.values()) {
+      if (isConnected(peer, limit)) {
+        result.add(peer.name);
       }
     }
     return result;
@@ -127,51 +128,51 @@
   @Override
   public boolean isConnected(String peer) {
     Peer p = peers.get(peer);
-    return p != null && isConnected(p, loop.clock().instant().minus(SILENCE));
+    return p != null && isConnected(p, loop.clock().instant().minus(LIVENESS_TIMEOUT));
   }
 
   private static boolean isConnected(Peer p, Instant limit) {
-    return p.out != null && p.heard.isAfter(limit);
+    return p.outbound != null && p.lastReceived.isAfter(limit);
   }
 
   @Override
   public boolean send(String peer, byte[] frame) {
     Peer p = peers.get(peer);
-    if (p == null || p.out == null) {
+    if (p == null || p.outbound == null) {
       return false;
     }
-    if (p.queued + frame.length > MAX_QUEUE) {
+    if (p.queuedBytes + frame.length > MAX_QUEUED_BYTES) {
       LOG.warn("event=peer_queue_full peer={}", peer);
-      drop(p, p.out);
+      disconnect(p, p.outbound);
       return false;
     }
     enqueue(p, frame);
-    if (!p.flushPlanned) {
+    if (!p.flushScheduled) {
       // Records come in crowds; each write costs as much as many records.
-      p.flushPlanned = true;
-      loop.after(
-          GATHER,
+      p.flushScheduled = true;
+      loop.schedule(
+          BATCH_DELAY,
           () -> {
-            p.flushPlanned = false;
+            p.flushScheduled = false;
             flush(p);
           });
     }
     return true;
   }
 
-  private static void enqueue(Peer p, byte[] frame) {
+  private static void enqueue(Peer peer, byte[] frame) {
     ByteBuffer buffer = ByteBuffer.allocate(4 + frame.length);
     buffer.putInt(frame.length).put(frame).flip();
-    p.queue.add(buffer);
-    p.queued += buffer.remaining();
+    peer.queue.add(buffer);
+    peer.queuedBytes += buffer.remaining();
   }
 
-  private void dial(Peer p) {
+  private void dial(Peer peer) {
     IoFuture<StreamConnection> future =
         worker.openStreamConnection(
-            p.address, c -> {}, OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
-    loop.after(
-        DIAL,
+            peer.address, c -> {}, OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
+    loop.schedule(
+        CONNECT_TIMEOUT,
         () -> {
           if (future.getStatus() == IoFuture.Status.WAITING) {
             future.cancel();
@@ -183,72 +184,75 @@
                 () -> {
                   try {
                     if (f.getStatus() == IoFuture.Status.DONE) {
-                      opened(p, f.get());
+                      connectionOpened(peer, f.get());
                       return;
                     }
                     if (f.getStatus() == IoFuture.Status.FAILED
                         && f.getException() instanceof ConnectException
-                        && p.wasUp) {
-                      p.wasUp = false;
-                      receiver.ended(p.name);
+                        && peer.wasConnected) {
+                      peer.wasConnected = false;
+                      receiver.processEnded(peer.name);
                     }
                   } catch (IOException e) {
-                    LOG.debug("event=peer_dial_failed peer={} reason={}", p.name, e.getMessage());
+                    LOG.debug(
+                        "event=peer_dial_failed peer={} reason={}", peer.name, e.getMessage());
                   }
-                  loop.after(RETRY, () -> dial(p));
+                  loop.schedule(REDIAL_DELAY, () -> dial(peer));
                 }),
         null);
   }
 
-  private void opened(Peer p, StreamConnection c) {
-    p.out = c;
-    p.wasUp = true;
-    p.queue.clear();
-    p.queued = 0;
-    c.getCloseSetter().set(x -> loop.execute(() -> drop(p, c)));
+  private void connectionOpened(Peer peer, StreamConnection connection) {
+    peer.outbound = connection;
+    peer.wasConnected = true;
+    peer.queue.clear();
+    peer.queuedBytes = 0;
+    connection.getCloseSetter().set(x -> loop.execute(() -> disconnect(peer, connection)));
     // Nothing is sent back on this connection: readable means closed.
-    c.getSourceChannel()
+    connection
+        .getSourceChannel()
         .setReadListener(
             ch -> {
               try {
                 if (ch.read(ByteBuffer.allocate(16)) != 0) {
-                  IoUtils.safeClose(c);
+                  IoUtils.safeClose(connection);
                 }
               } catch (IOException e) {
-                IoUtils.safeClose(c);
+                IoUtils.safeClose(connection);
               }
             });
-    c.getSourceChannel().resumeReads();
-    LOG.info("event=peer_link_up peer={}", p.name);
-    enqueue(p, (greeting + " " + self).getBytes(StandardCharsets.UTF_8));
-    flush(p);
+    connection.getSourceChannel().resumeReads();
+    LOG.info("event=peer_link_up peer={}", peer.name);
+    enqueue(peer, (greeting + " " + self).getBytes(StandardCharsets.UTF_8));
+    flush(peer);
   }
 
-  private void drop(Peer p, StreamConnection c) {
-    if (p.out == c) {
-      p.out = null;
-      LOG.info("event=peer_link_down peer={}", p.name);
+  private void disconnect(Peer peer, StreamConnection connection) {
+    if (peer.outbound == connection) {
+      peer.outbound = null;
+      LOG.info("event=peer_link_down peer={}", peer.name);
       // At once: a refusal tells an ended process from a broken link.
-      loop.after(Duration.ofMillis(20), () -> dial(p));
+      loop.schedule(Duration.ofMillis(20), () -> dial(peer));
     }
-    IoUtils.safeClose(c);
+    IoUtils.safeClose(connection);
   }
 
-  private void flush(Peer p) {
-    StreamConnection c = p.out;
-    if (c == null) {
+  private void flush(Peer peer) {
+    StreamConnection connection = peer.outbound;
+    if (connection == null) {
       return;
     }
-    ConduitStreamSinkChannel sink = c.getSinkChannel();
+    ConduitStreamSinkChannel sink = connection.getSinkChannel();
     try {
-      while (!p.queue.isEmpty()) {
-        ByteBuffer[] heads = p.queue.stream().limit(MOST_GATHERED).toArray(ByteBuffer[]::new);
-        p.queued -= (int) sink.write(heads, 0, heads.length);
-        while (!p.queue.isEmpty() && !p.queue.peek().hasRemaining()) {
-          p.queue.poll();
+      while (!peer.queue.isEmpty()) {
+        ByteBuffer[] heads =
+            peer.queue.stream().limit(MAX_FRAMES_PER_WRITE).toArray(ByteBuffer[]::new);
+        peer.queuedBytes -= (int) sink.write(heads, 0, heads.length);
+        while (!peer.queue.isEmpty() && !peer.queue.peek().hasRemaining()) {
+          peer.queue.poll();
         }
         if (heads[heads.length - 1].hasRemaining()) {
-          sink.setWriteListener(ch -> flush(p));
+          sink.setWriteListener(ch -> flush(peer));
           sink.resumeWrites();
           return;
         }
@@ -256,19 +260,19 @@
       sink.flush();
       sink.suspendWrites();
     } catch (IOException e) {
-      drop(p, c);
+      disconnect(peer, connection);
     }
   }
 
   /** Cuts an accepted connection into frames. */
-  private final class Reader {
+  private final class FrameReader {
     private final StreamConnection connection;
     private final ByteBuffer chunk = ByteBuffer.allocate(32768);
     private ByteBuffer frame = ByteBuffer.allocate(4);
     private boolean inBody;
-    private Peer from;
+    private Peer sender;
 
-    Reader(StreamConnection connection) {
+    FrameReader(StreamConnection connection) {
       this.connection = connection;
     }
 
@@ -283,17 +287,17 @@
       try {
         while (true) {
           chunk.clear();
-          int n = source.read(chunk);
-          if (n == 0) {
+          int count = source.read(chunk);
+          if (count == 0) {
             return;
           }
-          if (n < 0) {
+          if (count < 0) {
             IoUtils.safeClose(connection);
             return;
           }
           chunk.flip();
           while (chunk.hasRemaining()) {
-            take();
+            takeBytes();
           }
         }
       } catch (IOException e) {
@@ -301,7 +305,7 @@
       }
     }
 
-    private void take() throws IOException {
+    private void takeBytes() throws IOException {
       // As a whole: byte by byte it took a tenth of the time of a leader whose code was not
       // compiled.
       int end = chunk.limit();
@@ -314,7 +318,7 @@
       frame.flip();
       if (!inBody) {
         int length = frame.getInt();
-        if (length <= 0 || length > MAX_FRAME) {
+        if (length <= 0 || length > MAX_FRAME_BYTES) {
           throw new IOException("frame of " + length + " bytes");
         }
         frame = ByteBuffer.allocate(length);
@@ -324,16 +328,16 @@
       byte[] bytes = frame.array();
       frame = ByteBuffer.allocate(4);
       inBody = false;
-      if (from == null) {
+      if (sender == null) {
         String[] hello = new String(bytes, StandardCharsets.UTF_8).split(" ", 2);
-        if (hello.length != 2 || !accepted.test(hello[0]) || !peers.containsKey(hello[1])) {
+        if (hello.length != 2 || !acceptsGreeting.test(hello[0]) || !peers.containsKey(hello[1])) {
           LOG.warn("event=foreign_peer action=closed");
           throw new IOException("foreign peer");
         }
-        from = peers.get(hello[1]);
+        sender = peers.get(hello[1]);
       } else {
-        from.heard = loop.clock().instant();
-        receiver.received(from.name, bytes);
+        sender.lastReceived = loop.clock().instant();
+        receiver.received(sender.name, bytes);
       }
     }
   }
--- a/src/main/java/io/pearscale/transport/Timeouts.java
+++ b/src/main/java/io/pearscale/transport/Timeouts.java
@@ -10,20 +10,21 @@
 /**
  * Timeouts of requests, nearly all of which are cancelled by an answer. A timer of the loop can't
  * be cancelled: each would fire for nothing, and a controller makes hundreds of requests a second.
- * Here one timer of the loop serves all that are running; they fire up to {@link #TICK} late.
+ * Here one timer of the loop serves all that are running; they fire up to {@link #TICK_INTERVAL}
+ * late.
  */
 final class Timeouts {
   /** The wheel takes powers of two. */
   private static final Duration RESOLUTION = Duration.ofMillis(32);
 
-  private static final Duration TICK = RESOLUTION.plusMillis(1);
+  private static final Duration TICK_INTERVAL = RESOLUTION.plusMillis(1);
   private static final int TICKS_PER_WHEEL = 256;
 
   /** A timeout that was started. The wheel gives its number to another once it is over. */
   static final class Timeout {
     private final Runnable task;
-    private long timer;
-    private boolean over;
+    private long timerId;
+    private boolean finished;
 
     private Timeout(Runnable task) {
       this.task = task;
@@ -32,7 +33,7 @@
 
   private final EventLoop loop;
   private final DeadlineTimerWheel wheel;
-  private final Long2ObjectHashMap<Timeout> running = new Long2ObjectHashMap<>();
+  private final Long2ObjectHashMap<Timeout> active = new Long2ObjectHashMap<>();
   private final List<Timeout> expired = new ArrayList<>();
   private boolean ticking;
 
@@ -53,20 +54,20 @@
       // Nobody turned the wheel while nothing was running.
       wheel.currentTickTime(now());
       ticking = true;
-      loop.after(TICK, this::tick);
+      loop.schedule(TICK_INTERVAL, this::tick);
     }
     Timeout timeout = new Timeout(task);
-    timeout.timer = wheel.scheduleTimer(now() + time.toMillis());
-    running.put(timeout.timer, timeout);
+    timeout.timerId = wheel.scheduleTimer(now() + time.toMillis());
+    active.put(timeout.timerId, timeout);
     return timeout;
   }
 
   /** Cancels a timeout; one that is over already is passed over. */
   void cancel(Timeout timeout) {
-    if (!timeout.over) {
-      timeout.over = true;
-      wheel.cancelTimer(timeout.timer);
-      running.remove(timeout.timer);
+    if (!timeout.finished) {
+      timeout.finished = true;
+      wheel.cancelTimer(timeout.timerId);
+      active.remove(timeout.timerId);
     }
   }
 
@@ -81,13 +82,13 @@
     due.forEach(timeout -> timeout.task.run());
     ticking = wheel.timerCount() > 0;
     if (ticking) {
-      loop.after(TICK, this::tick);
+      loop.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
   private boolean expire(TimeUnit unit, long now, long timer) {
-    Timeout timeout = running.remove(timer);
-    timeout.over = true;
+    Timeout timeout = active.remove(timer);
+    timeout.finished = true;
     expired.add(timeout);
     return true;
   }
--- a/src/main/java/io/pearscale/transport/UndertowHttpClient.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -41,54 +41,54 @@
  * request. The number of connections is bounded, so that hanging hosts cannot eat up the sockets.
  */
 public final class UndertowHttpClient implements HttpClient {
-  private static final int MAX_RESPONSE = 64 << 20;
-  private static final int CONNECTING_PER_HOST = 3;
-  private static final int IDLE_PER_HOST = 6;
+  private static final int MAX_RESPONSE_BYTES = 64 << 20;
+  private static final int MAX_CONNECTING_PER_HOST = 3;
+  private static final int MAX_IDLE_PER_HOST = 6;
 
   private final EventLoop loop;
   private final Timeouts timeouts;
-  private final Dialler dialler;
+  private final CancellableConnector connector;
   private final ByteBufferPool buffers;
-  private final int maxOpen;
-  private final int reserved;
-  private final Set<String> preferred;
+  private final int maxConnections;
+  private final int reservedConnections;
+  private final Set<String> priorityAddresses;
   private final Map<String, Host> hosts = new HashMap<>();
 
   /** Idle connections, the one that was used longest ago first. */
   private final LinkedHashMap<ClientConnection, Host> idle = new LinkedHashMap<>();
 
   /** Open connections, without those that are being closed. */
-  private final Set<ClientConnection> counted = new HashSet<>();
+  private final Set<ClientConnection> connected = new HashSet<>();
 
   private int connecting;
-  private long refused;
+  private long refusedRequests;
 
   /** Uses at most {@code maxOpen} sockets. */
   public UndertowHttpClient(
-      EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxOpen) {
-    this(loop, thread, buffers, maxOpen, 0, Set.of());
+      EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxConnections) {
+    this(loop, thread, buffers, maxConnections, 0, Set.of());
   }
 
   /**
    * Uses at most {@code maxOpen} sockets.
    *
-   * @param reserved how many of them are for the preferred addresses alone: with more machines than
-   *     sockets, a burst of commands must not keep the leader from the state service
+   * @param reservedConnections how many of them are for the preferred addresses alone: with more
+   *     machines than sockets, a burst of commands must not keep the leader from the state service
    */
   public UndertowHttpClient(
       EventLoop loop,
       XnioIoThread thread,
       ByteBufferPool buffers,
-      int maxOpen,
-      int reserved,
-      Set<String> preferred) {
+      int maxConnections,
+      int reservedConnections,
+      Set<String> priorityAddresses) {
     this.loop = loop;
     this.timeouts = new Timeouts(loop);
-    this.dialler = new Dialler(thread);
+    this.connector = new CancellableConnector(thread);
     this.buffers = buffers;
-    this.maxOpen = maxOpen;
-    this.reserved = reserved;
-    this.preferred = preferred;
+    this.maxConnections = maxConnections;
+    this.reservedConnections = reservedConnections;
+    this.priorityAddresses = priorityAddresses;
   }
 
   private static final class Host {
@@ -108,17 +108,17 @@
   }
 
   /** One request, which is answered exactly once, whatever happens to its connection. */
-  private final class Pending implements ClientCallback<ClientExchange> {
+  private final class PendingRequest implements ClientCallback<ClientExchange> {
     final Host host;
     final ClientRequest request;
     final byte[] body;
     Consumer<Reply> answer;
     ClientConnection connection;
     IoFuture<StreamConnection> attempt;
-    boolean dialling;
+    boolean connectInProgress;
     Timeouts.Timeout timeout;
 
-    Pending(Host host, ClientRequest request, byte[] body, Consumer<Reply> answer) {
+    PendingRequest(Host host, ClientRequest request, byte[] body, Consumer<Reply> answer) {
       this.host = host;
       this.request = request;
       this.body = body;
@@ -133,25 +133,25 @@
       answer = null;
       host.pending--;
       timeouts.cancel(timeout);
-      if (dialling) {
-        dialled();
+      if (connectInProgress) {
+        connectAttemptEnded();
         attempt.cancel();
       }
       if (connection != null) {
-        if (reusable && connection.isOpen() && host.idle.size() < IDLE_PER_HOST) {
+        if (reusable && connection.isOpen() && host.idle.size() < MAX_IDLE_PER_HOST) {
           host.idle.push(connection);
           idle.put(connection, host);
         } else {
           IoUtils.safeClose(connection);
         }
       }
-      forgetUnused(host);
+      removeIfUnused(host);
       to.accept(reply);
     }
 
     /** The attempt to connect is over, or given up. */
-    void dialled() {
-      dialling = false;
+    void connectAttemptEnded() {
+      connectInProgress = false;
       host.connecting--;
       connecting--;
     }
@@ -172,7 +172,7 @@
 
             @Override
             public void failed(IOException e) {
-              finish(Reply.NONE, false);
+              finish(Reply.NO_RESPONSE, false);
             }
           });
       if (body.length > 0) {
@@ -182,7 +182,7 @@
 
     @Override
     public void failed(IOException e) {
-      finish(Reply.NONE, false);
+      finish(Reply.NO_RESPONSE, false);
     }
 
     private void write(StreamSinkChannel channel, ByteBuffer data) {
@@ -200,13 +200,13 @@
               .getWriteSetter()
               .set(
                   ChannelListeners.flushingChannelListener(
-                      null, (c, e) -> finish(Reply.NONE, false)));
+                      null, (c, e) -> finish(Reply.NO_RESPONSE, false)));
           channel.resumeWrites();
         } else {
           channel.suspendWrites();
         }
       } catch (IOException e) {
-        finish(Reply.NONE, false);
+        finish(Reply.NO_RESPONSE, false);
       }
     }
 
@@ -226,25 +226,25 @@
       try {
         while (true) {
           buffer.clear();
-          int n = channel.read(buffer);
-          if (n == 0) {
+          int count = channel.read(buffer);
+          if (count == 0) {
             channel.getReadSetter().set(c -> readMore(channel, bytes, status, close));
             channel.resumeReads();
             return;
           }
-          if (n < 0) {
+          if (count < 0) {
             JsonNode tree = MessagePack.decode(bytes.toByteArray()).orElse(MessagePack.MISSING);
             finish(new Reply(status, tree), !close);
             return;
           }
-          bytes.write(buffer.array(), 0, n);
-          if (bytes.size() > MAX_RESPONSE) {
-            finish(Reply.NONE, false);
+          bytes.write(buffer.array(), 0, count);
+          if (bytes.size() > MAX_RESPONSE_BYTES) {
+            finish(Reply.NO_RESPONSE, false);
             return;
           }
         }
       } catch (IOException e) {
-        finish(Reply.NONE, false);
+        finish(Reply.NO_RESPONSE, false);
       }
     }
   }
@@ -259,8 +259,8 @@
       Consumer<Reply> answer) {
     Host host = hosts.computeIfAbsent(address, Host::new);
     if (host.target.isEmpty()) {
-      forgetUnused(host);
-      loop.execute(() -> answer.accept(Reply.NONE));
+      removeIfUnused(host);
+      loop.execute(() -> answer.accept(Reply.NO_RESPONSE));
       return;
     }
     byte[] bytes = body.isMissingNode() ? new byte[0] : MessagePack.encode(body);
@@ -273,9 +273,9 @@
     } else if (!"GET".equals(method)) {
       request.getRequestHeaders().put(Headers.CONTENT_LENGTH, "0");
     }
-    Pending pending = new Pending(host, request, bytes, answer);
+    PendingRequest pending = new PendingRequest(host, request, bytes, answer);
     host.pending++;
-    pending.timeout = timeouts.start(timeout, () -> pending.finish(Reply.NONE, false));
+    pending.timeout = timeouts.start(timeout, () -> pending.finish(Reply.NO_RESPONSE, false));
     ClientConnection kept;
     while ((kept = host.idle.poll()) != null) {
       idle.remove(kept);
@@ -284,12 +284,13 @@
         return;
       }
     }
-    int most = preferred.contains(address) ? maxOpen : maxOpen - reserved;
-    if (open() >= most) {
-      closeIdle();
+    int most =
+        priorityAddresses.contains(address) ? maxConnections : maxConnections - reservedConnections;
+    if (openConnections() >= most) {
+      evictLongestIdle();
     }
-    if (host.connecting >= CONNECTING_PER_HOST || open() >= most) {
-      refused++;
+    if (host.connecting >= MAX_CONNECTING_PER_HOST || openConnections() >= most) {
+      refusedRequests++;
       loop.execute(() -> pending.finish(Reply.NOT_SENT, false));
       return;
     }
@@ -297,12 +298,12 @@
   }
 
   /** How many requests found no socket so far. */
-  public long refused() {
-    return refused;
+  public long refusedRequests() {
+    return refusedRequests;
   }
 
   /** Machines come and go, and their addresses with them: only those in use are kept. */
-  private void forgetUnused(Host host) {
+  private void removeIfUnused(Host host) {
     if (host.pending == 0 && host.idle.isEmpty()) {
       hosts.remove(host.address, host);
     }
@@ -327,72 +328,72 @@
   }
 
   /** With more hosts than sockets, the connection that was not needed for longest makes room. */
-  private void closeIdle() {
+  private void evictLongestIdle() {
     Optional<ClientConnection> oldest =
         idle.entrySet().stream()
-            .filter(entry -> !preferred.contains(entry.getValue().address))
+            .filter(entry -> !priorityAddresses.contains(entry.getValue().address))
             .map(Map.Entry::getKey)
             .findFirst();
     oldest.ifPresent(
         c -> {
-          forget(c);
-          counted.remove(c);
+          removeIdle(c);
+          connected.remove(c);
           IoUtils.safeClose(c);
         });
   }
 
   /** Connections that are open or being opened. */
-  public int open() {
-    return connecting + counted.size();
+  public int openConnections() {
+    return connecting + connected.size();
   }
 
-  private void forget(ClientConnection c) {
-    Host host = idle.remove(c);
+  private void removeIdle(ClientConnection connection) {
+    Host host = idle.remove(connection);
     if (host != null) {
-      host.idle.remove(c);
-      forgetUnused(host);
+      host.idle.remove(connection);
+      removeIfUnused(host);
     }
   }
 
-  private void connect(Pending pending) {
+  private void connect(PendingRequest pending) {
     Host host = pending.host;
     host.connecting++;
     connecting++;
-    pending.dialling = true;
+    pending.connectInProgress = true;
     UndertowClient.getInstance()
         .connect(
             new ClientCallback<>() {
               @Override
               public void completed(ClientConnection connection) {
-                if (!pending.dialling) {
+                if (!pending.connectInProgress) {
                   IoUtils.safeClose(connection);
                   return;
                 }
-                pending.dialled();
-                counted.add(connection);
+                pending.connectAttemptEnded();
+                connected.add(connection);
                 connection
                     .getCloseSetter()
                     .set(
                         c -> {
-                          counted.remove(connection);
-                          forget(connection);
+                          connected.remove(connection);
+                          removeIdle(connection);
                         });
                 pending.send(connection);
               }
 
               @Override
               public void failed(IOException e) {
-                if (pending.dialling) {
-                  pending.dialled();
-                  pending.finish(Reply.NONE, false);
+                if (pending.connectInProgress) {
+                  pending.connectAttemptEnded();
+                  pending.finish(Reply.NO_RESPONSE, false);
                 }
               }
             },
             host.target.orElseThrow(),
-            dialler,
+            connector,
             buffers,
             OptionMap.EMPTY);
-    pending.attempt = dialler.last;
+    pending.attempt = connector.lastAttempt;
   }
 
   /**
@@ -400,11 +401,11 @@
    * off neither opens nor fails for minutes, and Undertow's client has no way to give it up: some
    * hundred of them would take all sockets, also those for the state service.
    */
-  private static final class Dialler extends XnioIoThread {
+  private static final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
-    IoFuture<StreamConnection> last;
+    IoFuture<StreamConnection> lastAttempt;
 
-    Dialler(XnioIoThread thread) {
+    CancellableConnector(XnioIoThread thread) {
       super(thread.getWorker(), thread.getNumber());
       this.thread = thread;
     }
@@ -414,8 +415,8 @@
         SocketAddress destination,
         ChannelListener<? super StreamConnection> opened,
         OptionMap options) {
-      last = thread.openStreamConnection(destination, opened, options);
-      return last;
+      lastAttempt = thread.openStreamConnection(destination, opened, options);
+      return lastAttempt;
     }
 
     @Override
--- a/src/main/java/io/pearscale/transport/XnioEventLoop.java
+++ b/src/main/java/io/pearscale/transport/XnioEventLoop.java
@@ -15,7 +15,7 @@
 
   /** Runs tasks on the given thread. */
   public XnioEventLoop(XnioIoThread thread) {
-    this(thread, new SteadyClock());
+    this(thread, new MonotonicClock());
   }
 
   /** Runs tasks on the given thread; loops of one process share their clock. */
@@ -26,12 +26,13 @@
 
   @Override
   public void execute(Runnable task) {
-    thread.execute(guarded(task));
+    thread.execute(loggingFailures(task));
   }
 
   @Override
-  public void after(Duration delay, Runnable task) {
-    thread.executeAfter(guarded(task), Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
+  public void schedule(Duration delay, Runnable task) {
+    thread.executeAfter(
+        loggingFailures(task), Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -39,7 +40,7 @@
     return clock;
   }
 
-  private static Runnable guarded(Runnable task) {
+  private static Runnable loggingFailures(Runnable task) {
     return () -> {
       try {
         task.run();
