--- a/src/main/java/io/pearscale/gang/GangAttempt.java
+++ b/src/main/java/io/pearscale/gang/GangAttempt.java
@@ -47,7 +47,7 @@
   }
 
   /** A replacement needs so long to fetch its image before the others give up waiting. */
-  private static final Duration REPLACEMENT_TIME = Duration.ofSeconds(5);
+  private static final Duration REPLACEMENT_FETCH_TIME = Duration.ofSeconds(5);
 
   private static final long NO_NUMBER = -1;
 
@@ -55,7 +55,7 @@
   private final Duration formingTimeout;
   private Phase phase = Phase.VACANT;
   private long number = NO_NUMBER;
-  private Instant begunAt = Instant.MIN;
+  private Instant startedAt = Instant.MIN;
   private boolean broken;
   private int endedAttempts;
 
@@ -74,7 +74,7 @@
   public void begin(long attempt, Instant now) {
     phase = Phase.FORMING;
     number = attempt;
-    begunAt = now;
+    startedAt = now;
     broken = false;
   }
 
@@ -82,12 +82,12 @@
    * A task of the attempt of that number has exited: it waited for the others for too long, or one
    * of them is gone. That attempt can't complete any more; of other attempts nothing follows.
    */
-  public void noteBroken(long attempt) {
+  public void markBroken(long attempt) {
     broken |= attempt == number;
   }
 
   /** All tasks of the attempt are being stopped. */
-  public void noteEnding() {
+  public void markEnding() {
     if (phase != Phase.VACANT) {
       phase = Phase.ENDING;
     }
@@ -99,9 +99,9 @@
    * @param members all tasks of the gang that are, or may be, on a machine
    */
   public Action nextAction(Collection<Member> members, Instant now) {
-    Phase before = phase;
+    Phase previousPhase = phase;
     phase = phaseOf(members, now);
-    endedAttempts += before == Phase.ENDING && phase == Phase.VACANT ? 1 : 0;
+    endedAttempts += previousPhase == Phase.ENDING && phase == Phase.VACANT ? 1 : 0;
     return switch (phase) {
       case VACANT -> Action.START;
       case FORMING ->
@@ -131,22 +131,22 @@
       return Phase.ENDING;
     }
     boolean complete = members.size() >= taskCount;
-    if (phase == Phase.RUNNING || members.stream().anyMatch(m -> m.stage().hasBegun())) {
+    if (phase == Phase.RUNNING || members.stream().anyMatch(m -> m.stage().hasStartedRunning())) {
       return complete ? Phase.RUNNING : Phase.ENDING;
     }
-    return complete || now.isBefore(replaceableUntil()) ? Phase.FORMING : Phase.ENDING;
+    return complete || now.isBefore(replacementDeadline()) ? Phase.FORMING : Phase.ENDING;
   }
 
   /** Adopts the attempt that a previous leader has started. */
   private void adopt(Collection<Member> members, Instant now) {
     Set<Long> numbers = members.stream().map(Member::attempt).collect(Collectors.toSet());
     number = numbers.iterator().next();
-    begunAt = now;
+    startedAt = now;
     phase = Phase.FORMING;
   }
 
-  private Instant replaceableUntil() {
-    return begunAt.plus(formingTimeout).minus(REPLACEMENT_TIME);
+  private Instant replacementDeadline() {
+    return startedAt.plus(formingTimeout).minus(REPLACEMENT_FETCH_TIME);
   }
 
   private static boolean noneStopping(Collection<Member> members) {
--- a/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
+++ b/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
@@ -23,16 +23,16 @@
   /**
    * Whether the tasks are to take a checkpoint.
    *
-   * @param tasks how many tasks the gang has
+   * @param taskCount how many tasks the gang has
    * @param remaining how long all of them may still run
    * @param checkpointTime how long saving takes, and zero where the job never saves
    */
   public static boolean mayCheckpoint(
       Collection<MemberReachability> members,
-      int tasks,
+      int taskCount,
       Duration remaining,
       Duration checkpointTime) {
-    return members.size() == tasks
+    return members.size() == taskCount
         && remaining.compareTo(checkpointTime) > 0
         && members.stream().allMatch(member -> member.running && member.reachable);
   }
--- a/src/main/java/io/pearscale/gang/MemberStage.java
+++ b/src/main/java/io/pearscale/gang/MemberStage.java
@@ -16,7 +16,7 @@
   CHECKPOINTING;
 
   /** Whether the attempt has begun to run. */
-  boolean hasBegun() {
+  boolean hasStartedRunning() {
     return this == RUNNING || this == CHECKPOINTING;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -23,7 +23,7 @@
     leadership.begin(term, termRevision, provenAt);
     components.placementPass.beginTerm();
     components.recordWriter.beginTerm();
-    components.dispatcher.begin();
+    components.dispatcher.beginTerm();
     components.recovery.beginTerm();
     components.machineProvisioner.begin();
   }
@@ -33,7 +33,7 @@
     leadership.end();
     components.inventory.clear();
     components.jobs.clearQueue();
-    components.dispatcher.end();
+    components.dispatcher.endTerm();
     components.records.clear();
     components.taskCountPublisher.clear();
     components.gangs.clear();
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -104,13 +104,13 @@
   }
 
   /** A term has begun: no call is in flight in it. */
-  public void begin() {
-    prober.begin();
+  public void beginTerm() {
+    prober.beginTerm();
   }
 
   /** The term is over. */
-  public void end() {
-    prober.end();
+  public void endTerm() {
+    prober.endTerm();
   }
 
   /** After a failover: probes all recorded machines that have not sent a heartbeat. */
@@ -122,14 +122,14 @@
 
   /** Sends all that is due to all machines. */
   public void sendAllDueCommands() {
-    inventory.forEachWithDueCommands(this::sendDueCommands, DueCommands::remain);
+    inventory.forEachWithDueCommands(this::sendDueCommands, DueCommands::arePending);
   }
 
   /** Sends what is due to the machine, unless a call to it is in flight or has just failed. */
   public void sendDueCommands(Machine machine) {
     if (!maySendDirectCommand(machine)
         || !leadership.mayRenewLeases()
-        || !DueCommands.justifyDirectCommand(machine)) {
+        || !DueCommands.needDirectCommand(machine)) {
       return;
     }
     List<AgentCommand> commands =
@@ -188,7 +188,7 @@
     }
     boolean executed = reply.status() == CommandRequest.STATUS_EXECUTED;
     boolean refused = reply.status() == CommandRequest.STATUS_REFUSED;
-    if ((executed || refused) && processAnswer(call, reply, refused)) {
+    if ((executed || refused) && processHeartbeatInReply(call, reply, refused)) {
       return;
     }
     if (reply.notSent()) {
@@ -196,14 +196,14 @@
       revertUnexecuted(call);
       machine.reachability().pauseDirectCommandsUntil(clock.instant().plus(INITIAL_BACKOFF));
     } else if (call.isProbe()) {
-      noteMissedProbe(machine);
+      recordMissedProbe(machine);
     } else {
-      noteOutcomeUnknown(call);
+      recordUnknownOutcome(call);
     }
   }
 
   /** Each miss doubles the backoff: a zone that is cut off must not keep the leader busy. */
-  private void noteMissedProbe(Machine machine) {
+  private void recordMissedProbe(Machine machine) {
     machine.reachability().probeMissed();
     int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, machine.reachability().missedProbes());
     Duration backoff = INITIAL_BACKOFF.multipliedBy(1L << doublings);
@@ -211,7 +211,7 @@
   }
 
   /** It may have been executed, or be executed later: a higher token puts an end to that. */
-  private void noteOutcomeUnknown(CommandCall call) {
+  private void recordUnknownOutcome(CommandCall call) {
     Machine machine = call.machine;
     machine.fencing().commandOutcomeUnknown(call.fencingToken);
     machine.reachability().pauseDirectCommandsUntil(clock.instant().plus(OUTCOME_UNKNOWN_BACKOFF));
@@ -223,7 +223,7 @@
   }
 
   /** Takes in the heartbeat with which the agent answered; false if it can't be decoded. */
-  private boolean processAnswer(CommandCall call, Reply reply, boolean refused) {
+  private boolean processHeartbeatInReply(CommandCall call, Reply reply, boolean refused) {
     Machine machine = call.machine;
     try {
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
--- a/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
@@ -40,7 +40,7 @@
   List<AgentCommand> take(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> commands = StopCommands.due(machine, inHeartbeatResponse, now);
     if (inHeartbeatResponse) {
-      addLostStarts(machine, commands);
+      resendLostStarts(machine, commands);
     }
     Set<AttemptId> forgotten = takeForgettable(machine);
     forgotten.forEach(ended -> commands.add(AgentCommand.forget(ended.task(), ended.attempt())));
@@ -49,7 +49,7 @@
   }
 
   /** Whether something is due that is worth a direct command, and not only a heartbeat response. */
-  static boolean justifyDirectCommand(Machine machine) {
+  static boolean needDirectCommand(Machine machine) {
     if (StopCommands.hasUnsent(machine)) {
       return true;
     }
@@ -64,23 +64,23 @@
   }
 
   /** Whether something is due now, or will be once its placement record is durable. */
-  static boolean remain(Machine machine) {
+  static boolean arePending(Machine machine) {
     return machine.attempts().values().stream().anyMatch(a -> a.stage() == Stage.PLANNED)
-        || justifyDirectCommand(machine);
+        || needDirectCommand(machine);
   }
 
   /**
    * Adds starts that seem to be lost. An agent ignores a start of an attempt that it knows, so the
    * same attempt can't run twice, whatever comes late.
    */
-  private void addLostStarts(Machine machine, List<AgentCommand> commands) {
+  private void resendLostStarts(Machine machine, List<AgentCommand> commands) {
     for (TaskAttempt attempt : machine.attempts().values()) {
-      boolean seemsLost =
+      boolean presumedLost =
           attempt.stage() == Stage.START_SENT
               && !attempt.observed()
               && !attempt.stopping()
               && !machine.reachability().commandInFlight();
-      if (seemsLost && leadership.mayStartTasks()) {
+      if (presumedLost && leadership.mayStartTasks()) {
         attempt.startResent(machine.fencing().current(), machine.lease().incarnation());
         commands.add(AgentCommand.start(attempt.task(), attempt.number()));
       }
@@ -105,9 +105,9 @@
         continue;
       }
       boolean completed = highestStartToken < 0;
-      boolean startMayBeUnderWay =
+      boolean startMayBeInFlight =
           machine.reachability().commandInFlight() || machine.fencing().isCommandOutcomeUnknown();
-      if (completed && startMayBeUnderWay) {
+      if (completed && startMayBeInFlight) {
         continue;
       }
       if (machine.fencing().current() <= highestStartToken) {
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -26,7 +26,7 @@
   private final MachineRetirement retirement;
   private final DecisionLog decisions;
   private final MachineChecks checks;
-  private Optional<FleetReachability> reachability = Optional.empty();
+  private Optional<FleetReachability> fleetReachability = Optional.empty();
 
   /** Makes a detector that sends its probes through the dispatcher. */
   public FailureDetector(
@@ -52,12 +52,12 @@
    * Zones of which most machines are silent, so that nothing provisioned there is of use by now.
    */
   public Set<String> unreachableZones(Instant now) {
-    return reachability(now).unreachableZones();
+    return fleetReachability(now).unreachableZones();
   }
 
   /** A round over the machines begins: how many are silent is counted anew. */
   public void beginRound() {
-    reachability = Optional.empty();
+    fleetReachability = Optional.empty();
   }
 
   /** Looks after one machine. */
@@ -65,14 +65,14 @@
     if (checks.isHealthy(machine, now)) {
       return;
     }
-    if (checks.hasLeaseRunOut(machine, now)) {
+    if (checks.isLeaseExpiryDue(machine, now)) {
       expireLease(machine);
     }
     if (checks.needsProbe(machine, prober.hasProbedAllRecorded(), now) && prober.mayProbe()) {
       prober.probe(machine);
     }
     // Judged first: what is only planned still counts as something to be freed.
-    boolean unreachable = checks.isUnreachable(machine, reachability(now), now);
+    boolean unreachable = checks.isUnreachable(machine, fleetReachability(now), now);
     if (!checks.mayKeepPlanned(machine, now)) {
       inventory.withdrawPlanned(machine);
     }
@@ -118,7 +118,7 @@
     if (shouldRetireForHeartbeatPath(machine, empty, now)) {
       return Optional.of(Reason.HEARTBEAT_PATH_DOWN);
     }
-    return checks.hasMissedHeartbeatsForLong(machine, reachability(now), now)
+    return checks.hasExceededHeartbeatTimeout(machine, fleetReachability(now), now)
         ? Optional.of(Reason.MISSED_HEARTBEATS)
         : Optional.empty();
   }
@@ -129,7 +129,9 @@
    * nobody for as long, and comes in time.
    */
   private boolean shouldRetireForHeartbeatPath(Machine machine, boolean empty, Instant now) {
-    return checks.isHeartbeatPathDown(machine, now) && empty && reachability(now).fewUnreachable();
+    return checks.isHeartbeatPathDown(machine, now)
+        && empty
+        && fleetReachability(now).fewUnreachable();
   }
 
   /**
@@ -139,13 +141,13 @@
    * and most machines are heard, those that hold replicas are worth it: a new leader would
    * otherwise wait for a lease from its own election on, while nothing serves.
    */
-  private FleetReachability reachability(Instant now) {
-    if (reachability.isEmpty()) {
-      reachability =
+  private FleetReachability fleetReachability(Instant now) {
+    if (fleetReachability.isEmpty()) {
+      fleetReachability =
           Optional.of(
               FleetReachability.count(
                   inventory.all(), checks::lastContact, now.minus(timings.unresponsiveAfter())));
     }
-    return reachability.get();
+    return fleetReachability.get();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -37,7 +37,7 @@
    * on healthy machines: once that is known, they are not blamed for it, while the job is tried
    * ever more rarely.
    */
-  void noteFailure(Machine machine, Job job) {
+  void recordFailure(Machine machine, Job job) {
     Instant now = clock.instant();
     job.failures().recordFailure(machine.name());
     machine.failures().recordFailure(job.failures());
@@ -62,7 +62,7 @@
   }
 
   /** A task of the job completed on the machine: where others failed, the machine was at fault. */
-  void noteSuccess(Machine machine, Job job) {
+  void recordSuccess(Machine machine, Job job) {
     if (job.failures().recordSuccess()) {
       for (String name : job.failures().machinesFailedOn()) {
         Optional.ofNullable(inventory.get(name)).ifPresent(this::quarantineIfFaulty);
--- a/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -20,39 +20,42 @@
 record FleetReachability(
     boolean fewUnreachable, boolean minorityUnreachable, Set<String> unreachableZones) {
   /** Machines that count as few in the smallest fleet. */
-  private static final int MIN_FEW = 2;
+  private static final int MIN_FEW_MACHINES = 2;
 
   /** In a larger fleet, one machine of so many counts as few. */
-  private static final int FEW_IS_ONE_IN = 6;
+  private static final int FEW_MACHINES_DIVISOR = 6;
 
   /**
    * Counts the machines that are up.
    *
    * @param lastContact when a machine was last reached
-   * @param silentSince a machine that was not reached since then is silent
+   * @param unreachableBefore a machine that was not reached since then is silent
    */
   static FleetReachability count(
-      Collection<Machine> machines, Function<Machine, Instant> lastContact, Instant silentSince) {
-    int up = 0;
-    int silent = 0;
-    Map<String, Integer> silentMinusHeardByZone = new HashMap<>();
+      Collection<Machine> machines,
+      Function<Machine, Instant> lastContact,
+      Instant unreachableBefore) {
+    int upCount = 0;
+    int unreachableCount = 0;
+    Map<String, Integer> unreachableMajorityByZone = new HashMap<>();
     for (Machine machine : machines) {
       if (machine.lifecycle() == Lifecycle.UP && machine.reachability().heartbeatEverReceived()) {
-        silentMinusHeardByZone.merge(
+        unreachableMajorityByZone.merge(
             machine.zone(),
-            lastContact.apply(machine).isBefore(silentSince) ? 1 : -1,
+            lastContact.apply(machine).isBefore(unreachableBefore) ? 1 : -1,
             Integer::sum);
         if (!machine.leaseExpired()) {
-          up++;
-          silent += machine.reachability().lastReachableAt().isBefore(silentSince) ? 1 : 0;
+          upCount++;
+          unreachableCount +=
+              machine.reachability().lastReachableAt().isBefore(unreachableBefore) ? 1 : 0;
         }
       }
     }
-    silentMinusHeardByZone.values().removeIf(n -> n <= 0);
-    boolean minority = silent * 2 < up;
+    unreachableMajorityByZone.values().removeIf(n -> n <= 0);
+    boolean minority = unreachableCount * 2 < upCount;
     return new FleetReachability(
-        silent <= Math.max(MIN_FEW, up / FEW_IS_ONE_IN) && minority,
+        unreachableCount <= Math.max(MIN_FEW_MACHINES, upCount / FEW_MACHINES_DIVISOR) && minority,
         minority,
-        silentMinusHeardByZone.keySet());
+        unreachableMajorityByZone.keySet());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -35,7 +35,7 @@
   private static final Duration CHECKPOINT_MARGIN = Duration.ofSeconds(4);
 
   /** A task stays if what is left of it takes at most so many times the time until preemption. */
-  private static final int FINISH_FACTOR = 2;
+  private static final int MAX_REMAINING_TIME_FACTOR = 2;
 
   private final JobTable jobs;
   private final MachineInventory inventory;
@@ -87,7 +87,7 @@
     Instant now = clock.instant();
     Duration untilPreemption = Duration.between(now, machine.preemptionNoticeAt().orElse(now));
     for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
-      if (!attempt.stopping() && shouldStopBefore(untilPreemption, attempt, now)) {
+      if (!attempt.stopping() && shouldStopBeforePreemption(untilPreemption, attempt, now)) {
         stop(attempt);
       }
     }
@@ -98,7 +98,7 @@
    * or does not run yet; a replica, to be started elsewhere; other work that can't be expected to
    * finish in time.
    */
-  private static boolean shouldStopBefore(
+  private static boolean shouldStopBeforePreemption(
       Duration untilPreemption, TaskAttempt attempt, Instant now) {
     JobSpec spec = attempt.spec();
     boolean running = attempt.stage() == Stage.RUNNING;
@@ -113,14 +113,14 @@
     Duration elapsed = Duration.between(attempt.stageSince(), now);
     Duration remaining =
         running ? spec.estimatedDuration().minus(elapsed) : spec.estimatedDuration();
-    return remaining.compareTo(untilPreemption.multipliedBy(FINISH_FACTOR)) > 0;
+    return remaining.compareTo(untilPreemption.multipliedBy(MAX_REMAINING_TIME_FACTOR)) > 0;
   }
 
   /** Stops all tasks of the gang's present attempt. */
   private void stopGang(Job job, boolean withoutCheckpoint) {
     Instant now = clock.instant();
     List<MemberReachability> members = new ArrayList<>();
-    Duration remaining = NO_PREEMPTION;
+    Duration untilFirstPreemption = NO_PREEMPTION;
     for (TaskAttempt attempt : job.attempts().values()) {
       members.add(
           new MemberReachability(
@@ -131,13 +131,16 @@
               .preemptionNoticeAt()
               .map(preemption -> Duration.between(now, preemption))
               .orElse(NO_PREEMPTION);
-      remaining = untilPreemption.compareTo(remaining) < 0 ? untilPreemption : remaining;
+      untilFirstPreemption =
+          untilPreemption.compareTo(untilFirstPreemption) < 0
+              ? untilPreemption
+              : untilFirstPreemption;
     }
     boolean checkpoints =
         !withoutCheckpoint
             && !job.spec().checkpointInterval().isZero()
             && GangCheckpointPolicy.mayCheckpoint(
-                members, job.spec().tasks(), remaining, job.spec().checkpointDuration());
+                members, job.spec().tasks(), untilFirstPreemption, job.spec().checkpointDuration());
     gangs.noteEnding(job, checkpoints);
     for (TaskAttempt attempt : List.copyOf(job.attempts().values())) {
       if (!checkpoints) {
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -67,7 +67,7 @@
       onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
       return HeartbeatResponse.UNAVAILABLE;
     }
-    Machine machine = machineOf(heartbeat);
+    Machine machine = findOrAddMachine(heartbeat);
     if (machine == null || !machine.lease().isNewer(heartbeat)) {
       LOG.debug("event=heartbeat_dropped machine={}", heartbeat.machine());
       return HeartbeatResponse.UNAVAILABLE;
@@ -93,7 +93,7 @@
         : StopCommands.forUnreconciled(heartbeat, jobs::isLive);
   }
 
-  private Machine machineOf(Heartbeat heartbeat) {
+  private Machine findOrAddMachine(Heartbeat heartbeat) {
     Machine machine = inventory.get(heartbeat.machine());
     if (machine == null) {
       if (inventory.isRemoved(heartbeat.machine())) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
@@ -21,10 +21,10 @@
   private static final Duration PREEMPTION_MARGIN = Duration.ofSeconds(2);
 
   /** A machine counts as preempted only if it was not reached for so long. */
-  private static final Duration PREEMPTED_SILENCE = Duration.ofSeconds(3);
+  private static final Duration PREEMPTED_UNREACHABLE_TIME = Duration.ofSeconds(3);
 
   /** For so many leases nothing has to be heard of a machine that is released for it. */
-  private static final int SILENT_MACHINE_LEASES = 2;
+  private static final int UNRESPONSIVE_MACHINE_LEASES = 2;
 
   /** The same in a zone that is cut off, since its machines come back with their images. */
   private static final int ZONE_OUTAGE_LEASES = 10;
@@ -71,7 +71,7 @@
   }
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
-  boolean hasLeaseRunOut(Machine machine, Instant now) {
+  boolean isLeaseExpiryDue(Machine machine, Instant now) {
     return machine.reachability().heartbeatEverReceived()
         && !machine.leaseExpired()
         && machine.lease().isExpired(now, timings.leaseExpiryBound());
@@ -83,12 +83,12 @@
    * @param allRecordedProbed whether the probes after the failover are through
    */
   boolean needsProbe(Machine machine, boolean allRecordedProbed, Instant now) {
-    boolean silent = sinceLastContact(machine, now).compareTo(timings.heartbeatDue()) > 0;
+    boolean heartbeatOverdue = sinceLastContact(machine, now).compareTo(timings.heartbeatDue()) > 0;
     boolean unreconciled = !machine.reconciled() && allRecordedProbed;
     return machine.lifecycle() == Lifecycle.UP
         && machine.reachability().heartbeatEverReceived()
         && !machine.leaseExpired()
-        && (unreconciled || silent)
+        && (unreconciled || heartbeatOverdue)
         && !machine.reachability().commandInFlight()
         && now.isAfter(machine.reachability().directCommandsAfter());
   }
@@ -100,18 +100,18 @@
    * Other work is done again, the sooner the better.
    */
   boolean isUnreachable(Machine machine, FleetReachability fleet, Instant now) {
-    boolean serves = machine.attempts().replicaCount() > 0;
-    boolean few = fleet.fewUnreachable();
-    Duration patience =
-        serves && (machine.reconciled() || !few)
+    boolean hasReplicas = machine.attempts().replicaCount() > 0;
+    boolean fewUnreachable = fleet.fewUnreachable();
+    Duration unreachableAfter =
+        hasReplicas && (machine.reconciled() || !fewUnreachable)
             ? timings.halfLease()
             : timings.unresponsiveAfter();
     return machine.lifecycle() == Lifecycle.UP
         && !machine.leaseExpired()
         && machine.reachability().missedProbes() >= UNREACHABLE_AFTER_PROBES
-        && sinceLastContact(machine, now).compareTo(patience) > 0
+        && sinceLastContact(machine, now).compareTo(unreachableAfter) > 0
         && (!machine.attempts().isEmpty() || !machine.reconciled())
-        && (few || (serves && fleet.minorityUnreachable()));
+        && (fewUnreachable || (hasReplicas && fleet.minorityUnreachable()));
   }
 
   /** Whether attempts that are planned for the machine, with no start sent, may stay planned. */
@@ -135,7 +135,7 @@
   static boolean wasPreempted(Machine machine, Instant now) {
     return machine.preemptionNoticeAt().isPresent()
         && now.isAfter(machine.preemptionNoticeAt().get().plus(PREEMPTION_MARGIN))
-        && now.isAfter(machine.reachability().lastReachableAt().plus(PREEMPTED_SILENCE));
+        && now.isAfter(machine.reachability().lastReachableAt().plus(PREEMPTED_UNREACHABLE_TIME));
   }
 
   /**
@@ -155,11 +155,11 @@
    * its machines come back with it, each with the images that it has: in place of those released,
    * others would have to be provisioned, and boot, and fetch.
    */
-  boolean hasMissedHeartbeatsForLong(Machine machine, FleetReachability fleet, Instant now) {
+  boolean hasExceededHeartbeatTimeout(Machine machine, FleetReachability fleet, Instant now) {
     int leases =
         fleet.unreachableZones().contains(machine.zone())
             ? ZONE_OUTAGE_LEASES
-            : SILENT_MACHINE_LEASES;
+            : UNRESPONSIVE_MACHINE_LEASES;
     return machine.leaseExpired()
         && machine.lifecycle() == Lifecycle.UP
         && now.isAfter(lastContact(machine).plus(timings.lease().multipliedBy(leases)));
--- a/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
@@ -29,7 +29,7 @@
   private final Settings settings;
   private final AgentTimings timings;
   private final TermExecutor executor;
-  private final Consumer<Machine> send;
+  private final Consumer<Machine> sendProbe;
 
   /** Machines of the inventory that were not probed since the failover. */
   private final ArrayDeque<Machine> unprobed = new ArrayDeque<>();
@@ -42,7 +42,7 @@
   /**
    * Makes a prober with nothing to probe.
    *
-   * @param send sends a probe to a machine
+   * @param sendProbe sends a probe to a machine
    */
   MachineProber(
       MachineInventory inventory,
@@ -50,22 +50,22 @@
       Settings settings,
       AgentTimings timings,
       TermExecutor executor,
-      Consumer<Machine> send) {
+      Consumer<Machine> sendProbe) {
     this.inventory = inventory;
     this.clock = clock;
     this.settings = settings;
     this.timings = timings;
     this.executor = executor;
-    this.send = send;
+    this.sendProbe = sendProbe;
   }
 
   /** A term has begun: no probe is in flight in it. */
-  void begin() {
+  void beginTerm() {
     probesInFlight = 0;
   }
 
   /** The term is over. */
-  void end() {
+  void endTerm() {
     unprobed.clear();
   }
 
@@ -80,14 +80,14 @@
   void probeRecordedMachines() {
     unprobed.clear();
     unprobed.addAll(inventory.all());
-    Duration probing = PROBE_CPU_TIME.multipliedBy(inventory.size());
-    boolean soonerThanHeartbeats =
-        MessageFields.seconds(probing) / settings.cpuShare()
+    Duration totalProbeTime = PROBE_CPU_TIME.multipliedBy(inventory.size());
+    boolean fasterThanHeartbeats =
+        MessageFields.seconds(totalProbeTime) / settings.cpuShare()
             < MessageFields.seconds(settings.agents().heartbeatInterval());
     probesAllowedFrom =
-        soonerThanHeartbeats ? clock.instant() : clock.instant().plus(timings.heartbeatDue());
+        fasterThanHeartbeats ? clock.instant() : clock.instant().plus(timings.heartbeatDue());
     sendMoreProbes();
-    if (!soonerThanHeartbeats) {
+    if (!fasterThanHeartbeats) {
       executor.after(timings.heartbeatDue(), this::sendMoreProbes);
     }
   }
@@ -109,7 +109,7 @@
   void probe(Machine machine) {
     if (!machine.reachability().commandInFlight() && !machine.address().isEmpty()) {
       probesInFlight++;
-      send.accept(machine);
+      sendProbe.accept(machine);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
@@ -54,14 +54,14 @@
       Machine machine, Job job, TaskStatus status, EndCause cause, Optional<TaskAttempt> known) {
     switch (cause) {
       case COMPLETED -> {
-        faultAttribution.noteSuccess(machine, job);
+        faultAttribution.recordSuccess(machine, job);
         if (!job.spec().isService() && !job.isDone(status.task().index())) {
           completeTask(job, status.task().index());
         }
       }
       case FAILED -> {
         if (known.isPresent()) {
-          faultAttribution.noteFailure(machine, job);
+          faultAttribution.recordFailure(machine, job);
         }
       }
       case STOPPED -> {
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -31,7 +31,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(TaskStatusApplier.class);
 
   /** In place of a start token: a completed task stays completed, so no token need exceed it. */
-  private static final long COMPLETED_NEEDS_NO_TOKEN = -1;
+  private static final long NO_START_TOKEN = -1;
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -65,7 +65,7 @@
     EndCause cause = EndCause.of(status.cause());
     long startToken =
         cause == EndCause.COMPLETED
-            ? COMPLETED_NEEDS_NO_TOKEN
+            ? NO_START_TOKEN
             : known.map(TaskAttempt::startToken).orElse(machine.fencing().current());
     AttemptId id = new AttemptId(status.task(), status.attempt());
     machine.reportedAttempts().addEnded(id, startToken, previous);
@@ -143,7 +143,7 @@
     Stage before = attempt.stage();
     attempt.observe(stageOf(reported));
     if (attempt.stage() == Stage.RUNNING && before != Stage.RUNNING) {
-      noteRunning(attempt, before);
+      recordRunning(attempt, before);
     }
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** A heartbeat shows for the first time that the attempt runs, so the machine has its image. */
-  private void noteRunning(TaskAttempt attempt, Stage before) {
+  private void recordRunning(TaskAttempt attempt, Stage before) {
     Instant now = clock.instant();
     Duration sinceStart = Duration.between(attempt.stageSince(), now);
     LOG.debug(
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -112,7 +112,7 @@
   public void scaleIfDue(Instant now) {
     if (now.isAfter(nextScaling)) {
       scale(now);
-      nextScaling = now.plus(THROTTLE.restAfter(Duration.between(now, clock.instant())));
+      nextScaling = now.plus(THROTTLE.pauseAfter(Duration.between(now, clock.instant())));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -189,13 +189,13 @@
    */
   public void noteEnding(Job job, boolean checkpoints) {
     Phase before = phase(job);
-    attemptOf(job).noteEnding();
+    attemptOf(job).markEnding();
     notePhaseChange(job, before, checkpoints);
   }
 
   /** A task of the attempt of that number has exited since others are missing or gone. */
   public void noteBroken(Job job, long attempt) {
-    attemptOf(job).noteBroken(attempt);
+    attemptOf(job).markBroken(attempt);
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -29,35 +29,35 @@
 
   /** What was met for one class, and what is known of it. */
   final class Scan {
-    private final int start = machines.randomStart();
-    private final List<Machine> found = new ArrayList<>();
-    private final Map<String, Double> zoneCrowding;
-    private int next;
+    private final int startIndex = machines.randomStart();
+    private final List<Machine> feasible = new ArrayList<>();
+    private final Map<String, Double> zoneShortfall;
+    private int nextIndex;
     private int nextImageHolder;
-    private boolean preemptionFutile;
+    private boolean preemptionInfeasible;
 
-    private Scan(Job like) {
-      zoneCrowding = zoneCapacity.crowding(like);
+    private Scan(Job job) {
+      zoneShortfall = zoneCapacity.shortfallByZone(job);
     }
 
     /** The machines met so far that have capacity. */
-    List<Machine> found() {
-      return found;
+    List<Machine> feasible() {
+      return feasible;
     }
 
     /** How little capacity each zone has for such tasks, from 0 to 1. */
-    Map<String, Double> zoneCrowding() {
-      return zoneCrowding;
+    Map<String, Double> zoneShortfall() {
+      return zoneShortfall;
     }
 
     /** Whether no such task is to be placed by preemption in this pass. */
-    boolean isPreemptionFutile() {
-      return preemptionFutile;
+    boolean isPreemptionInfeasible() {
+      return preemptionInfeasible;
     }
 
     /** Says whether no such task is to be placed by preemption in this pass. */
-    void setPreemptionFutile(boolean futile) {
-      preemptionFutile = futile;
+    void setPreemptionInfeasible(boolean infeasible) {
+      preemptionInfeasible = infeasible;
     }
   }
 
@@ -83,10 +83,12 @@
     this.capacity = capacity;
     this.zoneCapacity = zoneCapacity;
     this.machines =
-        new RandomizedMachineScan(withSomeCapacity(context.machines(), waiting), context.random());
+        new RandomizedMachineScan(
+            fittingSmallestRequest(context.machines(), waiting), context.random());
   }
 
-  private static List<Machine> withSomeCapacity(List<Machine> machines, Collection<Job> waiting) {
+  private static List<Machine> fittingSmallestRequest(
+      List<Machine> machines, Collection<Job> waiting) {
     double cpus = Double.MAX_VALUE;
     double memoryGb = Double.MAX_VALUE;
     for (Job job : waiting) {
@@ -110,7 +112,7 @@
   }
 
   /** The machines of the job's class are met anew: some were dropped for what was released. */
-  void forgetScan(Job job) {
+  void resetScan(Job job) {
     scans.remove(ScoringClass.of(job.spec()));
   }
 
@@ -122,24 +124,24 @@
    * @param allowed where the task may be; others are kept for other tasks of the class
    */
   void extend(Scan scan, Job job, Predicate<Machine> allowed) {
-    scan.found.removeIf(machine -> !capacity.availableOn(machine).fits(job.spec()));
+    scan.feasible.removeIf(machine -> !capacity.availableOn(machine).fits(job.spec()));
     if (context.startObjective().apply(job.spec()).isPresent()) {
-      extendByImageHolders(scan, job, allowed);
+      extendWithImageHolders(scan, job, allowed);
     }
-    long usable = scan.found.stream().filter(allowed).count();
-    while (usable < context.tuning().sampleSize() && scan.next < machines.size()) {
-      Machine machine = machines.get(scan.start, scan.next++);
+    long usable = scan.feasible.stream().filter(allowed).count();
+    while (usable < context.tuning().sampleSize() && scan.nextIndex < machines.size()) {
+      Machine machine = machines.get(scan.startIndex, scan.nextIndex++);
       if (addIfFeasible(scan, job, machine) && allowed.test(machine)) {
         usable++;
       }
     }
   }
 
-  private void extendByImageHolders(Scan scan, Job job, Predicate<Machine> allowed) {
+  private void extendWithImageHolders(Scan scan, Job job, Predicate<Machine> allowed) {
     String image = job.spec().image();
     List<Machine> holders = imageHolders.computeIfAbsent(image, this::imageHoldersOf);
     long usable =
-        scan.found.stream()
+        scan.feasible.stream()
             .filter(machine -> machine.images().contains(image) && allowed.test(machine))
             .count();
     while (usable < context.tuning().sampleSize() / 2 && scan.nextImageHolder < holders.size()) {
@@ -152,14 +154,14 @@
 
   /** The machines with some capacity that have the image, in the order of this pass. */
   private List<Machine> imageHoldersOf(String image) {
-    List<Machine> found = new ArrayList<>();
+    List<Machine> holders = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
       Machine machine = machines.get(/* start= */ 0, i);
       if (machine.images().contains(image)) {
-        found.add(machine);
+        holders.add(machine);
       }
     }
-    return found;
+    return holders;
   }
 
   /** Adds a machine that has capacity for the task to those that were met for its class. */
@@ -167,10 +169,10 @@
     boolean isFeasible =
         PlacementConstraints.allowsKind(job.spec(), machine)
             && capacity.availableOn(machine).fits(job.spec());
-    if (!isFeasible || scan.found.contains(machine)) {
+    if (!isFeasible || scan.feasible.contains(machine)) {
       return false;
     }
-    scan.found.add(machine);
+    scan.feasible.add(machine);
     return true;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -74,8 +74,8 @@
    */
   List<Assignment> place(Job job, int tasks, boolean mayPreempt) {
     Optional<Plan> best = Optional.empty();
-    for (Predicate<Machine> among : fleetParts(job)) {
-      Optional<Plan> plan = tryPlace(job, tasks, mayPreempt, among);
+    for (Predicate<Machine> subset : machineSubsets(job)) {
+      Optional<Plan> plan = tryPlace(job, tasks, mayPreempt, subset);
       if (plan.isPresent() && (best.isEmpty() || BEST_FIRST.compare(plan.get(), best.get()) < 0)) {
         best = plan;
       }
@@ -85,33 +85,33 @@
   }
 
   /** The parts of the fleet of which one has to take all tasks. */
-  private List<Predicate<Machine>> fleetParts(Job job) {
+  private List<Predicate<Machine>> machineSubsets(Job job) {
     if (!job.spec().singleZone() || job.spec().zone().isPresent()) {
       return List.of(machine -> true);
     }
-    List<Predicate<Machine>> parts = new ArrayList<>();
+    List<Predicate<Machine>> subsets = new ArrayList<>();
     for (String zone : zones) {
       if (job.isOnlyInZone(zone)) {
-        parts.add(machine -> machine.zone().equals(zone));
+        subsets.add(machine -> machine.zone().equals(zone));
       }
     }
-    return parts;
+    return subsets;
   }
 
   private Optional<Plan> tryPlace(
-      Job job, int tasks, boolean mayPreempt, Predicate<Machine> among) {
-    List<Assignment> assignments = choose(job, tasks, mayPreempt, among);
+      Job job, int tasks, boolean mayPreempt, Predicate<Machine> subset) {
+    List<Assignment> assignments = reserveUpTo(job, tasks, mayPreempt, subset);
     release(job, assignments);
     return assignments.size() == tasks ? Optional.of(new Plan(job, assignments)) : Optional.empty();
   }
 
-  private List<Assignment> choose(
-      Job job, int tasks, boolean mayPreempt, Predicate<Machine> among) {
+  private List<Assignment> reserveUpTo(
+      Job job, int tasks, boolean mayPreempt, Predicate<Machine> subset) {
     List<Assignment> assignments = new ArrayList<>();
     PlannedSpread spread = new PlannedSpread(job);
     while (assignments.size() < tasks) {
       Optional<Assignment> assignment =
-          placer.place(job, mayPreempt, among.and(machine -> spread.allows(machine.zone())));
+          placer.place(job, mayPreempt, subset.and(machine -> spread.allows(machine.zone())));
       if (assignment.isEmpty()) {
         break;
       }
@@ -125,7 +125,7 @@
     for (int i = assignments.size() - 1; i >= 0; i--) {
       placer.release(job, assignments.get(i));
     }
-    placer.forgetScan(job);
+    placer.resetScan(job);
   }
 
   /**
@@ -134,10 +134,10 @@
    * what both need. One that the machines could not take if they were empty gets nothing: it waits
    * for other machines.
    */
-  void reserveFor(Job job, int tasks) {
-    if (longWaitingGang.isEmpty() && shareOf(job, tasks) <= 1) {
+  void reserveForLongWaiting(Job job, int tasks) {
+    if (longWaitingGang.isEmpty() && fleetShare(job, tasks) <= 1) {
       longWaitingGang = Optional.of(job);
-      reserve(job, tasks);
+      reserveLargestSubset(job, tasks);
     }
   }
 
@@ -146,32 +146,32 @@
    * a small part of the fleet: its capacity comes free within a moment, and costs others no more.
    */
   void reserveIfSmall(Job job, int tasks) {
-    double share = shareOf(job, tasks);
+    double share = fleetShare(job, tasks);
     if (reservedShare + share <= MAX_RESERVED_SHARE) {
       reservedShare += share;
-      reserve(job, tasks);
+      reserveLargestSubset(job, tasks);
     }
   }
 
   /** What part of the places for such tasks the gang needs, in the largest part of the fleet. */
-  private double shareOf(Job job, int tasks) {
-    long most = 0;
-    for (Predicate<Machine> among : fleetParts(job)) {
-      long places =
+  private double fleetShare(Job job, int tasks) {
+    long largestCapacity = 0;
+    for (Predicate<Machine> subset : machineSubsets(job)) {
+      long capacity =
           machines.stream()
-              .filter(among)
+              .filter(subset)
               .filter(machine -> PlacementConstraints.allowsKind(job.spec(), machine))
               .mapToLong(machine -> Resources.of(machine.type()).countFitting(job.spec()))
               .sum();
-      most = Math.max(most, places);
+      largestCapacity = Math.max(largestCapacity, capacity);
     }
-    return most == 0 ? Double.MAX_VALUE : tasks / (double) most;
+    return largestCapacity == 0 ? Double.MAX_VALUE : tasks / (double) largestCapacity;
   }
 
-  private void reserve(Job job, int tasks) {
+  private void reserveLargestSubset(Job job, int tasks) {
     List<Assignment> largest = List.of();
-    for (Predicate<Machine> among : fleetParts(job)) {
-      List<Assignment> assignments = choose(job, tasks, /* mayPreempt= */ false, among);
+    for (Predicate<Machine> subset : machineSubsets(job)) {
+      List<Assignment> assignments = reserveUpTo(job, tasks, /* mayPreempt= */ false, subset);
       release(job, assignments);
       largest = assignments.size() > largest.size() ? assignments : largest;
     }
@@ -188,9 +188,9 @@
     }
 
     boolean allows(String zone) {
-      long here = planned.stream().filter(zone::equals).count();
+      long plannedInZone = planned.stream().filter(zone::equals).count();
       return !job.spec().spreadAcrossZones()
-          || job.attemptsInZone(zone) + here < job.spec().maxTasksPerZone();
+          || job.attemptsInZone(zone) + plannedInZone < job.spec().maxTasksPerZone();
     }
 
     void add(String zone) {
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -57,22 +57,22 @@
   }
 
   /** The same, on machines of which {@code among} holds. */
-  Optional<Assignment> place(Job job, boolean mayPreempt, Predicate<Machine> among) {
+  Optional<Assignment> place(Job job, boolean mayPreempt, Predicate<Machine> machineFilter) {
     if (capacity.quotaUsage().tasksLeftWithinLimit(job.spec()) < 1) {
       return Optional.empty();
     }
     Predicate<Machine> allowed =
-        machine -> among.test(machine) && PlacementConstraints.allowsNow(job, machine);
+        machine -> machineFilter.test(machine) && PlacementConstraints.allowsNow(job, machine);
     Scan scan = feasibleMachines.scanFor(job);
-    Optional<Machine> withoutVictims = bestFeasible(job, scan, allowed);
-    if (withoutVictims.isPresent()) {
+    Optional<Machine> freeMachine = bestFeasible(job, scan, allowed);
+    if (freeMachine.isPresent()) {
       Optional<Assignment> withImage =
           mayPreempt
-              ? preemption.preemptForImage(job, withoutVictims.get(), allowed)
+              ? preemption.preemptForImage(job, freeMachine.get(), allowed)
               : Optional.empty();
-      return withImage.or(() -> Optional.of(reserveWithoutVictims(job, withoutVictims.get())));
+      return withImage.or(() -> Optional.of(reserveWithoutVictims(job, freeMachine.get())));
     }
-    return mayPreempt && !scan.isPreemptionFutile()
+    return mayPreempt && !scan.isPreemptionInfeasible()
         ? placeByPreemption(job, scan, allowed)
         : Optional.empty();
   }
@@ -84,16 +84,16 @@
   }
 
   private Optional<Assignment> placeByPreemption(Job job, Scan scan, Predicate<Machine> allowed) {
-    if (preemption.isFutile(job)) {
+    if (preemption.isInfeasible(job)) {
       return Optional.empty();
     }
     Optional<Assignment> assignment =
-        preemption.preempt(job, allowed).or(() -> relocation.makeWay(job));
+        preemption.preempt(job, allowed).or(() -> relocation.relocateFor(job));
     if (assignment.isEmpty()) {
       // Like tasks are decided as a class: what found nobody to preempt need not look again.
-      scan.setPreemptionFutile(!job.spec().spreadAcrossZones() && !job.spec().singleZone());
+      scan.setPreemptionInfeasible(!job.spec().spreadAcrossZones() && !job.spec().singleZone());
       if (!job.spec().singleZone()) {
-        preemption.markFutile(job);
+        preemption.markInfeasible(job);
       }
     }
     return assignment;
@@ -104,10 +104,10 @@
     feasibleMachines.extend(scan, job, allowed);
     Machine best = null;
     double bestScore = Double.MAX_VALUE;
-    for (Machine machine : scan.found()) {
+    for (Machine machine : scan.feasible()) {
       double score =
           allowed.test(machine)
-              ? scoring.score(job, machine, scan.zoneCrowding())
+              ? scoring.score(job, machine, scan.zoneShortfall())
               : Double.MAX_VALUE;
       if (score < bestScore) {
         bestScore = score;
@@ -128,7 +128,7 @@
   }
 
   /** The machines met for the job's class are met anew: some were dropped for what was released. */
-  void forgetScan(Job job) {
-    feasibleMachines.forgetScan(job);
+  void resetScan(Job job) {
+    feasibleMachines.resetScan(job);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -21,7 +21,7 @@
  */
 final class PreemptionPlanner {
   /** So many times as many machines are met while the best victims would end a gang that runs. */
-  private static final int SEARCH_TO_SPARE_GANGS = 4;
+  private static final int GANG_VICTIM_SEARCH_FACTOR = 4;
 
   /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
   private record SearchKey(
@@ -36,7 +36,7 @@
   private final ZoneCapacity zoneCapacity;
   private final Supplier<RandomizedMachineScan> machines;
   private final VictimSelector victimSelector;
-  private final Set<SearchKey> futileSearches = new HashSet<>();
+  private final Set<SearchKey> infeasibleSearches = new HashSet<>();
 
   PreemptionPlanner(
       PassContext context,
@@ -56,18 +56,18 @@
         EquivalenceClass.of(spec),
         spec.team(),
         spec.isService(),
-        zoneCapacity.zonesLeft(job),
+        zoneCapacity.zonesBelowTaskLimit(job),
         image);
   }
 
   /** Whether such tasks were found to have no victims anywhere. */
-  boolean isFutile(Job job) {
-    return futileSearches.contains(searchKey(job, Optional.empty()));
+  boolean isInfeasible(Job job) {
+    return infeasibleSearches.contains(searchKey(job, Optional.empty()));
   }
 
   /** Such tasks have no victims anywhere. */
-  void markFutile(Job job) {
-    futileSearches.add(searchKey(job, Optional.empty()));
+  void markInfeasible(Job job) {
+    infeasibleSearches.add(searchKey(job, Optional.empty()));
   }
 
   /** Reserves the capacity of victims on any machine that is allowed. */
@@ -80,23 +80,23 @@
    * than the class is expected to start in, and another machine has it: a few low tasks are done
    * again, where else the start would be late for certain. A gang that runs is not ended for that.
    *
-   * @param free the best place without victims
+   * @param freeMachine the best place without victims
    */
-  Optional<Assignment> preemptForImage(Job job, Machine free, Predicate<Machine> allowed) {
+  Optional<Assignment> preemptForImage(Job job, Machine freeMachine, Predicate<Machine> allowed) {
     JobSpec spec = job.spec();
-    Optional<Duration> within = context.startObjective().apply(spec);
-    if (within.isEmpty()
-        || free.images().contains(spec.image())
-        || free.type().fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
+    Optional<Duration> startTarget = context.startObjective().apply(spec);
+    if (startTarget.isEmpty()
+        || freeMachine.images().contains(spec.image())
+        || freeMachine.type().fetchTime(spec.imageGb()).compareTo(startTarget.get()) <= 0) {
       return Optional.empty();
     }
     SearchKey search = searchKey(job, Optional.of(spec.image()));
-    if (futileSearches.contains(search)) {
+    if (infeasibleSearches.contains(search)) {
       return Optional.empty();
     }
     Optional<Assignment> assignment = preempt(job, Optional.of(spec.image()), allowed);
     if (assignment.isEmpty()) {
-      futileSearches.add(search);
+      infeasibleSearches.add(search);
     }
     return assignment;
   }
@@ -112,10 +112,10 @@
     // As with machines that have capacity, the best of the first that will do: at size, seeing all
     // would cost more than a better victim saves. Ending a gang costs all of its tasks, so then the
     // search is longer.
-    int enough = context.tuning().sampleSize();
-    for (int i = 0; i < scan.size() && found < enough; i++) {
+    int searchLimit = context.tuning().sampleSize();
+    for (int i = 0; i < scan.size() && found < searchLimit; i++) {
       Machine machine = scan.get(start, i);
-      if (!mayMakeRoomOn(machine, job, image, allowed, guaranteed)) {
+      if (!couldFreeCapacityOn(machine, job, image, allowed, guaranteed)) {
         continue;
       }
       List<TaskAttempt> victims = victimSelector.victimsOn(machine, job, guaranteed);
@@ -130,7 +130,7 @@
       found++;
       if (best == null || isBetter(assignment, best, job)) {
         best = assignment;
-        enough = context.tuning().sampleSize() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
+        searchLimit = context.tuning().sampleSize() * (endsGang ? GANG_VICTIM_SEARCH_FACTOR : 1);
       }
     }
     if (best != null) {
@@ -140,7 +140,7 @@
   }
 
   /** Whether stopping others on the machine could help at all, without looking at each of them. */
-  private boolean mayMakeRoomOn(
+  private boolean couldFreeCapacityOn(
       Machine machine,
       Job job,
       Optional<String> image,
@@ -166,10 +166,10 @@
    * tasks of one job make one late.
    */
   private boolean isBetter(Assignment assignment, Assignment best, Job job) {
-    int lost = assignment.tasksLost();
-    int bestLost = best.tasksLost();
-    if (lost != bestLost) {
-      return lost < bestLost;
+    int tasksLost = assignment.tasksLost();
+    int bestTasksLost = best.tasksLost();
+    if (tasksLost != bestTasksLost) {
+      return tasksLost < bestTasksLost;
     }
     Priority highest = highestPriority(assignment.victims());
     Priority bestHighest = highestPriority(best.victims());
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -40,17 +40,17 @@
     if (job.spec().deadline().isPresent()) {
       return job.submittedAt().plus(job.spec().deadline().get());
     }
-    Duration within = completionObjective(job).orElse(DEFAULT_COMPLETION_OBJECTIVE);
+    Duration target = completionObjective(job).orElse(DEFAULT_COMPLETION_OBJECTIVE);
     if (job.spec().isGang()) {
       // It can't begin in part, so a time to start says when it would be over.
-      Duration ifStarted =
+      Duration targetFromStart =
           classes
               .startObjective(job.spec())
               .map(job.spec().estimatedDuration()::plus)
-              .orElse(within);
-      within = ifStarted.compareTo(within) < 0 ? ifStarted : within;
+              .orElse(target);
+      target = targetFromStart.compareTo(target) < 0 ? targetFromStart : target;
     }
-    return job.submittedAt().plus(within);
+    return job.submittedAt().plus(target);
   }
 
   private Optional<Duration> completionObjective(Job job) {
@@ -74,18 +74,20 @@
 
   /** The jobs' turns as of now, each worked out when it is first asked for. */
   public Function<Job, Rank> ranks(Instant now) {
-    Map<Job, Rank> known = new HashMap<>();
-    return job -> known.computeIfAbsent(job, k -> rank(k, now));
+    Map<Job, Rank> rankByJob = new HashMap<>();
+    return job -> rankByJob.computeIfAbsent(job, k -> rank(k, now));
   }
 
   private Rank rank(Job job, Instant now) {
     Instant due = dueAt(job);
-    Instant end = now.plus(job.spec().estimatedDuration());
+    Instant expectedEnd = now.plus(job.spec().estimatedDuration());
     Duration allowed = Duration.between(job.submittedAt(), due);
     int lateness =
-        job.spec().isService() || !end.isAfter(due)
+        job.spec().isService() || !expectedEnd.isAfter(due)
             ? 0
-            : end.isAfter(job.submittedAt().plus(allowed.multipliedBy(3).dividedBy(2))) ? 2 : 1;
+            : expectedEnd.isAfter(job.submittedAt().plus(allowed.multipliedBy(3).dividedBy(2)))
+                ? 2
+                : 1;
     return new Rank(
         lateness, job.spec().isService() ? job.submittedAt() : dueAtByRemainingWork(job, due));
   }
@@ -94,15 +96,15 @@
   public List<Job> sorted(Collection<Job> queue, Function<Job, Rank> ranks, Instant now) {
     record Ranked(Job job, int band, Rank turn) {}
     List<Ranked> ranked = new ArrayList<>();
-    for (Job j : queue) {
-      if (!now.isBefore(j.failures().retryNotBefore())
-          && !(j.failures().failsEverywhere() && !j.attempts().isEmpty())) {
-        Rank rank = ranks.apply(j);
-        boolean overdue = isFirstStartOverdue(j, now);
+    for (Job job : queue) {
+      if (!now.isBefore(job.failures().retryNotBefore())
+          && !(job.failures().failsEverywhere() && !job.attempts().isEmpty())) {
+        Rank rank = ranks.apply(job);
+        boolean overdue = isFirstStartOverdue(job, now);
         // In the top band nothing goes before the order of the design; below it, what has waited
         // for long without a single task running gets one of them started first.
-        int band = j.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
-        ranked.add(new Ranked(j, band, overdue ? new Rank(0, rank.due) : rank));
+        int band = job.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
+        ranked.add(new Ranked(job, band, overdue ? new Rank(0, rank.due) : rank));
       }
     }
     ranked.sort(
@@ -136,10 +138,11 @@
       return due;
     }
     Duration allowed = Duration.between(job.submittedAt(), due);
-    double left = job.spec().tasks() - job.doneCount();
-    double part =
-        Math.min(1, 0.2 + left / Math.max(1, classes.largeJobTasks(job.spec().jobClass())));
-    return job.submittedAt().plusMillis((long) (allowed.toMillis() * part));
+    double remainingTasks = job.spec().tasks() - job.doneCount();
+    double fraction =
+        Math.min(
+            1, 0.2 + remainingTasks / Math.max(1, classes.largeJobTasks(job.spec().jobClass())));
+    return job.submittedAt().plusMillis((long) (allowed.toMillis() * fraction));
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -15,17 +15,17 @@
 final class RandomizedMachineScan {
   private final RandomGenerator random;
   private final List<Machine> preferred = new ArrayList<>();
-  private final List<Machine> leaving = new ArrayList<>();
+  private final List<Machine> deprioritized = new ArrayList<>();
 
   RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
-      boolean stays =
+      boolean isPreferred =
           machine.cloud().scaleInCandidateSince().equals(Instant.MAX) && !machine.isDrainPlanned();
-      (stays ? preferred : leaving).add(machine);
+      (isPreferred ? preferred : deprioritized).add(machine);
     }
     shuffle(preferred);
-    shuffle(leaving);
+    shuffle(deprioritized);
   }
 
   private void shuffle(List<Machine> list) {
@@ -35,7 +35,7 @@
   }
 
   int size() {
-    return preferred.size() + leaving.size();
+    return preferred.size() + deprioritized.size();
   }
 
   /** A place for a visit to begin at. */
@@ -47,6 +47,6 @@
   Machine get(int start, int index) {
     return index < preferred.size()
         ? preferred.get((start + index) % preferred.size())
-        : leaving.get(index - preferred.size());
+        : deprioritized.get(index - preferred.size());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -31,7 +31,7 @@
   }
 
   /** Reserves the capacity of a replica that moves on. */
-  Optional<Assignment> makeWay(Job job) {
+  Optional<Assignment> relocateFor(Job job) {
     if (!job.spec().isService()) {
       return Optional.empty();
     }
@@ -61,8 +61,8 @@
 
   private boolean mayBeMovedFor(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job().spec();
-    Resources trial = capacity.availableOn(replica.machine()).copy();
-    trial.add(replica.job().spec());
+    Resources availableAfterMove = capacity.availableOn(replica.machine()).copy();
+    availableAfterMove.add(replica.job().spec());
     return !replica.stopping()
         && replica.stage() == TaskAttempt.Stage.RUNNING
         && spec.isService()
@@ -70,7 +70,7 @@
         && spec.priority() == job.spec().priority()
         && spec.team().equals(job.spec().team())
         && replica.stageSince().isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
-        && trial.fits(job.spec());
+        && availableAfterMove.fits(job.spec());
   }
 
   private boolean reserveElsewhere(TaskAttempt replica) {
@@ -86,13 +86,13 @@
   /** Whether a replica could run on another machine without waiting for its image. */
   public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job().spec();
-    boolean zoneFree =
+    boolean zoneAllowed =
         machine.zone().equals(replica.machine().zone())
             || (!spec.singleZone()
                 && (!spec.spreadAcrossZones()
                     || replica.job().attemptsInZone(machine.zone()) < spec.maxTasksPerZone()));
     return machine != replica.machine()
-        && zoneFree
+        && zoneAllowed
         && PlacementConstraints.allowsKind(spec, machine)
         && machine.images().contains(spec.image());
   }
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -53,7 +53,7 @@
   private final AgentTimings timings;
   private final Policy policy;
   private final TermExecutor executor;
-  private final FailureDetector health;
+  private final FailureDetector failureDetector;
   private final CommandDispatcher dispatcher;
   private final GangTracker gangs;
   private final GracefulTermination termination;
@@ -68,7 +68,7 @@
       AgentTimings timings,
       Policy policy,
       TermExecutor executor,
-      FailureDetector health,
+      FailureDetector failureDetector,
       CommandDispatcher dispatcher,
       GracefulTermination termination,
       LeaderStatistics statistics) {
@@ -80,7 +80,7 @@
     this.timings = timings;
     this.policy = policy;
     this.executor = executor;
-    this.health = health;
+    this.failureDetector = failureDetector;
     this.dispatcher = dispatcher;
     this.gangs = state.gangs();
     this.termination = termination;
@@ -97,48 +97,51 @@
   public void request() {
     if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
-      executor.after(THROTTLE.restAfter(lastPassDuration), this::run);
+      executor.after(THROTTLE.pauseAfter(lastPassDuration), this::runRequested);
     }
   }
 
-  private void run() {
+  private void runRequested() {
     requested = false;
     if (leadership.isReady()) {
-      pass();
+      runPass();
     }
   }
 
-  private void pass() {
+  private void runPass() {
     Instant now = clock.instant();
     termination.endBrokenGangs();
     Function<Job, QueueOrder.Rank> ranks = policy.queueOrder.ranks(now);
     List<Job> waiting = policy.queueOrder.sorted(jobs.queued(), ranks, now);
     if (!waiting.isEmpty()) {
-      List<Machine> usable = usable(now);
-      Placer placer = placer(waiting, usable, ranks, now);
-      GangPlacer gangPlacer = new GangPlacer(placer, usable);
-      Set<Machine> touched = new LinkedHashSet<>();
+      List<Machine> schedulable = schedulableMachines(now);
+      Placer placer = newPlacer(waiting, schedulable, ranks, now);
+      GangPlacer gangPlacer = new GangPlacer(placer, schedulable);
+      Set<Machine> machinesToNotify = new LinkedHashSet<>();
       for (Job job : waiting) {
         if (job.spec().isGang()) {
-          placeGang(gangPlacer, job, touched, now);
+          placeGang(gangPlacer, job, machinesToNotify, now);
         } else {
-          place(placer, job, touched, now);
+          place(placer, job, machinesToNotify, now);
         }
       }
-      touched.forEach(dispatcher::sendDueCommands);
+      machinesToNotify.forEach(dispatcher::sendDueCommands);
     }
     dispatcher.sendAllDueCommands();
     lastPassDuration = Duration.between(now, clock.instant());
     statistics.recordPass(lastPassDuration);
   }
 
-  private Placer placer(
-      List<Job> waiting, List<Machine> usable, Function<Job, QueueOrder.Rank> ranks, Instant now) {
+  private Placer newPlacer(
+      List<Job> waiting,
+      List<Machine> schedulable,
+      Function<Job, QueueOrder.Rank> ranks,
+      Instant now) {
     PassContext context =
         new PassContext(
             policy.tuning,
             policy.random,
-            usable,
+            schedulable,
             policy.classes::startObjective,
             Comparator.comparing(ranks),
             now.minus(timings.reachableWithin()),
@@ -146,17 +149,17 @@
     return new Placer(context, waiting, inventory.quotaUsage());
   }
 
-  private List<Machine> usable(Instant now) {
-    List<Machine> usable = new ArrayList<>();
+  private List<Machine> schedulableMachines(Instant now) {
+    List<Machine> schedulable = new ArrayList<>();
     for (Machine machine : inventory.all()) {
-      if (health.isSchedulable(machine, now)) {
-        usable.add(machine);
+      if (failureDetector.isSchedulable(machine, now)) {
+        schedulable.add(machine);
       }
     }
-    return usable;
+    return schedulable;
   }
 
-  private void place(Placer placer, Job job, Set<Machine> touched, Instant now) {
+  private void place(Placer placer, Job job, Set<Machine> machinesToNotify, Instant now) {
     boolean mayPreempt = QueueOrder.mayPreempt(job, now);
     // Of a job that fails everywhere one task is tried at a time: it takes no capacity and no
     // writes.
@@ -168,7 +171,7 @@
       if (assignment.isEmpty()) {
         return;
       }
-      start(job, i, assignment.get(), attemptNumbers.next(), touched, now);
+      planAttempt(job, i, assignment.get(), attemptNumbers.next(), machinesToNotify, now);
       if (oneTaskOnly) {
         return;
       }
@@ -176,7 +179,8 @@
   }
 
   /** All tasks of a gang that are to be started find a place, or none is started. */
-  private void placeGang(GangPlacer gangPlacer, Job job, Set<Machine> touched, Instant now) {
+  private void placeGang(
+      GangPlacer gangPlacer, Job job, Set<Machine> machinesToNotify, Instant now) {
     Action action = gangs.nextAction(job);
     if (action != Action.START && action != Action.COMPLETE) {
       return;
@@ -186,7 +190,7 @@
     job.recordSchedulingResult(!assignments.isEmpty());
     if (assignments.isEmpty()) {
       if (QueueOrder.isFirstStartOverdue(job, now)) {
-        gangPlacer.reserveFor(job, tasks);
+        gangPlacer.reserveForLongWaiting(job, tasks);
       } else if (policy.classes.startObjective(job.spec()).isPresent()) {
         gangPlacer.reserveIfSmall(job, tasks);
       }
@@ -198,22 +202,22 @@
     long attemptNumber = gangs.attemptNumber(job);
     int task = job.nextPendingTask(0);
     for (Assignment assignment : assignments) {
-      start(job, task, assignment, attemptNumber, touched, now);
+      planAttempt(job, task, assignment, attemptNumber, machinesToNotify, now);
       task = job.nextPendingTask(task + 1);
     }
   }
 
-  private void start(
+  private void planAttempt(
       Job job,
       int taskIndex,
       Assignment assignment,
       long attemptNumber,
-      Set<Machine> touched,
+      Set<Machine> machinesToNotify,
       Instant now) {
     Machine machine = assignment.machine();
     for (TaskAttempt victim : assignment.victims()) {
       preempt(victim, job, taskIndex);
-      touched.add(machine);
+      machinesToNotify.add(machine);
     }
     TaskAttempt planned =
         new TaskAttempt(
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -10,7 +10,7 @@
 
 /** The score of a machine for a task of a job; the lowest is the best. */
 final class ScoringPolicy {
-  private static final double SHORTEST_TIME_S = 1e-3;
+  private static final double MIN_TOTAL_TIME_S = 1e-3;
 
   private final PassContext context;
   private final Tuning tuning;
@@ -25,14 +25,14 @@
   /**
    * Scores a machine that has capacity for the task.
    *
-   * @param zoneCrowding how little capacity each zone has for such tasks
+   * @param zoneShortfall how little capacity each zone has for such tasks
    */
-  double score(Job job, Machine machine, Map<String, Double> zoneCrowding) {
+  double score(Job job, Machine machine, Map<String, Double> zoneShortfall) {
     JobSpec spec = job.spec();
     return tuning.strandedWeight() * stranded(job, machine)
         + sameJobCost(job, machine) / Math.max(1, spec.tasks())
         + tuning.sameZoneWeight() * job.attemptsInZone(machine.zone()) / Math.max(1, spec.tasks())
-        + tuning.zoneBalanceWeight() * zoneCrowding.getOrDefault(machine.zone(), 1.0)
+        + tuning.zoneBalanceWeight() * zoneShortfall.getOrDefault(machine.zone(), 1.0)
         + tuning.cachedImageWeight()
             * fetchShare(job, machine)
             * competingFetches(spec.image(), machine)
@@ -88,12 +88,14 @@
    * vain.
    */
   private double fetchShare(Job job, Machine machine) {
-    double fetch = MessageFields.seconds(machine.type().fetchTime(job.spec().imageGb()));
-    double run = job.spec().isService() ? 1 : MessageFields.seconds(job.spec().estimatedDuration());
+    double fetchSeconds = MessageFields.seconds(machine.type().fetchTime(job.spec().imageGb()));
+    double runSeconds =
+        job.spec().isService() ? 1 : MessageFields.seconds(job.spec().estimatedDuration());
     if (job.spec().isGang()) {
-      run = context.startObjective().apply(job.spec()).map(MessageFields::seconds).orElse(run);
+      runSeconds =
+          context.startObjective().apply(job.spec()).map(MessageFields::seconds).orElse(runSeconds);
     }
-    return fetch / Math.max(SHORTEST_TIME_S, fetch + run);
+    return fetchSeconds / Math.max(MIN_TOTAL_TIME_S, fetchSeconds + runSeconds);
   }
 
   /** How many fetches would share the rate with the image's own; -1 if that is cached. */
--- a/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
+++ b/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
@@ -13,7 +13,7 @@
 /** Says which attempts would have to leave a machine for a task, and which must not be stopped. */
 final class VictimSelector {
   /** Lowest first; among equals the youngest, which has the least to lose. */
-  private static final Comparator<TaskAttempt> LOWEST_AND_YOUNGEST =
+  private static final Comparator<TaskAttempt> LOWEST_PRIORITY_THEN_YOUNGEST =
       Comparator.comparing((TaskAttempt attempt) -> attempt.spec().priority())
           .thenComparing(TaskAttempt::stageSince, Comparator.reverseOrder());
 
@@ -35,29 +35,29 @@
     for (TaskAttempt attempt : machine.attempts().values()) {
       if (!attempt.stopping()
           && !capacity.isVictim(attempt)
-          && !isSheltered(attempt)
+          && !isProtected(attempt)
           && mayPreempt(job.spec(), attempt.spec(), guaranteed)) {
         candidates.add(attempt);
       }
     }
-    candidates.sort(LOWEST_AND_YOUNGEST);
-    Resources trial = capacity.availableOn(machine).copy();
+    candidates.sort(LOWEST_PRIORITY_THEN_YOUNGEST);
+    Resources availableAfterPreemption = capacity.availableOn(machine).copy();
     List<TaskAttempt> victims = new ArrayList<>();
     for (TaskAttempt attempt : candidates) {
-      if (trial.fits(job.spec())) {
+      if (availableAfterPreemption.fits(job.spec())) {
         break;
       }
-      trial.add(attempt.spec());
+      availableAfterPreemption.add(attempt.spec());
       victims.add(attempt);
     }
-    return trial.fits(job.spec()) ? victims : List.of();
+    return availableAfterPreemption.fits(job.spec()) ? victims : List.of();
   }
 
   /**
    * Whether a task is the first of a batch job that has waited for long: stopped before it counts
    * as a start, the job would go on waiting, and the youngest are the first to be stopped.
    */
-  private boolean isSheltered(TaskAttempt attempt) {
+  private boolean isProtected(TaskAttempt attempt) {
     Job job = attempt.job();
     return !job.spec().isService()
         && !job.hasStarted()
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -35,7 +35,7 @@
   }
 
   /** The zones in which a job that must spread may have another task; none for any other job. */
-  List<String> zonesLeft(Job job) {
+  List<String> zonesBelowTaskLimit(Job job) {
     if (!job.spec().spreadAcrossZones()) {
       return List.of();
     }
@@ -49,12 +49,12 @@
    * How much less capacity for such tasks each zone has than the zone with the most, from 0 to 1. A
    * job that must spread can't do without the smaller zone; one that need not shouldn't fill it up.
    */
-  Map<String, Double> crowding(Job like) {
-    Map<String, Integer> tasksByZone = tasksByZone(like);
+  Map<String, Double> shortfallByZone(Job job) {
+    Map<String, Integer> tasksByZone = tasksByZone(job);
     int most = tasksByZone.values().stream().mapToInt(count -> count).max().orElse(0);
-    Map<String, Double> crowding = new HashMap<>();
+    Map<String, Double> shortfallByZone = new HashMap<>();
     tasksByZone.forEach(
-        (zone, count) -> crowding.put(zone, most == 0 ? 0 : 1 - count / (double) most));
-    return crowding;
+        (zone, count) -> shortfallByZone.put(zone, most == 0 ? 0 : 1 - count / (double) most));
+    return shortfallByZone;
   }
 }
--- a/src/test/java/io/pearscale/gang/GangAttemptTest.java
+++ b/src/test/java/io/pearscale/gang/GangAttemptTest.java
@@ -15,33 +15,34 @@
 
 class GangAttemptTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
-  private static final Duration FORMING = Duration.ofSeconds(40);
-  private final GangAttempt gang = new GangAttempt(3, FORMING);
+  private static final Duration FORMING_TIMEOUT = Duration.ofSeconds(40);
+  private final GangAttempt gang = new GangAttempt(3, FORMING_TIMEOUT);
 
   private static List<Member> members(MemberStage... stages) {
     return Arrays.stream(stages).map(stage -> new Member(7, stage, false)).toList();
   }
 
-  private Action next(MemberStage... stages) {
+  private Action nextAction(MemberStage... stages) {
     return gang.nextAction(members(stages), START.plusSeconds(1));
   }
 
-  private void formed() {
+  private void formGang() {
     gang.begin(7, START);
-    next(MemberStage.SENT, MemberStage.SENT, MemberStage.FETCHING);
+    nextAction(MemberStage.SENT, MemberStage.SENT, MemberStage.FETCHING);
   }
 
   @Test
-  void startsAllWhenNothingIsThere() {
-    assertEquals(Action.START, next());
+  void startsAllTasksOfVacantGang() {
+    assertEquals(Action.START, nextAction());
     assertEquals(Optional.empty(), gang.number());
   }
 
   @Test
-  void aTaskLostBeforeTheOthersBeganIsReplacedUnderTheSameNumber() {
-    formed();
-    assertEquals(Action.NONE, next(MemberStage.WAITING, MemberStage.WAITING, MemberStage.SENT));
-    assertEquals(Action.COMPLETE, next(MemberStage.WAITING, MemberStage.WAITING));
+  void replacesTaskLostBeforeRunningUnderSameAttemptNumber() {
+    formGang();
+    assertEquals(
+        Action.NONE, nextAction(MemberStage.WAITING, MemberStage.WAITING, MemberStage.SENT));
+    assertEquals(Action.COMPLETE, nextAction(MemberStage.WAITING, MemberStage.WAITING));
     assertEquals(Optional.of(7L), gang.number());
     assertEquals(
         Action.END,
@@ -50,39 +51,40 @@
   }
 
   @Test
-  void aTaskThatIsToStopIsReplacedOnceItIsGone() {
-    formed();
-    List<Member> one =
+  void doesNotReplaceTaskWhileItIsStopping() {
+    formGang();
+    List<Member> members =
         List.of(
             new Member(7, MemberStage.WAITING, true), new Member(7, MemberStage.WAITING, false));
-    assertEquals(Action.NONE, gang.nextAction(one, START.plusSeconds(1)));
+    assertEquals(Action.NONE, gang.nextAction(members, START.plusSeconds(1)));
     assertEquals(Phase.FORMING, gang.phase());
   }
 
   @Test
-  void afterTheyBeganTheLossOfOneEndsAll() {
-    formed();
-    assertEquals(Action.NONE, next(MemberStage.RUNNING, MemberStage.WAITING, MemberStage.WAITING));
+  void endsRunningAttemptThatLosesTask() {
+    formGang();
+    assertEquals(
+        Action.NONE, nextAction(MemberStage.RUNNING, MemberStage.WAITING, MemberStage.WAITING));
     assertEquals(Phase.RUNNING, gang.phase());
-    assertEquals(Action.END, next(MemberStage.WAITING, MemberStage.WAITING));
-    assertEquals(Action.END, next(MemberStage.WAITING));
-    assertEquals(Action.START, next());
+    assertEquals(Action.END, nextAction(MemberStage.WAITING, MemberStage.WAITING));
+    assertEquals(Action.END, nextAction(MemberStage.WAITING));
+    assertEquals(Action.START, nextAction());
     assertEquals(1, gang.endedAttempts());
   }
 
   @Test
-  void whatExitsForTheOthersSakeEndsTheAttempt() {
-    formed();
-    gang.noteBroken(6);
-    assertEquals(Action.COMPLETE, next(MemberStage.WAITING, MemberStage.WAITING));
-    gang.noteBroken(7);
-    assertEquals(Action.END, next(MemberStage.WAITING, MemberStage.WAITING));
+  void endsOnlyAttemptReportedAsBroken() {
+    formGang();
+    gang.markBroken(6);
+    assertEquals(Action.COMPLETE, nextAction(MemberStage.WAITING, MemberStage.WAITING));
+    gang.markBroken(7);
+    assertEquals(Action.END, nextAction(MemberStage.WAITING, MemberStage.WAITING));
   }
 
   @Test
-  void anEndedAttemptTakesNoMoreTasks() {
-    formed();
-    gang.noteEnding();
+  void doesNotReplaceTasksOfEndingAttempt() {
+    formGang();
+    gang.markEnding();
     assertEquals(
         Action.NONE,
         gang.nextAction(List.of(new Member(7, MemberStage.CHECKPOINTING, true)), START));
@@ -90,29 +92,31 @@
     gang.nextAction(List.of(), START);
     gang.begin(8, START);
     assertEquals(Optional.of(8L), gang.number());
-    gang.noteBroken(7);
+    gang.markBroken(7);
     assertEquals(
-        Action.NONE, gang.nextAction(all(8, MemberStage.SENT), START), "a late word of before");
+        Action.NONE,
+        gang.nextAction(threeMembers(8, MemberStage.SENT), START),
+        "a late word of before");
   }
 
-  private static List<Member> all(long attempt, MemberStage stage) {
+  private static List<Member> threeMembers(long attempt, MemberStage stage) {
     Member member = new Member(attempt, stage, false);
     return List.of(member, member, member);
   }
 
   @Test
-  void aNewLeaderConcludesNothingBeforeAllAreShownOrGone() {
+  void newLeaderWaitsUntilAllTasksAreReportedOrAbsent() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
-    Member shown = new Member(9, MemberStage.RUNNING, false);
-    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, unknown, shown), START));
+    Member reported = new Member(9, MemberStage.RUNNING, false);
+    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, unknown, reported), START));
     assertEquals(Phase.UNKNOWN, gang.phase());
-    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, shown), START));
-    assertEquals(Action.NONE, gang.nextAction(List.of(shown, shown, shown), START));
+    assertEquals(Action.NONE, gang.nextAction(List.of(unknown, reported), START));
+    assertEquals(Action.NONE, gang.nextAction(List.of(reported, reported, reported), START));
     assertEquals(Phase.RUNNING, gang.phase());
   }
 
   @Test
-  void aNewLeaderCompletesWhatHasNotBegun() {
+  void newLeaderCompletesAttemptThatHasNotStartedRunning() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     Member waiting = new Member(9, MemberStage.WAITING, false);
     gang.nextAction(List.of(unknown, waiting, waiting), START);
@@ -121,7 +125,7 @@
   }
 
   @Test
-  void aNewLeaderEndsWhatHasBegunAndLostATask() {
+  void newLeaderEndsRunningAttemptThatLostTask() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     Member running = new Member(9, MemberStage.RUNNING, false);
     gang.nextAction(List.of(unknown, running), START);
@@ -129,31 +133,35 @@
   }
 
   @Test
-  void tasksOfTwoAttemptsAreEnded() {
+  void endsTasksOfMixedAttempts() {
     Member unknown = new Member(-1, MemberStage.SENT, false);
     gang.nextAction(List.of(unknown, unknown), START);
-    List<Member> two =
+    List<Member> mixedMembers =
         List.of(
             new Member(9, MemberStage.WAITING, false), new Member(8, MemberStage.WAITING, false));
-    assertEquals(Action.END, gang.nextAction(two, START));
+    assertEquals(Action.END, gang.nextAction(mixedMembers, START));
   }
 
   @Test
-  void savesOnlyIfAllRunAndAllCanBeToldInTime() {
-    GangCheckpointPolicy.MemberReachability good =
+  void checkpointsOnlyIfAllTasksRunAndAreReachableInTime() {
+    GangCheckpointPolicy.MemberReachability ready =
         new GangCheckpointPolicy.MemberReachability(true, true);
-    GangCheckpointPolicy.MemberReachability cutOff =
+    GangCheckpointPolicy.MemberReachability unreachable =
         new GangCheckpointPolicy.MemberReachability(true, false);
-    GangCheckpointPolicy.MemberReachability waits =
+    GangCheckpointPolicy.MemberReachability waiting =
         new GangCheckpointPolicy.MemberReachability(false, true);
     Duration ample = Duration.ofHours(1);
-    Duration save = Duration.ofSeconds(3);
-    assertTrue(GangCheckpointPolicy.mayCheckpoint(List.of(good, good), 2, ample, save));
-    assertFalse(GangCheckpointPolicy.mayCheckpoint(List.of(good, cutOff), 2, ample, save));
-    assertFalse(GangCheckpointPolicy.mayCheckpoint(List.of(good, waits), 2, ample, save));
+    Duration checkpointTime = Duration.ofSeconds(3);
+    assertTrue(GangCheckpointPolicy.mayCheckpoint(List.of(ready, ready), 2, ample, checkpointTime));
+    assertFalse(
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready, unreachable), 2, ample, checkpointTime));
+    assertFalse(
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready, waiting), 2, ample, checkpointTime));
     assertFalse(
-        GangCheckpointPolicy.mayCheckpoint(List.of(good), 2, ample, save), "one is gone already");
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready), 2, ample, checkpointTime),
+        "one is gone already");
     assertFalse(
-        GangCheckpointPolicy.mayCheckpoint(List.of(good, good), 2, Duration.ofSeconds(3), save));
+        GangCheckpointPolicy.mayCheckpoint(
+            List.of(ready, ready), 2, Duration.ofSeconds(3), checkpointTime));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/placement/AdaptiveThrottleTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/AdaptiveThrottleTest.java
@@ -11,18 +11,18 @@
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
   @Test
-  void restsInProportion() {
-    assertEquals(Duration.ofMillis(400), throttle.restAfter(Duration.ofMillis(100)));
+  void pausesInProportionToWork() {
+    assertEquals(Duration.ofMillis(400), throttle.pauseAfter(Duration.ofMillis(100)));
   }
 
   @Test
-  void neverRestsForLessThanTheMinimum() {
-    assertEquals(Duration.ofMillis(30), throttle.restAfter(Duration.ZERO));
+  void neverPausesForLessThanMinimum() {
+    assertEquals(Duration.ofMillis(30), throttle.pauseAfter(Duration.ZERO));
   }
 
   /** A process that stood still for 35 s within a pass would place nothing for minutes. */
   @Test
-  void aProcessThatStoodStillDoesNotRestForMinutes() {
-    assertEquals(Duration.ofSeconds(2), throttle.restAfter(Duration.ofSeconds(35)));
+  void limitsPauseAfterProcessStall() {
+    assertEquals(Duration.ofSeconds(2), throttle.pauseAfter(Duration.ofSeconds(35)));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void urgentWorkGoesElsewhere() {
+  void rejectsUrgentTasksDuringProbation() {
     MachineType type =
         new MachineType("s", 8, 0, 64, 100, 1, 1, 1, Duration.ofSeconds(5), List.of("a"));
     Machine machine = new Machine("m-1", "a", false, type, Lifecycle.UP, NOW);
