--- a/src/main/java/io/pearscale/scheduler/agents/AbsenceProver.java
+++ b/src/main/java/io/pearscale/scheduler/agents/AbsenceProver.java
@@ -10,13 +10,18 @@
 import java.util.Set;
 
 /**
- * Concludes from a heartbeat which attempts are not on its machine.
+ * Derives from a heartbeat which attempts are absent from its machine.
  *
- * <p>Invariant: an attempt that a heartbeat does not list is absent only if no start command of it
- * can still be executed. That is so when the attempt was started in an earlier incarnation, which
- * has ended with all its tasks; when a message has shown the attempt before, since an agent lists
- * it from its start until it was told to forget it; and when the heartbeat shows a higher fencing
- * token than any start of it carried, since the agent refuses those from then on.
+ * <p>Invariant: an attempt that a heartbeat does not list is absent only if the agent can no longer
+ * execute a start command for it. This holds in three cases:
+ *
+ * <ul>
+ *   <li>The attempt was started in an earlier incarnation, which ended together with its tasks.
+ *   <li>An earlier message listed the attempt. An agent lists an attempt from its start until a
+ *       command makes the agent forget it.
+ *   <li>The heartbeat shows a higher fencing token than any start command for the attempt carried.
+ *       From then on the agent refuses those commands.
+ * </ul>
  */
 final class AbsenceProver {
   private final MachineInventory inventory;
@@ -26,7 +31,7 @@
   }
 
   /**
-   * Removes attempts that are proved to be absent.
+   * Removes the attempts that the heartbeat proves to be absent.
    *
    * @param present the attempts that the heartbeat lists as present
    */
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -27,31 +27,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings commands to agents, in direct calls and in heartbeat responses, and handles the outcomes
- * of direct calls: executed, refused, never sent, or unknown. A command whose outcome is unknown
- * may yet be executed, until the agent has seen a higher fencing token.
+ * Sends commands to agents, in direct calls and in heartbeat responses, and handles the outcomes of
+ * direct calls: executed, refused, not sent, or unknown. The agent may still execute a command
+ * whose outcome is unknown until it has seen a higher fencing token.
  */
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
   private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(1500);
   private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
-  /**
-   * No direct command is sent for so long after a call that was not sent, or a first missed probe.
-   */
+  /** Pause in direct commands after a call that was not sent; doubled for each missed probe. */
   private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
-  /** How often the backoff is doubled at most, once for each probe without an answer. */
+  /** Limits the doubling of the backoff, which happens once for each unanswered probe. */
   private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-  /** After a command whose outcome is unknown, heartbeats are waited for so long. */
+  /**
+   * Pause in direct commands after a command whose outcome is unknown, to wait for a heartbeat
+   * instead.
+   */
   private static final Duration OUTCOME_UNKNOWN_BACKOFF = Duration.ofSeconds(3);
 
   /**
    * A direct call in flight.
    *
    * @param fencingToken the token that the call carries
-   * @param commands none in a probe
+   * @param commands the commands to execute; empty for a probe
    */
   private record CommandCall(Machine machine, long fencingToken, List<AgentCommand> commands) {
     boolean isProbe() {
@@ -71,10 +72,10 @@
   private final MachineProber prober;
 
   /**
-   * Makes a dispatcher.
+   * Creates a dispatcher.
    *
-   * @param onHigherTerm is called with a higher term than this leader's when an agent shows one
-   * @param heartbeatProcessor takes in the heartbeats with which agents answer
+   * @param onHigherTerm called with a term higher than this leader's when an agent reports one
+   * @param heartbeatProcessor processes the heartbeats that replies to direct calls contain
    */
   public CommandDispatcher(
       LeaderState state,
@@ -98,34 +99,34 @@
             inventory, clock, settings, timings, executor, machine -> send(machine, List.of()));
   }
 
-  /** Probes machines through this dispatcher. */
+  /** Returns the prober that sends its probes through this dispatcher. */
   MachineProber prober() {
     return prober;
   }
 
-  /** A term has begun: no call is in flight in it. */
+  /** Resets the state of direct calls: at the start of a term none is in flight. */
   public void beginTerm() {
     prober.beginTerm();
   }
 
-  /** The term is over. */
+  /** Discards outstanding probes at the end of a term. */
   public void endTerm() {
     prober.endTerm();
   }
 
-  /** After a failover: probes all recorded machines that have not sent a heartbeat. */
+  /** Probes all recorded machines that have not sent a heartbeat since the failover. */
   public void probeRecordedMachines() {
     prober.probeRecordedMachines();
   }
 
   // ---- Sending ----
 
-  /** Sends all that is due to all machines. */
+  /** Sends the due commands of all machines. */
   public void sendAllDueCommands() {
     inventory.forEachWithDueCommands(this::sendDueCommands, DueCommands::arePending);
   }
 
-  /** Sends what is due to the machine, unless a call to it is in flight or has just failed. */
+  /** Sends the machine's due commands, unless a call to it is in flight or has just failed. */
   public void sendDueCommands(Machine machine) {
     if (!maySendDirectCommand(machine)
         || !leadership.mayRenewLeases()
@@ -140,7 +141,7 @@
     }
   }
 
-  /** All that is due to a reconciled machine whose heartbeat is being answered. */
+  /** Returns the due commands of a reconciled machine, for the response to its heartbeat. */
   List<AgentCommand> commandsForHeartbeatResponse(Machine machine) {
     List<AgentCommand> commands =
         dueCommands.take(machine, /* inHeartbeatResponse= */ true, clock.instant());
@@ -192,7 +193,8 @@
       return;
     }
     if (reply.notSent()) {
-      // Not a sign of anything about the machine: the next heartbeat or tick brings another chance.
+      // A call that was not sent says nothing about the machine. The next heartbeat or tick
+      // retries.
       revertUnexecuted(call);
       machine.reachability().pauseDirectCommandsUntil(clock.instant().plus(INITIAL_BACKOFF));
     } else if (call.isProbe()) {
@@ -202,7 +204,10 @@
     }
   }
 
-  /** Each miss doubles the backoff: a zone that is cut off must not keep the leader busy. */
+  /**
+   * Doubles the backoff with each missed probe, so that probing the machines of a partitioned zone
+   * does not overload the leader.
+   */
   private void recordMissedProbe(Machine machine) {
     machine.reachability().probeMissed();
     int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, machine.reachability().missedProbes());
@@ -210,7 +215,10 @@
     machine.reachability().pauseDirectCommandsUntil(clock.instant().plus(backoff));
   }
 
-  /** It may have been executed, or be executed later: a higher token puts an end to that. */
+  /**
+   * Marks the outcome of the call's commands as unknown. The agent may have executed them, or may
+   * execute them later, until it has seen a higher fencing token.
+   */
   private void recordUnknownOutcome(CommandCall call) {
     Machine machine = call.machine;
     machine.fencing().commandOutcomeUnknown(call.fencingToken);
@@ -222,13 +230,17 @@
         call.fencingToken);
   }
 
-  /** Takes in the heartbeat with which the agent answered; false if it can't be decoded. */
+  /**
+   * Processes the heartbeat in an agent's reply to a direct call.
+   *
+   * @return false if the heartbeat could not be decoded
+   */
   private boolean processHeartbeatInReply(CommandCall call, Reply reply, boolean refused) {
     Machine machine = call.machine;
     try {
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
       if (!heartbeat.machine().equals(machine.name())) {
-        throw new MalformedMessageException("answer of another machine");
+        throw new MalformedMessageException("reply names another machine");
       }
       if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
         onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
@@ -258,8 +270,9 @@
   }
 
   /**
-   * Nothing was executed, and nothing will be: its stops count as not sent, and its starts go back
-   * to being planned, unless they were sent another way since.
+   * Reverts the commands of a call that the agent neither executed nor can still execute: stops
+   * count as not sent, and started attempts become planned again, unless their start has since been
+   * resent with another token.
    */
   private void revertUnexecuted(CommandCall call) {
     for (AgentCommand command : call.commands) {
--- a/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 
 /**
- * Decides which commands an agent is due: the stops that it owes, starts of attempts whose
- * placement records are durable and whose resources are free, and ended attempts that it may
- * forget. Sends nothing. What is returned counts as sent: attempts are marked, and the machine's
- * fencing token is incremented where a command needs a higher one.
+ * Selects the commands that are due for an agent: stops, starts of attempts whose placement records
+ * are durable and whose resources are available, and ended attempts that the agent may forget. It
+ * does not send them. Returned commands count as sent: attempts are updated, and the machine's
+ * fencing token is incremented if a command requires a higher one.
  */
 final class DueCommands {
   private final Leadership leadership;
@@ -33,9 +33,10 @@
   }
 
   /**
-   * All commands that the agent is to get now, in the order in which it is to execute them.
+   * Returns all commands to send to the agent now, in the order of execution.
    *
-   * @param inHeartbeatResponse whether they go with a response that renews the machine's lease
+   * @param inHeartbeatResponse whether the commands are part of a heartbeat response, which renews
+   *     the machine's lease
    */
   List<AgentCommand> take(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> commands = StopCommands.due(machine, inHeartbeatResponse, now);
@@ -48,7 +49,7 @@
     return commands;
   }
 
-  /** Whether something is due that is worth a direct command, and not only a heartbeat response. */
+  /** Returns whether a due command should be sent directly, not just in a heartbeat response. */
   static boolean needDirectCommand(Machine machine) {
     if (StopCommands.hasUnsent(machine)) {
       return true;
@@ -63,15 +64,15 @@
     return false;
   }
 
-  /** Whether something is due now, or will be once its placement record is durable. */
+  /** Returns whether a command is due now, or will be once its placement record is durable. */
   static boolean arePending(Machine machine) {
     return machine.attempts().values().stream().anyMatch(a -> a.stage() == Stage.PLANNED)
         || needDirectCommand(machine);
   }
 
   /**
-   * Adds starts that seem to be lost. An agent ignores a start of an attempt that it knows, so the
-   * same attempt can't run twice, whatever comes late.
+   * Adds starts that were sent but are presumed lost. An agent ignores a start of an attempt that
+   * it knows, so a delayed start cannot make the same attempt run twice.
    */
   private void resendLostStarts(Machine machine, List<AgentCommand> commands) {
     for (TaskAttempt attempt : machine.attempts().values()) {
@@ -88,13 +89,13 @@
   }
 
   /**
-   * Ended attempts that the agent may forget now.
+   * Returns the ended attempts that the agent may forget now.
    *
-   * <p>Invariant: after an agent has forgotten an attempt, no start command of it can be executed.
-   * An agent that has forgotten an attempt would take a late start of it for a new one, be its
-   * outcome unknown, or be it in flight or a copy. So the command that makes it forget carries a
-   * higher fencing token than any start of the attempt did: from then on the agent refuses those.
-   * Only what completed may be started again: it stays completed.
+   * <p>Invariant: after an agent has forgotten an attempt, it cannot execute a start command for
+   * that attempt. It would treat a delayed start as a new one, whether that start is in flight, is
+   * a copy, or has an unknown outcome. The forget command therefore carries a higher fencing token
+   * than any start of the attempt, and the agent refuses those starts from then on. A completed
+   * attempt needs no higher token: even if it is started again, its task stays completed.
    */
   private Set<AttemptId> takeForgettable(Machine machine) {
     Set<AttemptId> forgettable = new LinkedHashSet<>();
@@ -118,14 +119,14 @@
     return forgettable;
   }
 
-  /** Whether the agent is the only one that knows durably that the task completed. */
+  /** Returns whether the completion of the task is durable only on the agent so far. */
   private boolean isCompletionNotDurable(AttemptId attempt) {
     Job job = jobs.get(attempt.task().job());
     int index = attempt.task().index();
     return job != null && job.isDone(index) && !job.isDurablyDone(index);
   }
 
-  /** Adds starts of planned attempts, as far as the machine's free resources allow. */
+  /** Adds starts of planned attempts for which the machine has available resources. */
   private void addStarts(Machine machine, Set<AttemptId> forgotten, List<AgentCommand> commands) {
     if (!mayStartOn(machine)) {
       return;
@@ -155,8 +156,8 @@
   }
 
   /**
-   * Whether a successor would know where the attempt may be. A start is never sent before, since
-   * the successor would otherwise take the task to be nowhere and start it again.
+   * Returns whether the next leader would know the machine of the attempt. A start is sent only
+   * then; otherwise the next leader might start the task a second time on another machine.
    */
   private static boolean isStartDurable(TaskAttempt attempt) {
     return attempt.stage() == Stage.PLANNED
@@ -164,7 +165,10 @@
         && GangTracker.mayStart(attempt.job());
   }
 
-  /** Whether the agent still knows another attempt of the task, and might refuse this one. */
+  /**
+   * Returns whether the agent may refuse the attempt, since it has not forgotten an ended attempt
+   * of the same task.
+   */
   private static boolean mayBeRefusedAsBusy(
       Machine machine, TaskAttempt attempt, Set<AttemptId> forgotten) {
     return machine.reportedAttempts().ended().keySet().stream()
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * Detects failures of machines one by one, and acts on them: probes those whose heartbeats are
- * overdue, expires leases, withdraws what is planned for them, and retires those that have failed.
+ * Detects failed machines and reacts to them: probes machines whose heartbeats are overdue, expires
+ * leases, withdraws planned attempts, and retires machines that have failed.
  */
 public final class FailureDetector {
   private final MachineInventory inventory;
@@ -28,7 +28,7 @@
   private final MachineChecks checks;
   private Optional<FleetReachability> fleetReachability = Optional.empty();
 
-  /** Makes a detector that sends its probes through the dispatcher. */
+  /** Creates a detector that sends its probes through the dispatcher. */
   public FailureDetector(
       LeaderState state,
       AgentTimings timings,
@@ -43,24 +43,25 @@
     this.checks = new MachineChecks(state.leadership(), timings);
   }
 
-  /** Whether tasks may be placed on the machine. */
+  /** Returns whether tasks may be placed on the machine. */
   public boolean isSchedulable(Machine machine, Instant now) {
     return checks.isSchedulable(machine, now);
   }
 
   /**
-   * Zones of which most machines are silent, so that nothing provisioned there is of use by now.
+   * Returns the zones in which most machines are unreachable. Machines provisioned there would not
+   * be usable now.
    */
   public Set<String> unreachableZones(Instant now) {
     return fleetReachability(now).unreachableZones();
   }
 
-  /** A round over the machines begins: how many are silent is counted anew. */
+  /** Starts a round of checks, for which the unreachable machines are counted again. */
   public void beginRound() {
     fleetReachability = Optional.empty();
   }
 
-  /** Looks after one machine. */
+  /** Checks one machine and takes the actions that its state requires. */
   public void check(Machine machine, Instant now) {
     if (checks.isHealthy(machine, now)) {
       return;
@@ -71,7 +72,7 @@
     if (checks.needsProbe(machine, prober.hasProbedAllRecorded(), now) && prober.mayProbe()) {
       prober.probe(machine);
     }
-    // Judged first: what is only planned still counts as something to be freed.
+    // This must precede the withdrawal: planned attempts count as a reason to release the machine.
     boolean unreachable = checks.isUnreachable(machine, fleetReachability(now), now);
     if (!checks.mayKeepPlanned(machine, now)) {
       inventory.withdrawPlanned(machine);
@@ -81,8 +82,8 @@
   }
 
   /**
-   * Nothing can be alive on the machine. Its agent has gone on to another incarnation and has to
-   * show that, with this term's token, before anything is started there.
+   * Handles an expired lease: no task can be alive on the machine. Its agent has moved on to a new
+   * incarnation, and must report it with this term's fencing token before a task is started there.
    */
   private void expireLease(Machine machine) {
     machine.expireLease();
@@ -90,16 +91,18 @@
     inventory.removeAll(machine, AbsenceProof.LEASE_EXPIRED);
     machine.lease().endIncarnation();
     if (machine.lifecycle() == Lifecycle.UP && machine.maintenance().isInService()) {
-      // A successor need not wait for it again. Before its next start it is recorded anew.
+      // Without a record, the next leader does not wait for this lease again. The machine is
+      // recorded again before the next start on it.
       records.removeMachine(machine);
     }
   }
 
-  /** Why the machine is to be released, by the first check that says so. */
+  /** Returns the reason to release the machine, from the first check that finds one. */
   private Optional<Reason> reasonToRetire(Machine machine, boolean unreachable, Instant now) {
     if (machine.maintenance().stage() == Maintenance.Stage.DRAINED
         && machine.attempts().isEmpty()) {
-      // Whoever maintains it may switch it off; what the cloud says of it counts all the same.
+      // Operators may switch off a drained machine, so its failure is no reason to release it. The
+      // state that the provider reports for it is still handled elsewhere.
       return Optional.empty();
     }
     if (MachineChecks.hasExceededBootTimeout(machine, now)) {
@@ -124,9 +127,10 @@
   }
 
   /**
-   * Whether a machine that answers but sends no heartbeats is to be released. Not while anything
-   * may run there: after a failover, with a controller that stands still, a heartbeat may find
-   * nobody for as long, and comes in time.
+   * Returns whether to release a machine that answers commands but whose heartbeats do not arrive.
+   * A machine that may run tasks is kept: after a failover, while a controller is unresponsive, its
+   * heartbeats may fail to reach any controller for that long and still arrive before its lease
+   * expires.
    */
   private boolean shouldRetireForHeartbeatPath(Machine machine, boolean empty, Instant now) {
     return checks.isHeartbeatPathDown(machine, now)
@@ -135,11 +139,12 @@
   }
 
   /**
-   * How much of the fleet can be reached, counted once a round. Deleting a silent machine proves it
-   * empty sooner than waiting for its lease. That is only worth it, and only believable, while
-   * nearly all others are heard: else it is the leader that is cut off. When a whole zone is silent
-   * and most machines are heard, those that hold replicas are worth it: a new leader would
-   * otherwise wait for a lease from its own election on, while nothing serves.
+   * Returns the reachability of the fleet, counted once per round. Deleting an unreachable machine
+   * proves that its tasks are absent sooner than waiting for its lease to expire. This is justified
+   * only while nearly all other machines are reachable; otherwise the leader itself is probably
+   * partitioned. If a whole zone is unreachable but most machines are reachable, machines with
+   * replicas are still deleted: otherwise a new leader would wait for a full lease from its own
+   * election on while those replicas do not serve.
    */
   private FleetReachability fleetReachability(Instant now) {
     if (fleetReachability.isEmpty()) {
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -12,7 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells faulty machines from jobs that fail everywhere, by counting failures on both sides. */
+/**
+ * Distinguishes faulty machines from jobs that fail on every machine, by counting failures per
+ * machine and per job.
+ */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
@@ -31,11 +34,11 @@
   }
 
   /**
-   * A task of the job failed on the machine. Failures of several jobs on one machine point at the
-   * machine; failures of one job on several machines point at the job. Both are counted, and until
-   * it is clear the machine is avoided for a while. A job that was submitted with a mistake fails
-   * on healthy machines: once that is known, they are not blamed for it, while the job is tried
-   * ever more rarely.
+   * Records that a task of the job failed on the machine. Failures of several jobs on one machine
+   * indicate a faulty machine; failures of one job on several machines indicate a faulty job. Both
+   * are counted, and until the cause is known, the scheduler temporarily avoids the machine. Once a
+   * job is known to fail everywhere, the healthy machines that it failed on are available again,
+   * and the job is retried with increasing backoff.
    */
   void recordFailure(Machine machine, Job job) {
     Instant now = clock.instant();
@@ -55,13 +58,16 @@
     quarantineIfFaulty(machine);
   }
 
-  /** The pause that a machine gets after so many failures: it doubles with each of them. */
+  /** Returns the backoff for a machine with this many failures; each failure doubles it. */
   private static Duration backoffAfter(int failures) {
     long seconds = INITIAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, failures);
     return Duration.ofSeconds(Math.min(MAX_BACKOFF_S, seconds));
   }
 
-  /** A task of the job completed on the machine: where others failed, the machine was at fault. */
+  /**
+   * Records that a task of the job completed on the machine. From the first success of a job on,
+   * its failures count against the machines that they occurred on, which may then be quarantined.
+   */
   void recordSuccess(Machine machine, Job job) {
     if (job.failures().recordSuccess()) {
       for (String name : job.failures().machinesFailedOn()) {
--- a/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -10,26 +10,27 @@
 import java.util.function.Function;
 
 /**
- * How much of the fleet is silent: many silent machines point at the leader's own network, not at
- * them.
+ * The share of the fleet that is unreachable. If many machines are unreachable, the cause is more
+ * likely the leader's own network than the machines.
  *
- * @param fewUnreachable whether few machines are silent
- * @param minorityUnreachable whether less than half of the machines are silent
- * @param unreachableZones the zones of which most machines are silent
+ * @param fewUnreachable whether few machines are unreachable
+ * @param minorityUnreachable whether less than half of the machines are unreachable
+ * @param unreachableZones the zones in which most machines are unreachable
  */
 record FleetReachability(
     boolean fewUnreachable, boolean minorityUnreachable, Set<String> unreachableZones) {
-  /** Machines that count as few in the smallest fleet. */
+  /** The number of machines that counts as few in a small fleet. */
   private static final int MIN_FEW_MACHINES = 2;
 
-  /** In a larger fleet, one machine of so many counts as few. */
+  /** In a larger fleet, one in this many machines counts as few. */
   private static final int FEW_MACHINES_DIVISOR = 6;
 
   /**
-   * Counts the machines that are up.
+   * Counts the reachable and unreachable machines among those that are up.
    *
-   * @param lastContact when a machine was last reached
-   * @param unreachableBefore a machine that was not reached since then is silent
+   * @param lastContact returns when a machine was last reached
+   * @param unreachableBefore a machine counts as unreachable if it was last reached before this
+   *     time
    */
   static FleetReachability count(
       Collection<Machine> machines,
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -22,19 +22,22 @@
 import java.util.List;
 
 /**
- * Stops tasks by choice, with a checkpoint where that is possible. With a task of a gang that runs
- * all others are stopped: their work could not go on. Whether they take a checkpoint is decided for
- * all of them before the first stop is sent. A task of a gang that does not run yet is stopped
- * alone, since another one can take its place.
+ * Stops tasks that the scheduler chooses to stop, with a checkpoint where possible. Stopping a task
+ * of a running gang stops all tasks of that gang, since the others could not continue. Whether they
+ * take a checkpoint is decided for all of them before the first stop is sent. A task of a gang that
+ * is not running yet is stopped alone, since it can be replaced.
  */
 public final class GracefulTermination {
-  /** Stands for the time until the preemption of a machine without a notice: longer than any. */
+  /** Time until preemption of a machine without a notice; longer than any announced one. */
   private static final Duration NO_PREEMPTION = Duration.ofDays(365);
 
-  /** Time that a task on a machine to be preempted is given beyond that of its checkpoint. */
+  /** Extra time, beyond the checkpoint duration, to stop a task before its machine's preemption. */
   private static final Duration CHECKPOINT_MARGIN = Duration.ofSeconds(4);
 
-  /** A task stays if what is left of it takes at most so many times the time until preemption. */
+  /**
+   * A task without checkpoints continues if its remaining time is at most this multiple of the time
+   * until preemption.
+   */
   private static final int MAX_REMAINING_TIME_FACTOR = 2;
 
   private final JobTable jobs;
@@ -43,7 +46,7 @@
   private final InstantSource clock;
   private final AgentTimings timings;
 
-  /** Makes a termination of attempts in the state. */
+  /** Creates a termination that stops attempts in the leader's state. */
   public GracefulTermination(LeaderState state, AgentTimings timings) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
@@ -52,7 +55,7 @@
     this.timings = timings;
   }
 
-  /** Stops a task; it takes a checkpoint if it can. */
+  /** Stops a task, with a checkpoint if possible. */
   public void stop(TaskAttempt attempt) {
     stop(attempt, /* withoutCheckpoint= */ false);
   }
@@ -60,7 +63,8 @@
   /**
    * Stops a task.
    *
-   * @param withoutCheckpoint whether what is to start instead can't wait for its checkpoint
+   * @param withoutCheckpoint whether to skip the checkpoint, since the replacing task cannot wait
+   *     for it
    */
   public void stop(TaskAttempt attempt, boolean withoutCheckpoint) {
     if (attempt.job().spec().isGang() && gangs.phase(attempt.job()) == Phase.RUNNING) {
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Ends gang attempts that lost a task while they ran, or that can't be completed in time. */
+  /** Ends gang attempts that lost a task while running, or that cannot be completed in time. */
   public void endBrokenGangs() {
     for (Job job : jobs.gangs()) {
       if (gangs.nextAction(job) == Action.END) {
@@ -82,7 +86,7 @@
     }
   }
 
-  /** Stops what should not be cut off by the preemption of its machine, of which it has notice. */
+  /** Stops the tasks that should end before the announced preemption of their machine. */
   void prepareForPreemption(Machine machine) {
     Instant now = clock.instant();
     Duration untilPreemption = Duration.between(now, machine.preemptionNoticeAt().orElse(now));
@@ -94,9 +98,9 @@
   }
 
   /**
-   * Whether an attempt is to be stopped now: one that takes checkpoints when it must begin to save,
-   * or does not run yet; a replica, to be started elsewhere; other work that can't be expected to
-   * finish in time.
+   * Returns whether to stop an attempt now. A replica is stopped immediately, to be started on
+   * another machine. An attempt with checkpoints is stopped when it must start its checkpoint, or
+   * if it does not run yet. Any other attempt is stopped if it is not expected to finish in time.
    */
   private static boolean shouldStopBeforePreemption(
       Duration untilPreemption, TaskAttempt attempt, Instant now) {
@@ -116,7 +120,7 @@
     return remaining.compareTo(untilPreemption.multipliedBy(MAX_REMAINING_TIME_FACTOR)) > 0;
   }
 
-  /** Stops all tasks of the gang's present attempt. */
+  /** Stops all tasks of the gang's current attempt. */
   private void stopGang(Job job, boolean withoutCheckpoint) {
     Instant now = clock.instant();
     List<MemberReachability> members = new ArrayList<>();
@@ -150,7 +154,7 @@
     }
   }
 
-  /** Whether a direct command reaches the machine at once, as far as can be known. */
+  /** Returns whether a direct command is expected to reach the machine immediately. */
   private boolean isReachable(Machine machine, Instant now) {
     return machine.lifecycle() == Lifecycle.UP
         && machine.reconciled()
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Responds to heartbeats. Each response renews the lease of its machine, so a heartbeat is refused
- * unless this leader may renew leases, and knows the machine as well as all later heartbeats.
+ * Responds to heartbeats. Each response renews the lease of its machine. A heartbeat is therefore
+ * refused if this leader may not renew leases, if the machine was removed, or if the leader has
+ * already processed a newer heartbeat.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -32,9 +33,9 @@
   private final LongConsumer onHigherTerm;
 
   /**
-   * Makes a handler.
+   * Creates a handler.
    *
-   * @param onHigherTerm is called with a higher term than this leader's when an agent shows one
+   * @param onHigherTerm called with a term higher than this leader's when an agent reports one
    */
   public HeartbeatHandler(
       LeaderState state,
@@ -51,9 +52,9 @@
   }
 
   /**
-   * Takes a heartbeat in and responds to it.
+   * Processes a heartbeat and returns the response.
    *
-   * @param relay the host of the controller that received it
+   * @param relay the host of the controller that received the heartbeat
    */
   public HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
     if (!leadership.isReady() || !leadership.mayRenewLeases()) {
@@ -82,10 +83,10 @@
     return new HeartbeatResponse(200, machine.fencing().current(), commands);
   }
 
-  /** The commands of a response, which renews the lease of all that the machine runs. */
+  /** Returns the commands for a response, which renews the machine's lease for all its tasks. */
   private List<AgentCommand> commandsForResponse(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.fencingToken() > machine.fencing().current()) {
-      // The agent drops the response, so that nothing is renewed.
+      // The agent discards a response with a lower token, so the lease is not renewed.
       return List.of();
     }
     return machine.reconciled()
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes in heartbeats, whether they came by themselves or as answers to commands: first what one
- * says of its machine, then the status of each task that it lists, then what follows from the tasks
- * that it does not list.
+ * Processes heartbeats, both periodic ones and those in replies to commands. For each heartbeat it
+ * first updates the machine, then applies the status of each listed task, then removes attempts
+ * that the heartbeat proves to be absent.
  */
 public final class HeartbeatProcessor {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
@@ -37,7 +37,7 @@
   private final AbsenceProver absenceProver;
   private final GracefulTermination termination;
 
-  /** Makes a processor that updates the machines, attempts and jobs of the state. */
+  /** Creates a processor that updates the machines, attempts and jobs of the leader's state. */
   public HeartbeatProcessor(
       LeaderState state, GracefulTermination termination, LeaderStatistics statistics) {
     this.leadership = state.leadership();
@@ -52,13 +52,14 @@
   }
 
   /**
-   * Takes in a heartbeat that is newer than all that were taken in of its machine.
+   * Processes a heartbeat that is newer than all processed heartbeats of its machine.
    *
-   * <p>Invariant: nothing is concluded from a heartbeat of a machine that is not reconciled and
-   * that does not show this term's fencing token. Its agent has not heard of this term, or it is a
-   * late copy: it says nothing of what an old command may yet do, nor that the machine is alive.
+   * <p>Invariant: the liveness and the task statuses in a heartbeat are ignored if the machine is
+   * not reconciled and the heartbeat does not carry a fencing token of this term. Such a heartbeat
+   * is either a delayed copy, or its agent has not seen this term yet. It proves neither that
+   * commands of an earlier term can no longer be executed nor that the machine is alive.
    *
-   * @param reachable whether it shows that what the leader sends reaches the machine
+   * @param reachable whether the heartbeat shows that messages of the leader reach the machine
    */
   void process(Machine machine, Heartbeat heartbeat, boolean reachable) {
     updateMachine(machine, heartbeat);
@@ -80,7 +81,7 @@
     }
   }
 
-  /** Applies all statuses; returns the attempts that are present on the machine. */
+  /** Applies all task statuses and returns the attempts that are present on the machine. */
   private Set<TaskAttempt> applyStatuses(Machine machine, Heartbeat heartbeat) {
     ReportedAttempts.Previous previous = machine.reportedAttempts().beginMessage();
     Set<TaskAttempt> present = new HashSet<>();
@@ -94,7 +95,7 @@
     return present;
   }
 
-  /** Takes in what a heartbeat says of the machine itself, whatever term its agent has heard of. */
+  /** Updates the machine's own data, regardless of the term that its agent has seen. */
   private void updateMachine(Machine machine, Heartbeat heartbeat) {
     Instant now = clock.instant();
     updateIncarnation(machine, heartbeat, now);
@@ -114,7 +115,7 @@
     }
   }
 
-  /** Takes in the incarnation; one that was not expected is worth a line in the log. */
+  /** Updates the machine's incarnation and logs an unexpected one. */
   private void updateIncarnation(Machine machine, Heartbeat heartbeat, Instant now) {
     long previous = machine.lease().incarnation();
     boolean isNew = machine.lease().observe(heartbeat, now);
@@ -123,7 +124,7 @@
     }
   }
 
-  /** Records that a machine lives, and until when if it will be preempted. */
+  /** Records that a machine is alive, and when it will be preempted if it has a notice. */
   private void updateLiveness(Machine machine, Heartbeat heartbeat, boolean reachable) {
     Instant now = clock.instant();
     if (reachable) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
@@ -7,26 +7,29 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Checks of one machine by what was heard of it. They change nothing. */
+/** Read-only checks of one machine, based on its heartbeats, probes and lease. */
 final class MachineChecks {
-  /** Probes without an answer after which a machine may count as unreachable. */
+  /** Number of unanswered probes after which a machine may count as unreachable. */
   private static final int UNREACHABLE_AFTER_PROBES = 2;
 
-  /** A machine may boot for so many times its type's boot time, and a margin. */
+  /** The boot timeout is this multiple of the machine type's boot time, plus a margin. */
   private static final int BOOT_TIMEOUT_FACTOR = 4;
 
   private static final Duration BOOT_TIMEOUT_MARGIN = Duration.ofSeconds(5);
 
-  /** A machine counts as preempted so long after the time that its notice named. */
+  /** Time after the announced preemption from which a machine may count as preempted. */
   private static final Duration PREEMPTION_MARGIN = Duration.ofSeconds(2);
 
-  /** A machine counts as preempted only if it was not reached for so long. */
+  /** A machine counts as preempted only if it has been unreachable for this long. */
   private static final Duration PREEMPTED_UNREACHABLE_TIME = Duration.ofSeconds(3);
 
-  /** For so many leases nothing has to be heard of a machine that is released for it. */
+  /** Number of lease durations without contact after which a machine is released. */
   private static final int UNRESPONSIVE_MACHINE_LEASES = 2;
 
-  /** The same in a zone that is cut off, since its machines come back with their images. */
+  /**
+   * Number of lease durations without contact after which a machine in an unreachable zone is
+   * released. It is higher, since such machines usually return with their cached images.
+   */
   private static final int ZONE_OUTAGE_LEASES = 10;
 
   private final Leadership leadership;
@@ -37,7 +40,7 @@
     this.timings = timings;
   }
 
-  /** Whether tasks may be placed on the machine. */
+  /** Returns whether tasks may be placed on the machine. */
   boolean isSchedulable(Machine machine, Instant now) {
     return machine.lifecycle() == Lifecycle.UP
         && machine.reconciled()
@@ -55,9 +58,9 @@
   }
 
   /**
-   * Whether no other check can find anything: the machine sends heartbeats, can be reached, keeps
-   * its lease and is to stay. Nearly all machines are like this nearly always, so this is asked
-   * before all else.
+   * Returns whether all other checks can be skipped: the machine sends heartbeats, is reachable,
+   * holds its lease and is not to be released. This check runs first, since nearly all machines
+   * pass it nearly always.
    */
   boolean isHealthy(Machine machine, Instant now) {
     return machine.lifecycle() == Lifecycle.UP
@@ -70,7 +73,7 @@
         && machine.lease().isHeld(now, timings.lease());
   }
 
-  /** Whether it was silent for longer than any lease that was ever renewed lasts. */
+  /** Returns whether every lease that the machine was granted must have expired. */
   boolean isLeaseExpiryDue(Machine machine, Instant now) {
     return machine.reachability().heartbeatEverReceived()
         && !machine.leaseExpired()
@@ -78,9 +81,10 @@
   }
 
   /**
-   * Whether the machine should be probed: a heartbeat is overdue, or it was not reconciled.
+   * Returns whether the machine should be probed: its heartbeat is overdue, or it is not
+   * reconciled.
    *
-   * @param allRecordedProbed whether the probes after the failover are through
+   * @param allRecordedProbed whether the probing after the failover has finished
    */
   boolean needsProbe(Machine machine, boolean allRecordedProbed, Instant now) {
     boolean heartbeatOverdue = sinceLastContact(machine, now).compareTo(timings.heartbeatDue()) > 0;
@@ -94,10 +98,10 @@
   }
 
   /**
-   * Whether the machine answers nothing, and is worth being deleted for it. Replicas on a machine
-   * that is merely cut off still count and may serve: half of a lease is waited for them, the rest
-   * is kept for what may come between, an outage in which nothing can be recorded or an election.
-   * Other work is done again, the sooner the better.
+   * Returns whether the machine is unreachable and should be deleted. Replicas on a machine behind
+   * a network partition may still serve, so the leader waits for half of a lease. The other half is
+   * a reserve for an election, or for an outage during which nothing can be recorded. Other tasks
+   * have to be run again, so the leader does not wait that long for them.
    */
   boolean isUnreachable(Machine machine, FleetReachability fleet, Instant now) {
     boolean hasReplicas = machine.attempts().replicaCount() > 0;
@@ -114,7 +118,7 @@
         && (fewUnreachable || (hasReplicas && fleet.minorityUnreachable()));
   }
 
-  /** Whether attempts that are planned for the machine, with no start sent, may stay planned. */
+  /** Returns whether attempts on the machine for which no start was sent may stay planned. */
   boolean mayKeepPlanned(Machine machine, Instant now) {
     return !machine.failures().isQuarantined()
         && machine.preemptionNoticeAt().isEmpty()
@@ -123,7 +127,7 @@
             machine.reachability().lastReachableAt().plus(timings.withdrawPlannedAfter()));
   }
 
-  /** Whether the machine has not come up in several times the usual time. */
+  /** Returns whether the machine has not come up within its boot timeout. */
   static boolean hasExceededBootTimeout(Machine machine, Instant now) {
     Duration bootTimeout =
         machine.type().bootTime().multipliedBy(BOOT_TIMEOUT_FACTOR).plus(BOOT_TIMEOUT_MARGIN);
@@ -131,7 +135,7 @@
         && now.isAfter(machine.provisionedAt().plus(bootTimeout));
   }
 
-  /** Whether the cloud has taken the machine, as its preemption notice said. */
+  /** Returns whether the provider has preempted the machine, as its notice announced. */
   static boolean wasPreempted(Machine machine, Instant now) {
     return machine.preemptionNoticeAt().isPresent()
         && now.isAfter(machine.preemptionNoticeAt().get().plus(PREEMPTION_MARGIN))
@@ -139,10 +143,11 @@
   }
 
   /**
-   * Whether the path from the agent to the controllers is down: the machine answers what it is
-   * asked but sends no heartbeats. Only heartbeats renew a lease, so all that runs there ends with
-   * it, however well the machine does what it is told. One that hung may answer first and send a
-   * heartbeat a moment later: it counts from its first answer.
+   * Returns whether the path from the agent to the controllers is down: the machine answers direct
+   * calls, but its heartbeats do not arrive. Only heartbeat responses renew a lease, so the
+   * machine's tasks end when the lease expires, even though the agent executes commands. The time
+   * counts from the first answer, since a machine that was unresponsive may answer a call shortly
+   * before it sends its next heartbeat.
    */
   boolean isHeartbeatPathDown(Machine machine, Instant now) {
     return machine.reachability().answersWithoutHeartbeatSince().isPresent()
@@ -151,9 +156,10 @@
   }
 
   /**
-   * Whether nothing was heard for several leases. When most of a zone is silent, it is cut off, and
-   * its machines come back with it, each with the images that it has: in place of those released,
-   * others would have to be provisioned, and boot, and fetch.
+   * Returns whether the machine has been out of contact for several lease durations. The limit is
+   * higher if most of the zone is unreachable: the zone is then probably partitioned, and its
+   * machines return together with their cached images. Machines that replace them would have to be
+   * provisioned, boot and fetch images.
    */
   boolean hasExceededHeartbeatTimeout(Machine machine, FleetReachability fleet, Instant now) {
     int leases =
@@ -169,9 +175,7 @@
     return Duration.between(lastContact(machine), now);
   }
 
-  /**
-   * When a machine was last reached; one that this leader never reached counts from its election.
-   */
+  /** Returns when the machine was last reached, but not before the election of this leader. */
   Instant lastContact(Machine machine) {
     return machine.reachability().lastReachableAt().isAfter(leadership.electedAt())
         ? machine.reachability().lastReachableAt()
--- a/src/main/java/io/pearscale/scheduler/agents/MachineDeleter.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineDeleter.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Deletes machines at the provider that they were provisioned from. */
+/** Deletes machines through the provider that provisioned them. */
 @FunctionalInterface
 public interface MachineDeleter {
   /**
-   * Requests that machines be deleted; whether that succeeded is reported later.
+   * Requests the deletion of machines; the result is reported later.
    *
-   * @param names names that the provider gave the machines; at most as many as one request takes
+   * @param names the provider's names of the machines, at most as many as one request allows
    */
   void delete(List<String> names);
 }
--- a/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
@@ -13,15 +13,15 @@
 import java.util.function.Consumer;
 
 /**
- * Probes machines: asks an agent for its state, which shows it this term's fencing token. After a
- * failover all recorded machines that have not sent a heartbeat by themselves are probed, a bounded
- * number at a time.
+ * Probes machines. A probe requests the agent's state and carries this term's fencing token. After
+ * a failover it probes all recorded machines that have not sent a heartbeat, with a bounded number
+ * of concurrent probes.
  */
 public final class MachineProber {
-  /** Probes that may be in flight at the same time: each takes a socket. */
+  /** Maximum number of probes in flight; each uses a socket. */
   private static final int MAX_CONCURRENT_PROBES = 40;
 
-  /** Processor time that one probe takes with its connection and answer, measured roughly. */
+  /** Approximate measured CPU time of one probe, including its connection and reply. */
   private static final Duration PROBE_CPU_TIME = Duration.ofNanos(800_000);
 
   private final MachineInventory inventory;
@@ -31,16 +31,16 @@
   private final TermExecutor executor;
   private final Consumer<Machine> sendProbe;
 
-  /** Machines of the inventory that were not probed since the failover. */
+  /** Machines that still have to be probed after the failover. */
   private final ArrayDeque<Machine> unprobed = new ArrayDeque<>();
 
   private int probesInFlight;
 
-  /** Until then, machines are left to send heartbeats by themselves. */
+  /** No recorded machine is probed before this time, so that it can send a heartbeat first. */
   private Instant probesAllowedFrom = Instant.MIN;
 
   /**
-   * Makes a prober with nothing to probe.
+   * Creates a prober with no machines to probe.
    *
    * @param sendProbe sends a probe to a machine
    */
@@ -59,23 +59,23 @@
     this.sendProbe = sendProbe;
   }
 
-  /** A term has begun: no probe is in flight in it. */
+  /** Resets the number of probes in flight at the start of a term. */
   void beginTerm() {
     probesInFlight = 0;
   }
 
-  /** The term is over. */
+  /** Discards the machines that still have to be probed, at the end of a term. */
   void endTerm() {
     unprobed.clear();
   }
 
   /**
-   * Begins to probe all recorded machines.
+   * Starts to probe all recorded machines.
    *
-   * <p>After a failover all machines send heartbeats by themselves, and again at once when the
-   * response shows them the new token. Probing each is sooner only where the processor can open so
-   * many connections in less time than a heartbeat interval; elsewhere it delays the responses to
-   * those heartbeats, and leases run out.
+   * <p>After a failover, each machine also sends its periodic heartbeat, and sends another one
+   * immediately after a response with the new fencing token. Probing is faster than waiting for
+   * these heartbeats only if the CPU can open a connection to every machine within a heartbeat
+   * interval. Otherwise probing would delay the heartbeat responses, and leases would expire.
    */
   void probeRecordedMachines() {
     unprobed.clear();
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Probes recorded machines that have not been reconciled, as many as may be in flight. */
+  /** Probes recorded machines that are not reconciled, up to the limit of concurrent probes. */
   private void sendMoreProbes() {
     if (clock.instant().isBefore(probesAllowedFrom)) {
       return;
@@ -113,24 +113,24 @@
     }
   }
 
-  /** A probe was answered, or was given up. */
+  /** Records that a probe was answered or has failed. */
   void probeEnded() {
     probesInFlight--;
   }
 
-  /** Goes on with machines that wait to be probed; to be called when a call has ended. */
+  /** Probes more of the remaining machines; must be called after each direct call has ended. */
   void continueProbing() {
     if (!unprobed.isEmpty()) {
       sendMoreProbes();
     }
   }
 
-  /** Whether another probe may be sent beside those in flight. */
+  /** Returns whether the limit of concurrent probes allows another one. */
   boolean mayProbe() {
     return probesInFlight < MAX_CONCURRENT_PROBES;
   }
 
-  /** Whether all machines that were recorded at the failover were probed. */
+  /** Returns whether all machines that were recorded at the failover have been handled. */
   boolean hasProbedAllRecorded() {
     return unprobed.isEmpty();
   }
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -14,36 +14,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases machines: first it is recorded durably that they are never used again, since a late
- * deletion may still reach them, then the provider is asked to delete them.
+ * Releases machines in two steps: first the machine record durably marks the machine as retiring,
+ * then the provider is asked to delete it. A retiring machine is never used again, since a delayed
+ * deletion request may still take effect.
  */
 public final class MachineRetirement {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRetirement.class);
 
-  /** Why a machine is released. */
+  /** The reason for releasing a machine. */
   public enum Reason {
-    /** It has not come up in several times the usual time. */
+    /** It has not come up within several times its type's boot time. */
     BOOT_TIMEOUT,
-    /** The provider has taken it back, as its notice said. */
+    /** The provider has preempted it, as its preemption notice announced. */
     PREEMPTED,
-    /** Tasks fail there that run elsewhere. */
+    /** Tasks that run on other machines fail on it. */
     QUARANTINED,
-    /** It answers no probes, while other machines do. */
+    /** It does not answer probes, while most other machines are reachable. */
     UNREACHABLE,
-    /** It answers commands, but sends no heartbeats. */
+    /** It answers commands, but its heartbeats do not arrive. */
     HEARTBEAT_PATH_DOWN,
-    /** Its lease has expired, and nothing was heard of it for several leases. */
+    /** Its lease has expired, and the leader has not reached it for several lease durations. */
     MISSED_HEARTBEATS,
     /** It has no tasks and is not needed. */
     IDLE,
-    /** It was drained, and is not to be kept. */
+    /** It was drained and should not be kept. */
     DRAINED,
     /** The provider lists it as stopped. */
     STOPPED_BY_PROVIDER,
-    /** The provider does not list it any more. */
+    /** The provider no longer lists it. */
     NOT_LISTED;
 
-    /** As the log names it. */
+    /** Returns the name that log events use. */
     String logName() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -54,7 +55,7 @@
   private final DecisionRecorder records;
   private final MachineDeleter deleter;
 
-  /** Makes a retirement that asks the deleter. */
+  /** Creates a retirement that deletes machines through the deleter. */
   public MachineRetirement(LeaderState state, MachineDeleter deleter) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
@@ -62,7 +63,10 @@
     this.deleter = deleter;
   }
 
-  /** The machine is not used any more; it is deleted once that is durable. Done once a machine. */
+  /**
+   * Takes the machine out of use. It is deleted once its record is durable. Does nothing if the
+   * machine is already retiring.
+   */
   public void retire(Machine machine, Reason reason) {
     if (machine.lifecycle() == Lifecycle.RETIRING) {
       return;
@@ -94,7 +98,7 @@
     }
   }
 
-  /** The machines were not deleted, as far as known: their deletion is requested again. */
+  /** Schedules another deletion request for machines whose deletion was not confirmed. */
   public void retryDeletion(List<String> names) {
     for (String name : names) {
       Machine machine = inventory.get(name);
--- a/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
@@ -13,27 +13,28 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which stop commands an agent is due. A stop is due until a heartbeat shows that the task
- * has ended: that it was sent once proves nothing, since a command may get lost and a heartbeat
- * response may come too late to be accepted.
+ * Selects the stop commands that are due for an agent. A stop is due until a heartbeat shows that
+ * the task has ended. Sending it once is not enough: a command may be lost, and the agent may
+ * reject a heartbeat response that arrives too late.
  *
- * <p>Invariant: every heartbeat response that renews a machine's lease carries the stop of every
- * cancelled task that the machine may hold. So whatever the agent accepts either stops the task or
- * does not renew its lease, which bounds how long a cancelled task can go on.
+ * <p>Invariant: every heartbeat response that renews a machine's lease includes a stop for every
+ * cancelled task that may be on the machine. Each response that the agent accepts therefore either
+ * stops the task or does not renew its lease, which bounds how long a cancelled task can run.
  */
 final class StopCommands {
-  /** A stop that is sent again in a direct command waits for its effect for so long. */
+  /** How long a sent stop may take to have an effect before a direct command repeats it. */
   private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
 
-  /** Time that a stopped task gets for its checkpoint beyond what its job names. */
+  /** Extra time for a checkpoint beyond the duration that the job specifies. */
   private static final Duration CHECKPOINT_MARGIN = Duration.ofSeconds(2);
 
   private StopCommands() {}
 
   /**
-   * The stops that an agent is to get now; they count as sent from here on.
+   * Returns the stops to send to an agent now and marks them as sent.
    *
-   * @param inHeartbeatResponse whether they go with a response that renews the machine's lease
+   * @param inHeartbeatResponse whether the stops are part of a heartbeat response, which renews the
+   *     machine's lease
    */
   static List<AgentCommand> due(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
@@ -53,11 +54,11 @@
   }
 
   /**
-   * The stops that go with the response to a machine that is not reconciled. The inventory says
-   * nothing of it yet, but its heartbeat lists what runs there, and the response renews the lease
-   * of all of that.
+   * Returns the stops for the heartbeat response to a machine that is not reconciled. The inventory
+   * does not list the machine's tasks yet, but the heartbeat does, and the response renews the
+   * lease for all of them.
    *
-   * @param isLive whether the job of that id is not over
+   * @param isLive tests whether the job with the given ID is unfinished
    */
   static List<AgentCommand> forUnreconciled(Heartbeat heartbeat, Predicate<String> isLive) {
     List<AgentCommand> stops = new ArrayList<>();
@@ -70,7 +71,8 @@
   }
 
   /**
-   * Whether a stop is due that no command has carried yet, so that a direct one is worth its cost.
+   * Returns whether a stop is due that was never sent, which justifies the cost of a direct
+   * command.
    */
   static boolean hasUnsent(Machine machine) {
     return machine.reportedAttempts().unknown().containsValue(Instant.MIN)
@@ -92,12 +94,18 @@
     return Duration.between(attempt.lastStopSentAt(), now).compareTo(resendAfter) >= 0;
   }
 
-  /** Whether the task saves, as its stop asked, so that another stop would only cut that off. */
+  /**
+   * Returns whether the task is taking the checkpoint that its stop requested. Another stop would
+   * interrupt it.
+   */
   private static boolean isCheckpointing(TaskAttempt attempt) {
     return attempt.stage() == Stage.CHECKPOINTING && !attempt.stopsWithoutCheckpoint();
   }
 
-  /** The command itself. A task that had its time for a checkpoint is stopped at once. */
+  /**
+   * Creates the stop command. A task that has already used its checkpoint time gets no grace
+   * period.
+   */
   private static AgentCommand stopCommand(TaskAttempt attempt) {
     boolean mayStillCheckpoint =
         !attempt.stopsWithoutCheckpoint()
--- a/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
@@ -18,11 +18,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Handles why tasks have ended: completes them, or attributes their failure. */
+/** Handles ended tasks by end cause: records completions and attributes failures. */
 final class TaskEndHandler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskEndHandler.class);
 
-  /** For so long nothing is started on a machine, or of a job, of which a start was refused. */
+  /** How long the leader avoids a machine, or defers a job, after a refused start. */
   private static final Duration REFUSED_START_BACKOFF = Duration.ofSeconds(2);
 
   private final Leadership leadership;
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Handles the end of an attempt of a job that is not over. An agent lists an ended attempt until
-   * it is told to forget it, so the same end may be handled several times.
+   * Handles the end of an attempt of an unfinished job. An agent lists an ended attempt until a
+   * command makes the agent forget it, so this method may be called several times for one attempt.
    *
-   * @param known the attempt, when it was known until now to be on the machine: failures and
-   *     refused starts count only once
+   * @param known the attempt, if the leader had recorded it for the machine until now; used to
+   *     count failures and refused starts only once
    */
   void handle(
       Machine machine, Job job, TaskStatus status, EndCause cause, Optional<TaskAttempt> known) {
@@ -65,7 +65,7 @@
         }
       }
       case STOPPED -> {
-        // As it was commanded.
+        // The attempt ended because of a stop command.
       }
       case GANG_BROKEN -> gangs.noteBroken(job, status.attempt());
       case UNKNOWN_TASK, START_REFUSED -> {
@@ -73,14 +73,14 @@
           backOffRefusedStart(machine, job, status, cause);
         }
       }
-      default -> throw new IllegalArgumentException("end cause: " + cause);
+      default -> throw new IllegalArgumentException("unsupported end cause: " + cause);
     }
   }
 
-  /** A task completed, for the first time as far as known here. */
+  /** Records the completion of a task that was not known to have completed. */
   private void completeTask(Job job, int index) {
     if (job.spec().isGang()) {
-      // Its tasks complete together: whichever is shown first decides for all.
+      // The tasks of a gang complete together, so the first reported completion counts for all.
       job.markAllDone();
       jobs.requeue(job);
       records.recordJobFinished(job);
@@ -99,7 +99,10 @@
     }
   }
 
-  /** An agent refused a start: what is known of the machine, or of the job, is out of date. */
+  /**
+   * Backs off after an agent refused a start, since the leader's data about the job or the machine
+   * is out of date.
+   */
   private void backOffRefusedStart(Machine machine, Job job, TaskStatus status, EndCause cause) {
     LOG.info(
         "event=start_refused term={} machine={} task={} attempt={} cause={}",
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -24,13 +24,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies the statuses of tasks that a heartbeat lists to the attempts that the leader takes to be
- * on its machine.
+ * Applies the task statuses in a heartbeat to the attempts that the leader has recorded for the
+ * machine.
  */
 final class TaskStatusApplier {
   private static final Logger LOG = LoggerFactory.getLogger(TaskStatusApplier.class);
 
-  /** In place of a start token: a completed task stays completed, so no token need exceed it. */
+  /**
+   * Replaces the start token of a completed attempt. A completed task stays completed even if it is
+   * started again, so the agent may forget the attempt without a higher fencing token.
+   */
   private static final long NO_START_TOKEN = -1;
 
   private final Leadership leadership;
@@ -42,9 +45,9 @@
   private final LeaderStatistics statistics;
 
   /**
-   * Makes an applier.
+   * Creates an applier.
    *
-   * @param endHandler handles why a task has ended
+   * @param endHandler handles the end causes of tasks
    */
   TaskStatusApplier(LeaderState state, TaskEndHandler endHandler, LeaderStatistics statistics) {
     this.leadership = state.leadership();
@@ -57,7 +60,8 @@
   }
 
   /**
-   * Applies the status of an ended attempt, which the agent lists until it is told to forget it.
+   * Applies the status of an ended attempt. The agent lists it until a command makes the agent
+   * forget it.
    */
   void applyEnded(
       Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
@@ -76,7 +80,7 @@
   /**
    * Applies the status of an attempt that is present on the machine.
    *
-   * @return the attempt; empty if it is unknown and has to be stopped
+   * @return the attempt; empty if it is unknown and must be stopped
    */
   Optional<TaskAttempt> applyPresent(
       Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
@@ -93,13 +97,16 @@
     return attempt;
   }
 
-  /** The job of a listed task; empty when it is over or has no such task. */
+  /** Returns the job of a listed task; empty if the job has finished or has no such task. */
   private Optional<Job> jobOf(TaskStatus status) {
     return Optional.ofNullable(jobs.get(status.task().job()))
         .filter(job -> status.task().index() < job.spec().tasks());
   }
 
-  /** The listed attempt, if the leader knows it; one of a previous leader is identified by now. */
+  /**
+   * Returns the listed attempt, if the leader knows it. If a previous leader placed the task, the
+   * heartbeat supplies the number of the attempt.
+   */
   private static Optional<TaskAttempt> knownAttempt(
       Machine machine, Heartbeat heartbeat, TaskStatus status) {
     TaskAttempt attempt = machine.attempts().get(status.task());
@@ -110,7 +117,9 @@
   }
 
   /**
-   * Adopts an attempt that was not known to be here; empty if its task is known to be elsewhere.
+   * Adopts an attempt that the leader did not expect on this machine.
+   *
+   * @return the adopted attempt; empty if another attempt of the task may be present
    */
   private Optional<TaskAttempt> adopt(
       Job job, Machine machine, Heartbeat heartbeat, TaskStatus status) {
@@ -156,7 +165,10 @@
     };
   }
 
-  /** A heartbeat shows for the first time that the attempt runs, so the machine has its image. */
+  /**
+   * Records that a heartbeat lists the attempt as running for the first time. This also shows that
+   * the machine has the image.
+   */
   private void recordRunning(TaskAttempt attempt, Stage before) {
     Instant now = clock.instant();
     Duration sinceStart = Duration.between(attempt.stageSince(), now);
--- a/src/main/java/io/pearscale/scheduler/agents/package-info.java
+++ b/src/main/java/io/pearscale/scheduler/agents/package-info.java
@@ -1,2 +1,6 @@
-/** What is said to and heard from agents: heartbeats, commands, failure detection, retirement. */
+/**
+ * The leader's communication with agents: handling heartbeats, sending commands, detecting failed
+ * machines, attributing task failures, and retiring machines. Placement decisions, the state that
+ * these classes update, and the HTTP transport are in other packages.
+ */
 package io.pearscale.scheduler.agents;
