--- a/src/main/java/io/pearscale/gang/GangAttempt.java
+++ b/src/main/java/io/pearscale/gang/GangAttempt.java
@@ -8,45 +8,46 @@
 import java.util.stream.Collectors;
 
 /**
- * The present attempt of a gang job, as its leader knows it: a state machine over the stages of its
- * tasks. Agents tell an attempt by its number alone, so a task that is lost before the others run
- * may be replaced under the same number; after that an attempt that lost a task is over, and the
- * next one begins when the last of its tasks is proved to be absent.
+ * The current attempt of a gang job, as known to the leader: a state machine over the stages of its
+ * tasks. Agents identify an attempt only by its number, so a task that is lost before the gang runs
+ * can be replaced under the same number. An attempt that loses a task later must end, and the next
+ * attempt starts when all tasks of the ended one are proved to be absent.
  *
- * <p>Invariant: tasks of two attempts never go on together. When they are found together, both are
- * ended.
+ * <p>Invariant: tasks of two attempts never continue together. If tasks of two attempts are found,
+ * all of them are stopped.
  *
- * <p>A new leader finds tasks whose attempt it does not know. It concludes nothing before each of
- * them has been shown by a heartbeat or proved to be absent.
+ * <p>After a failover, the new leader does not know the attempt of tasks that its predecessor
+ * placed. It decides nothing for the gang until each of them is reported by a heartbeat or proved
+ * to be absent.
  */
 public final class GangAttempt {
   /** The phases of an attempt. */
   public enum Phase {
-    /** No task is, or may be, on any machine. */
+    /** No task is or may be present on any machine. */
     VACANT,
-    /** Tasks that a previous leader started have yet to be shown. */
+    /** Heartbeats have not yet reported all tasks that a previous leader started. */
     UNKNOWN,
-    /** Tasks are being started, fetch images and wait for each other. */
+    /** Tasks are being started, fetch their image, or wait for each other. */
     FORMING,
     /** All tasks run. */
     RUNNING,
-    /** The attempt is over, and its tasks are being stopped. */
+    /** The attempt is ending: its tasks are being stopped. */
     ENDING
   }
 
-  /** What is to be done for the gang. */
+  /** The next step for the gang. */
   public enum Action {
-    /** Wait. */
+    /** Do nothing until the state changes. */
     NONE,
-    /** Start all tasks, under a new number. */
+    /** Start all tasks under a new attempt number. */
     START,
-    /** Start the missing tasks, under the attempt's number. */
+    /** Start the missing tasks under the current attempt number. */
     COMPLETE,
-    /** Stop at once all that is left of the attempt. */
+    /** Stop all remaining tasks of the attempt immediately. */
     END
   }
 
-  /** A replacement needs so long to fetch its image before the others give up waiting. */
+  /** Time allowed for a replacement to fetch its image before the other tasks time out. */
   private static final Duration REPLACEMENT_FETCH_TIME = Duration.ofSeconds(5);
 
   private static final long NO_NUMBER = -1;
@@ -60,9 +61,9 @@
   private int endedAttempts;
 
   /**
-   * Makes a gang without an attempt.
+   * Creates the state of a gang that has no attempt.
    *
-   * @param taskCount how many tasks it has
+   * @param taskCount the number of tasks of the gang
    * @param formingTimeout how long a task waits for the others
    */
   public GangAttempt(int taskCount, Duration formingTimeout) {
@@ -70,7 +71,7 @@
     this.formingTimeout = formingTimeout;
   }
 
-  /** A new attempt begins under that number. */
+  /** Begins an attempt with the given number. */
   public void begin(long attempt, Instant now) {
     phase = Phase.FORMING;
     number = attempt;
@@ -79,14 +80,15 @@
   }
 
   /**
-   * A task of the attempt of that number has exited: it waited for the others for too long, or one
-   * of them is gone. That attempt can't complete any more; of other attempts nothing follows.
+   * Records that a task of the given attempt has exited because it waited too long for the others
+   * or because another task is lost. That attempt can no longer complete. Reports about any other
+   * attempt are ignored.
    */
   public void markBroken(long attempt) {
     broken |= attempt == number;
   }
 
-  /** All tasks of the attempt are being stopped. */
+  /** Records that all tasks of the attempt are being stopped. */
   public void markEnding() {
     if (phase != Phase.VACANT) {
       phase = Phase.ENDING;
@@ -94,9 +96,9 @@
   }
 
   /**
-   * What is to be done now.
+   * Updates the phase and returns the next step.
    *
-   * @param members all tasks of the gang that are, or may be, on a machine
+   * @param members all tasks of the gang that are or may be present on a machine
    */
   public Action nextAction(Collection<Member> members, Instant now) {
     Phase previousPhase = phase;
@@ -137,7 +139,7 @@
     return complete || now.isBefore(replacementDeadline()) ? Phase.FORMING : Phase.ENDING;
   }
 
-  /** Adopts the attempt that a previous leader has started. */
+  /** Adopts the attempt that a previous leader started. */
   private void adopt(Collection<Member> members, Instant now) {
     Set<Long> numbers = members.stream().map(Member::attempt).collect(Collectors.toSet());
     number = numbers.iterator().next();
@@ -157,17 +159,17 @@
     return members.stream().allMatch(Member::stopping);
   }
 
-  /** The phase in which the attempt was when it was last looked at. */
+  /** Returns the phase as computed by the last update. */
   public Phase phase() {
     return phase;
   }
 
-  /** The attempt's number; empty when there is no attempt. */
+  /** Returns the attempt's number; empty if there is no attempt. */
   public Optional<Long> number() {
     return number == NO_NUMBER ? Optional.empty() : Optional.of(number);
   }
 
-  /** How many attempts of the job have ended without completing it. */
+  /** Returns how many attempts have ended without completing the job. */
   public int endedAttempts() {
     return endedAttempts;
   }
--- a/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
+++ b/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
@@ -4,28 +4,28 @@
 import java.util.Collection;
 
 /**
- * Decides before the first stop of a gang is sent whether its tasks are to take a checkpoint. They
- * can only if all are stopped within the time that agents wait for each other, so if one can't be
- * reached now, none is asked to: the others would wait for it in vain, and keep their resources
- * meanwhile.
+ * Decides whether the tasks of a gang take a checkpoint, before the first stop is sent. A gang can
+ * take a checkpoint only if all its tasks are stopped within the time that agents wait for each
+ * other. If one task is unreachable, no checkpoint is requested: the other tasks would wait for it
+ * until they time out, and hold their resources meanwhile.
  */
 public final class GangCheckpointPolicy {
   /**
-   * What is known of a task that is to be stopped.
+   * The state of a task that is to be stopped.
    *
-   * @param running whether it runs; one that does not has nothing to save
-   * @param reachable whether a command reaches its machine now
+   * @param running whether the task runs; otherwise it has nothing to save
+   * @param reachable whether its machine can currently receive a command
    */
   public record MemberReachability(boolean running, boolean reachable) {}
 
   private GangCheckpointPolicy() {}
 
   /**
-   * Whether the tasks are to take a checkpoint.
+   * Returns whether the tasks take a checkpoint.
    *
-   * @param taskCount how many tasks the gang has
-   * @param remaining how long all of them may still run
-   * @param checkpointTime how long saving takes, and zero where the job never saves
+   * @param taskCount the number of tasks of the gang
+   * @param remaining how long all of the tasks can still run
+   * @param checkpointTime how long a checkpoint takes; zero if the job takes no checkpoints
    */
   public static boolean mayCheckpoint(
       Collection<MemberReachability> members,
--- a/src/main/java/io/pearscale/gang/MemberStage.java
+++ b/src/main/java/io/pearscale/gang/MemberStage.java
@@ -1,21 +1,21 @@
 package io.pearscale.gang;
 
-/** What is known of one task of a gang's attempt. */
+/** The stage of one task of a gang attempt, as known to the leader. */
 public enum MemberStage {
-  /** Its machine is decided, no start command was sent. */
+  /** A machine is assigned, but no start command was sent. */
   PLANNED,
-  /** Its start command was sent, and no heartbeat has shown it. */
+  /** A start command was sent, but no heartbeat has reported the task. */
   SENT,
-  /** Its image is being fetched. */
+  /** The agent is fetching the image. */
   FETCHING,
-  /** It has its image and waits for the others. */
+  /** The task has its image and waits for the other tasks. */
   WAITING,
-  /** It runs, which a task does only once all others are ready to. */
+  /** The task runs; a task runs only after all tasks of the gang are ready. */
   RUNNING,
-  /** It was stopped and takes a checkpoint. */
+  /** The task was stopped and is taking a checkpoint. */
   CHECKPOINTING;
 
-  /** Whether the attempt has begun to run. */
+  /** Returns whether the attempt has started to run. */
   boolean hasStartedRunning() {
     return this == RUNNING || this == CHECKPOINTING;
   }
--- a/src/test/java/io/pearscale/gang/GangAttemptTest.java
+++ b/src/test/java/io/pearscale/gang/GangAttemptTest.java
@@ -47,7 +47,7 @@
     assertEquals(
         Action.END,
         gang.nextAction(members(MemberStage.WAITING, MemberStage.WAITING), START.plusSeconds(36)),
-        "too late for the others");
+        "a replacement could not fetch its image before the others time out");
   }
 
   @Test
@@ -96,7 +96,7 @@
     assertEquals(
         Action.NONE,
         gang.nextAction(threeMembers(8, MemberStage.SENT), START),
-        "a late word of before");
+        "a delayed report about the ended attempt 7 must not affect attempt 8");
   }
 
   private static List<Member> threeMembers(long attempt, MemberStage stage) {
@@ -159,7 +159,7 @@
         GangCheckpointPolicy.mayCheckpoint(List.of(ready, waiting), 2, ample, checkpointTime));
     assertFalse(
         GangCheckpointPolicy.mayCheckpoint(List.of(ready), 2, ample, checkpointTime),
-        "one is gone already");
+        "one of two tasks is no longer present");
     assertFalse(
         GangCheckpointPolicy.mayCheckpoint(
             List.of(ready, ready), 2, Duration.ofSeconds(3), checkpointTime));
