--- a/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
+++ b/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * How long a kind of work rests after it was done, in proportion to the time that it took: however
- * much there is to decide, most of the time is left for heartbeats.
+ * Computes the pause after a unit of work in proportion to its duration, so that most of the time
+ * remains for heartbeats regardless of the amount of work.
  *
- * @param pauseFactor the work may take one part in so many of the time
- * @param minPause the shortest rest
- * @param maxPause the longest rest: a process that stood still meanwhile must not rest for minutes
+ * @param pauseFactor the ratio of the pause to the duration of the work
+ * @param minPause the shortest pause
+ * @param maxPause the longest pause, so that a process that stalled during the work does not pause
+ *     for minutes
  */
 public record AdaptiveThrottle(int pauseFactor, Duration minPause, Duration maxPause) {
-  /** The rest after work that took so long. */
+  /** Returns the pause after work of the given duration. */
   public Duration pauseAfter(Duration work) {
     Duration pause = work.multipliedBy(pauseFactor);
     if (pause.compareTo(minPause) < 0) {
--- a/src/main/java/io/pearscale/scheduler/placement/Assignment.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Assignment.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Where a task goes, and who has to leave for it.
+ * The machine for a task, and the attempts to preempt there.
  *
- * @param victims attempts on that machine, to be stopped first; none where there is capacity
- *     without
+ * @param victims the attempts on the machine to stop first; empty if it has enough available
+ *     capacity
  */
 record Assignment(Machine machine, List<TaskAttempt> victims) {
-  /** How many tasks end with the victims: a gang that runs loses all of its tasks with one. */
+  /** Returns how many tasks end; a running gang ends as a whole if one of its tasks is a victim. */
   int tasksLost() {
     int lost = 0;
     for (TaskAttempt victim : victims) {
@@ -24,7 +24,7 @@
     return lost;
   }
 
-  /** Whether more tasks end than the victims themselves: a gang that runs is among them. */
+  /** Returns whether more tasks end than the victims, since a running gang loses a task. */
   boolean endsGang() {
     return tasksLost() > victims.size();
   }
--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -14,11 +14,11 @@
 import java.util.function.Predicate;
 
 /**
- * The machines with capacity that a pass has met for each class of like tasks, so that those of one
- * class are looked for once. Each class begins its scan at a random place of its own.
+ * Caches, for one pass, the feasible machines of each class of similar tasks, so that the fleet is
+ * scanned only once per class. Each class starts its scan at its own random position.
  */
 final class FeasibleMachines {
-  /** Tasks that are alike for feasibility and score. */
+  /** Identifies tasks with the same feasible machines and scores. */
   private record ScoringClass(
       EquivalenceClass equivalenceClass, String team, boolean service, String image) {
     static ScoringClass of(JobSpec spec) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** What was met for one class, and what is known of it. */
+  /** The state of the scan for one class. */
   final class Scan {
     private final int startIndex = machines.randomStart();
     private final List<Machine> feasible = new ArrayList<>();
@@ -40,22 +40,22 @@
       zoneShortfall = zoneCapacity.shortfallByZone(job);
     }
 
-    /** The machines met so far that have capacity. */
+    /** Returns the feasible machines that the scan has found so far. */
     List<Machine> feasible() {
       return feasible;
     }
 
-    /** How little capacity each zone has for such tasks, from 0 to 1. */
+    /** Returns each zone's capacity shortfall for tasks of the class, from 0 to 1. */
     Map<String, Double> zoneShortfall() {
       return zoneShortfall;
     }
 
-    /** Whether no such task is to be placed by preemption in this pass. */
+    /** Returns whether tasks of the class cannot be placed by preemption in this pass. */
     boolean isPreemptionInfeasible() {
       return preemptionInfeasible;
     }
 
-    /** Says whether no such task is to be placed by preemption in this pass. */
+    /** Sets whether tasks of the class cannot be placed by preemption in this pass. */
     void setPreemptionInfeasible(boolean infeasible) {
       preemptionInfeasible = infeasible;
     }
@@ -69,10 +69,10 @@
   private final Map<String, List<Machine>> imageHolders = new HashMap<>();
 
   /**
-   * Knows of no machines yet.
+   * Creates an empty cache.
    *
-   * @param waiting the jobs that the pass is for: machines without capacity for the smallest task
-   *     of any of them are left out
+   * @param waiting the jobs to place in this pass; machines with less available CPU or memory than
+   *     the smallest request among them are excluded
    */
   FeasibleMachines(
       PassContext context,
@@ -106,22 +106,26 @@
     return withCapacity;
   }
 
-  /** The scan of the job's class; it begins when it is first asked for. */
+  /** Returns the scan of the job's class, and creates it on first use. */
   Scan scanFor(Job job) {
     return scans.computeIfAbsent(ScoringClass.of(job.spec()), scoringClass -> new Scan(job));
   }
 
-  /** The machines of the job's class are met anew: some were dropped for what was released. */
+  /**
+   * Discards the scan of the job's class. This is required after reservations are released, since
+   * the scan may have dropped machines that are feasible again.
+   */
   void resetScan(Job job) {
     scans.remove(ScoringClass.of(job.spec()));
   }
 
   /**
-   * Drops what has no capacity any more, and goes on with the scan until enough machines are found.
-   * Where tasks are expected to start soon, up to half of them are machines that have the image, if
-   * there are so many: in a large fleet a random scan would hardly ever meet one.
+   * Drops machines that no longer have capacity, and continues the scan until enough machines are
+   * found. For tasks with a start objective, the scan first adds machines that have the image, up
+   * to half of the sample: in a large fleet a random scan would rarely find one.
    *
-   * @param allowed where the task may be; others are kept for other tasks of the class
+   * @param allowed the machines that the task may run on; other feasible machines stay in the scan
+   *     for other tasks of the class
    */
   void extend(Scan scan, Job job, Predicate<Machine> allowed) {
     scan.feasible.removeIf(machine -> !capacity.availableOn(machine).fits(job.spec()));
@@ -152,7 +156,7 @@
     }
   }
 
-  /** The machines with some capacity that have the image, in the order of this pass. */
+  /** Returns the machines in the scan that have the image, in the order of this pass. */
   private List<Machine> imageHoldersOf(String image) {
     List<Machine> holders = new ArrayList<>();
     for (int i = 0; i < machines.size(); i++) {
@@ -164,7 +168,7 @@
     return holders;
   }
 
-  /** Adds a machine that has capacity for the task to those that were met for its class. */
+  /** Adds the machine to the scan if it is feasible for the task and not in the scan yet. */
   private boolean addIfFeasible(Scan scan, Job job, Machine machine) {
     boolean isFeasible =
         PlacementConstraints.allowsKind(job.spec(), machine)
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -14,21 +14,22 @@
 import java.util.function.Predicate;
 
 /**
- * Finds capacity for several tasks of a gang at once, or for none: what was reserved for some of
- * them is released when one finds no place. Of the zones that have capacity for all, the one with
- * the fewest victims is taken, then the one in which the slowest image is there first.
+ * Reserves capacity for several tasks of a gang at once, or for none: if one task cannot be placed,
+ * the reservations for the others are released. Among the zones with capacity for all tasks, it
+ * takes the one that ends the fewest tasks by preemption, then the one with the shortest time until
+ * the last task has its image.
  */
 final class GangPlacer {
   private static final Comparator<Plan> BEST_FIRST =
       Comparator.comparingInt(Plan::tasksLost).thenComparing(Plan::slowestFetch);
 
-  /** Where the tasks go. */
+  /** The assignments of all tasks of a gang. */
   private record Plan(Job job, List<Assignment> assignments) {
     int tasksLost() {
       return assignments.stream().mapToInt(Assignment::tasksLost).sum();
     }
 
-    /** The gang starts when the last of its tasks has its image. */
+    /** Returns the longest image fetch among the tasks; the gang cannot start before it ends. */
     Duration slowestFetch() {
       return assignments.stream()
           .map(Assignment::machine)
@@ -42,7 +43,7 @@
     }
   }
 
-  /** Gangs that have just come keep no more than this part of the fleet's places free. */
+  /** Upper bound on the share of the fleet's capacity reserved for gangs that are not overdue. */
   private static final double MAX_RESERVED_SHARE = 0.05;
 
   private final Placer placer;
@@ -50,16 +51,16 @@
 
   private final Collection<Machine> machines;
 
-  /** A gang for which capacity was kept in this pass, since it has waited for long. */
+  /** The gang that capacity is reserved for in this pass because it has waited for a long time. */
   private Optional<Job> longWaitingGang = Optional.empty();
 
-  /** What part of the fleet's places was kept in this pass for gangs that have just come. */
+  /** The share of the fleet's capacity reserved in this pass for gangs that are not overdue. */
   private double reservedShare;
 
   /**
-   * Places gangs in a pass.
+   * Creates the gang placer of one pass.
    *
-   * @param machines those that may take tasks now
+   * @param machines the machines that are schedulable now
    */
   GangPlacer(Placer placer, Collection<Machine> machines) {
     this.placer = placer;
@@ -68,9 +69,9 @@
   }
 
   /**
-   * Reserves capacity for so many tasks.
+   * Reserves capacity for the given number of tasks.
    *
-   * @return an assignment for each of them; none if one of them finds no place
+   * @return an assignment for each task; empty if not all of them can be placed
    */
   List<Assignment> place(Job job, int tasks, boolean mayPreempt) {
     Optional<Plan> best = Optional.empty();
@@ -84,7 +85,7 @@
     return best.map(Plan::assignments).orElse(List.of());
   }
 
-  /** The parts of the fleet of which one has to take all tasks. */
+  /** Returns the subsets of machines, one of which must take all tasks of the job. */
   private List<Predicate<Machine>> machineSubsets(Job job) {
     if (!job.spec().singleZone() || job.spec().zone().isPresent()) {
       return List.of(machine -> true);
@@ -129,10 +130,10 @@
   }
 
   /**
-   * Keeps what free capacity there is for a gang that has waited for long, so that jobs that come
-   * after it in this pass don't take it away. Only one gang at a time: two would each hold half of
-   * what both need. One that the machines could not take if they were empty gets nothing: it waits
-   * for other machines.
+   * Reserves the available capacity for a gang that has waited for a long time, so that jobs later
+   * in this pass do not use it. Capacity is reserved for only one such gang at a time: two might
+   * each hold half of what both need. Nothing is reserved for a gang that would not fit even on
+   * empty machines, since it needs other machines.
    */
   void reserveForLongWaiting(Job job, int tasks) {
     if (longWaitingGang.isEmpty() && fleetShare(job, tasks) <= 1) {
@@ -142,8 +143,9 @@
   }
 
   /**
-   * The same for a gang that is expected to start soon, as long as all of them together would take
-   * a small part of the fleet: its capacity comes free within a moment, and costs others no more.
+   * Reserves the available capacity for a gang with a start objective, as long as all such gangs
+   * together need only a small share of the fleet. Their remaining capacity is then expected to
+   * become available soon, so the reservation delays other jobs only briefly.
    */
   void reserveIfSmall(Job job, int tasks) {
     double share = fleetShare(job, tasks);
@@ -153,7 +155,7 @@
     }
   }
 
-  /** What part of the places for such tasks the gang needs, in the largest part of the fleet. */
+  /** Returns the share of the largest subset's total capacity that the gang needs. */
   private double fleetShare(Job job, int tasks) {
     long largestCapacity = 0;
     for (Predicate<Machine> subset : machineSubsets(job)) {
@@ -178,7 +180,7 @@
     largest.forEach(assignment -> placer.reserve(job, assignment));
   }
 
-  /** How the tasks of a plan are spread over zones, beside those that are placed. */
+  /** Checks the spread constraint for the tasks of a plan together with those already placed. */
   private static final class PlannedSpread {
     private final Job job;
     private final List<String> planned = new ArrayList<>();
--- a/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassCapacity.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The capacity of machines, and what teams have in use, after all that was reserved in a pass. */
+/** Available resources of machines and quota usage of teams, including a pass's reservations. */
 final class PassCapacity {
   private final QuotaUsage quotaUsage;
   private final Map<Machine, Resources> availableByMachine = new HashMap<>();
@@ -28,12 +28,12 @@
     return quotaUsage;
   }
 
-  /** Whether the pass has chosen the task to leave. */
+  /** Returns whether this pass has selected the attempt to be preempted. */
   boolean isVictim(TaskAttempt attempt) {
     return victims.contains(attempt);
   }
 
-  /** Reserves a task's capacity, after that of its victims has become free. */
+  /** Frees the capacity of the victims and reserves capacity for the task. */
   void reserve(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
     assignment.victims().forEach(victim -> available.add(victim.job().spec()));
@@ -42,7 +42,7 @@
     quotaUsage.charge(job.spec(), 1);
   }
 
-  /** Takes back what was reserved for a task. */
+  /** Releases what was reserved for a task. */
   void release(Job job, Assignment assignment) {
     Resources available = availableOn(assignment.machine());
     assignment.victims().forEach(victim -> available.subtract(victim.job().spec()));
--- a/src/main/java/io/pearscale/scheduler/placement/PassContext.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassContext.java
@@ -13,12 +13,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a pass decides by.
+ * The inputs of a scheduling pass.
  *
- * @param machines those that may take tasks now
- * @param startObjective in which time tasks like these are expected to start, if any
- * @param queueOrder the order of jobs of one priority: the last is the first to be preempted
- * @param reachableSince machines reached since then are taken to be reachable
+ * @param machines the machines that are schedulable now
+ * @param startObjective returns the time within which tasks of a job should start, if any is set
+ * @param queueOrder the order of jobs of the same priority; the last job is preempted first
+ * @param reachableSince a machine that was reached after this time counts as reachable
  */
 record PassContext(
     Tuning tuning,
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -7,18 +7,18 @@
 import io.pearscale.storage.Maintenance;
 
 /**
- * Rules that a task's place must keep beside having capacity. Those that depend on where the job's
- * other tasks are count every attempt that may still be somewhere.
+ * Placement constraints other than capacity. Constraints on the distribution of a job's tasks count
+ * every attempt that may still be present on a machine.
  */
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** Whether the job may run on machines like this one at all. */
+  /** Returns whether the job may run on a machine of this type, in this zone, and spot or not. */
   static boolean allowsKind(JobSpec spec, Machine machine) {
     return spec.allows(machine.type(), machine.zone(), machine.spot());
   }
 
-  /** Whether another task of the job may be on the machine, as things are now. */
+  /** Returns whether the machine may currently take another task of the job. */
   static boolean allowsNow(Job job, Machine machine) {
     JobSpec spec = job.spec();
     boolean urgent = spec.priority().compareTo(Priority.NORMAL) > 0;
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -10,8 +10,9 @@
 import java.util.function.Predicate;
 
 /**
- * Finds places for the tasks of one pass: machines in random order, one check per class of like
- * tasks, the best score among the first few that fit, and if none fits the fewest, lowest victims.
+ * Places the tasks of one pass. It scans machines in random order, once per class of similar tasks,
+ * and takes the machine with the best score among the first few feasible ones. If none is feasible,
+ * it preempts as few tasks as possible, lowest priority first.
  */
 final class Placer {
   private final PassContext context;
@@ -23,11 +24,11 @@
   private Optional<RandomizedMachineScan> allMachines = Optional.empty();
 
   /**
-   * Prepares a pass.
+   * Creates the placer of one pass.
    *
-   * @param waiting the jobs that the pass is for: machines without capacity for the smallest task
-   *     of any of them are met only in search of victims
-   * @param quotaUsage what each team may have on machines
+   * @param waiting the jobs to place in this pass; machines with less available CPU or memory than
+   *     the smallest request among them are considered only for preemption
+   * @param quotaUsage the usage, limits and guarantees of each team
    */
   Placer(PassContext context, Collection<Job> waiting, QuotaUsage quotaUsage) {
     this.context = context;
@@ -39,7 +40,7 @@
     this.feasibleMachines = new FeasibleMachines(context, capacity, zoneCapacity, waiting);
   }
 
-  /** The order for those who look for victims, on machines with capacity or without. */
+  /** Returns the scan order over all machines, with or without capacity, for preemption. */
   private RandomizedMachineScan allMachines() {
     if (allMachines.isEmpty()) {
       allMachines = Optional.of(new RandomizedMachineScan(context.machines(), context.random()));
@@ -48,15 +49,17 @@
   }
 
   /**
-   * Finds a machine for one more task of the job and reserves the capacity.
+   * Finds a machine for one more task of the job and reserves the capacity there.
    *
-   * @param mayPreempt whether others may be stopped for it
+   * @param mayPreempt whether other tasks may be stopped for it
    */
   Optional<Assignment> place(Job job, boolean mayPreempt) {
     return place(job, mayPreempt, machine -> true);
   }
 
-  /** The same, on machines of which {@code among} holds. */
+  /**
+   * Finds a machine that passes the filter for one more task of the job and reserves the capacity.
+   */
   Optional<Assignment> place(Job job, boolean mayPreempt, Predicate<Machine> machineFilter) {
     if (capacity.quotaUsage().tasksLeftWithinLimit(job.spec()) < 1) {
       return Optional.empty();
@@ -90,7 +93,7 @@
     Optional<Assignment> assignment =
         preemption.preempt(job, allowed).or(() -> relocation.relocateFor(job));
     if (assignment.isEmpty()) {
-      // Like tasks are decided as a class: what found nobody to preempt need not look again.
+      // Tasks of the same class have the same victims, so the search is not repeated in this pass.
       scan.setPreemptionInfeasible(!job.spec().spreadAcrossZones() && !job.spec().singleZone());
       if (!job.spec().singleZone()) {
         preemption.markInfeasible(job);
@@ -99,7 +102,7 @@
     return assignment;
   }
 
-  /** The best of the first few machines that have capacity for the task. */
+  /** Returns the machine with the best score among the first few feasible ones. */
   private Optional<Machine> bestFeasible(Job job, Scan scan, Predicate<Machine> allowed) {
     feasibleMachines.extend(scan, job, allowed);
     Machine best = null;
@@ -117,17 +120,17 @@
     return Optional.ofNullable(best);
   }
 
-  /** Reserves a task's capacity, after that of its victims has become free. */
+  /** Frees the capacity of the victims and reserves capacity for the task. */
   void reserve(Job job, Assignment assignment) {
     capacity.reserve(job, assignment);
   }
 
-  /** Takes back what was reserved for a task. */
+  /** Releases what was reserved for a task. */
   void release(Job job, Assignment assignment) {
     capacity.release(job, assignment);
   }
 
-  /** The machines met for the job's class are met anew: some were dropped for what was released. */
+  /** Discards the scan of the job's class; required after reservations are released. */
   void resetScan(Job job) {
     feasibleMachines.resetScan(job);
   }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -16,14 +16,18 @@
 import java.util.function.Supplier;
 
 /**
- * Looks for the fewest, lowest tasks that have to leave for another one. What found nobody to
- * preempt is not looked for again in the pass.
+ * Selects tasks to preempt for a waiting task: as few as possible, lowest priority first. A search
+ * that finds no victims is not repeated in the same pass.
  */
 final class PreemptionPlanner {
-  /** So many times as many machines are met while the best victims would end a gang that runs. */
+  /** Multiplies the number of candidates while the best one would end a running gang. */
   private static final int GANG_VICTIM_SEARCH_FACTOR = 4;
 
-  /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
+  /**
+   * Identifies tasks with the same potential victims.
+   *
+   * @param zones the zones in which the job's spread constraint allows another task
+   */
   private record SearchKey(
       EquivalenceClass equivalenceClass,
       String team,
@@ -60,27 +64,27 @@
         image);
   }
 
-  /** Whether such tasks were found to have no victims anywhere. */
+  /** Returns whether an earlier search found no victims for such tasks on any machine. */
   boolean isInfeasible(Job job) {
     return infeasibleSearches.contains(searchKey(job, Optional.empty()));
   }
 
-  /** Such tasks have no victims anywhere. */
+  /** Records that such tasks have no victims on any machine. */
   void markInfeasible(Job job) {
     infeasibleSearches.add(searchKey(job, Optional.empty()));
   }
 
-  /** Reserves the capacity of victims on any machine that is allowed. */
+  /** Finds victims on any allowed machine and reserves their capacity for the task. */
   Optional<Assignment> preempt(Job job, Predicate<Machine> allowed) {
     return preempt(job, Optional.empty(), allowed);
   }
 
   /**
-   * A place without victims does not win if the image would have to be fetched there for longer
-   * than the class is expected to start in, and another machine has it: a few low tasks are done
-   * again, where else the start would be late for certain. A gang that runs is not ended for that.
+   * Finds victims on a machine that has the image, if fetching it on the free machine would take
+   * longer than the job's start objective. Rerunning a few low-priority tasks is preferred to a
+   * start that is certain to be late. A running gang is not ended for this purpose.
    *
-   * @param freeMachine the best place without victims
+   * @param freeMachine the best machine that needs no preemption
    */
   Optional<Assignment> preemptForImage(Job job, Machine freeMachine, Predicate<Machine> allowed) {
     JobSpec spec = job.spec();
@@ -101,7 +105,7 @@
     return assignment;
   }
 
-  /** Looks for victims, on machines that have the image if one is given. */
+  /** Finds victims, only on machines that have the image if one is given. */
   private Optional<Assignment> preempt(
       Job job, Optional<String> image, Predicate<Machine> allowed) {
     boolean guaranteed = capacity.quotaUsage().isWithinGuarantee(job.spec());
@@ -109,9 +113,11 @@
     RandomizedMachineScan scan = machines.get();
     int start = scan.randomStart();
     int found = 0;
-    // As with machines that have capacity, the best of the first that will do: at size, seeing all
-    // would cost more than a better victim saves. Ending a gang costs all of its tasks, so then the
-    // search is longer.
+    // The search stops after a few candidates, like the scan for feasible machines: in a large
+    // fleet
+    // a full scan would cost more than better victims save. Ending a gang stops all of its tasks,
+    // so
+    // the search is longer in that case.
     int searchLimit = context.tuning().sampleSize();
     for (int i = 0; i < scan.size() && found < searchLimit; i++) {
       Machine machine = scan.get(start, i);
@@ -139,7 +145,10 @@
     return Optional.ofNullable(best);
   }
 
-  /** Whether stopping others on the machine could help at all, without looking at each of them. */
+  /**
+   * Returns whether preemption on the machine could free enough capacity, without examining each of
+   * its tasks.
+   */
   private boolean couldFreeCapacityOn(
       Machine machine,
       Job job,
@@ -153,7 +162,7 @@
         && (guaranteed || machine.availableAbove(spec.priority()).fits(spec));
   }
 
-  /** Whether the machine has the image, and a stop would be carried out there at once. */
+  /** Returns whether the machine has the image and can execute a stop command immediately. */
   private boolean canStartAtOnce(Machine machine, String image) {
     return machine.images().contains(image)
         && machine.reachability().lastReachableAt().isAfter(context.reachableSince())
@@ -161,9 +170,10 @@
   }
 
   /**
-   * Fewest victims, then lowest. Among equals those of the job whose turn comes last: a job is over
-   * with its last task, so one task stopped of each of many jobs makes all of them late, where many
-   * tasks of one job make one late.
+   * Prefers the assignment that ends fewer tasks, then the one with lower-priority victims, then a
+   * machine that has the image. Otherwise it prefers victims of the job that is last in the queue
+   * order. A job finishes with its last task, so stopping one task of each of many jobs would delay
+   * all of them, while stopping many tasks of one job delays only that job.
    */
   private boolean isBetter(Assignment assignment, Assignment best, Job job) {
     int tasksLost = assignment.tasksLost();
@@ -184,7 +194,7 @@
     return context.queueOrder().compare(first, firstInQueue(best.victims())) > 0;
   }
 
-  /** Of the jobs that would lose a task the one whose turn comes first. */
+  /** Returns the first job in the queue order among the jobs of the victims. */
   private Job firstInQueue(List<TaskAttempt> victims) {
     return victims.stream().map(victim -> victim.job()).min(context.queueOrder()).orElseThrow();
   }
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -16,14 +16,14 @@
 import java.util.function.Function;
 
 /**
- * The order in which a pass decides jobs: by priority, then by what can still be over in time, then
- * by when it is due.
+ * The order in which a pass schedules jobs: by priority, then by whether a job can still finish in
+ * time, then by due time.
  */
 public final class QueueOrder {
-  /** An image may have to be fetched before a task runs. */
+  /** Time allowed for fetching an image before a task runs. */
   private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(6);
 
-  /** A job of which nothing is expected comes after those that are due within this time. */
+  /** Objective of jobs without one; they rank after jobs that are due within this time. */
   private static final Duration DEFAULT_COMPLETION_OBJECTIVE = Duration.ofHours(1);
 
   private final List<ServiceLevelObjective> objectives;
@@ -35,14 +35,14 @@
     this.classes = classes;
   }
 
-  /** When a job should be over: its own deadline, or what its class is expected to keep. */
+  /** Returns when a job should finish, by its own deadline or by the objectives of its class. */
   private Instant dueAt(Job job) {
     if (job.spec().deadline().isPresent()) {
       return job.submittedAt().plus(job.spec().deadline().get());
     }
     Duration target = completionObjective(job).orElse(DEFAULT_COMPLETION_OBJECTIVE);
     if (job.spec().isGang()) {
-      // It can't begin in part, so a time to start says when it would be over.
+      // All tasks of a gang start together, so a start objective also implies a completion time.
       Duration targetFromStart =
           classes
               .startObjective(job.spec())
@@ -61,8 +61,11 @@
   }
 
   /**
-   * Whose turn it is, among jobs of one priority: first what can still be over in time, then what
-   * is due first.
+   * The rank of a job among jobs of the same priority.
+   *
+   * @param lateness 0 if the job can still finish in time, 1 if it will be late, 2 if it will be
+   *     very late; lower values come first
+   * @param due the time that orders jobs of the same lateness; the earliest comes first
    */
   record Rank(int lateness, Instant due) implements Comparable<Rank> {
     @Override
@@ -72,7 +75,7 @@
     }
   }
 
-  /** The jobs' turns as of now, each worked out when it is first asked for. */
+  /** Returns a function that computes the current rank of a job and caches it. */
   public Function<Job, Rank> ranks(Instant now) {
     Map<Job, Rank> rankByJob = new HashMap<>();
     return job -> rankByJob.computeIfAbsent(job, k -> rank(k, now));
@@ -92,32 +95,34 @@
         lateness, job.spec().isService() ? job.submittedAt() : dueAtByRemainingWork(job, due));
   }
 
-  /** Waiting jobs, in the order in which they are decided. */
+  /** Returns the jobs of the queue that may be scheduled now, in scheduling order. */
   public List<Job> sorted(Collection<Job> queue, Function<Job, Rank> ranks, Instant now) {
-    record Ranked(Job job, int band, Rank turn) {}
+    record Ranked(Job job, int tier, Rank rank) {}
     List<Ranked> ranked = new ArrayList<>();
     for (Job job : queue) {
       if (!now.isBefore(job.failures().retryNotBefore())
           && !(job.failures().failsEverywhere() && !job.attempts().isEmpty())) {
         Rank rank = ranks.apply(job);
         boolean overdue = isFirstStartOverdue(job, now);
-        // In the top band nothing goes before the order of the design; below it, what has waited
-        // for long without a single task running gets one of them started first.
-        int band = job.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
-        ranked.add(new Ranked(job, band, overdue ? new Rank(0, rank.due) : rank));
+        // Jobs of the highest priority always come first, in the designed order. Below them, a job
+        // that has waited for a long time without a running task gets its first task before others.
+        int tier = job.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
+        ranked.add(new Ranked(job, tier, overdue ? new Rank(0, rank.due) : rank));
       }
     }
     ranked.sort(
-        Comparator.comparingInt((Ranked r) -> r.band)
+        Comparator.comparingInt((Ranked r) -> r.tier)
             .thenComparing(r -> r.job.spec().priority(), Comparator.reverseOrder())
-            .thenComparing(r -> r.turn)
+            .thenComparing(r -> r.rank)
             .thenComparing(r -> r.job.spec().id()));
     List<Job> result = new ArrayList<>();
     ranked.forEach(r -> result.add(r.job));
     return result;
   }
 
-  /** Whether no task of a batch job has begun in a time in which its users expect that. */
+  /**
+   * Returns whether a batch job has waited longer than users expect for its first task to start.
+   */
   static boolean isFirstStartOverdue(Job job, Instant now) {
     return !job.spec().isService()
         && !job.hasStarted()
@@ -127,9 +132,10 @@
   }
 
   /**
-   * When a job's turn is, among others like it. Jobs that are expected to be over within a time
-   * that does not depend on their size come the earlier the less is left of them: so more of them
-   * are over in time than if each got a part. A large one comes later, but its turn comes.
+   * Returns the due time by which a job is ranked. If the completion objective does not depend on
+   * the size of a job, jobs with less remaining work get an earlier time. More jobs then finish in
+   * time than if all of them shared the capacity. A large job is ranked later, but its time is
+   * bounded by its due time, so it is not starved.
    */
   private Instant dueAtByRemainingWork(Job job, Instant due) {
     if (job.spec().deadline().isPresent()
@@ -146,15 +152,15 @@
   }
 
   /**
-   * Whether the job can't wait for capacity to become free by itself. Work with a deadline stops
-   * others only when waiting longer would put the deadline at risk, since what it stops is done
-   * again.
+   * Returns whether the job may preempt others instead of waiting for capacity. A batch job with a
+   * deadline preempts only when further waiting would put the deadline at risk, since preempted
+   * tasks have to be run again.
    */
   static boolean mayPreempt(Job job, Instant now) {
     if (job.spec().isService() || job.spec().deadline().isEmpty()) {
       return true;
     }
-    // Estimates are often wrong by half, and an image may have to be fetched first.
+    // Estimates are often off by half, and an image may have to be fetched first.
     Duration needed =
         job.spec().estimatedDuration().multipliedBy(3).dividedBy(2).plus(FETCH_ALLOWANCE);
     return now.plus(needed).isAfter(job.submittedAt().plus(job.spec().deadline().get()));
--- a/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Machines in an order that is shuffled once a pass; each visit begins at a random place of its
- * own. Candidates for scale-in and machines to be drained are met last, so that they run empty.
+ * Machines in an order that is shuffled once per pass. Each scan starts at its own random position.
+ * Candidates for scale-in and machines with a planned drain come last, so that they become empty.
  */
 final class RandomizedMachineScan {
   private final RandomGenerator random;
@@ -38,12 +38,12 @@
     return preferred.size() + deprioritized.size();
   }
 
-  /** A place for a visit to begin at. */
+  /** Returns a random start position for a scan. */
   int randomStart() {
     return preferred.isEmpty() ? 0 : random.nextInt(preferred.size());
   }
 
-  /** The machine that a visit which began there meets as the one of that index. */
+  /** Returns the machine at an index of the scan that starts at the given position. */
   Machine get(int start, int index) {
     return index < preferred.size()
         ? preferred.get((start + index) % preferred.size())
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -11,12 +11,13 @@
 import java.util.function.Supplier;
 
 /**
- * Moves one replica of equal priority out of the way, when it has a place to go that already has
- * its image: a job that must spread can't go anywhere else, while the replica that fills its zone
- * often can. The move costs a moment of one replica, waiting would cost the whole time.
+ * Relocates a replica of equal priority to make capacity available for a waiting replica, if
+ * another machine has capacity for it and already has its image. A job with a spread constraint may
+ * have only one zone left, while the replicas that use the capacity there can often run elsewhere.
+ * Relocation interrupts one replica briefly; without it the waiting replica would not run at all.
  */
 public final class ReplicaRelocation {
-  /** A replica that has run for less is not moved: its start would have been in vain. */
+  /** Minimum run time before relocation; moving a replica earlier would waste its start. */
   public static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
 
   private final PassContext context;
@@ -30,7 +31,7 @@
     this.machines = machines;
   }
 
-  /** Reserves the capacity of a replica that moves on. */
+  /** Relocates a replica to make capacity available for the job, and reserves that capacity. */
   Optional<Assignment> relocateFor(Job job) {
     if (!job.spec().isService()) {
       return Optional.empty();
@@ -83,7 +84,10 @@
     return false;
   }
 
-  /** Whether a replica could run on another machine without waiting for its image. */
+  /**
+   * Returns whether a replica may run on the other machine, which must already have its image.
+   * Available capacity is not checked.
+   */
   public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job().spec();
     boolean zoneAllowed =
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -35,13 +35,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides on which machines the tasks that wait are started. */
+/** Assigns waiting tasks to machines, in throttled passes over the queue. */
 public final class SchedulingPass {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingPass.class);
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
-  /** By what a pass decides. */
+  /** The settings and inputs that determine a pass's decisions. */
   public record Policy(
       Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder queueOrder) {}
 
@@ -87,13 +87,13 @@
     this.statistics = statistics;
   }
 
-  /** A term has begun. */
+  /** Resets the pass for a new term. */
   public void beginTerm() {
     attemptNumbers.beginTerm(leadership.term());
     requested = false;
   }
 
-  /** Asks for a pass, if a job waits. */
+  /** Requests a pass if jobs are queued and no pass is scheduled yet. */
   public void request() {
     if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
@@ -161,8 +161,7 @@
 
   private void place(Placer placer, Job job, Set<Machine> machinesToNotify, Instant now) {
     boolean mayPreempt = QueueOrder.mayPreempt(job, now);
-    // Of a job that fails everywhere one task is tried at a time: it takes no capacity and no
-    // writes.
+    // A job that fails everywhere gets one task at a time, to save capacity and writes.
     boolean oneTaskOnly =
         QueueOrder.isFirstStartOverdue(job, now) || job.failures().failsEverywhere();
     for (int i = job.nextPendingTask(0); i >= 0; i = job.nextPendingTask(i + 1)) {
@@ -178,7 +177,7 @@
     }
   }
 
-  /** All tasks of a gang that are to be started find a place, or none is started. */
+  /** Places all pending tasks of a gang, or none of them. */
   private void placeGang(
       GangPlacer gangPlacer, Job job, Set<Machine> machinesToNotify, Instant now) {
     Action action = gangs.nextAction(job);
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -8,7 +8,7 @@
 import io.pearscale.scheduler.model.Tuning;
 import java.util.Map;
 
-/** The score of a machine for a task of a job; the lowest is the best. */
+/** Scores machines for a task; the lowest score is the best. */
 final class ScoringPolicy {
   private static final double MIN_TOTAL_TIME_S = 1e-3;
 
@@ -25,7 +25,7 @@
   /**
    * Scores a machine that has capacity for the task.
    *
-   * @param zoneShortfall how little capacity each zone has for such tasks
+   * @param zoneShortfall each zone's capacity shortfall for such tasks, from 0 to 1
    */
   double score(Job job, Machine machine, Map<String, Double> zoneShortfall) {
     JobSpec spec = job.spec();
@@ -37,16 +37,17 @@
             * fetchShare(job, machine)
             * competingFetches(spec.image(), machine)
         + (spec.spotAllowed() && !machine.spot() ? tuning.onDemandWeight() : 0)
-        // A machine that just missed a direct command gets its starts with heartbeat responses
-        // only, which is slow.
+        // While direct commands to a machine are paused, it receives starts only in heartbeat
+        // responses, which is slow.
         + (context.now().isBefore(machine.reachability().directCommandsAfter())
             ? tuning.cachedImageWeight()
             : 0);
   }
 
   /**
-   * Waiting tasks of a batch job are alike and would all go where the first one goes: what counts
-   * is the capacity that is left after them.
+   * Returns how many tasks of the job are expected on the machine. The waiting tasks of a batch job
+   * are identical and would all be placed on the same machine, so the score uses the capacity that
+   * remains after all of them.
    */
   private int expectedTasks(Job job, Machine machine) {
     return job.spec().isService()
@@ -72,8 +73,10 @@
   }
 
   /**
-   * A service serves on when one machine is lost, so it spreads. A batch job is over with its last
-   * task: the fewer machines it is on, the fewer jobs the loss of one makes late.
+   * Returns the cost of other tasks of the job on the machine. The replicas of a service are spread
+   * over machines, so that the service survives the loss of one. A batch job finishes with its last
+   * task, so its tasks are packed: the fewer machines a job uses, the fewer jobs the loss of a
+   * machine delays.
    */
   private double sameJobCost(Job job, Machine machine) {
     int onMachine = machine.attempts().countOf(job);
@@ -83,9 +86,9 @@
   }
 
   /**
-   * How much of a task's time a fetch of its image would take: little for a long run, most of it
-   * for a start that is expected at once. So a cached image doesn't break up whole machines in
-   * vain.
+   * Returns the share of a task's time that fetching its image would take: small for a long run,
+   * and large for a task that should start immediately. A cached image therefore does not fragment
+   * an empty machine for little benefit.
    */
   private double fetchShare(Job job, Machine machine) {
     double fetchSeconds = MessageFields.seconds(machine.type().fetchTime(job.spec().imageGb()));
@@ -98,7 +101,7 @@
     return fetchSeconds / Math.max(MIN_TOTAL_TIME_S, fetchSeconds + runSeconds);
   }
 
-  /** How many fetches would share the rate with the image's own; -1 if that is cached. */
+  /** Returns how many fetches would share the bandwidth; -1 if the image is cached. */
   private static int competingFetches(String image, Machine machine) {
     return machine.images().contains(image) ? -1 : machine.otherImageFetches(image);
   }
--- a/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
+++ b/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
@@ -10,9 +10,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Says which attempts would have to leave a machine for a task, and which must not be stopped. */
+/** Selects the attempts to preempt on a machine, and excludes those that must not be stopped. */
 final class VictimSelector {
-  /** Lowest first; among equals the youngest, which has the least to lose. */
+  /** Lowest priority first, then the youngest attempt, which loses the least work. */
   private static final Comparator<TaskAttempt> LOWEST_PRIORITY_THEN_YOUNGEST =
       Comparator.comparing((TaskAttempt attempt) -> attempt.spec().priority())
           .thenComparing(TaskAttempt::stageSince, Comparator.reverseOrder());
@@ -26,9 +26,10 @@
   }
 
   /**
-   * Who would have to leave the machine; nobody if that would not free enough capacity.
+   * Returns the attempts to stop on the machine for a task of the job; empty if stopping all
+   * candidates would not free enough capacity.
    *
-   * @param guaranteed whether the task is within what its team is guaranteed
+   * @param guaranteed whether the task is within the guaranteed quota of its team
    */
   List<TaskAttempt> victimsOn(Machine machine, Job job, boolean guaranteed) {
     List<TaskAttempt> candidates = new ArrayList<>();
@@ -54,8 +55,9 @@
   }
 
   /**
-   * Whether a task is the first of a batch job that has waited for long: stopped before it counts
-   * as a start, the job would go on waiting, and the youngest are the first to be stopped.
+   * Returns whether the attempt is the first of a batch job that has waited for a long time. Such
+   * an attempt is protected until it has run long enough to count as a start. Otherwise the job
+   * could keep waiting, since the youngest attempts are preempted first.
    */
   private boolean isProtected(TaskAttempt attempt) {
     Job job = attempt.job();
@@ -72,7 +74,7 @@
       return true;
     }
     if (preemptor.priority() == Priority.CRITICAL && victim.priority() == Priority.CRITICAL) {
-      return false; // top-band tasks do not preempt one another
+      return false; // Tasks of the highest priority do not preempt each other.
     }
     return guaranteed
         && !victim.team().equals(preemptor.team())
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -8,7 +8,8 @@
 import java.util.Map;
 
 /**
- * How many tasks of a class each zone has capacity for, with all that may be preempted for them.
+ * The number of tasks of a class that each zone has capacity for, including capacity that can be
+ * preempted.
  */
 final class ZoneCapacity {
   private final List<Machine> machines;
@@ -18,7 +19,7 @@
     this.machines = machines;
   }
 
-  /** By zone; counted once for each shape. */
+  /** Returns the number of such tasks by zone, computed once per equivalence class. */
   Map<String, Integer> tasksByZone(Job job) {
     return tasksByClass.computeIfAbsent(
         EquivalenceClass.of(job.spec()), equivalenceClass -> countByZone(job));
@@ -34,7 +35,10 @@
     return tasksByZone;
   }
 
-  /** The zones in which a job that must spread may have another task; none for any other job. */
+  /**
+   * Returns the zones in which a job with a spread constraint may have another task; empty for jobs
+   * without one.
+   */
   List<String> zonesBelowTaskLimit(Job job) {
     if (!job.spec().spreadAcrossZones()) {
       return List.of();
@@ -46,8 +50,9 @@
   }
 
   /**
-   * How much less capacity for such tasks each zone has than the zone with the most, from 0 to 1. A
-   * job that must spread can't do without the smaller zone; one that need not shouldn't fill it up.
+   * Returns how much less capacity for such tasks each zone has relative to the zone with the most,
+   * from 0 to 1. Jobs with a spread constraint need the smaller zones, so other jobs should not use
+   * them up.
    */
   Map<String, Double> shortfallByZone(Job job) {
     Map<String, Integer> tasksByZone = tasksByZone(job);
--- a/src/test/java/io/pearscale/scheduler/placement/AdaptiveThrottleTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/AdaptiveThrottleTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Work rests in proportion to what it took, within bounds. */
+/** The pause after work is proportional to its duration, between a minimum and a maximum. */
 class AdaptiveThrottleTest {
   private final AdaptiveThrottle throttle =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
@@ -20,7 +20,7 @@
     assertEquals(Duration.ofMillis(30), throttle.pauseAfter(Duration.ZERO));
   }
 
-  /** A process that stood still for 35 s within a pass would place nothing for minutes. */
+  /** Without a maximum, a process that stalled for 35 s during a pass would pause for minutes. */
   @Test
   void limitsPauseAfterProcessStall() {
     assertEquals(Duration.ofSeconds(2), throttle.pauseAfter(Duration.ofSeconds(35)));
--- a/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
@@ -15,9 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * A machine that comes back from maintenance gets no urgent work before it has shown that it works.
- */
+/** A machine that returns from maintenance gets no urgent tasks until its probation ends. */
 class ProbationTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
