--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -171,7 +171,7 @@
   /** Adds the machine to the scan if it is feasible for the task and not in the scan yet. */
   private boolean addIfFeasible(Scan scan, Job job, Machine machine) {
     boolean isFeasible =
-        PlacementConstraints.allowsKind(job.spec(), machine)
+        PlacementConstraints.allowsMachine(job.spec(), machine)
             && capacity.availableOn(machine).fits(job.spec());
     if (!isFeasible || scan.feasible.contains(machine)) {
       return false;
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -162,7 +162,7 @@
       long capacity =
           machines.stream()
               .filter(subset)
-              .filter(machine -> PlacementConstraints.allowsKind(job.spec(), machine))
+              .filter(machine -> PlacementConstraints.allowsMachine(job.spec(), machine))
               .mapToLong(machine -> Resources.of(machine.type()).countFitting(job.spec()))
               .sum();
       largestCapacity = Math.max(largestCapacity, capacity);
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -14,12 +14,12 @@
   private PlacementConstraints() {}
 
   /** Returns whether the job may run on a machine of this type, in this zone, and spot or not. */
-  static boolean allowsKind(JobSpec spec, Machine machine) {
+  static boolean allowsMachine(JobSpec spec, Machine machine) {
     return spec.allows(machine.type(), machine.zone(), machine.spot());
   }
 
   /** Returns whether the machine may currently take another task of the job. */
-  static boolean allowsNow(Job job, Machine machine) {
+  static boolean allowsAnotherTask(Job job, Machine machine) {
     JobSpec spec = job.spec();
     boolean urgent = spec.priority().compareTo(Priority.NORMAL) > 0;
     if (urgent && machine.maintenance().stage() == Maintenance.Stage.PROBATION) {
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -65,7 +65,8 @@
       return Optional.empty();
     }
     Predicate<Machine> allowed =
-        machine -> machineFilter.test(machine) && PlacementConstraints.allowsNow(job, machine);
+        machine ->
+            machineFilter.test(machine) && PlacementConstraints.allowsAnotherTask(job, machine);
     Scan scan = feasibleMachines.scanFor(job);
     Optional<Machine> freeMachine = bestFeasible(job, scan, allowed);
     if (freeMachine.isPresent()) {
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -156,14 +156,14 @@
       Predicate<Machine> allowed,
       boolean guaranteed) {
     JobSpec spec = job.spec();
-    return PlacementConstraints.allowsKind(spec, machine)
+    return PlacementConstraints.allowsMachine(spec, machine)
         && allowed.test(machine)
-        && (image.isEmpty() || canStartAtOnce(machine, image.get()))
+        && (image.isEmpty() || canStartImmediately(machine, image.get()))
         && (guaranteed || machine.availableAbove(spec.priority()).fits(spec));
   }
 
   /** Returns whether the machine has the image and can execute a stop command immediately. */
-  private boolean canStartAtOnce(Machine machine, String image) {
+  private boolean canStartImmediately(Machine machine, String image) {
     return machine.images().contains(image)
         && machine.reachability().lastReachableAt().isAfter(context.reachableSince())
         && !context.now().isBefore(machine.reachability().directCommandsAfter());
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -41,8 +41,8 @@
     int candidates = 0;
     for (int i = 0; i < scan.size() && candidates < context.tuning().sampleSize(); i++) {
       Machine machine = scan.get(start, i);
-      if (!PlacementConstraints.allowsKind(job.spec(), machine)
-          || !PlacementConstraints.allowsNow(job, machine)) {
+      if (!PlacementConstraints.allowsMachine(job.spec(), machine)
+          || !PlacementConstraints.allowsAnotherTask(job, machine)) {
         continue;
       }
       for (TaskAttempt replica : machine.attempts().values()) {
@@ -97,7 +97,7 @@
                     || replica.job().attemptsInZone(machine.zone()) < spec.maxTasksPerZone()));
     return machine != replica.machine()
         && zoneAllowed
-        && PlacementConstraints.allowsKind(spec, machine)
+        && PlacementConstraints.allowsMachine(spec, machine)
         && machine.images().contains(spec.image());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -29,7 +29,7 @@
    */
   double score(Job job, Machine machine, Map<String, Double> zoneShortfall) {
     JobSpec spec = job.spec();
-    return tuning.strandedWeight() * stranded(job, machine)
+    return tuning.strandedWeight() * strandedShare(job, machine)
         + sameJobCost(job, machine) / Math.max(1, spec.tasks())
         + tuning.sameZoneWeight() * job.attemptsInZone(machine.zone()) / Math.max(1, spec.tasks())
         + tuning.zoneBalanceWeight() * zoneShortfall.getOrDefault(machine.zone(), 1.0)
@@ -57,19 +57,18 @@
             Math.min(capacity.availableOn(machine).countFitting(job.spec()), job.pendingTasks()));
   }
 
-  private double stranded(Job job, Machine machine) {
+  private double strandedShare(Job job, Machine machine) {
     Resources available = capacity.availableOn(machine);
     JobSpec spec = job.spec();
     int tasks = expectedTasks(job, machine);
-    double stranded =
-        (available.cpus() - tasks * spec.cpus()) / Math.max(1e-9, machine.type().cpus());
-    stranded +=
+    double share = (available.cpus() - tasks * spec.cpus()) / Math.max(1e-9, machine.type().cpus());
+    share +=
         (available.memoryGb() - tasks * spec.memoryGb())
             / Math.max(1e-9, machine.type().memoryGb());
     if (machine.type().gpus() > 0) {
-      stranded += (available.gpus() - tasks * spec.gpus()) / machine.type().gpus();
+      share += (available.gpus() - tasks * spec.gpus()) / machine.type().gpus();
     }
-    return stranded;
+    return share;
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -28,7 +28,7 @@
   private Map<String, Integer> countByZone(Job job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (PlacementConstraints.allowsKind(job.spec(), machine)) {
+      if (PlacementConstraints.allowsMachine(job.spec(), machine)) {
         tasksByZone.merge(machine.zone(), machine.capacityWithPreemption(job.spec()), Integer::sum);
       }
     }
--- a/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
@@ -31,9 +31,11 @@
     for (Priority priority : Priority.values()) {
       machine.changeMaintenance(new Maintenance(Stage.PROBATION, "d1"));
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
-      assertEquals(!urgent, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
+      assertEquals(
+          !urgent, PlacementConstraints.allowsAnotherTask(job(priority), machine), "" + priority);
       machine.changeMaintenance(Maintenance.IN_SERVICE);
-      assertEquals(true, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
+      assertEquals(
+          true, PlacementConstraints.allowsAnotherTask(job(priority), machine), "" + priority);
     }
   }
 }
