--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -51,7 +51,7 @@
 
   private final Collection<Machine> machines;
 
-  /** The gang that capacity is reserved for in this pass because it has waited for a long time. */
+  /** The long-waiting gang that has reserved capacity in this pass. */
   private Optional<Job> longWaitingGang = Optional.empty();
 
   /** The share of the fleet's capacity reserved in this pass for gangs that are not overdue. */
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -114,10 +114,8 @@
     int start = scan.randomStart();
     int found = 0;
     // The search stops after a few candidates, like the scan for feasible machines: in a large
-    // fleet
-    // a full scan would cost more than better victims save. Ending a gang stops all of its tasks,
-    // so
-    // the search is longer in that case.
+    // fleet, a full scan would cost more than better victims save. Ending a gang stops all of its
+    // tasks, so the search is longer in that case.
     int searchLimit = context.tuning().sampleSize();
     for (int i = 0; i < scan.size() && found < searchLimit; i++) {
       Machine machine = scan.get(start, i);
