--- a/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
+++ b/src/main/java/io/pearscale/scheduler/placement/AdaptiveThrottle.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * How long a kind of work rests after it was done, in proportion to the time that it took: however
- * much there is to decide, most of the time is left for heartbeats.
+ * Computes the pause after a unit of work in proportion to its duration, so that most of the time
+ * remains for heartbeats regardless of the amount of work.
  *
- * @param restFactor the work may take one part in so many of the time
- * @param minRest the shortest rest
- * @param maxRest the longest rest: a process that stood still meanwhile must not rest for minutes
+ * @param pauseFactor the ratio of the pause to the duration of the work
+ * @param minPause the shortest pause
+ * @param maxPause the longest pause, so that a process that stalled during the work does not pause
+ *     for minutes
  */
-public record AdaptiveThrottle(int restFactor, Duration minRest, Duration maxRest) {
-  /** The rest after work that took so long. */
-  public Duration restAfter(Duration work) {
-    Duration rest = work.multipliedBy(restFactor);
-    if (rest.compareTo(minRest) < 0) {
-      return minRest;
+public record AdaptiveThrottle(int pauseFactor, Duration minPause, Duration maxPause) {
+  /** Returns the pause after work of the given duration. */
+  public Duration pauseAfter(Duration work) {
+    Duration pause = work.multipliedBy(pauseFactor);
+    if (pause.compareTo(minPause) < 0) {
+      return minPause;
     }
-    return rest.compareTo(maxRest) > 0 ? maxRest : rest;
+    return pause.compareTo(maxPause) > 0 ? maxPause : pause;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -16,14 +16,18 @@
 import java.util.function.Supplier;
 
 /**
- * Looks for the fewest, lowest tasks that have to leave for another one. What found nobody to
- * preempt is not looked for again in the pass.
+ * Selects tasks to preempt for a waiting task: as few as possible, lowest priority first. A search
+ * that finds no victims is not repeated in the same pass.
  */
 final class PreemptionPlanner {
-  /** So many times as many machines are met while the best victims would end a gang that runs. */
-  private static final int SEARCH_TO_SPARE_GANGS = 4;
+  /** Multiplies the number of candidates while the best one would end a running gang. */
+  private static final int GANG_VICTIM_SEARCH_FACTOR = 4;
 
-  /** Tasks that find victims in the same places; the zones are those that a spread leaves open. */
+  /**
+   * Identifies tasks with the same potential victims.
+   *
+   * @param zones the zones in which the job's spread constraint allows another task
+   */
   private record SearchKey(
       EquivalenceClass equivalenceClass,
       String team,
@@ -36,7 +40,7 @@
   private final ZoneCapacity zoneCapacity;
   private final Supplier<RandomizedMachineScan> machines;
   private final VictimSelector victimSelector;
-  private final Set<SearchKey> futileSearches = new HashSet<>();
+  private final Set<SearchKey> infeasibleSearches = new HashSet<>();
 
   PreemptionPlanner(
       PassContext context,
@@ -56,52 +60,52 @@
         EquivalenceClass.of(spec),
         spec.team(),
         spec.isService(),
-        zoneCapacity.zonesLeft(job),
+        zoneCapacity.zonesBelowTaskLimit(job),
         image);
   }
 
-  /** Whether such tasks were found to have no victims anywhere. */
-  boolean isFutile(Job job) {
-    return futileSearches.contains(searchKey(job, Optional.empty()));
+  /** Returns whether an earlier search found no victims for such tasks on any machine. */
+  boolean isInfeasible(Job job) {
+    return infeasibleSearches.contains(searchKey(job, Optional.empty()));
   }
 
-  /** Such tasks have no victims anywhere. */
-  void markFutile(Job job) {
-    futileSearches.add(searchKey(job, Optional.empty()));
+  /** Records that such tasks have no victims on any machine. */
+  void markInfeasible(Job job) {
+    infeasibleSearches.add(searchKey(job, Optional.empty()));
   }
 
-  /** Reserves the capacity of victims on any machine that is allowed. */
+  /** Finds victims on any allowed machine and reserves their capacity for the task. */
   Optional<Assignment> preempt(Job job, Predicate<Machine> allowed) {
     return preempt(job, Optional.empty(), allowed);
   }
 
   /**
-   * A place without victims does not win if the image would have to be fetched there for longer
-   * than the class is expected to start in, and another machine has it: a few low tasks are done
-   * again, where else the start would be late for certain. A gang that runs is not ended for that.
+   * Finds victims on a machine that has the image, if fetching it on the free machine would take
+   * longer than the job's start objective. Rerunning a few low-priority tasks is preferred to a
+   * start that is certain to be late. A running gang is not ended for this purpose.
    *
-   * @param free the best place without victims
+   * @param freeMachine the best machine that needs no preemption
    */
-  Optional<Assignment> preemptForImage(Job job, Machine free, Predicate<Machine> allowed) {
+  Optional<Assignment> preemptForImage(Job job, Machine freeMachine, Predicate<Machine> allowed) {
     JobSpec spec = job.spec();
-    Optional<Duration> within = context.startObjective().apply(spec);
-    if (within.isEmpty()
-        || free.images().contains(spec.image())
-        || free.type().fetchTime(spec.imageGb()).compareTo(within.get()) <= 0) {
+    Optional<Duration> startTarget = context.startObjective().apply(spec);
+    if (startTarget.isEmpty()
+        || freeMachine.images().contains(spec.image())
+        || freeMachine.type().fetchTime(spec.imageGb()).compareTo(startTarget.get()) <= 0) {
       return Optional.empty();
     }
     SearchKey search = searchKey(job, Optional.of(spec.image()));
-    if (futileSearches.contains(search)) {
+    if (infeasibleSearches.contains(search)) {
       return Optional.empty();
     }
     Optional<Assignment> assignment = preempt(job, Optional.of(spec.image()), allowed);
     if (assignment.isEmpty()) {
-      futileSearches.add(search);
+      infeasibleSearches.add(search);
     }
     return assignment;
   }
 
-  /** Looks for victims, on machines that have the image if one is given. */
+  /** Finds victims, only on machines that have the image if one is given. */
   private Optional<Assignment> preempt(
       Job job, Optional<String> image, Predicate<Machine> allowed) {
     boolean guaranteed = capacity.quotaUsage().isWithinGuarantee(job.spec());
@@ -109,13 +113,13 @@
     RandomizedMachineScan scan = machines.get();
     int start = scan.randomStart();
     int found = 0;
-    // As with machines that have capacity, the best of the first that will do: at size, seeing all
-    // would cost more than a better victim saves. Ending a gang costs all of its tasks, so then the
-    // search is longer.
-    int enough = context.tuning().sampleSize();
-    for (int i = 0; i < scan.size() && found < enough; i++) {
+    // The search stops after a few candidates, like the scan for feasible machines: in a large
+    // fleet, a full scan would cost more than better victims save. Ending a gang stops all of its
+    // tasks, so the search is longer in that case.
+    int searchLimit = context.tuning().sampleSize();
+    for (int i = 0; i < scan.size() && found < searchLimit; i++) {
       Machine machine = scan.get(start, i);
-      if (!mayMakeRoomOn(machine, job, image, allowed, guaranteed)) {
+      if (!couldFreeCapacityOn(machine, job, image, allowed, guaranteed)) {
         continue;
       }
       List<TaskAttempt> victims = victimSelector.victimsOn(machine, job, guaranteed);
@@ -130,7 +134,7 @@
       found++;
       if (best == null || isBetter(assignment, best, job)) {
         best = assignment;
-        enough = context.tuning().sampleSize() * (endsGang ? SEARCH_TO_SPARE_GANGS : 1);
+        searchLimit = context.tuning().sampleSize() * (endsGang ? GANG_VICTIM_SEARCH_FACTOR : 1);
       }
     }
     if (best != null) {
@@ -139,37 +143,41 @@
     return Optional.ofNullable(best);
   }
 
-  /** Whether stopping others on the machine could help at all, without looking at each of them. */
-  private boolean mayMakeRoomOn(
+  /**
+   * Returns whether preemption on the machine could free enough capacity, without examining each of
+   * its tasks.
+   */
+  private boolean couldFreeCapacityOn(
       Machine machine,
       Job job,
       Optional<String> image,
       Predicate<Machine> allowed,
       boolean guaranteed) {
     JobSpec spec = job.spec();
-    return PlacementConstraints.allowsKind(spec, machine)
+    return PlacementConstraints.allowsMachine(spec, machine)
         && allowed.test(machine)
-        && (image.isEmpty() || canStartAtOnce(machine, image.get()))
+        && (image.isEmpty() || canStartImmediately(machine, image.get()))
         && (guaranteed || machine.availableAbove(spec.priority()).fits(spec));
   }
 
-  /** Whether the machine has the image, and a stop would be carried out there at once. */
-  private boolean canStartAtOnce(Machine machine, String image) {
+  /** Returns whether the machine has the image and can execute a stop command immediately. */
+  private boolean canStartImmediately(Machine machine, String image) {
     return machine.images().contains(image)
         && machine.reachability().lastReachableAt().isAfter(context.reachableSince())
         && !context.now().isBefore(machine.reachability().directCommandsAfter());
   }
 
   /**
-   * Fewest victims, then lowest. Among equals those of the job whose turn comes last: a job is over
-   * with its last task, so one task stopped of each of many jobs makes all of them late, where many
-   * tasks of one job make one late.
+   * Prefers the assignment that ends fewer tasks, then the one with lower-priority victims, then a
+   * machine that has the image. Otherwise it prefers victims of the job that is last in the queue
+   * order. A job finishes with its last task, so stopping one task of each of many jobs would delay
+   * all of them, while stopping many tasks of one job delays only that job.
    */
   private boolean isBetter(Assignment assignment, Assignment best, Job job) {
-    int lost = assignment.tasksLost();
-    int bestLost = best.tasksLost();
-    if (lost != bestLost) {
-      return lost < bestLost;
+    int tasksLost = assignment.tasksLost();
+    int bestTasksLost = best.tasksLost();
+    if (tasksLost != bestTasksLost) {
+      return tasksLost < bestTasksLost;
     }
     Priority highest = highestPriority(assignment.victims());
     Priority bestHighest = highestPriority(best.victims());
@@ -184,7 +192,7 @@
     return context.queueOrder().compare(first, firstInQueue(best.victims())) > 0;
   }
 
-  /** Of the jobs that would lose a task the one whose turn comes first. */
+  /** Returns the first job in the queue order among the jobs of the victims. */
   private Job firstInQueue(List<TaskAttempt> victims) {
     return victims.stream().map(victim -> victim.job()).min(context.queueOrder()).orElseThrow();
   }
--- a/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
+++ b/src/main/java/io/pearscale/scheduler/placement/RandomizedMachineScan.java
@@ -9,23 +9,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Machines in an order that is shuffled once a pass; each visit begins at a random place of its
- * own. Candidates for scale-in and machines to be drained are met last, so that they run empty.
+ * Machines in an order that is shuffled once per pass. Each scan starts at its own random position.
+ * Candidates for scale-in and machines with a planned drain come last, so that they become empty.
  */
 final class RandomizedMachineScan {
   private final RandomGenerator random;
   private final List<Machine> preferred = new ArrayList<>();
-  private final List<Machine> leaving = new ArrayList<>();
+  private final List<Machine> deprioritized = new ArrayList<>();
 
   RandomizedMachineScan(Collection<Machine> machines, RandomGenerator random) {
     this.random = random;
     for (Machine machine : machines) {
-      boolean stays =
+      boolean isPreferred =
           machine.cloud().scaleInCandidateSince().equals(Instant.MAX) && !machine.isDrainPlanned();
-      (stays ? preferred : leaving).add(machine);
+      (isPreferred ? preferred : deprioritized).add(machine);
     }
     shuffle(preferred);
-    shuffle(leaving);
+    shuffle(deprioritized);
   }
 
   private void shuffle(List<Machine> list) {
@@ -35,18 +35,18 @@
   }
 
   int size() {
-    return preferred.size() + leaving.size();
+    return preferred.size() + deprioritized.size();
   }
 
-  /** A place for a visit to begin at. */
+  /** Returns a random start position for a scan. */
   int randomStart() {
     return preferred.isEmpty() ? 0 : random.nextInt(preferred.size());
   }
 
-  /** The machine that a visit which began there meets as the one of that index. */
+  /** Returns the machine at an index of the scan that starts at the given position. */
   Machine get(int start, int index) {
     return index < preferred.size()
         ? preferred.get((start + index) % preferred.size())
-        : leaving.get(index - preferred.size());
+        : deprioritized.get(index - preferred.size());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -11,12 +11,13 @@
 import java.util.function.Supplier;
 
 /**
- * Moves one replica of equal priority out of the way, when it has a place to go that already has
- * its image: a job that must spread can't go anywhere else, while the replica that fills its zone
- * often can. The move costs a moment of one replica, waiting would cost the whole time.
+ * Relocates a replica of equal priority to make capacity available for a waiting replica, if
+ * another machine has capacity for it and already has its image. A job with a spread constraint may
+ * have only one zone left, while the replicas that use the capacity there can often run elsewhere.
+ * Relocation interrupts one replica briefly; without it the waiting replica would not run at all.
  */
 public final class ReplicaRelocation {
-  /** A replica that has run for less is not moved: its start would have been in vain. */
+  /** Minimum run time before relocation; moving a replica earlier would waste its start. */
   public static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
 
   private final PassContext context;
@@ -30,8 +31,8 @@
     this.machines = machines;
   }
 
-  /** Reserves the capacity of a replica that moves on. */
-  Optional<Assignment> makeWay(Job job) {
+  /** Relocates a replica to make capacity available for the job, and reserves that capacity. */
+  Optional<Assignment> relocateFor(Job job) {
     if (!job.spec().isService()) {
       return Optional.empty();
     }
@@ -40,8 +41,8 @@
     int candidates = 0;
     for (int i = 0; i < scan.size() && candidates < context.tuning().sampleSize(); i++) {
       Machine machine = scan.get(start, i);
-      if (!PlacementConstraints.allowsKind(job.spec(), machine)
-          || !PlacementConstraints.allowsNow(job, machine)) {
+      if (!PlacementConstraints.allowsMachine(job.spec(), machine)
+          || !PlacementConstraints.allowsAnotherTask(job, machine)) {
         continue;
       }
       for (TaskAttempt replica : machine.attempts().values()) {
@@ -61,8 +62,8 @@
 
   private boolean mayBeMovedFor(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job().spec();
-    Resources trial = capacity.availableOn(replica.machine()).copy();
-    trial.add(replica.job().spec());
+    Resources availableAfterMove = capacity.availableOn(replica.machine()).copy();
+    availableAfterMove.add(replica.job().spec());
     return !replica.stopping()
         && replica.stage() == TaskAttempt.Stage.RUNNING
         && spec.isService()
@@ -70,7 +71,7 @@
         && spec.priority() == job.spec().priority()
         && spec.team().equals(job.spec().team())
         && replica.stageSince().isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
-        && trial.fits(job.spec());
+        && availableAfterMove.fits(job.spec());
   }
 
   private boolean reserveElsewhere(TaskAttempt replica) {
@@ -83,17 +84,20 @@
     return false;
   }
 
-  /** Whether a replica could run on another machine without waiting for its image. */
+  /**
+   * Returns whether a replica may run on the other machine, which must already have its image.
+   * Available capacity is not checked.
+   */
   public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job().spec();
-    boolean zoneFree =
+    boolean zoneAllowed =
         machine.zone().equals(replica.machine().zone())
             || (!spec.singleZone()
                 && (!spec.spreadAcrossZones()
                     || replica.job().attemptsInZone(machine.zone()) < spec.maxTasksPerZone()));
     return machine != replica.machine()
-        && zoneFree
-        && PlacementConstraints.allowsKind(spec, machine)
+        && zoneAllowed
+        && PlacementConstraints.allowsMachine(spec, machine)
         && machine.images().contains(spec.image());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ZoneCapacity.java
@@ -8,7 +8,8 @@
 import java.util.Map;
 
 /**
- * How many tasks of a class each zone has capacity for, with all that may be preempted for them.
+ * The number of tasks of a class that each zone has capacity for, including capacity that can be
+ * preempted.
  */
 final class ZoneCapacity {
   private final List<Machine> machines;
@@ -18,7 +19,7 @@
     this.machines = machines;
   }
 
-  /** By zone; counted once for each shape. */
+  /** Returns the number of such tasks by zone, computed once per equivalence class. */
   Map<String, Integer> tasksByZone(Job job) {
     return tasksByClass.computeIfAbsent(
         EquivalenceClass.of(job.spec()), equivalenceClass -> countByZone(job));
@@ -27,15 +28,18 @@
   private Map<String, Integer> countByZone(Job job) {
     Map<String, Integer> tasksByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (PlacementConstraints.allowsKind(job.spec(), machine)) {
+      if (PlacementConstraints.allowsMachine(job.spec(), machine)) {
         tasksByZone.merge(machine.zone(), machine.capacityWithPreemption(job.spec()), Integer::sum);
       }
     }
     return tasksByZone;
   }
 
-  /** The zones in which a job that must spread may have another task; none for any other job. */
-  List<String> zonesLeft(Job job) {
+  /**
+   * Returns the zones in which a job with a spread constraint may have another task; empty for jobs
+   * without one.
+   */
+  List<String> zonesBelowTaskLimit(Job job) {
     if (!job.spec().spreadAcrossZones()) {
       return List.of();
     }
@@ -46,15 +50,16 @@
   }
 
   /**
-   * How much less capacity for such tasks each zone has than the zone with the most, from 0 to 1. A
-   * job that must spread can't do without the smaller zone; one that need not shouldn't fill it up.
+   * Returns how much less capacity for such tasks each zone has relative to the zone with the most,
+   * from 0 to 1. Jobs with a spread constraint need the smaller zones, so other jobs should not use
+   * them up.
    */
-  Map<String, Double> crowding(Job like) {
-    Map<String, Integer> tasksByZone = tasksByZone(like);
+  Map<String, Double> shortfallByZone(Job job) {
+    Map<String, Integer> tasksByZone = tasksByZone(job);
     int most = tasksByZone.values().stream().mapToInt(count -> count).max().orElse(0);
-    Map<String, Double> crowding = new HashMap<>();
+    Map<String, Double> shortfallByZone = new HashMap<>();
     tasksByZone.forEach(
-        (zone, count) -> crowding.put(zone, most == 0 ? 0 : 1 - count / (double) most));
-    return crowding;
+        (zone, count) -> shortfallByZone.put(zone, most == 0 ? 0 : 1 - count / (double) most));
+    return shortfallByZone;
   }
 }
--- a/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
+++ b/src/test/java/io/pearscale/scheduler/placement/ProbationTest.java
@@ -15,9 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * A machine that comes back from maintenance gets no urgent work before it has shown that it works.
- */
+/** A machine that returns from maintenance gets no urgent tasks until its probation ends. */
 class ProbationTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
@@ -26,16 +24,18 @@
   }
 
   @Test
-  void urgentWorkGoesElsewhere() {
+  void rejectsUrgentTasksDuringProbation() {
     MachineType type =
         new MachineType("s", 8, 0, 64, 100, 1, 1, 1, Duration.ofSeconds(5), List.of("a"));
     Machine machine = new Machine("m-1", "a", false, type, Lifecycle.UP, NOW);
     for (Priority priority : Priority.values()) {
       machine.changeMaintenance(new Maintenance(Stage.PROBATION, "d1"));
       boolean urgent = priority.compareTo(Priority.NORMAL) > 0;
-      assertEquals(!urgent, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
+      assertEquals(
+          !urgent, PlacementConstraints.allowsAnotherTask(job(priority), machine), "" + priority);
       machine.changeMaintenance(Maintenance.IN_SERVICE);
-      assertEquals(true, PlacementConstraints.allowsNow(job(priority), machine), "" + priority);
+      assertEquals(
+          true, PlacementConstraints.allowsAnotherTask(job(priority), machine), "" + priority);
     }
   }
 }
