--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -35,7 +35,7 @@
     Instant now = clock.instant();
     checkMachines(now);
     components.gracefulTermination.endBrokenGangs();
-    components.recovery.noteProgress();
+    components.recovery.updateCompletion();
     components.drainCoordinator.ifPresent(drains -> drains.roundIfDue(now));
     components.placementPass.request();
     components.dispatcher.sendAllDueCommands();
--- a/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
+++ b/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
@@ -24,7 +24,7 @@
     components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
     components.jobs.forgetUnreadable();
     components.records.storedValues().clear();
-    components.levelRaiser.forgetStored();
+    components.levelRaiser.clearAnnouncements();
     components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
     entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
   }
@@ -39,7 +39,7 @@
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
     } else if (Keys.isMember(key)) {
-      components.levelRaiser.storedChanged(change);
+      components.levelRaiser.applyAnnouncement(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       applyCatalogue(change.entry().get());
     }
--- a/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
+++ b/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
@@ -42,10 +42,10 @@
     if (lastCommit.equals(Instant.MIN)) {
       return Duration.ZERO;
     }
-    Duration pause = MessageFields.duration(lastMutationCount / mutationsPerSecond);
-    if (pause.compareTo(MIN_COMMIT_INTERVAL) < 0) {
-      pause = MIN_COMMIT_INTERVAL;
+    Duration interval = MessageFields.duration(lastMutationCount / mutationsPerSecond);
+    if (interval.compareTo(MIN_COMMIT_INTERVAL) < 0) {
+      interval = MIN_COMMIT_INTERVAL;
     }
-    return pause.minus(Duration.between(lastCommit, clock.instant()));
+    return interval.minus(Duration.between(lastCommit, clock.instant()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
+++ b/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
@@ -31,7 +31,7 @@
     RecordLayout previous = packed.layout();
     RecordPacker<JobPartition> previousPlacements = packed.placements();
     RecordPacker<Machine> previousMachines = packed.machines();
-    packed.startLayoutInForce();
+    packed.resetToLayoutInForce();
     previousLayout.clear();
     for (String key : storedValues.machineValues().keySet()) {
       if (RecordLayout.ofMachineKey(key).orElseThrow() == previous) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -66,7 +66,7 @@
     previousLayout.clear();
     rejectedValues.clear();
     finishedJobs.clear();
-    adopter.clear();
+    adopter.clearFoundPartitions();
     obsoleteValues.clear();
   }
 
@@ -276,7 +276,7 @@
       previousLayout.noteDeleted(key);
       migration.noteDeleted(key);
     }
-    if (transaction.includesCatalogue()) {
+    if (transaction.catalogueHandled()) {
       catalogueDue = false;
     }
   }
@@ -285,7 +285,7 @@
    * Notes that a machine's record is durable as written, unless the machine got another slot while
    * the transaction was under way: placement records may refer to it by its slot.
    */
-  void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachine written) {
+  void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     if (packed.isInSlot(machine, written)) {
       machine
           .record()
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -23,21 +23,21 @@
   private final LeaderRecords records;
   private final InstantSource clock;
   private final Runnable probeRecordedMachines;
-  private final Consumer<String> onUnfitToLead;
+  private final Consumer<String> onUnreadableRecord;
   private boolean complete;
 
   /**
    * Creates a recovery.
    *
    * @param probeRecordedMachines asks every recorded machine at once for the tasks that it has
-   * @param onUnfitToLead receives the reason why this controller can't lead: a record that it can't
-   *     read
+   * @param onUnreadableRecord receives the reason why this controller can't lead: a record that it
+   *     can't read
    */
   public LeaderRecovery(
       LeaderState state,
       LeaderRecords records,
       Runnable probeRecordedMachines,
-      Consumer<String> onUnfitToLead) {
+      Consumer<String> onUnreadableRecord) {
     this.state = state;
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -45,7 +45,7 @@
     this.records = records;
     this.clock = state.clock();
     this.probeRecordedMachines = probeRecordedMachines;
-    this.onUnfitToLead = onUnfitToLead;
+    this.onUnreadableRecord = onUnreadableRecord;
   }
 
   /** Resets for a term that begins: nothing is recovered yet. */
@@ -99,7 +99,7 @@
     } catch (MalformedMessageException e) {
       LOG.error(
           "event=stored_record_unreadable term={} reason={}", leadership.term(), e.getMessage());
-      onUnfitToLead.accept(e.getMessage());
+      onUnreadableRecord.accept(e.getMessage());
       return Optional.empty();
     }
   }
@@ -126,7 +126,7 @@
   }
 
   /** Notes when every machine is reconciled that may hold what a previous leader started. */
-  public void noteProgress() {
+  public void updateCompletion() {
     if (complete
         || inventory.all().stream()
             .anyMatch(machine -> !machine.reconciled() && !machine.attempts().isEmpty())) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -34,7 +34,7 @@
   private static final int MAX_BODY_BYTES = 40 * 1024;
 
   /** A machine record and the number of the value that holds it. */
-  record WrittenMachine(int value, MachineRecordCodec.MachineRecord record) {}
+  record WrittenMachineRecord(int value, MachineRecordCodec.MachineRecord record) {}
 
   /** Bytes for the term, its precondition and the message frame. */
   private static final int FRAME_BYTES = 512;
@@ -54,14 +54,14 @@
   private int bodyBytes = FRAME_BYTES;
 
   private final Set<Integer> machineValues = new LinkedHashSet<>();
-  private final List<WrittenMachine> writtenMachines = new ArrayList<>();
+  private final List<WrittenMachineRecord> writtenMachineRecords = new ArrayList<>();
   private final Set<Integer> placementValues = new LinkedHashSet<>();
   private final List<TaskAttempt> newlyRecordedAttempts = new ArrayList<>();
   private final Map<JobPartition, BitSet> doneTasksByPartition = new HashMap<>();
   private final List<Job> finishedJobs = new ArrayList<>();
   private final List<String> deletedKeys = new ArrayList<>();
   private final Map<String, Integer> valueLengths = new HashMap<>();
-  private boolean includesCatalogue;
+  private boolean catalogueHandled;
 
   /**
    * Creates a transaction that carries the term alone. Its key changes with each transaction: one
@@ -101,7 +101,7 @@
 
   /** Adds the catalogue, unless it is longer than a value may be. */
   void addCatalogue(Collection<MachineType> types, int maxValueBytes) {
-    includesCatalogue = true;
+    catalogueHandled = true;
     ObjectNode body = MessagePack.map();
     var list = body.putArray("breeds");
     types.forEach(type -> list.add(type.toNode()));
@@ -123,7 +123,8 @@
                 records.add(
                     MachineRecords.of(machine, numbered ? machine.record().number() : position)));
     machineValues.add(valueNumber);
-    records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
+    records.forEach(
+        record -> writtenMachineRecords.add(new WrittenMachineRecord(valueNumber, record)));
     JsonNode encodedValue = MachineRecordCodec.encode(records, level);
     addRecord(
         layout.machineKey(valueNumber), encodedValue, MachineRecordCodec.jsonLength(encodedValue));
@@ -204,7 +205,7 @@
   }
 
   /** Adds the record of the schema level. */
-  void addLevel(JsonNode record) {
+  void addSchemaLevel(JsonNode record) {
     mutations.add(Mutation.put(Keys.LEVEL, record));
     bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
@@ -235,8 +236,8 @@
   }
 
   /** Whether the catalogue was added, or left out as too long for a value. */
-  boolean includesCatalogue() {
-    return includesCatalogue;
+  boolean catalogueHandled() {
+    return catalogueHandled;
   }
 
   /** The length in bytes of each value of machine or placement records, by key. */
@@ -250,8 +251,8 @@
   }
 
   /** The machine records in those values. */
-  List<WrittenMachine> writtenMachines() {
-    return writtenMachines;
+  List<WrittenMachineRecord> writtenMachineRecords() {
+    return writtenMachineRecords;
   }
 
   /** The numbers of the values of placement records that it writes. */
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -41,12 +41,12 @@
 
   /** Drops all records and record numbers, and takes the layout in force. */
   void clear() {
-    startLayoutInForce();
+    resetToLayoutInForce();
     recordNumbers.reset();
   }
 
   /** Takes the layout in force with empty packers; record numbers stay allocated. */
-  void startLayoutInForce() {
+  void resetToLayoutInForce() {
     layout = layoutInForce();
     placements = new RecordPacker<>(packedValueBytes);
     machines = new RecordPacker<>(packedValueBytes);
@@ -108,7 +108,7 @@
   }
 
   /** Whether the record that was written stands in the slot that the machine has now. */
-  boolean isInSlot(Machine machine, LeaderTransaction.WrittenMachine written) {
+  boolean isInSlot(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     Optional<RecordPacker.Slot> slot = machines.slotOf(machine);
     int number = written.record().number();
     return slot.isPresent()
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -25,7 +25,7 @@
   static final Duration BATCH_INTERVAL = Duration.ofSeconds(1);
 
   /** A batch may take one part in so many of a transaction's mutations. */
-  private static final int BATCHES_PER_TRANSACTION = 8;
+  private static final int BATCH_SHARE_DIVISOR = 8;
 
   private static final int MIN_BATCH_SIZE = 2;
 
@@ -54,7 +54,7 @@
    */
   RecordMigration(LevelGate gate, int maxMutations, PreviousLayoutRecords previousLayout) {
     this.gate = gate;
-    this.maxBatchSize = Math.max(MIN_BATCH_SIZE, maxMutations / BATCHES_PER_TRANSACTION);
+    this.maxBatchSize = Math.max(MIN_BATCH_SIZE, maxMutations / BATCH_SHARE_DIVISOR);
     this.previousLayout = previousLayout;
   }
 
@@ -111,7 +111,9 @@
 
   private boolean addToBatch(Batch batch, Optional<CopyTarget> target) {
     target.ifPresent(
-        h -> (h.placementValue ? batch.placementValues : batch.machineValues).add(h.value));
+        copyTarget ->
+            (copyTarget.placementValue ? batch.placementValues : batch.machineValues)
+                .add(copyTarget.value));
     return batch.size() < maxBatchSize;
   }
 
@@ -121,7 +123,7 @@
   }
 
   /** The record of the schema level that says that the migration is complete. */
-  JsonNode completedLevel() {
+  JsonNode migrationCompletedRecord() {
     return gate.migrationCompletedRecord();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -8,7 +8,7 @@
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.MachineInventory;
 import io.pearscale.scheduler.model.TermExecutor;
-import io.pearscale.scheduler.records.LeaderTransaction.WrittenMachine;
+import io.pearscale.scheduler.records.LeaderTransaction.WrittenMachineRecord;
 import io.pearscale.storage.CommitOutcome;
 import io.pearscale.storage.KeyValueStoreClient;
 import io.pearscale.storage.Keys;
@@ -238,13 +238,13 @@
 
   private void onApplied(LeaderTransaction transaction) {
     records.onApplied(transaction);
-    transaction.writtenMachines().forEach(this::noteMachineRecorded);
+    transaction.writtenMachineRecords().forEach(this::noteMachineRecorded);
     transaction.finishedJobs().forEach(this::finishJob);
     contributors.forEach(contributor -> contributor.onApplied(transaction));
     listener.onTransactionApplied();
   }
 
-  private void noteMachineRecorded(WrittenMachine written) {
+  private void noteMachineRecorded(WrittenMachineRecord written) {
     Machine machine = inventory.get(written.record().machine());
     if (machine != null) {
       records.noteMachineRecorded(machine, written);
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -50,12 +50,12 @@
   }
 
   /** Forgets all announcements: a new snapshot is about to be delivered. */
-  public void forgetStored() {
+  public void clearAnnouncements() {
     announcements.clear();
   }
 
   /** Applies a changed announcement; one that can't be read counts as absent. */
-  public void storedChanged(KeyChange change) {
+  public void applyAnnouncement(KeyChange change) {
     String host = Keys.lastSegment(change.key());
     announcements.remove(host);
     change
@@ -96,7 +96,7 @@
       LOG.info("event=schema_level_raised level={}", step.get().next().level());
       hosts.forEach(
           host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
-      transaction.addLevel(record);
+      transaction.addSchemaLevel(record);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -27,7 +27,7 @@
   }
 
   /** Forgets which partitions were found: a term begins. */
-  void clear() {
+  void clearFoundPartitions() {
     foundPartitions.clear();
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
@@ -65,7 +65,7 @@
     addMachineValues(batch.machineValues(), transaction);
     addPlacementValues(batch.placementValues(), transaction);
     if (migration.isComplete(batch) && transaction.hasCapacity()) {
-      transaction.addLevel(migration.completedLevel());
+      transaction.addSchemaLevel(migration.migrationCompletedRecord());
     }
   }
 
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -108,14 +108,14 @@
       return;
     }
     ObjectNode body = MessagePack.map();
-    var guardList = body.putArray("guards");
+    var preconditionList = body.putArray("guards");
     preconditions.forEach(
         precondition ->
-            guardList
+            preconditionList
                 .addObject()
                 .put("key", precondition.key())
                 .put("stamp", precondition.revision()));
-    guardList.addObject().put("key", Keys.LEVEL).put("stamp", revision.getAsLong());
+    preconditionList.addObject().put("key", Keys.LEVEL).put("stamp", revision.getAsLong());
     var mutationList = body.putArray("then");
     for (Mutation mutation : mutations) {
       ObjectNode node = mutationList.addObject();
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -157,14 +157,14 @@
     int separator =
         name.lastIndexOf(positional ? PARTITION_NUMBER_SEPARATOR : FIRST_TASK_SEPARATOR);
     int number = Integer.parseInt(name.substring(separator + 1));
-    String[] text = entry.split("\\|", FIELDS_WITH_QUOTA_CLAIM);
-    byte[] bytes = Base64.getDecoder().decode(text[1]);
+    String[] fields = entry.split("\\|", FIELDS_WITH_QUOTA_CLAIM);
+    byte[] bytes = Base64.getDecoder().decode(fields[1]);
     return new PartitionRecord(
         name.substring(0, separator),
         positional ? Math.multiplyExact(number, layout.tasksPerPartition()) : number,
-        BitSet.valueOf(Base64.getDecoder().decode(text[0])),
+        BitSet.valueOf(Base64.getDecoder().decode(fields[0])),
         decodeReferences(bytes, layout.machineReferenceBytes()),
-        decodeQuotaClaim(text));
+        decodeQuotaClaim(fields));
   }
 
   private static int[] decodeReferences(byte[] bytes, int width) {
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -28,11 +28,15 @@
   private final int tasksPerPartition;
   private final int machineReferenceBytes;
 
-  RecordLayout(String marksPrefix, String rosterPrefix, int partTasks, int numberBytes) {
-    this.placementPrefix = marksPrefix;
-    this.machinePrefix = rosterPrefix;
-    this.tasksPerPartition = partTasks;
-    this.machineReferenceBytes = numberBytes;
+  RecordLayout(
+      String placementPrefix,
+      String machinePrefix,
+      int tasksPerPartition,
+      int machineReferenceBytes) {
+    this.placementPrefix = placementPrefix;
+    this.machinePrefix = machinePrefix;
+    this.tasksPerPartition = tasksPerPartition;
+    this.machineReferenceBytes = machineReferenceBytes;
   }
 
   /** The layout that is written at a schema level. */
--- a/src/main/java/io/pearscale/storage/TokenBucket.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -12,10 +12,10 @@
   private Instant lastRefill;
 
   /** Creates a full bucket that refills by so many tokens per second. */
-  public TokenBucket(EventLoop loop, double perSecond) {
+  public TokenBucket(EventLoop loop, double ratePerSecond) {
     this.loop = loop;
-    this.ratePerSecond = perSecond;
-    this.tokens = Math.max(1, perSecond);
+    this.ratePerSecond = ratePerSecond;
+    this.tokens = Math.max(1, ratePerSecond);
     this.lastRefill = loop.clock().instant();
   }
 
--- a/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
@@ -27,17 +27,17 @@
       new RecordMigration(gate, MAX_MUTATIONS, previousLayout);
   private Instant now = Instant.EPOCH;
 
-  private void level(int level, int written) {
+  private void storeLevel(int level, int writtenLevel) {
     JsonNode record =
-        MessagePack.map().put("level", level).put("written", written).put("migrated", false);
+        MessagePack.map().put("level", level).put("written", writtenLevel).put("migrated", false);
     gate.update(Optional.of(record), 5);
   }
 
-  private static JsonNode value(int level) {
-    MachineRecordCodec.MachineRecord entry =
+  private static JsonNode machineValue(int level) {
+    MachineRecordCodec.MachineRecord record =
         new MachineRecordCodec.MachineRecord(
             0, "m", "a:1", "t", "z", false, 1, false, Maintenance.IN_SERVICE);
-    return MachineRecordCodec.encode(List.of(entry), level);
+    return MachineRecordCodec.encode(List.of(record), level);
   }
 
   /** Items are named after the value in which their copy is to stand. */
@@ -47,7 +47,7 @@
         : Optional.of(new RecordMigration.CopyTarget(false, (Integer) item));
   }
 
-  private List<Integer> next() {
+  private List<Integer> nextMachineValues() {
     now = now.plus(RecordMigration.BATCH_INTERVAL);
     RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
     assertEquals(Set.of(), batch.placementValues());
@@ -55,69 +55,69 @@
   }
 
   @Test
-  void nothingIsDueWhereNoStepIsUnderWay() {
+  void nothingIsDueWithoutLevelChange() {
     assertFalse(migration.isDue(now));
   }
 
   @Test
-  void aFewValuesAtATimeUntilNoneIsLeft() {
-    level(1, 1);
+  void rewritesValuesInBatchesUntilNoneIsLeft() {
+    storeLevel(1, 1);
     migration.beginTerm(
         Map.of(
             "c/roster/0",
-            value(0),
+            machineValue(0),
             "c/roster/3",
-            value(0),
+            machineValue(0),
             "c/roster/4",
-            value(1),
+            machineValue(1),
             "c/roster/7",
-            value(0),
+            machineValue(0),
             "c/roster/9",
             MessagePack.map().set("m", MessagePack.map())));
     assertTrue(migration.isDue(now));
-    assertEquals(List.of(0, 3), next());
+    assertEquals(List.of(0, 3), nextMachineValues());
     assertFalse(migration.isDue(now), "the rate is left to others");
     migration.noteWritten(0, 1);
-    assertEquals(List.of(3, 7), next());
+    assertEquals(List.of(3, 7), nextMachineValues());
     migration.noteWritten(3, 1);
     migration.noteDeleted("c/roster/7");
-    assertEquals(List.of(), next());
+    assertEquals(List.of(), nextMachineValues());
   }
 
   @Test
-  void aValueWrittenBeforeASwitchAndAnsweredAfterItIsMigrated() {
-    migration.beginTerm(Map.of("c/roster/0", value(0)));
-    level(1, 1);
+  void migratesValueWhoseWriteIsAppliedAfterLevelChange() {
+    migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
+    storeLevel(1, 1);
     migration.noteWritten(0, 0);
-    assertEquals(List.of(0), next());
+    assertEquals(List.of(0), nextMachineValues());
     migration.noteWritten(0, 1);
-    level(1, 0);
-    assertEquals(List.of(0), next());
+    storeLevel(1, 0);
+    assertEquals(List.of(0), nextMachineValues());
   }
 
   @Test
-  void whatStandsInTheOtherLayoutIsCopiedValueByValue() {
-    level(2, 2);
-    migration.beginTerm(Map.of("c/roster/0", value(0)));
+  void copiesPreviousLayoutInBatchesBeforeDeletingItsValues() {
+    storeLevel(2, 2);
+    migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
     previousLayout.add("c/marks/0", List.of("gone"));
     previousLayout.add("c/roster/0", List.of(3, 4));
     previousLayout.add("c/roster/1", List.of(4, 5));
-    assertEquals(List.of(3, 4), next());
+    assertEquals(List.of(3, 4), nextMachineValues());
     previousLayout.noteCopied(3);
     previousLayout.noteCopied(4);
-    assertEquals(List.of(5), next());
+    assertEquals(List.of(5), nextMachineValues());
     previousLayout.noteCopied(5);
     previousLayout.noteCopied("gone");
-    RecordMigration.Batch nothing = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
-    assertFalse(migration.isComplete(nothing), "the former values are still stored");
-    List<String> removable = new ArrayList<>();
-    previousLayout.forEachDeletable(removable::add);
-    assertEquals(List.of("c/marks/0"), removable, "marks name machines by the roster");
+    RecordMigration.Batch emptyBatch = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
+    assertFalse(migration.isComplete(emptyBatch), "the former values are still stored");
+    List<String> deletable = new ArrayList<>();
+    previousLayout.forEachDeletable(deletable::add);
+    assertEquals(List.of("c/marks/0"), deletable, "marks name machines by the roster");
     previousLayout.noteDeleted("c/marks/0");
-    previousLayout.forEachDeletable(removable::add);
-    assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), removable);
+    previousLayout.forEachDeletable(deletable::add);
+    assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), deletable);
     previousLayout.noteDeleted("c/roster/0");
     previousLayout.noteDeleted("c/roster/1");
-    assertTrue(migration.isComplete(nothing));
+    assertTrue(migration.isComplete(emptyBatch));
   }
 }
