--- a/src/main/java/io/pearscale/storage/CommitOutcome.java
+++ b/src/main/java/io/pearscale/storage/CommitOutcome.java
@@ -3,19 +3,20 @@
 import io.pearscale.transport.HttpClient.Reply;
 import java.util.List;
 
-/** What is known of a compare-and-swap after its reply, or after none came in time. */
+/** The outcome of a compare-and-swap request, determined from its reply or a missing reply. */
 public sealed interface CommitOutcome {
   /**
-   * All mutations were made.
+   * The store applied all mutations.
    *
-   * @param revision the store's revision after it, which is the mod revision of every key written
+   * @param revision the store's revision after the commit, which is the mod revision of every
+   *     written key
    */
   record Applied(long revision) implements CommitOutcome {}
 
   /**
-   * Nothing was changed, because preconditions did not hold.
+   * The store changed nothing because at least one precondition did not hold.
    *
-   * @param keys the keys whose revision was another one
+   * @param keys the keys whose revision differed from the expected one
    */
   record PreconditionFailed(List<String> keys) implements CommitOutcome {}
 
@@ -25,28 +26,31 @@
    * @param status HTTP status of the refusal
    */
   record Refused(int status) implements CommitOutcome {
-    /** Whether the same request would be refused again, for instance because of a long value. */
+    /**
+     * Whether the store would refuse the same request again, for example because a value is too
+     * long.
+     */
     public boolean isInvalid() {
       return status == BAD_REQUEST;
     }
   }
 
-  /** No reply came: the mutations may have been made, or may still be made later. */
+  /** No reply arrived: the store may have applied the mutations or may still apply them. */
   record Unknown() implements CommitOutcome {}
 
-  /** HTTP status of a request that is malformed or over the store's limits. */
+  /** HTTP status of a request that is malformed or exceeds the store's limits. */
   int BAD_REQUEST = 400;
 
   /** HTTP status of a compare-and-swap whose preconditions did not hold. */
   int CONFLICT = 409;
 
-  /** Status of a reply that did not come. */
+  /** Status of a {@link Reply} that represents a missing reply. */
   int NO_REPLY = 0;
 
   /**
    * Classifies a reply.
    *
-   * @param fallbackRevision the revision to assume if the reply names none
+   * @param fallbackRevision the revision to assume if the reply contains none
    */
   static CommitOutcome of(Reply reply, long fallbackRevision) {
     if (reply.ok()) {
--- a/src/main/java/io/pearscale/storage/JobOutcome.java
+++ b/src/main/java/io/pearscale/storage/JobOutcome.java
@@ -5,7 +5,8 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * The value of {@link Keys#finishedJob}: how a job ended. It is written once, and never changed.
+ * The value of {@link Keys#finishedJob}: the outcome of a job. It is written once and never
+ * changed.
  *
  * @param stage {@link #DONE} or {@link #CANCELLED}
  * @param tasks the number of the job's tasks
@@ -22,7 +23,7 @@
     return new JobOutcome(CANCELLED, tasks);
   }
 
-  /** Reads a stored value; fields that are missing come out as empty or 0. */
+  /** Decodes a stored value; missing fields become empty or 0. */
   public static JobOutcome decode(JsonNode value) {
     return new JobOutcome(value.path("stage").asText(), value.path("pieces").asInt());
   }
@@ -37,7 +38,7 @@
     return stage.equals(CANCELLED);
   }
 
-  /** How many tasks have completed: all or none. */
+  /** The number of completed tasks: all tasks if the job is done, otherwise 0. */
   public int completedTasks() {
     return stage.equals(DONE) ? tasks : 0;
   }
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -17,15 +17,15 @@
 import java.util.function.Supplier;
 
 /**
- * Client of the key-value store. It keeps within this controller's share of the rate limits: what
- * would exceed it is answered 429 here, at once, so that three controllers together never overload
- * the store.
+ * Client of the key-value store. It limits its requests to this controller's share of the rate
+ * limits: it answers excess requests itself, immediately and with status 429, so that three
+ * controllers together never overload the store.
  */
 public final class KeyValueStoreClient {
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
   private static final Reply RATE_LIMITED = new Reply(429, MessagePack.MISSING);
 
-  /** The reply to a write that this build must not make; it is not sent. */
+  /** The reply to a write that this build must not make; the client does not send the write. */
   private static final Reply WRITE_NOT_PERMITTED = new Reply(503, MessagePack.MISSING);
 
   private final EventLoop loop;
@@ -37,17 +37,18 @@
   private Optional<Instant> lastSuccess = Optional.empty();
 
   /**
-   * Creates a client that writes only while no schema level is stored, as before there were any.
+   * Creates a client that writes only while no schema level is stored, which is the state from
+   * before schema levels were introduced.
    */
   public KeyValueStoreClient(EventLoop loop, HttpClient httpClient, Settings settings) {
     this(loop, httpClient, settings, () -> OptionalLong.of(0));
   }
 
   /**
-   * Uses the service named in the settings.
+   * Creates a client of the store that the settings specify.
    *
-   * @param levelRevision the revision of {@link Keys#LEVEL} as far as known, a precondition of each
-   *     write; empty while this build must not write
+   * @param levelRevision supplies the last known revision of {@link Keys#LEVEL}, which is a
+   *     precondition of each write; empty while this build must not write
    */
   public KeyValueStoreClient(
       EventLoop loop,
@@ -58,43 +59,48 @@
     this.loop = loop;
     this.httpClient = httpClient;
     this.address = settings.storeAddress();
-    // Load is uneven: one controller may take half of all, which leaves capacity for the two
-    // others.
+    // Load is uneven: one controller may use half of the request rate and 60% of the write rate,
+    // which leaves capacity for the other two.
     this.requestBucket = new TokenBucket(loop, settings.storeLimits().requestsPerSecond() * 0.5);
     this.writeBucket = new TokenBucket(loop, settings.storeLimits().writesPerSecond() * 0.6);
   }
 
-  /** A condition of a compare-and-swap: the key has that mod revision; 0 if it must not exist. */
+  /**
+   * A condition of a compare-and-swap: the key has the given mod revision, or does not exist if the
+   * revision is 0.
+   */
   public record Precondition(String key, long revision) {}
 
   /**
-   * A change of a key: a value to put, or none to delete it; the lease it is attached to, if any.
+   * A change of one key: puts the value, or deletes the key if there is no value. If a lease is
+   * given, the key is attached to it.
    */
   public record Mutation(String key, Optional<JsonNode> value, Optional<Long> leaseId) {
-    /** Puts a value, attached to no lease. */
+    /** Creates a mutation that puts a value without a lease. */
     public static Mutation put(String key, JsonNode value) {
       return new Mutation(key, Optional.of(value), Optional.empty());
     }
 
-    /** Deletes a key. */
+    /** Creates a mutation that deletes a key. */
     public static Mutation delete(String key) {
       return new Mutation(key, Optional.empty(), Optional.empty());
     }
   }
 
-  /** When the store last answered as it should; empty if it never did. */
+  /** The time of the last valid reply of the store; empty if there was none. */
   public Optional<Instant> lastSuccess() {
     return lastSuccess;
   }
 
-  /** Whether so many mutations are within the write rate now. */
+  /** Whether the write rate limit currently allows the given number of mutations. */
   public boolean canWrite(int mutations) {
     return writeBucket.canAcquire(mutations);
   }
 
   /**
-   * Carries out the changes if every guard holds, and if the level of stored forms is still the one
-   * that this controller knows: whoever missed a switch must not write in the old form.
+   * Applies the mutations if every precondition holds and the stored schema level is still the one
+   * that this controller knows. A controller that missed a change of the schema level must not
+   * write in the old form.
    */
   public void compareAndSwap(
       List<Precondition> preconditions, List<Mutation> mutations, Consumer<Reply> callback) {
@@ -122,7 +128,7 @@
       if (mutation.value().isPresent()) {
         node.put("write", mutation.key());
         node.set("value", mutation.value().get());
-        mutation.leaseId().ifPresent(precondition -> node.put("claim", precondition));
+        mutation.leaseId().ifPresent(leaseId -> node.put("claim", leaseId));
       } else {
         node.put("drop", mutation.key());
       }
@@ -135,14 +141,14 @@
     send("GET", "/keys/" + key, MessagePack.MISSING, REQUEST_TIMEOUT, callback);
   }
 
-  /** Lists a page of the keys with a prefix, in order, after the given key. */
+  /** Lists one page of the keys with a prefix, in key order, starting after the given key. */
   public void list(String prefix, Optional<String> afterKey, int limit, Consumer<Reply> callback) {
     String path =
         "/keys?prefix=" + prefix + afterKey.map(s -> "&since=" + s).orElse("") + "&limit=" + limit;
     send("GET", path, MessagePack.MISSING, Duration.ofSeconds(4), callback);
   }
 
-  /** Watches a prefix: a long poll for changes after a revision. */
+  /** Watches a prefix with a long poll for changes after the given revision. */
   public void watch(
       String prefix, long sinceRevision, Duration pollTimeout, Consumer<Reply> callback) {
     String path =
@@ -195,7 +201,7 @@
         });
   }
 
-  /** The keys that an answer of 409 names. */
+  /** The keys of the failed preconditions in a reply with status 409. */
   public static List<String> failedPreconditions(Reply reply) {
     List<String> keys = new ArrayList<>();
     reply.body().path("failed").forEach(n -> keys.add(n.asText()));
--- a/src/main/java/io/pearscale/storage/Keys.java
+++ b/src/main/java/io/pearscale/storage/Keys.java
@@ -1,27 +1,27 @@
 package io.pearscale.storage;
 
 /**
- * The keys of the key-value store. All that a controller must hold in memory stands below {@link
- * #WATCHED_PREFIX}, one prefix and so one watch; jobs that are over stand apart and are read when
- * asked for, so that a restart stays cheap after months of finished jobs.
+ * The keys of the key-value store. All keys that a controller must hold in memory start with {@link
+ * #WATCHED_PREFIX}, so a single watch covers them. The outcomes of ended jobs have another prefix
+ * and are read on request, so that a restart stays cheap after months of finished jobs.
  */
 public final class Keys {
   /** The watched prefix. */
   public static final String WATCHED_PREFIX = "c/";
 
-  /** Who leads; attached to the leader's store lease. */
+  /** The current leader; the key is attached to the leader's lease of the store. */
   public static final String LEADER = "c/lead";
 
-  /** The highest term so far; a precondition of each write of a leader. */
+  /** The highest term so far; its revision is a precondition of each write of a leader. */
   public static final String TERM = "c/term";
 
-  /** The schema level in force; a precondition of each write of any controller. */
+  /** The schema level in force; its revision is a precondition of each write of any controller. */
   public static final String LEVEL = "c/level";
 
   /** The last catalogue of machine types. */
   public static final String CATALOGUE = "c/catalogue";
 
-  /** Prefix of what running controllers announce of their builds. */
+  /** Prefix of the build announcements of running controllers. */
   public static final String MEMBERS = "c/member/";
 
   /** Prefix of operators' drain requests, see {@link #drain}. */
@@ -34,34 +34,34 @@
   private static final String DRAIN_STATUS = "c/drain-status/";
   private static final String DISRUPTIONS = "c/disrupted/";
 
-  /** Prefix of the jobs that are not over. */
+  /** Prefix of the jobs that have not ended. */
   public static final String LIVE_JOBS = "c/live/";
 
   private static final String FINISHED_JOBS = "p/";
 
   private Keys() {}
 
-  /** A job that is not over. */
+  /** The key of a job that has not ended. */
   public static String liveJob(String job) {
     return LIVE_JOBS + job;
   }
 
-  /** How a job ended. */
+  /** The key of a job's outcome. */
   public static String finishedJob(String job) {
     return FINISHED_JOBS + job;
   }
 
-  /** What a controller announces of its build. */
+  /** The key of a controller's build announcement. */
   public static String member(String host) {
     return MEMBERS + host;
   }
 
-  /** An operator's drain request. */
+  /** The key of an operator's drain request. */
   public static String drain(String id) {
     return DRAINS + id;
   }
 
-  /** The values with the names of a drain's machines. */
+  /** Prefix of the values with the names of a drain's machines. */
   public static String drainMachines(String id) {
     return DRAIN_MACHINES + id + "/";
   }
@@ -71,7 +71,7 @@
     return key.startsWith(DRAIN_MACHINES);
   }
 
-  /** The status of a drain. */
+  /** The key of a drain's status. */
   public static String drainStatus(String id) {
     return DRAIN_STATUS + id;
   }
@@ -81,12 +81,12 @@
     return key.startsWith(DRAIN_STATUS);
   }
 
-  /** A value of disruptions that count. */
+  /** The key of a value of disruptions that count against disruption budgets. */
   public static String disruptions(int number) {
     return DISRUPTIONS + number;
   }
 
-  /** Whether the key holds disruptions that count. */
+  /** Whether the key holds disruptions that count against disruption budgets. */
   public static boolean isDisruptions(String key) {
     return key.startsWith(DISRUPTIONS);
   }
@@ -96,12 +96,12 @@
     return key.startsWith(DRAINS);
   }
 
-  /** Whether the key holds what a controller announces of its build. */
+  /** Whether the key holds a controller's build announcement. */
   public static boolean isMember(String key) {
     return key.startsWith(MEMBERS);
   }
 
-  /** Whether the key is a job that is not over. */
+  /** Whether the key holds a job that has not ended. */
   public static boolean isLiveJob(String key) {
     return key.startsWith(LIVE_JOBS);
   }
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -13,18 +13,18 @@
 import java.util.OptionalInt;
 
 /**
- * Codec of values of machine records. A machine is recorded before anything is started on it, so a
- * new leader knows each one that may hold a task.
+ * Encodes and decodes values of machine records. A machine is recorded before any task is started
+ * on it, so a new leader knows every machine that may hold a task.
  */
 public final class MachineRecordCodec {
   /**
-   * What is stored of a machine.
+   * The stored record of a machine.
    *
-   * @param number by which placement records refer to it: in the positional layout its position in
-   *     its value, in the numbered one a number of its own
-   * @param address host and port of its agent; empty until that has sent a heartbeat
-   * @param retiring whether it may be being deleted, and must never be used again
-   * @param maintenance its maintenance state; not stored below schema level 1
+   * @param number identifies the machine in placement records: its position in its value in the
+   *     positional layout, its unique record number in the numbered layout
+   * @param address host and port of its agent; empty until the agent has sent a heartbeat
+   * @param retiring whether the machine may already be in deletion and must never be used again
+   * @param maintenance the maintenance state; not stored below schema level 1
    */
   public record MachineRecord(
       int number,
@@ -37,7 +37,7 @@
       boolean retiring,
       Maintenance maintenance) {}
 
-  /** Fields of a record at schema level 0; one more from level 1 on. */
+  /** Number of fields of a record at schema level 0; from level 1 on there is one more. */
   private static final int FIELDS_AT_LEVEL_0 = 8;
 
   private MachineRecordCodec() {}
@@ -79,7 +79,8 @@
   }
 
   /**
-   * The schema level whose form the value has; empty if it has no records, which fits every level.
+   * The schema level in whose form the value is encoded; empty if the value has no records and so
+   * is valid at every level.
    */
   public static OptionalInt levelOf(JsonNode value) {
     JsonNode first = value.path("m").path(0);
@@ -89,7 +90,7 @@
   }
 
   /**
-   * Decodes a value. An entry that can't be read is not taken for absent, as in {@link
+   * Decodes a value. A malformed entry is an error and is not treated as absent, as in {@link
    * PlacementRecordCodec}.
    */
   public static List<MachineRecord> decode(JsonNode value) throws MalformedMessageException {
--- a/src/main/java/io/pearscale/storage/Maintenance.java
+++ b/src/main/java/io/pearscale/storage/Maintenance.java
@@ -5,19 +5,21 @@
 /**
  * The maintenance state of a machine, which machine records hold from schema level 1 on.
  *
- * @param stage how far it is on its way out of service and back
- * @param drain the drain that asked for it; empty when there is none
+ * @param stage the stage of the maintenance
+ * @param drain the drain that requested the maintenance; empty if there is none
  */
 public record Maintenance(Stage stage, String drain) {
-  /** How far a machine is on its way out of service and back. */
+  /** The stages of taking a machine out of service and back into service. */
   public enum Stage {
     /** In service. */
     IN_SERVICE(""),
-    /** Gets no new tasks, while those on it are moved as disruption budgets allow. */
+    /** Receives no new tasks; its present tasks are moved as disruption budgets allow. */
     CORDONED("c"),
-    /** Empty and out of service. */
+    /** Runs no tasks and is out of service. */
     DRAINED("d"),
-    /** Back in service with an empty cache: no urgent work until it has proven to work. */
+    /**
+     * Back in service with an empty cache; receives no urgent tasks until it has proved to work.
+     */
     PROBATION("p");
 
     private final String code;
@@ -32,7 +34,7 @@
 
   private static final char SEPARATOR = ':';
 
-  /** Whether the machine is in service, and not in probation either. */
+  /** Whether the machine is fully in service, which excludes probation. */
   public boolean isInService() {
     return stage == Stage.IN_SERVICE;
   }
@@ -42,7 +44,7 @@
     return stage == Stage.IN_SERVICE || stage == Stage.PROBATION;
   }
 
-  /** The stored form; empty in service. */
+  /** The stored form; empty if the machine is in service. */
   String encode() {
     return isInService() ? "" : stage.code + SEPARATOR + drain;
   }
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -13,33 +13,36 @@
 import java.util.Optional;
 
 /**
- * Codec of values of placement records: for each task of a partition whether it is done, and if not
- * the machine that it may be on. The record is durable before the start command is sent, so a new
- * leader need hold a task back for that one machine alone.
+ * Encodes and decodes values of placement records. For each task of a partition, a record states
+ * whether the task is done and, if not, which machine the task may be on. The record is durable
+ * before the start command is sent, so a new leader has to hold a task back only for that one
+ * machine.
  */
 public final class PlacementRecordCodec {
   private static final int MAX_POSITIONAL_REFERENCE = 0xffff;
 
-  /** Done tasks, machine references, three amounts and a team. */
+  /**
+   * Number of fields with a quota claim: done tasks, machine references, three amounts and a team.
+   */
   private static final int FIELDS_WITH_QUOTA_CLAIM = 6;
 
-  /** Quotes, colon and comma of an entry, in bytes. */
+  /** Bytes of the quotes, the colon and the comma of an entry. */
   private static final int JSON_PUNCTUATION_LENGTH = 6;
 
-  /** Between a job and the number of its partition, in the positional layout. */
+  /** Separates a job from the number of its partition in the positional layout. */
   private static final char PARTITION_NUMBER_SEPARATOR = '/';
 
-  /** Between a job and its partition's first task, in the numbered layout. */
+  /** Separates a job from the first task of its partition in the numbered layout. */
   private static final char FIRST_TASK_SEPARATOR = ':';
 
   /**
    * The placement record of one partition of a job.
    *
    * @param firstTask index of the partition's first task
-   * @param doneTasks tasks that are done, counted from the first
-   * @param machineReferences for each task the reference to the machine that it may be on, or 0
-   * @param quotaClaim what each task takes of its team's limit, if there is one: a job that is
-   *     cancelled is described nowhere else, while its tasks still count
+   * @param doneTasks the tasks that are done, as offsets from the first task
+   * @param machineReferences for each task, the reference to the machine that it may be on, or 0
+   * @param quotaClaim the resources that each task takes from its team's quota, if any; after a job
+   *     is cancelled its tasks still count, and only this record describes them
    */
   public record PartitionRecord(
       String job,
@@ -48,11 +51,11 @@
       int[] machineReferences,
       Optional<QuotaClaim> quotaClaim) {}
 
-  /** What each task takes of a team's quota. */
+  /** The resources that each task takes from a team's quota. */
   public record QuotaClaim(String team, double cpus, double gpus, double memoryGb) {
     private static final int MAX_NUMBER_LENGTH = 24;
 
-    /** Upper bound in bytes for what it adds to a record. */
+    /** Upper bound in bytes for the encoded claim. */
     public int maximumSize() {
       return team.length() + 3 * MAX_NUMBER_LENGTH + 4;
     }
@@ -64,16 +67,17 @@
 
   private PlacementRecordCodec() {}
 
-  /** The reference to the machine in a slot, in the positional layout: from 1 to 65,535. */
+  /** The reference to the machine in the given slot in the positional layout, from 1 to 65,535. */
   public static int positionalReference(int value, int position, int slotsPerValue) {
     int reference = value * slotsPerValue + position + 1;
     if (reference > MAX_POSITIONAL_REFERENCE) {
-      throw new IllegalArgumentException("the roster is full");
+      throw new IllegalArgumentException(
+          "the machine reference exceeds 65535, the maximum of the positional layout");
     }
     return reference;
   }
 
-  /** Upper bound in bytes for the record of a partition with so many tasks. */
+  /** Upper bound in bytes for the record of a partition with the given number of tasks. */
   public static int maximumSize(String job, int taskCount, RecordLayout layout) {
     return job.length()
         + 24
@@ -109,7 +113,7 @@
         : partition.job + FIRST_TASK_SEPARATOR + partition.firstTask;
   }
 
-  /** The references, big-endian, up to the last one that is not 0. */
+  /** Encodes the references in big-endian order, up to the last one that is not 0. */
   private static byte[] encodeReferences(int[] references, int width) {
     int count = 0;
     for (int i = 0; i < references.length; i++) {
@@ -135,8 +139,8 @@
   }
 
   /**
-   * Decodes a value. An entry that can't be read is not taken for absent: its tasks may run
-   * somewhere, so whoever can't read it must not lead.
+   * Decodes a value. A malformed entry is an error and is not treated as absent: its tasks may be
+   * running, so a controller that can't read the entry must not lead.
    */
   public static List<PartitionRecord> decode(JsonNode value) throws MalformedMessageException {
     List<PartitionRecord> partitions = new ArrayList<>();
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -4,20 +4,21 @@
 import java.util.Optional;
 
 /**
- * How the records of machines and tasks are laid out over keys. Each layout has keys of its own:
- * records of the other one are never rewritten but copied, value by value, and deleted once nothing
- * depends on them. That works for values of any size, while only short ones can be written.
+ * The layout of machine records and placement records across keys. Each layout has separate keys.
+ * When the layout changes, values of the previous layout are never rewritten: their records are
+ * copied one value at a time, and a value is deleted once nothing depends on it. This works for
+ * stored values of any size, although only short values can be written.
  */
 public enum RecordLayout {
   /**
    * Below schema level 2. Placement records refer to a machine by its slot in the machine records,
-   * so a machine keeps its slot. Partitions of jobs have up to 1,024 tasks.
+   * so a machine keeps its slot. A job partition has up to 1,024 tasks.
    */
   POSITIONAL("c/marks/", "c/roster/", 1024, 2),
 
   /**
-   * From schema level 2 on. Placement records refer to a machine by a number of its own, so its
-   * record can stand in any slot. Partitions of jobs are small enough for values of 2 KiB.
+   * From schema level 2 on. Placement records refer to a machine by its unique record number, so
+   * its record can be in any slot. Job partitions are small enough for values of 2 KiB.
    */
   NUMBERED("c/placements/", "c/machines/", 256, 3);
 
@@ -39,7 +40,7 @@
     this.machineReferenceBytes = machineReferenceBytes;
   }
 
-  /** The layout that is written at a schema level. */
+  /** The layout that controllers write at the given schema level. */
   public static RecordLayout ofLevel(int level) {
     return level < FIRST_NUMBERED_LEVEL ? POSITIONAL : NUMBERED;
   }
@@ -79,12 +80,12 @@
     return machinePrefix + number;
   }
 
-  /** The most tasks of one partition of a job. */
+  /** The maximum number of tasks in one partition of a job. */
   public int tasksPerPartition() {
     return tasksPerPartition;
   }
 
-  /** Bytes of a reference to a machine in placement records. */
+  /** The size in bytes of a reference to a machine in placement records. */
   int machineReferenceBytes() {
     return machineReferenceBytes;
   }
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -15,9 +15,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds a replica of the watched keys. It is fed by a long-poll watch, for speed, and by read
- * barriers, short watches sent after a read was requested, for linearizable reads. Their replies
- * may overlap: what is not newer than the replica is passed over.
+ * Holds a replica of the watched keys. A long-poll watch delivers changes quickly. Read barriers,
+ * which are short watches sent after a read was requested, make reads linearizable. The replies of
+ * both may overlap, so changes that are not newer than the replica are ignored.
  */
 public final class StoreReplicaActor extends Actor<StoreReplicaActor.Message> {
   private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(2);
@@ -29,18 +29,18 @@
   /** A key's value and its mod revision. */
   public record Entry(JsonNode value, long revision) {}
 
-  /** One changed key; no entry if it was deleted. */
+  /** One changed key; the entry is empty if the key was deleted. */
   public record KeyChange(String key, Optional<Entry> entry) {}
 
   /** A message to the actor. */
   public sealed interface Message {}
 
-  /** Starts to load a snapshot. */
+  /** Starts loading a snapshot. */
   public record Start() implements Message {}
 
   /**
-   * Reads a key as it is when the read is requested, or later. The callback gets an outer empty
-   * value if the store could not be asked, and an inner one if the key does not exist.
+   * Reads a key in its state at the time of the request or later. The outer value passed to the
+   * callback is empty if the read failed, and the inner value is empty if the key does not exist.
    */
   public record LinearizableRead(String key, Consumer<Optional<Optional<Entry>>> callback)
       implements Message {}
@@ -57,13 +57,13 @@
 
   /** Receives the replica's content: first a snapshot, then each batch of changes. */
   public interface Listener {
-    /** A new snapshot was loaded, as of that revision of the store. */
+    /** Receives a new snapshot, taken at the given revision of the store. */
     void onSnapshotLoaded(Map<String, Entry> all, long storeRevision);
 
-    /** Keys changed, in order, up to that revision of the store. */
+    /** Receives changed keys in order, up to the given revision of the store. */
     void onKeysChanged(List<KeyChange> changes, long storeRevision);
 
-    /** Everything that had changed by then has been delivered. */
+    /** Called when all changes up to the given time have been delivered. */
     void onUpToDate(Instant asOf);
   }
 
@@ -86,7 +86,7 @@
     this.random = random;
   }
 
-  /** Adds a listener; before the start only. */
+  /** Adds a listener. Must be called before {@link Start} is sent. */
   public void addListener(Listener listener) {
     listeners.add(listener);
   }
@@ -131,7 +131,8 @@
       return;
     }
     if (snapshotRevision < 0) {
-      // The watch starts at the first page: it corrects what later pages show too early.
+      // The watch starts at the revision of the first page. Later pages may already contain newer
+      // changes, which the watch repeats.
       snapshotRevision = reply.body().path("epoch").asLong();
     }
     int sizeBefore = snapshot.size();
@@ -189,7 +190,7 @@
         });
   }
 
-  /** Applies a watch's reply; false if it is malformed. */
+  /** Applies the reply to a watch; returns false if the reply is malformed. */
   private boolean applyWatchReply(Reply reply) {
     JsonNode body = reply.body();
     if (!body.path("epoch").isIntegralNumber() || !body.path("events").isArray()) {
--- a/src/main/java/io/pearscale/storage/TermRecord.java
+++ b/src/main/java/io/pearscale/storage/TermRecord.java
@@ -5,14 +5,14 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * The value of {@link Keys#TERM}: the highest term of any leader. Its revision is a precondition of
- * each transaction of a leader, and each of them writes it anew, so a transaction of an earlier
- * leader, or one that is carried out late, changes nothing.
+ * The value of {@link Keys#TERM}: the highest term of any leader. The revision of the key is a
+ * precondition of each leader transaction, and each leader transaction rewrites the key. A
+ * transaction of an earlier leader, or one that arrives late, therefore changes nothing.
  */
 public final class TermRecord {
   private TermRecord() {}
 
-  /** The term in a stored value; 0 if it names none. */
+  /** The term in a stored value; 0 if it contains none. */
   public static long decodeTerm(JsonNode value) {
     return value.path("term").asLong();
   }
@@ -20,7 +20,7 @@
   /**
    * The value that an election writes.
    *
-   * @param processNonce names the process that is elected
+   * @param processNonce identifies the elected process
    */
   public static ObjectNode ofElection(long term, String processNonce) {
     return MessagePack.map().put("term", term).put("node", processNonce);
--- a/src/main/java/io/pearscale/storage/TokenBucket.java
+++ b/src/main/java/io/pearscale/storage/TokenBucket.java
@@ -4,14 +4,17 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A token bucket: a rate limit with a burst of one second's worth, and of one at least. */
+/**
+ * A token-bucket rate limiter. The burst size is the number of tokens of one second, but at least
+ * 1.
+ */
 public final class TokenBucket {
   private final EventLoop loop;
   private final double ratePerSecond;
   private double tokens;
   private Instant lastRefill;
 
-  /** Creates a full bucket that refills by so many tokens per second. */
+  /** Creates a full bucket that refills at the given rate. */
   public TokenBucket(EventLoop loop, double ratePerSecond) {
     this.loop = loop;
     this.ratePerSecond = ratePerSecond;
@@ -26,13 +29,16 @@
     lastRefill = now;
   }
 
-  /** Whether so many tokens are left. */
+  /** Whether the given number of tokens is available. */
   public boolean canAcquire(int count) {
     refill();
     return tokens >= count;
   }
 
-  /** Takes so many tokens, or none. A batch over the burst is allowed from a full bucket. */
+  /**
+   * Takes the given number of tokens, or none if too few are available. A full bucket also allows a
+   * batch that exceeds the burst size.
+   */
   public boolean tryAcquire(int count) {
     refill();
     if (tokens < count && tokens < Math.max(1, ratePerSecond) - 0.001) {
--- a/src/main/java/io/pearscale/storage/package-info.java
+++ b/src/main/java/io/pearscale/storage/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The key-value store, which is backed by consensus: its client within the rate limits, the keys,
- * the codecs of their values, and the replica of them that each controller holds.
+ * Access to the key-value store, which is replicated by consensus: a client that respects the
+ * store's rate limits, the keys, codecs of stored values, and the replica of the watched keys that
+ * each controller holds. The packages that use the store decide what is written and when.
  */
 package io.pearscale.storage;
