--- a/src/main/java/io/pearscale/scheduler/records/CommitListener.java
+++ b/src/main/java/io/pearscale/scheduler/records/CommitListener.java
@@ -2,14 +2,20 @@
 
 import io.pearscale.scheduler.model.Job;
 
-/** What the scheduler does when a {@link RecordWriter} has learned the outcome of a commit. */
+/** Receives the outcomes of the commits of a {@link RecordWriter}. */
 public interface CommitListener {
-  /** The end of the job is durable. Its attempts are stopped afterwards. */
+  /** Called when the end of a job is durable. The job's attempts are stopped afterwards. */
   void onJobFinished(Job job);
 
-  /** All that a transaction carried is durable: commands that waited for it may be sent. */
+  /**
+   * Called when the content of a transaction is durable, so that commands that waited for it may be
+   * sent.
+   */
   void onTransactionApplied();
 
-  /** Another controller was elected in a higher term, so this one must not lead any more. */
+  /**
+   * Called when another controller was elected in a higher term, so that this one must stop
+   * leading.
+   */
   void onHigherTerm(long term);
 }
--- a/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
+++ b/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
@@ -6,14 +6,15 @@
 import java.time.InstantSource;
 
 /**
- * Spaces a leader's commits: each pays for its mutations with the time until the next one, so that
- * the leader stays within its share of the store's write rate.
+ * Limits the rate of a leader's commits. The interval after each commit is proportional to the
+ * number of its mutations, with a minimum, so that the leader stays within its share of the store's
+ * write rate.
  */
 final class CommitPacer {
-  /** Shortest time between two commits. */
+  /** Minimum interval between two commits. */
   private static final Duration MIN_COMMIT_INTERVAL = Duration.ofMillis(40);
 
-  /** The leader's share of all writes; the rest is left to users. */
+  /** The leader's share of the write rate; the rest remains for users' requests. */
   private static final double LEADER_WRITE_SHARE = 0.5;
 
   private final InstantSource clock;
@@ -22,7 +23,7 @@
   private int lastMutationCount;
 
   /**
-   * Creates a pacer that allows a commit at once.
+   * Creates a pacer that allows a commit immediately.
    *
    * @param maxWritesPerSecond the store's write rate for all controllers, in mutations per second
    */
@@ -31,7 +32,7 @@
     this.mutationsPerSecond = LEADER_WRITE_SHARE * maxWritesPerSecond;
   }
 
-  /** Notes that a commit is sent now. */
+  /** Records that a commit is sent now. */
   void recordCommit(int mutationCount) {
     lastCommit = clock.instant();
     lastMutationCount = mutationCount;
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -9,13 +9,14 @@
 import java.util.List;
 
 /**
- * A range of a job's tasks that share one placement record; the layout sets the most tasks of one.
+ * A range of a job's tasks that share one placement record. The layout limits the number of tasks
+ * in a partition.
  *
- * @param firstTask index of its first task
- * @param taskCount how many tasks it has
+ * @param firstTask index of the partition's first task
+ * @param taskCount number of tasks in the partition
  */
 record JobPartition(Job job, int firstTask, int taskCount) {
-  /** The partition that holds a task. */
+  /** The partition that contains a task. */
   static JobPartition containing(Job job, int task, RecordLayout layout) {
     int firstTask = task - task % layout.tasksPerPartition();
     return new JobPartition(
@@ -27,7 +28,7 @@
     return covering(job, 0, job.spec().tasks(), layout);
   }
 
-  /** The partitions that hold the tasks from the first index up to the second, exclusive. */
+  /** The partitions that contain the tasks from the first index up to the second, exclusive. */
   static List<JobPartition> covering(Job job, int fromTask, int toTask, RecordLayout layout) {
     List<JobPartition> partitions = new ArrayList<>();
     int end = Math.min(toTask, job.spec().tasks());
@@ -45,7 +46,7 @@
         + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
-  /** The attempts of its tasks that exist, or may exist. */
+  /** The attempts of the partition's tasks that exist or may exist. */
   List<TaskAttempt> attempts() {
     List<TaskAttempt> attempts = new ArrayList<>();
     for (TaskAttempt attempt : job.attempts().values()) {
@@ -57,12 +58,12 @@
     return attempts;
   }
 
-  /** Its tasks that are done, counted from its first task. */
+  /** The partition's tasks that are done, as offsets from its first task. */
   BitSet doneTasks() {
     return job.doneTasks(firstTask, taskCount);
   }
 
-  /** Notes that these tasks, counted from its first, are durably recorded as done. */
+  /** Marks the tasks as durably recorded as done; they are given as offsets from the first task. */
   void noteDurable(BitSet doneTasks) {
     job.recordDurablyDone(firstTask, doneTasks);
   }
--- a/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
+++ b/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 
 /**
- * Repacks all records when the schema level changes to one with another layout in the middle of a
- * term. Every stored value of the layout before is noted as to be copied; what was urgent stays
- * urgent.
+ * Repacks all records when the schema level changes during a term and the new level has another
+ * layout. Every stored value of the previous layout is registered for copying, and urgent records
+ * stay urgent.
  */
 final class LayoutChange {
   private final PackedRecords packed;
   private final StoredValues storedValues;
   private final PreviousLayoutRecords previousLayout;
 
-  /** Creates a change between layouts of the given records. */
+  /** Creates a layout change of the given records. */
   LayoutChange(
       PackedRecords packed, StoredValues storedValues, PreviousLayoutRecords previousLayout) {
     this.packed = packed;
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -16,15 +16,18 @@
 import java.util.Set;
 
 /**
- * The records that a leader leaves to its successor: which machines exist, and on which of them
- * each task may be. The scheduler's other parts say here what is to be recorded, and how soon;
- * {@link RecordWriter} writes it.
+ * The durable records from which a successor of this leader recovers: which machines exist, and
+ * which of them each task may be on. Other parts of the scheduler request here what to record and
+ * how soon, and {@link RecordWriter} writes it.
  *
- * <p>Stored values are taken over by {@link StoredRecordAdopter}, packed by {@link PackedRecords},
- * repacked by {@link LayoutChange}, and put into transactions by {@link TransactionPlanner}.
+ * <p>{@link StoredRecordAdopter} adopts stored records, {@link PackedRecords} packs records into
+ * values, {@link LayoutChange} repacks them, and {@link TransactionPlanner} adds the values to
+ * transactions.
  */
 public final class LeaderRecords implements DecisionRecorder {
-  /** Changes that nobody waits for are written within this time, together with others. */
+  /**
+   * Maximum delay of changes that nothing waits for, so that they are written together with others.
+   */
   private static final Duration DEFERRED_WRITE_DELAY = Duration.ofSeconds(4);
 
   private final int maxValueBytes;
@@ -60,7 +63,7 @@
     this.planner = new TransactionPlanner(packed, obsoleteValues, rejectedValues, migration);
   }
 
-  /** Forgets what is to be written; what is known of stored values stays. */
+  /** Discards all pending writes, but keeps the known stored values. */
   public void clear() {
     packed.clear();
     previousLayout.clear();
@@ -78,7 +81,7 @@
   }
 
   /**
-   * Decodes all stored values for a term that begins.
+   * Decodes all stored values at the start of a term.
    *
    * @throws MalformedMessageException if some record can't be read; the message names its key
    */
@@ -88,19 +91,21 @@
         storedValues.machineValues(), storedValues.placementValues(), packed.layoutInForce());
   }
 
-  /** Takes stored records over, one by one. */
+  /** The adopter of stored records. */
   StoredRecordAdopter adopter() {
     return adopter;
   }
 
-  /** Takes over that all tasks of the job are done: its end is written with the next values. */
+  /** Adopts a job whose tasks are all done; a following transaction records the job's end. */
   void adoptFinishedJob(Job job) {
     finishedJobs.add(job);
   }
 
-  // ---- What is to be written ----
+  // ---- Write requests ----
 
-  /** Records the machine of the attempt as soon as possible; its start waits for that. */
+  /**
+   * Records the machine of the attempt as soon as possible; the start command waits for the record.
+   */
   @Override
   public void recordPlacement(TaskAttempt attempt) {
     packed.assignSlot(attempt.machine());
@@ -111,7 +116,10 @@
     requestCommit.run();
   }
 
-  /** Records that a task is done. Its agent reports that until it is durable: it can wait. */
+  /**
+   * Records that a task is done. The write is deferred, because the agent repeats its report until
+   * the record is durable.
+   */
   @Override
   public void recordTaskDone(Job job, int task) {
     JobPartition partition = packed.assignSlot(job, task);
@@ -125,7 +133,7 @@
     requestCommit.run();
   }
 
-  /** Withdraws the end of a job that was cancelled first. */
+  /** Withdraws the request to record the end of a job, because the job was cancelled first. */
   void withdrawJobFinished(Job job) {
     finishedJobs.remove(job);
   }
@@ -136,13 +144,13 @@
     packed.assignSlot(machine);
   }
 
-  /** Records the machine within that time. It must have a slot; otherwise nothing is done. */
+  /** Records the machine within the given time. Does nothing if the machine has no slot. */
   @Override
   public void recordMachine(Machine machine, Duration within) {
     packed.machines().markDue(machine, clock.instant().plus(within));
   }
 
-  /** Records a change of the machine that nobody waits for. */
+  /** Records a change of the machine that nothing waits for. */
   @Override
   public void recordMachineDeferred(Machine machine) {
     recordMachine(machine, DEFERRED_WRITE_DELAY);
@@ -155,7 +163,7 @@
     requestCommit.run();
   }
 
-  /** Drops the record of a machine that is gone, or on which no task can be any more. */
+  /** Removes the record of a machine that does not exist any more or can't hold a task any more. */
   @Override
   public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
@@ -164,7 +172,7 @@
     machine.record().markRemoved();
   }
 
-  /** Drops the placement records of a job. */
+  /** Removes the placement records of a job. */
   @Override
   public void removeJob(Job job) {
     for (JobPartition partition : JobPartition.allOf(job, packed.layout())) {
@@ -174,9 +182,9 @@
   }
 
   /**
-   * Ends the records of a job that is over. Attempts of it that may still be somewhere count for
-   * their team's quota: until the last is gone the placement records go on to name them, since a
-   * successor finds them nowhere else.
+   * Removes the records of an ended job, unless they are still needed. Attempts that may still
+   * exist count against their team's quota. The placement records are kept until the last of these
+   * attempts has ended, because a successor finds the attempts nowhere else.
    */
   public void closeJob(Job job) {
     finishedJobs.remove(job);
@@ -185,7 +193,7 @@
     }
   }
 
-  /** Records the machine types that the cloud offers, if the stored catalogue has others. */
+  /** Records the machine types that the cloud offers if they differ from the stored catalogue. */
   @Override
   public void updateCatalogue(Set<String> typeNames) {
     catalogueDue = !typeNames.equals(storedValues.machineTypeNames());
@@ -198,13 +206,13 @@
     requestCommit.run();
   }
 
-  /** Finds stored values in which no record is left, to be deleted. */
+  /** Finds stored values that contain no needed record and registers them for deletion. */
   public void collectObsoleteValues() {
     obsoleteValues.collect(storedValues, packed::isObsolete);
     previousLayout.forEachDeletable(obsoleteValues::add);
   }
 
-  /** Whether something is to be written now. */
+  /** Whether a write is due now. */
   boolean isDue() {
     Instant now = clock.instant();
     return catalogueDue
@@ -224,8 +232,8 @@
   // ---- Transactions ----
 
   /**
-   * Adds what is due, as far as there is capacity: first what tasks wait for to be started, then
-   * what users wait for, then what can wait.
+   * Adds the due records as far as the transaction has capacity: first those that task starts wait
+   * for, then those that users wait for, then the deferred ones.
    */
   void contribute(LeaderTransaction transaction, Collection<MachineType> types) {
     if (!packed.isInLayoutInForce()) {
@@ -249,18 +257,24 @@
     planner.addMigrationIfDue(transaction, now);
   }
 
-  /** Makes the values of a transaction due again that was not applied, or may not have been. */
+  /**
+   * Marks the values of a transaction as due again, if it was not applied or its outcome is
+   * unknown.
+   */
   void onNotApplied(LeaderTransaction transaction) {
     transaction.machineValues().forEach(packed.machines()::markDue);
     transaction.placementValues().forEach(packed.placements()::markDue);
   }
 
-  /** Leaves out from now on what made the store refuse the transaction: values too long for it. */
+  /**
+   * Excludes the values of a rejected transaction that are too long for the store from all later
+   * transactions.
+   */
   void onRejected(LeaderTransaction transaction) {
     rejectedValues.noteRejection(transaction.valueLengths(), maxValueBytes);
   }
 
-  /** Notes as durable what an applied transaction carried. */
+  /** Marks the content of an applied transaction as durable. */
   void onApplied(LeaderTransaction transaction) {
     transaction.newlyRecordedAttempts().forEach(attempt -> attempt.markPlacementRecorded());
     transaction
@@ -282,8 +296,8 @@
   }
 
   /**
-   * Notes that a machine's record is durable as written, unless the machine got another slot while
-   * the transaction was under way: placement records may refer to it by its slot.
+   * Marks a machine's record as durable, unless the machine was assigned another slot while the
+   * transaction was in flight: placement records may refer to the machine by its slot.
    */
   void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     if (packed.isInSlot(machine, written)) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Recovers the state of a new leader from the records that its predecessors left. */
+/** Recovers the state of a new leader from the stored records of its predecessors. */
 public final class LeaderRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecovery.class);
   private final LeaderState state;
@@ -29,9 +29,9 @@
   /**
    * Creates a recovery.
    *
-   * @param probeRecordedMachines asks every recorded machine at once for the tasks that it has
-   * @param onUnreadableRecord receives the reason why this controller can't lead: a record that it
-   *     can't read
+   * @param probeRecordedMachines immediately requests the list of tasks from every recorded machine
+   * @param onUnreadableRecord receives the reason why this controller can't lead if it can't read a
+   *     stored record
    */
   public LeaderRecovery(
       LeaderState state,
@@ -48,21 +48,21 @@
     this.onUnreadableRecord = onUnreadableRecord;
   }
 
-  /** Resets for a term that begins: nothing is recovered yet. */
+  /** Resets the recovery at the start of a term. */
   public void beginTerm() {
     complete = false;
   }
 
-  /** Whether every machine is reconciled that may hold what a previous leader started. */
+  /** Whether all machines that may hold tasks of a previous leader are reconciled. */
   public boolean isComplete() {
     return complete;
   }
 
   /**
-   * Takes the stored records over and asks all recorded machines for their tasks.
+   * Adopts the stored records and requests the tasks of all recorded machines.
    *
    * @param storeRevision the revision of the store up to which all changes are known
-   * @return false if some record can't be read, so that this controller is unfit to lead
+   * @return false if some record can't be read, so that this controller must not lead
    */
   public boolean recover(long storeRevision) {
     Optional<StoredRecords> stored = readStoredRecords();
@@ -105,14 +105,15 @@
   }
 
   /**
-   * Shortens the leases of machines that are not heard, once no previous leader can renew any.
+   * Shortens the leases of machines without heartbeats, once no previous leader can renew a lease.
    *
-   * <p>A previous leader may renew leases for as long as its proof of leadership holds, unless it
-   * has ended or knows of this term. Of every peer that is known once it has acknowledged the term:
-   * it steps down before it acknowledges, and answers afterwards only heartbeats that it had
-   * received before. So the tasks of a machine that nobody hears are over one lease from now, and
-   * not one lease after the renewal authority has timed out: whole zones that are cut off while
-   * their leader's process ends are given up so much sooner.
+   * <p>A previous leader may renew leases while its proof of leadership is valid, unless it has
+   * ended or knows of this term. Every peer that has acknowledged the term is known to have stopped
+   * renewing leases: it steps down before it acknowledges, and afterwards answers only heartbeats
+   * that it had received before. The tasks of a machine without heartbeats have therefore ended one
+   * lease from now, instead of one lease after the renewal authority has timed out. If whole zones
+   * are disconnected while their leader's process ends, their tasks can be restarted elsewhere that
+   * much sooner.
    */
   public void notePreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
@@ -125,7 +126,10 @@
     }
   }
 
-  /** Notes when every machine is reconciled that may hold what a previous leader started. */
+  /**
+   * Completes the recovery once all machines that may hold tasks of a previous leader are
+   * reconciled.
+   */
   public void updateCompletion() {
     if (complete
         || inventory.all().stream()
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -25,9 +25,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A leader's compare-and-swap while it is put together, and what it makes durable once it is
- * applied. The caller adds what is most urgent first; what exceeds the capacity is left for the
- * next one.
+ * Builds a leader's compare-and-swap and lists the changes that it makes durable once it is
+ * applied. The caller adds the most urgent records first; records that exceed the capacity wait for
+ * the next transaction.
  */
 public final class LeaderTransaction {
   /** Target for the request body, in bytes; well below the 64 KiB that the store accepts. */
@@ -39,7 +39,7 @@
   /** Bytes for the term, its precondition and the message frame. */
   private static final int FRAME_BYTES = 512;
 
-  /** Bytes of a mutation beside its value. */
+  /** Bytes of a mutation in addition to its value. */
   private static final int MUTATION_OVERHEAD_BYTES = 100;
 
   /** Bytes of a job's end: a precondition, the live key's deletion and the record of the end. */
@@ -64,10 +64,11 @@
   private boolean catalogueHandled;
 
   /**
-   * Creates a transaction that carries the term alone. Its key changes with each transaction: one
-   * that arrives late finds another revision and can't overwrite newer state with older.
+   * Creates a transaction that writes only the term. Each transaction changes the term's key, so a
+   * transaction that arrives late finds another revision and can't overwrite newer state with older
+   * state.
    *
-   * @param termRevision revision of the term's key after the transaction before
+   * @param termRevision revision of the term's key after the previous transaction
    * @param number number of this transaction within the term, from 1
    * @param level the schema level in whose form records are written
    */
@@ -89,17 +90,17 @@
     return mutations.size() + MUTATIONS_PER_JOB_END <= maxMutations && bodyBytes <= MAX_BODY_BYTES;
   }
 
-  /** Whether another deletion can be added; it takes hardly any bytes. */
+  /** Whether another deletion can be added. Deletions are small, so their bytes are not counted. */
   boolean hasCapacityForDeletion() {
     return mutations.size() < maxMutations;
   }
 
-  /** Whether it carries nothing but the term. */
+  /** Whether the transaction writes only the term. */
   boolean isEmpty() {
     return mutations.size() == 1;
   }
 
-  /** Adds the catalogue, unless it is longer than a value may be. */
+  /** Adds the catalogue, unless it exceeds the maximum length of a value. */
   void addCatalogue(Collection<MachineType> types, int maxValueBytes) {
     catalogueHandled = true;
     ObjectNode body = MessagePack.map();
@@ -134,7 +135,8 @@
   /**
    * Adds a value of placement records.
    *
-   * @param referenceOf the number by which placement records refer to a machine; 0 if it has none
+   * @param referenceOf returns the number by which placement records refer to a machine, or 0 if it
+   *     has none
    */
   void addPlacementValue(
       RecordLayout layout,
@@ -180,7 +182,10 @@
         job.spec().id(), partition.firstTask(), doneTasks, references, job.quotaClaim());
   }
 
-  /** Adds the end of a job whose tasks are all done; fails as a whole if it was cancelled first. */
+  /**
+   * Adds the end of a job whose tasks are all done. The whole transaction fails if the job was
+   * cancelled first.
+   */
   void addJobEnd(Job job) {
     String id = job.spec().id();
     preconditions.add(new Precondition(Keys.liveJob(id), job.revision()));
@@ -193,13 +198,13 @@
     bodyBytes += JOB_END_BYTES;
   }
 
-  /** Adds a value that the contributor itself keeps track of. */
+  /** Adds a value whose durability the contributor tracks itself. */
   public void addUntrackedValue(String key, JsonNode value, int bytes) {
     addPut(key, value);
     bodyBytes += bytes;
   }
 
-  /** Adds the condition that a key still has that revision. */
+  /** Adds the precondition that a key still has the given revision. */
   void addPrecondition(String key, long revision) {
     preconditions.add(new Precondition(key, revision));
   }
@@ -210,12 +215,12 @@
     bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
 
-  /** The schema level in whose form it writes records. */
+  /** The schema level in whose form the transaction writes records. */
   int level() {
     return level;
   }
 
-  /** Adds the deletion of a value in which no record is left. */
+  /** Adds the deletion of an obsolete value. */
   void addDeletion(String key) {
     mutations.add(Mutation.delete(key));
     deletedKeys.add(key);
@@ -230,12 +235,14 @@
     return preconditions;
   }
 
-  /** Returns the changes to be made, in the order in which they were added. */
+  /** Returns the mutations in the order in which they were added. */
   public List<Mutation> mutations() {
     return mutations;
   }
 
-  /** Whether the catalogue was added, or left out as too long for a value. */
+  /**
+   * Whether the catalogue was added, or omitted because it exceeds the maximum length of a value.
+   */
   boolean catalogueHandled() {
     return catalogueHandled;
   }
@@ -245,7 +252,7 @@
     return valueLengths;
   }
 
-  /** The numbers of the values of machine records that it writes. */
+  /** The numbers of the values of machine records that the transaction writes. */
   Set<Integer> machineValues() {
     return machineValues;
   }
@@ -255,27 +262,27 @@
     return writtenMachineRecords;
   }
 
-  /** The numbers of the values of placement records that it writes. */
+  /** The numbers of the values of placement records that the transaction writes. */
   Set<Integer> placementValues() {
     return placementValues;
   }
 
-  /** The attempts whose placement it records for the first time. */
+  /** The attempts whose placement the transaction records for the first time. */
   List<TaskAttempt> newlyRecordedAttempts() {
     return newlyRecordedAttempts;
   }
 
-  /** The tasks that it records as done, by partition of their job. */
+  /** The tasks that the transaction records as done, by partition. */
   Map<JobPartition, BitSet> doneTasksByPartition() {
     return doneTasksByPartition;
   }
 
-  /** The jobs that it ends. */
+  /** The jobs whose end the transaction records. */
   List<Job> finishedJobs() {
     return finishedJobs;
   }
 
-  /** The keys that it deletes. */
+  /** The keys that the transaction deletes. */
   List<String> deletedKeys() {
     return deletedKeys;
   }
--- a/src/main/java/io/pearscale/scheduler/records/MachineRecordNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/records/MachineRecordNumbers.java
@@ -6,29 +6,29 @@
 /**
  * Allocates the numbers by which placement records of the numbered layout refer to machines.
  *
- * <p>Invariant: a number is not allocated again while any record may refer to its machine by it.
- * Within a term none is allocated twice, and a new leader begins above all that it finds.
+ * <p>Invariant: a number is not reused while any record may refer to its machine by that number. No
+ * number is allocated twice within a term, and a new leader starts above the highest stored number.
  */
 final class MachineRecordNumbers {
-  /** The highest number: placement records have three bytes for it, and 0 stands for none. */
+  /** The highest number: placement records store it in three bytes, and 0 means no machine. */
   private static final int MAX_NUMBER = 0xffffff;
 
   private final Set<Integer> reserved = new HashSet<>();
   private int lastAllocated;
 
-  /** Forgets all numbers: a term begins. */
+  /** Releases all numbers at the start of a term. */
   void reset() {
     reserved.clear();
     lastAllocated = 0;
   }
 
-  /** Reserves a number that a stored record has. */
+  /** Reserves the number of a stored record. */
   void reserve(int number) {
     reserved.add(number);
     lastAllocated = Math.max(lastAllocated, number);
   }
 
-  /** Allocates the next number; beyond the highest it goes on with low ones that are free. */
+  /** Allocates the next number; after the highest one, continues with the lowest free numbers. */
   int allocate() {
     for (int tried = 0; tried < MAX_NUMBER; tried++) {
       lastAllocated = lastAllocated >= MAX_NUMBER ? 1 : lastAllocated + 1;
@@ -36,6 +36,6 @@
         return lastAllocated;
       }
     }
-    throw new IllegalStateException("all numbers of machines are in use");
+    throw new IllegalStateException("all machine record numbers from 1 to 16777215 are in use");
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Keys of stored values in which no record is left, to be deleted. */
+/** The keys of stored values that contain no needed record and are to be deleted. */
 final class ObsoleteValues {
   private final Set<String> keys = new LinkedHashSet<>();
 
-  /** Forgets all keys. */
+  /** Removes all keys. */
   void clear() {
     keys.clear();
   }
@@ -18,7 +18,7 @@
     keys.add(key);
   }
 
-  /** Takes back a value that was deleted, or is written again. */
+  /** Removes a value that was deleted or is written again. */
   void remove(String key) {
     keys.remove(key);
   }
@@ -37,7 +37,8 @@
   /**
    * Adds as many deletions as the transaction has capacity for.
    *
-   * @param isObsolete whether the value is still obsolete; if not, it stays and is forgotten here
+   * @param isObsolete returns whether a value is still obsolete; other values stay stored, and
+   *     their keys are removed from this set
    */
   void addDeletions(LeaderTransaction transaction, Predicate<String> isObsolete) {
     keys.removeIf(isObsolete.negate());
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -18,7 +18,7 @@
  * LeaderRecords}.
  */
 final class PackedRecords {
-  /** Upper bound in bytes for a packed value, whatever the store accepts. */
+  /** Upper bound in bytes for a packed value, even if the store accepts longer values. */
   private static final int MAX_PACKED_VALUE_BYTES = 6000;
 
   private final LevelGate gate;
@@ -39,20 +39,20 @@
     clear();
   }
 
-  /** Drops all records and record numbers, and takes the layout in force. */
+  /** Removes all records and record numbers, and switches to the layout in force. */
   void clear() {
     resetToLayoutInForce();
     recordNumbers.reset();
   }
 
-  /** Takes the layout in force with empty packers; record numbers stay allocated. */
+  /** Switches to the layout in force with empty packers; record numbers stay allocated. */
   void resetToLayoutInForce() {
     layout = layoutInForce();
     placements = new RecordPacker<>(packedValueBytes);
     machines = new RecordPacker<>(packedValueBytes);
   }
 
-  /** The layout of the schema level that is written now. */
+  /** The layout of the schema level in whose form records are written now. */
   RecordLayout layoutInForce() {
     return RecordLayout.ofLevel(gate.inForce().writtenLevel());
   }
@@ -67,12 +67,12 @@
     return layout;
   }
 
-  /** The values of placement records; another object after a change of layout. */
+  /** The values of placement records; a change of layout replaces this object. */
   RecordPacker<JobPartition> placements() {
     return placements;
   }
 
-  /** The values of machine records; another object after a change of layout. */
+  /** The values of machine records; a change of layout replaces this object. */
   RecordPacker<Machine> machines() {
     return machines;
   }
@@ -82,7 +82,7 @@
     return recordNumbers;
   }
 
-  /** The partition that holds the task, with a slot assigned to it. */
+  /** Returns the partition that contains the task, after assigning a slot to its record. */
   JobPartition assignSlot(Job job, int task) {
     JobPartition partition = JobPartition.containing(job, task, layout);
     assignSlot(partition);
@@ -107,7 +107,7 @@
     return machines.slotOf(machine).isPresent();
   }
 
-  /** Whether the record that was written stands in the slot that the machine has now. */
+  /** Whether the written record is in the slot that the machine has now. */
   boolean isInSlot(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     Optional<RecordPacker.Slot> slot = machines.slotOf(machine);
     int number = written.record().number();
@@ -131,14 +131,14 @@
             slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
   }
 
-  /** Whether the key is a value of this layout in which no record is left. */
+  /** Whether the key belongs to a value of this layout that contains no record. */
   boolean isObsolete(String key) {
     int value = Keys.valueNumber(key);
     return layout.containsKey(key)
         && (Keys.isPlacementRecords(key) ? placements.isEmpty(value) : machines.isEmpty(value));
   }
 
-  /** Whether some value is to be written now. */
+  /** Whether any value is due to be written now. */
   boolean isDue(Instant now) {
     return !machines.urgentValues().isEmpty()
         || !placements.urgentValues().isEmpty()
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -13,17 +13,18 @@
 import java.util.function.Consumer;
 
 /**
- * Stored values of the layout that is not written any more, and which of their records are not yet
- * copied into the layout in force.
+ * The stored values of the layout that is not written any more, and the records in them that are
+ * not yet copied into the layout in force.
  *
- * <p>Invariant: a value is deleted only once every record in it that is still needed is durable in
- * the layout in force; machine records only after all placement records, which refer to them.
+ * <p>Invariant: a value is deleted only after every record in it that is still needed is durable in
+ * the layout in force. Values of machine records are deleted only after all values of placement
+ * records, which refer to them.
  */
 final class PreviousLayoutRecords {
   private final Map<String, Set<Object>> uncopiedByKey = new TreeMap<>();
   private final Map<Object, List<String>> keysByItem = new HashMap<>();
 
-  /** Forgets all values. */
+  /** Removes all values. */
   void clear() {
     uncopiedByKey.clear();
     keysByItem.clear();
@@ -38,7 +39,7 @@
     }
   }
 
-  /** Notes that the item's record is durable in the layout in force, or not needed any more. */
+  /** Marks the item's record as durable in the layout in force or as not needed any more. */
   void noteCopied(Object item) {
     List<String> keys = keysByItem.remove(item);
     if (keys != null) {
@@ -46,7 +47,7 @@
     }
   }
 
-  /** Notes that the value was deleted. */
+  /** Removes a value that was deleted. */
   void noteDeleted(String key) {
     uncopiedByKey.remove(key);
   }
@@ -56,7 +57,9 @@
     return uncopiedByKey.isEmpty();
   }
 
-  /** Offers the items that are not yet copied, value by value, until the sink is full. */
+  /**
+   * Passes the items that are not yet copied to the sink, one value at a time, until it is full.
+   */
   void offerUncopied(BatchSink sink) {
     for (Set<Object> items : uncopiedByKey.values()) {
       for (Object item : items) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -22,9 +22,9 @@
 import java.util.Map;
 
 /**
- * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. Of a
- * machine or a task that is recorded in both layouts, the record in the layout in force is newer,
- * and the other is passed over.
+ * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. If a
+ * machine or a task is recorded in both layouts, the record in the layout in force is newer and the
+ * other record is ignored.
  */
 final class RecordAdoption {
   private final JobTable jobs;
@@ -35,10 +35,10 @@
   private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
 
-  /** Of each job, the tasks that have a record in the layout in force. */
+  /** The tasks of each job that have a record in the layout in force. */
   private final Map<String, BitSet> tasksInCurrentLayout = new HashMap<>();
 
-  /** Jobs that are over, while attempts of them may still exist. */
+  /** Ended jobs whose attempts may still exist. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
   RecordAdoption(LeaderState state, LeaderRecords records) {
@@ -86,7 +86,7 @@
     adopter.adoptMachine(machine, stored);
   }
 
-  /** Notes a job that is over, with the number of tasks of which attempts may still exist. */
+  /** Registers an ended job with enough tasks to cover all attempts that may still exist. */
   private void noteOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
@@ -112,9 +112,10 @@
   }
 
   /**
-   * Adopts the placement record of a partition. A task that is not done may be on the machine that
-   * its record names, and on no other: the record is durable before the start command is sent, and
-   * changes only once the task is proven absent there. So the task waits for that machine alone.
+   * Adopts the placement record of a partition. A task that is not done can only be on the machine
+   * that its record refers to: the record is durable before the start command is sent, and changes
+   * only after the task is proved absent from that machine. The task therefore waits only for that
+   * machine.
    */
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
@@ -128,7 +129,8 @@
         .forEach(job::markDone);
     job.recordDurablyDone(firstTask, record.doneTasks());
     if (job.spec().isGang() && job.hasDoneTasks()) {
-      // Its tasks complete together, also those of parts that were not written again.
+      // The tasks of a gang complete together, including those in partitions that were not
+      // rewritten.
       job.markAllDone();
     }
     adopter.adoptPartition(job, stored);
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -15,21 +15,21 @@
 import java.util.function.Function;
 
 /**
- * Migrates the stored records to the schema level in force, a few values at a time and behind all
- * other writes: machine records in the form of another level are rewritten, and records in the
- * previous layout are copied. What is left to do follows from the stored records alone, so a
- * successor goes on where this leader ended, and the migration is idempotent.
+ * Migrates the stored records to the schema level in force, a few values at a time and with lower
+ * priority than all other writes. Machine records in the form of another level are rewritten, and
+ * records in the previous layout are copied. The stored records alone determine the remaining work,
+ * so a successor continues where this leader stopped, and the migration is idempotent.
  */
 final class RecordMigration {
-  /** Shortest time between two batches, which leaves the write rate to others. */
+  /** Minimum interval between two batches, which leaves write capacity for other writes. */
   static final Duration BATCH_INTERVAL = Duration.ofSeconds(1);
 
-  /** A batch may take one part in so many of a transaction's mutations. */
+  /** The maximum batch size is the maximum number of mutations in a transaction divided by this. */
   private static final int BATCH_SHARE_DIVISOR = 8;
 
   private static final int MIN_BATCH_SIZE = 2;
 
-  /** The value into which a record is copied: of placement records, or of machine records. */
+  /** The value into which a record is copied; it contains either placement or machine records. */
   record CopyTarget(boolean placementValue, int value) {}
 
   /** The numbers of the values to be written next. */
@@ -46,10 +46,10 @@
   private Instant nextBatchAt = Instant.MIN;
 
   /**
-   * Creates a migration that knows of no values.
+   * Creates a migration without known values.
    *
    * @param gate supplies the schema level in force
-   * @param maxMutations the most mutations of a transaction
+   * @param maxMutations maximum number of mutations in a transaction
    * @param previousLayout the records that are not yet copied into the layout in force
    */
   RecordMigration(LevelGate gate, int maxMutations, PreviousLayoutRecords previousLayout) {
@@ -58,7 +58,7 @@
     this.previousLayout = previousLayout;
   }
 
-  /** Takes stock of the stored values of machine records: a term begins. */
+  /** Determines the schema level of each stored value of machine records at the start of a term. */
   void beginTerm(Map<String, JsonNode> machineValues) {
     levelByValue.clear();
     nextBatchAt = Instant.MIN;
@@ -71,29 +71,30 @@
         });
   }
 
-  /** Notes that a value of machine records was written in the form of the level. */
+  /** Records that a value of machine records was written in the form of the given level. */
   void noteWritten(int value, int level) {
     if (RecordLayout.ofLevel(level) == RecordLayout.POSITIONAL) {
       levelByValue.put(value, level);
     }
   }
 
-  /** Notes that a stored value was deleted. */
+  /** Records that a stored value was deleted. */
   void noteDeleted(String key) {
     if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
       levelByValue.remove(Keys.valueNumber(key));
     }
   }
 
-  /** Whether a batch is to be written now, or the end of the migration. */
+  /** Whether a batch or the end of the migration is due to be written now. */
   boolean isDue(Instant now) {
     return !gate.inForce().migrated() && !now.isBefore(nextBatchAt);
   }
 
   /**
-   * The values of the next batch; none when all that is left is to delete what was copied.
+   * The values of the next batch; empty if only copied values remain to be deleted.
    *
-   * @param targetOfCopy the value into which a record is copied; empty if it is not needed any more
+   * @param targetOfCopy returns the value into which a record is copied; empty if the record is not
+   *     needed any more
    */
   Batch nextBatch(Instant now, Function<Object, Optional<CopyTarget>> targetOfCopy) {
     nextBatchAt = now.plus(BATCH_INTERVAL);
@@ -117,12 +118,15 @@
     return batch.size() < maxBatchSize;
   }
 
-  /** Whether all records are migrated, given that this batch was the next one. */
+  /**
+   * Whether all records are migrated, where the given batch is the result of the latest {@link
+   * #nextBatch}.
+   */
   boolean isComplete(Batch batch) {
     return batch.size() == 0 && previousLayout.isEmpty();
   }
 
-  /** The record of the schema level that says that the migration is complete. */
+  /** The record of the schema level that marks the migration as complete. */
   JsonNode migrationCompletedRecord() {
     return gate.migrationCompletedRecord();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -14,17 +14,17 @@
 
 /**
  * Packs records into shared values of the key-value store, whose rate limit counts writes and not
- * bytes. Each item keeps its slot, a value and a position in it, until it is removed. A changed
- * item is written together with all others of its value, so new items prefer values that are to be
- * written anyway.
+ * bytes. Each item keeps its slot, which is a value and a position in that value, until the item is
+ * removed. A changed item is written together with all other items of its value, so new items are
+ * preferably assigned to values that are already due to be written.
  *
- * @param <T> what a record is about
+ * @param <T> the type of the items, each of which has one record
  */
 public final class RecordPacker<T> {
-  /** The most items of a value. */
+  /** Maximum number of items in a value. */
   static final int SLOTS_PER_VALUE = 64;
 
-  /** Where an item's record stands: the number of the value, and the position in it from 0. */
+  /** The location of an item's record: the number of the value, and the position in it from 0. */
   record Slot(int value, int position) {}
 
   private static final class PackedValue<T> {
@@ -39,7 +39,10 @@
   private final Set<Integer> urgentValues = new LinkedHashSet<>();
   private final Map<Integer, Instant> deadlines = new LinkedHashMap<>();
 
-  /** Creates a packer for values of at most so many bytes, by the items' declared sizes. */
+  /**
+   * Creates a packer for values of at most the given number of bytes, according to the declared
+   * sizes of the items.
+   */
   public RecordPacker(int maxValueBytes) {
     this.maxValueBytes = maxValueBytes;
   }
@@ -54,7 +57,7 @@
         && (packed.items.isEmpty() || packed.bytes + bytes <= maxValueBytes);
   }
 
-  /** Adds an item in the slot that a previous leader had assigned to it. */
+  /** Adds an item in the slot that a previous leader assigned to it. */
   void adopt(T item, int bytes, int value, int position) {
     PackedValue<T> packed = packedValue(value);
     packed.items.put(position, item);
@@ -99,7 +102,10 @@
     return Optional.ofNullable(slots.get(item));
   }
 
-  /** Removes an item; its stored value still has it until that is written for another reason. */
+  /**
+   * Removes an item. The stored value still contains its record until the value is written for
+   * another reason.
+   */
   public void remove(T item) {
     Slot slot = slots.remove(item);
     if (slot != null) {
@@ -120,12 +126,12 @@
     deadlines.remove(value);
   }
 
-  /** Marks the item's value to be written once the deadline has come, if not before. */
+  /** Marks the item's value to be written once the deadline has passed, if not earlier. */
   void markDue(T item, Instant deadline) {
     slotOf(item).ifPresent(slot -> markDue(slot.value, deadline));
   }
 
-  /** Marks a value to be written once the deadline has come, if not before. */
+  /** Marks a value to be written once the deadline has passed, if not earlier. */
   void markDue(int value, Instant deadline) {
     if (!urgentValues.contains(value)) {
       deadlines.merge(value, deadline, (a, b) -> a.isBefore(b) ? a : b);
@@ -137,7 +143,7 @@
     return List.copyOf(urgentValues);
   }
 
-  /** The values whose deadline has come. */
+  /** The values whose deadline has passed. */
   List<Integer> overdueValues(Instant now) {
     List<Integer> overdue = new ArrayList<>();
     deadlines.forEach(
@@ -149,7 +155,10 @@
     return overdue;
   }
 
-  /** Marks a value as sent. If it is not known to be applied, {@link #markDue} is called again. */
+  /**
+   * Marks a value as sent. If the write is not known to be applied, the caller calls {@link
+   * #markDue} again.
+   */
   public void markSent(int value) {
     urgentValues.remove(value);
     deadlines.remove(value);
@@ -160,14 +169,14 @@
     return packedValue(value).items;
   }
 
-  /** The items of those values. */
+  /** The items of the given values. */
   List<T> itemsIn(Collection<Integer> valueNumbers) {
     List<T> all = new ArrayList<>();
     valueNumbers.forEach(value -> all.addAll(packedValue(value).items.values()));
     return all;
   }
 
-  /** All items, value by value. */
+  /** All items, ordered by value. */
   List<T> allItems() {
     return itemsIn(List.copyOf(values.keySet()));
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -22,19 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits all that is due in one compare-and-swap after the other, each on the condition that the
- * term's key is unchanged.
+ * Commits all due records in consecutive compare-and-swap transactions, each with the precondition
+ * that the term's key is unchanged.
  *
- * <p>Invariant: at most one transaction of a term can still take effect. Each one changes the
- * term's key, and the next names the revision that it left. After one of unknown outcome the writer
- * reads the key's present revision and goes on from there: should the old transaction arrive after
- * all, its condition fails. What it carried stays due until some transaction with it is known as
- * applied.
+ * <p>Invariant: at most one transaction of a term can still take effect. Each transaction changes
+ * the term's key, and the next one requires the resulting revision. After a transaction of unknown
+ * outcome, the writer reads the key's current revision and continues from it: if the old
+ * transaction still arrives, its precondition fails. Its records stay due until a transaction that
+ * contains them is known to be applied.
  */
 public final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-  /** Before a retry the writer waits for this time, and up to the jitter longer. */
+  /** Minimum delay before a retry; a random jitter is added. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   private static final int RETRY_JITTER_MILLIS = 200;
@@ -49,7 +49,7 @@
    * The key-value store that is written to.
    *
    * @param client sends the transactions
-   * @param limits what the store takes, per transaction and second
+   * @param limits limits of the store, per transaction and per second
    * @param levelGate supplies the schema level in whose form records are written
    */
   public record Store(KeyValueStoreClient client, StoreLimits limits, LevelGate levelGate) {}
@@ -71,10 +71,10 @@
   private boolean keepAliveDue;
 
   /**
-   * Creates a writer with nothing under way.
+   * Creates a writer without a transaction in flight.
    *
-   * @param contributors have more to write, behind the records of jobs and machines
-   * @param random draws the jitter of retries
+   * @param contributors add records after those of jobs and machines
+   * @param random generates the jitter of retries
    */
   public RecordWriter(
       LeaderState leaderState,
@@ -97,7 +97,7 @@
     this.pacer = new CommitPacer(leaderState.clock(), store.limits.writesPerSecond());
   }
 
-  /** Resets for a term that begins: nothing is under way in it. */
+  /** Resets the writer at the start of a term, with no transaction in flight. */
   public void beginTerm() {
     commitCount = 0;
     commitInFlight = false;
@@ -110,7 +110,7 @@
     scheduleCommit();
   }
 
-  /** Requests a transaction, as soon as the write rate allows it. */
+  /** Requests a transaction as soon as the write rate allows it. */
   public void scheduleCommit() {
     if (commitScheduled || commitInFlight || !leadership.isLeading()) {
       return;
@@ -118,7 +118,8 @@
     commitScheduled = true;
     Duration wait = pacer.untilNextCommit();
     if (wait.isNegative() || wait.isZero()) {
-      // After this message: what the rest of the scheduling pass decides goes along.
+      // Runs after the current message, so that the transaction includes the decisions of the rest
+      // of the scheduling pass.
       executor.execute(this::commit);
     } else {
       executor.after(wait, this::commit);
@@ -132,7 +133,7 @@
     }
   }
 
-  /** Commits all that is due, unless nothing is. */
+  /** Commits all due records; sends nothing if neither a record nor a keep-alive is due. */
   private void commit() {
     commitScheduled = false;
     if (commitInFlight || !leadership.isReady()) {
@@ -188,12 +189,13 @@
     }
     commitInFlight = false;
     if (failedKeys.contains(Keys.LEVEL)) {
-      // The schema level was changed: the watch says whether this build supports the new one.
+      // The schema level has changed. The watch delivers the new level, which determines whether
+      // this build supports it.
       LOG.info("event=commit_at_previous_schema_level term={}", leadership.term());
       scheduleRetry();
       return;
     }
-    // These jobs were cancelled first; the watch brings the news.
+    // These jobs were cancelled first; the watch delivers the cancellations.
     transaction.finishedJobs().stream()
         .filter(job -> failedKeys.contains(Keys.liveJob(job.spec().id())))
         .forEach(records::withdrawJobFinished);
@@ -218,7 +220,7 @@
     store.client.get(Keys.TERM, executor.callback(this::onTermRead));
   }
 
-  /** Goes on from the term's present revision, if this controller still leads. */
+  /** Continues from the current revision of the term's key if this controller still leads. */
   private void onTermRead(Reply reply) {
     if (!reply.ok()) {
       executor.after(
@@ -230,7 +232,8 @@
       listener.onHigherTerm(storedTerm);
       return;
     }
-    // Applied or not: what it carried is still due, and goes out again on the present revision.
+    // Whether or not the transaction was applied, its records are still due. They are sent again
+    // with the current revision as the precondition.
     leadership.recordTermRevision(reply.body().path("stamp").asLong(leadership.termRevision()));
     commitInFlight = false;
     scheduleRetry();
--- a/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -7,15 +7,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Values that the store rejects as too long, because its limit is lower than when they were first
- * written. They stay as they are until their records are copied into another layout; changes in
- * them wait until then, and nothing else does.
+ * The values that the store rejects as too long because its limit is lower than when they were
+ * first written. They stay stored unchanged until their records are copied into another layout.
+ * Changes of their records wait until then; other writes do not wait.
  */
 final class RejectedValues {
   private static final Logger LOG = LoggerFactory.getLogger(RejectedValues.class);
   private final Set<String> keys = new HashSet<>();
 
-  /** Forgets all rejections. */
+  /** Removes all rejections. */
   void clear() {
     keys.clear();
   }
@@ -26,10 +26,10 @@
   }
 
   /**
-   * Notes that a transaction was rejected as a whole.
+   * Records the values that are too long in a transaction that was rejected as a whole.
    *
    * @param valueLengths length in bytes of each value in it, by key
-   * @param maxValueBytes length in bytes that the store is sure to accept
+   * @param maxValueBytes length in bytes that the store is certain to accept
    */
   void noteRejection(Map<String, Integer> valueLengths, int maxValueBytes) {
     valueLengths.forEach(
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -19,11 +19,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Raises the schema level automatically, once every configured controller has announced that its
- * build supports a higher one. The step is a compare-and-swap of the leader like any other, on the
- * condition of its term and the level that it knows, and also of the announcements on which it
- * rests: should one of them have changed, nothing is written. From then on controllers that do not
- * support the level are kept out.
+ * Raises the schema level automatically once every configured controller has announced that its
+ * build supports a higher one. The change is written in a normal transaction of the leader. Its
+ * preconditions are the leader's term, the level that the leader knows, and the announcements on
+ * which the change is based: if any of them has changed, nothing is written. After the change,
+ * controllers that do not support the new level are excluded.
  */
 public final class SchemaLevelUpgrader implements TransactionContributor {
   private static final Logger LOG = LoggerFactory.getLogger(SchemaLevelUpgrader.class);
@@ -49,12 +49,12 @@
     this.clock = clock;
   }
 
-  /** Forgets all announcements: a new snapshot is about to be delivered. */
+  /** Removes all announcements before a new snapshot is delivered. */
   public void clearAnnouncements() {
     announcements.clear();
   }
 
-  /** Applies a changed announcement; one that can't be read counts as absent. */
+  /** Applies a change of an announcement; an announcement that can't be read counts as absent. */
   public void applyAnnouncement(KeyChange change) {
     String host = Keys.lastSegment(change.key());
     announcements.remove(host);
@@ -102,11 +102,11 @@
 
   @Override
   public void onApplied(LeaderTransaction transaction) {
-    // The watch brings the level, to this controller as to all others.
+    // The watch delivers the new level to this controller, as to all others.
   }
 
   @Override
   public void onNotApplied(LeaderTransaction transaction) {
-    // What was to be written follows from what is stored.
+    // No state to restore: the next change is determined from the stored announcements and level.
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * Takes stored records over at the start of a term: those of the layout in force keep their slots,
- * those of the previous layout get new ones and are noted as to be copied.
+ * Adopts stored records at the start of a term. Records in the layout in force keep their slots;
+ * records in the previous layout are assigned new slots and registered for copying.
  */
 final class StoredRecordAdopter {
   private final PackedRecords packed;
@@ -26,12 +26,12 @@
     this.previousLayout = previousLayout;
   }
 
-  /** Forgets which partitions were found: a term begins. */
+  /** Clears the found partitions at the start of a term. */
   void clearFoundPartitions() {
     foundPartitions.clear();
   }
 
-  /** Takes over a machine's record; one of the previous layout is to be copied. */
+  /** Adopts a machine's record; a record in the previous layout is registered for copying. */
   void adoptMachine(Machine machine, StoredRecords.StoredMachine stored) {
     if (stored.layout() != packed.layout()) {
       packed.assignSlot(machine);
@@ -57,7 +57,9 @@
     }
   }
 
-  /** Takes over the records of tasks of a job; those of the previous layout are to be copied. */
+  /**
+   * Adopts a placement record of a job; a record in the previous layout is registered for copying.
+   */
   void adoptPartition(Job job, StoredRecords.StoredPartition stored) {
     int firstTask = stored.record().firstTask();
     RecordLayout layout = packed.layout();
@@ -74,14 +76,17 @@
     previousLayout.add(stored.key(), partitions);
   }
 
-  /** Notes that this part of a stored value concerns no task that may still exist. */
+  /**
+   * Registers a placement record that describes no task that may still exist. A value in the
+   * previous layout can be deleted without a copy of this record.
+   */
   void noteObsolete(StoredRecords.StoredPartition stored) {
     if (stored.layout() != packed.layout()) {
       previousLayout.add(stored.key(), List.of());
     }
   }
 
-  /** Whether records are written in that layout. */
+  /** Whether records are written in the given layout. */
   boolean isCurrentLayout(RecordLayout layout) {
     return layout == packed.layout();
   }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
@@ -13,13 +13,13 @@
 import java.util.function.Function;
 
 /**
- * The stored records of machines and tasks, decoded as a whole before a new leader takes any of
- * them over. A record that can't be read fails the whole: a leader that passed it over would start
- * its tasks a second time.
+ * The stored machine records and placement records, all of which are decoded before a new leader
+ * adopts any of them. If one record can't be read, the whole decoding fails: a leader that ignored
+ * the record would start its tasks a second time.
  *
- * @param machines the machine records, first those in the layout in force
- * @param partitions the placement records, first those in the layout in force: of a task that is in
- *     both, they hold the newer state
+ * @param machines the machine records, those in the layout in force first
+ * @param partitions the placement records, those in the layout in force first; if a task is
+ *     recorded in both layouts, these records have the newer state
  */
 record StoredRecords(List<StoredMachine> machines, List<StoredPartition> partitions) {
   /** A machine record and the value that holds it. */
--- a/src/main/java/io/pearscale/scheduler/records/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredValues.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The stored values of machine and placement records, as far as the watch has delivered them. */
+/** The stored values of machine and placement records that the watch has delivered so far. */
 public final class StoredValues {
   private final Map<String, JsonNode> placementValues = new TreeMap<>();
   private final Map<String, JsonNode> machineValues = new TreeMap<>();
   private final Set<String> machineTypeNames = new HashSet<>();
 
-  /** Forgets all values: a new snapshot is about to be delivered. */
+  /** Removes all values before a new snapshot is delivered. */
   public void clear() {
     placementValues.clear();
     machineValues.clear();
--- a/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
@@ -1,16 +1,16 @@
 package io.pearscale.scheduler.records;
 
-/** A part of the leader that adds records of its own to the leader's transactions. */
+/** A component that adds its records to the leader's transactions. */
 public interface TransactionContributor {
-  /** Whether something is to be written now. */
+  /** Whether a write is due now. */
   boolean isDue();
 
-  /** Adds what is due, as far as there is capacity. */
+  /** Adds the due records as far as the transaction has capacity. */
   void contribute(LeaderTransaction transaction);
 
-  /** Notes that the transaction was applied. */
+  /** Called when the transaction was applied. */
   void onApplied(LeaderTransaction transaction);
 
-  /** Notes that the transaction was not applied, or that its outcome is unknown. */
+  /** Called when the transaction was not applied or its outcome is unknown. */
   void onNotApplied(LeaderTransaction transaction);
 }
--- a/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
@@ -10,10 +10,11 @@
 import java.util.Set;
 
 /**
- * Decides which values of machine records and placement records go into a transaction.
+ * Selects the values of machine records and placement records for a transaction.
  *
  * <p>Invariant: a placement record is never written before the records of the machines that it
- * names. A successor would not know the machine, and would take its tasks to be nowhere.
+ * refers to. Otherwise a successor would not know the machine and would assume that its tasks run
+ * nowhere.
  */
 final class TransactionPlanner {
   private final PackedRecords packed;
@@ -53,9 +54,10 @@
   }
 
   /**
-   * Migrates a batch if one is due, or records the end of the migration. A value that an earlier
-   * transaction of unknown outcome may have written in another form is urgent: it is in this
-   * transaction, or there is no capacity for the end in it.
+   * Adds a batch of the migration if one is due, or the end of the migration. The end is not
+   * recorded too early: a value that an earlier transaction of unknown outcome may have written in
+   * another form is urgent, so either this transaction contains the value or it has no capacity for
+   * the end of the migration.
    */
   void addMigrationIfDue(LeaderTransaction transaction, Instant now) {
     if (!migration.isDue(now)) {
@@ -69,7 +71,10 @@
     }
   }
 
-  /** The value into which a record of the previous layout is copied; empty if it was removed. */
+  /**
+   * The value into which a record of the previous layout is copied; empty if the record was
+   * removed.
+   */
   private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
     return item instanceof Machine machine
         ? packed
@@ -104,10 +109,10 @@
   }
 
   /**
-   * Adds the records of the machines that a value of placement records names, as far as they are
-   * not durable yet.
+   * Adds the machine records that a value of placement records refers to and that are not durable
+   * yet.
    *
-   * @return whether all of them are in the transaction, so that the value can go along
+   * @return whether the transaction contains all of them, so that the value can be added
    */
   private boolean addMachinesNamedIn(int value, LeaderTransaction transaction) {
     Set<Integer> missing = new LinkedHashSet<>();
--- a/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which values a migration has yet to rewrite. */
+/** Checks which values a migration selects for its next batch. */
 class RecordMigrationTest {
   private static final int MAX_MUTATIONS = 16;
   private final LevelGate gate = new LevelGate(new SupportedLevels(0, 2));
@@ -40,9 +40,9 @@
     return MachineRecordCodec.encode(List.of(record), level);
   }
 
-  /** Items are named after the value in which their copy is to stand. */
+  /** Maps an item, which is the number of the value to copy it into; "removed" has no target. */
   private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
-    return item.equals("gone")
+    return item.equals("removed")
         ? Optional.empty()
         : Optional.of(new RecordMigration.CopyTarget(false, (Integer) item));
   }
@@ -76,7 +76,7 @@
             MessagePack.map().set("m", MessagePack.map())));
     assertTrue(migration.isDue(now));
     assertEquals(List.of(0, 3), nextMachineValues());
-    assertFalse(migration.isDue(now), "the rate is left to others");
+    assertFalse(migration.isDue(now), "the next batch waits for the batch interval");
     migration.noteWritten(0, 1);
     assertEquals(List.of(3, 7), nextMachineValues());
     migration.noteWritten(3, 1);
@@ -99,7 +99,7 @@
   void copiesPreviousLayoutInBatchesBeforeDeletingItsValues() {
     storeLevel(2, 2);
     migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
-    previousLayout.add("c/marks/0", List.of("gone"));
+    previousLayout.add("c/marks/0", List.of("removed"));
     previousLayout.add("c/roster/0", List.of(3, 4));
     previousLayout.add("c/roster/1", List.of(4, 5));
     assertEquals(List.of(3, 4), nextMachineValues());
@@ -107,12 +107,13 @@
     previousLayout.noteCopied(4);
     assertEquals(List.of(5), nextMachineValues());
     previousLayout.noteCopied(5);
-    previousLayout.noteCopied("gone");
+    previousLayout.noteCopied("removed");
     RecordMigration.Batch emptyBatch = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
-    assertFalse(migration.isComplete(emptyBatch), "the former values are still stored");
+    assertFalse(
+        migration.isComplete(emptyBatch), "the values of the previous layout are still stored");
     List<String> deletable = new ArrayList<>();
     previousLayout.forEachDeletable(deletable::add);
-    assertEquals(List.of("c/marks/0"), deletable, "marks name machines by the roster");
+    assertEquals(List.of("c/marks/0"), deletable, "placement records refer to machine records");
     previousLayout.noteDeleted("c/marks/0");
     previousLayout.forEachDeletable(deletable::add);
     assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), deletable);
