--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -178,7 +178,7 @@
     } else if (message instanceof ConfirmedByPeers m) {
       confirmedByPeers(m);
     } else if (message instanceof ElectionAcknowledged m && leadership.leadsIn(m.term)) {
-      components.recovery.notePreviousLeadersEnded();
+      components.recovery.onPreviousLeadersEnded();
     } else if (message instanceof LeadershipLost) {
       lifecycle.endTerm();
     } else if (message instanceof CloudEventReceived m && leadership.isLeading()) {
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -64,7 +64,7 @@
   }
 
   /** Marks the tasks as durably recorded as done; they are given as offsets from the first task. */
-  void noteDurable(BitSet doneTasks) {
+  void markDurablyDone(BitSet doneTasks) {
     job.recordDurablyDone(firstTask, doneTasks);
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -168,7 +168,7 @@
   public void removeMachine(Machine machine) {
     recordMachineDeferred(machine);
     packed.machines().remove(machine);
-    previousLayout.noteCopied(machine);
+    previousLayout.markCopied(machine);
     machine.record().markRemoved();
   }
 
@@ -177,7 +177,7 @@
   public void removeJob(Job job) {
     for (JobPartition partition : JobPartition.allOf(job, packed.layout())) {
       packed.placements().remove(partition);
-      previousLayout.noteCopied(partition);
+      previousLayout.markCopied(partition);
     }
   }
 
@@ -271,7 +271,7 @@
    * transactions.
    */
   void onRejected(LeaderTransaction transaction) {
-    rejectedValues.noteRejection(transaction.valueLengths(), maxValueBytes);
+    rejectedValues.recordRejection(transaction.valueLengths(), maxValueBytes);
   }
 
   /** Marks the content of an applied transaction as durable. */
@@ -281,14 +281,14 @@
         .doneTasksByPartition()
         .forEach(
             (partition, doneTasks) -> {
-              partition.noteDurable(doneTasks);
-              previousLayout.noteCopied(partition);
+              partition.markDurablyDone(doneTasks);
+              previousLayout.markCopied(partition);
             });
-    transaction.machineValues().forEach(value -> migration.noteWritten(value, transaction.level()));
+    transaction.machineValues().forEach(value -> migration.markWritten(value, transaction.level()));
     for (String key : transaction.deletedKeys()) {
       obsoleteValues.remove(key);
-      previousLayout.noteDeleted(key);
-      migration.noteDeleted(key);
+      previousLayout.markDeleted(key);
+      migration.markDeleted(key);
     }
     if (transaction.catalogueHandled()) {
       catalogueDue = false;
@@ -299,7 +299,7 @@
    * Marks a machine's record as durable, unless the machine was assigned another slot while the
    * transaction was in flight: placement records may refer to the machine by its slot.
    */
-  void noteMachineRecorded(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
+  void markMachineRecorded(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     if (packed.isInSlot(machine, written)) {
       machine
           .record()
@@ -307,7 +307,7 @@
               written.record().retiring(),
               written.record().address(),
               written.record().maintenance());
-      previousLayout.noteCopied(machine);
+      previousLayout.markCopied(machine);
     }
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -115,7 +115,7 @@
    * are disconnected while their leader's process ends, their tasks can be restarted elsewhere that
    * much sooner.
    */
-  public void notePreviousLeadersEnded() {
+  public void onPreviousLeadersEnded() {
     if (leadership.endPreviousLeaders()) {
       Instant now = clock.instant();
       inventory.all().forEach(machine -> machine.lease().previousLeadersEnded(now));
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -40,7 +40,7 @@
   }
 
   /** Marks the item's record as durable in the layout in force or as not needed any more. */
-  void noteCopied(Object item) {
+  void markCopied(Object item) {
     List<String> keys = keysByItem.remove(item);
     if (keys != null) {
       keys.forEach(key -> uncopiedByKey.getOrDefault(key, new HashSet<>()).remove(item));
@@ -48,7 +48,7 @@
   }
 
   /** Removes a value that was deleted. */
-  void noteDeleted(String key) {
+  void markDeleted(String key) {
     uncopiedByKey.remove(key);
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -56,7 +56,7 @@
   void adopt(StoredRecords stored) {
     stored.machines().forEach(adopter::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
-    stored.partitions().forEach(this::noteOrphanedJob);
+    stored.partitions().forEach(this::registerOrphanedJob);
     stored.partitions().forEach(this::adopt);
     for (Job job : orphanedJobs.values()) {
       for (TaskAttempt attempt : job.attempts().values()) {
@@ -87,7 +87,7 @@
   }
 
   /** Registers an ended job with enough tasks to cover all attempts that may still exist. */
-  private void noteOrphanedJob(StoredPartition stored) {
+  private void registerOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
       Instant now = clock.instant();
@@ -107,7 +107,7 @@
     if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec().tasks()) {
       adopt(job, stored);
     } else {
-      adopter.noteObsolete(stored);
+      adopter.registerObsolete(stored);
     }
   }
 
@@ -139,10 +139,10 @@
         i++) {
       Machine machine = machinesByReference.get(stored.layout()).get(record.machineReferences()[i]);
       if (machine != null && !job.isDone(firstTask + i) && !alreadyAdopted.get(firstTask + i)) {
-        TaskAttempt assumed =
+        TaskAttempt recoveredAttempt =
             TaskAttempt.fromRecord(
                 job, new TaskId(job.spec().id(), firstTask + i), machine, clock.instant());
-        inventory.add(assumed);
+        inventory.add(recoveredAttempt);
       }
     }
     if (currentLayout) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -72,14 +72,14 @@
   }
 
   /** Records that a value of machine records was written in the form of the given level. */
-  void noteWritten(int value, int level) {
+  void markWritten(int value, int level) {
     if (RecordLayout.ofLevel(level) == RecordLayout.POSITIONAL) {
       levelByValue.put(value, level);
     }
   }
 
   /** Records that a stored value was deleted. */
-  void noteDeleted(String key) {
+  void markDeleted(String key) {
     if (key.startsWith(RecordLayout.POSITIONAL.machinePrefix())) {
       levelByValue.remove(Keys.valueNumber(key));
     }
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -241,16 +241,16 @@
 
   private void onApplied(LeaderTransaction transaction) {
     records.onApplied(transaction);
-    transaction.writtenMachineRecords().forEach(this::noteMachineRecorded);
+    transaction.writtenMachineRecords().forEach(this::markMachineRecorded);
     transaction.finishedJobs().forEach(this::finishJob);
     contributors.forEach(contributor -> contributor.onApplied(transaction));
     listener.onTransactionApplied();
   }
 
-  private void noteMachineRecorded(WrittenMachineRecord written) {
+  private void markMachineRecorded(WrittenMachineRecord written) {
     Machine machine = inventory.get(written.record().machine());
     if (machine != null) {
-      records.noteMachineRecorded(machine, written);
+      records.markMachineRecorded(machine, written);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -31,7 +31,7 @@
    * @param valueLengths length in bytes of each value in it, by key
    * @param maxValueBytes length in bytes that the store is certain to accept
    */
-  void noteRejection(Map<String, Integer> valueLengths, int maxValueBytes) {
+  void recordRejection(Map<String, Integer> valueLengths, int maxValueBytes) {
     valueLengths.forEach(
         (key, length) -> {
           if (length > maxValueBytes && keys.add(key)) {
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -80,7 +80,7 @@
    * Registers a placement record that describes no task that may still exist. A value in the
    * previous layout can be deleted without a copy of this record.
    */
-  void noteObsolete(StoredRecords.StoredPartition stored) {
+  void registerObsolete(StoredRecords.StoredPartition stored) {
     if (stored.layout() != packed.layout()) {
       previousLayout.add(stored.key(), List.of());
     }
--- a/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
@@ -34,10 +34,10 @@
   }
 
   private static JsonNode machineValue(int level) {
-    MachineRecordCodec.MachineRecord record =
+    MachineRecordCodec.MachineRecord machineRecord =
         new MachineRecordCodec.MachineRecord(
             0, "m", "a:1", "t", "z", false, 1, false, Maintenance.IN_SERVICE);
-    return MachineRecordCodec.encode(List.of(record), level);
+    return MachineRecordCodec.encode(List.of(machineRecord), level);
   }
 
   /** Maps an item, which is the number of the value to copy it into; "removed" has no target. */
@@ -77,10 +77,10 @@
     assertTrue(migration.isDue(now));
     assertEquals(List.of(0, 3), nextMachineValues());
     assertFalse(migration.isDue(now), "the next batch waits for the batch interval");
-    migration.noteWritten(0, 1);
+    migration.markWritten(0, 1);
     assertEquals(List.of(3, 7), nextMachineValues());
-    migration.noteWritten(3, 1);
-    migration.noteDeleted("c/roster/7");
+    migration.markWritten(3, 1);
+    migration.markDeleted("c/roster/7");
     assertEquals(List.of(), nextMachineValues());
   }
 
@@ -88,9 +88,9 @@
   void migratesValueWhoseWriteIsAppliedAfterLevelChange() {
     migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
     storeLevel(1, 1);
-    migration.noteWritten(0, 0);
+    migration.markWritten(0, 0);
     assertEquals(List.of(0), nextMachineValues());
-    migration.noteWritten(0, 1);
+    migration.markWritten(0, 1);
     storeLevel(1, 0);
     assertEquals(List.of(0), nextMachineValues());
   }
@@ -103,22 +103,22 @@
     previousLayout.add("c/roster/0", List.of(3, 4));
     previousLayout.add("c/roster/1", List.of(4, 5));
     assertEquals(List.of(3, 4), nextMachineValues());
-    previousLayout.noteCopied(3);
-    previousLayout.noteCopied(4);
+    previousLayout.markCopied(3);
+    previousLayout.markCopied(4);
     assertEquals(List.of(5), nextMachineValues());
-    previousLayout.noteCopied(5);
-    previousLayout.noteCopied("removed");
+    previousLayout.markCopied(5);
+    previousLayout.markCopied("removed");
     RecordMigration.Batch emptyBatch = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
     assertFalse(
         migration.isComplete(emptyBatch), "the values of the previous layout are still stored");
     List<String> deletable = new ArrayList<>();
     previousLayout.forEachDeletable(deletable::add);
     assertEquals(List.of("c/marks/0"), deletable, "placement records refer to machine records");
-    previousLayout.noteDeleted("c/marks/0");
+    previousLayout.markDeleted("c/marks/0");
     previousLayout.forEachDeletable(deletable::add);
     assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), deletable);
-    previousLayout.noteDeleted("c/roster/0");
-    previousLayout.noteDeleted("c/roster/1");
+    previousLayout.markDeleted("c/roster/0");
+    previousLayout.markDeleted("c/roster/1");
     assertTrue(migration.isComplete(emptyBatch));
   }
 }
