--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -22,9 +22,9 @@
 import java.util.Map;
 
 /**
- * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. Of a
- * machine or a task that is recorded in both layouts, the record in the layout in force is newer,
- * and the other is passed over.
+ * Rebuilds a new leader's machines, jobs and attempts from the records of its predecessors. If a
+ * machine or a task is recorded in both layouts, the record in the layout in force is newer and the
+ * other record is ignored.
  */
 final class RecordAdoption {
   private final JobTable jobs;
@@ -35,10 +35,10 @@
   private final Map<RecordLayout, Map<Integer, Machine>> machinesByReference =
       new EnumMap<>(RecordLayout.class);
 
-  /** Of each job, the tasks that have a record in the layout in force. */
+  /** The tasks of each job that have a record in the layout in force. */
   private final Map<String, BitSet> tasksInCurrentLayout = new HashMap<>();
 
-  /** Jobs that are over, while attempts of them may still exist. */
+  /** Ended jobs whose attempts may still exist. */
   private final Map<String, Job> orphanedJobs = new HashMap<>();
 
   RecordAdoption(LeaderState state, LeaderRecords records) {
@@ -56,7 +56,7 @@
   void adopt(StoredRecords stored) {
     stored.machines().forEach(adopter::reserveRecordNumber);
     stored.machines().forEach(this::adopt);
-    stored.partitions().forEach(this::noteOrphanedJob);
+    stored.partitions().forEach(this::registerOrphanedJob);
     stored.partitions().forEach(this::adopt);
     for (Job job : orphanedJobs.values()) {
       for (TaskAttempt attempt : job.attempts().values()) {
@@ -86,8 +86,8 @@
     adopter.adoptMachine(machine, stored);
   }
 
-  /** Notes a job that is over, with the number of tasks of which attempts may still exist. */
-  private void noteOrphanedJob(StoredPartition stored) {
+  /** Registers an ended job with enough tasks to cover all attempts that may still exist. */
+  private void registerOrphanedJob(StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
     if (jobs.get(record.job()) == null && record.quotaClaim().isPresent()) {
       Instant now = clock.instant();
@@ -107,14 +107,15 @@
     if (job != null && record.firstTask() >= 0 && record.firstTask() < job.spec().tasks()) {
       adopt(job, stored);
     } else {
-      adopter.noteObsolete(stored);
+      adopter.registerObsolete(stored);
     }
   }
 
   /**
-   * Adopts the placement record of a partition. A task that is not done may be on the machine that
-   * its record names, and on no other: the record is durable before the start command is sent, and
-   * changes only once the task is proven absent there. So the task waits for that machine alone.
+   * Adopts the placement record of a partition. A task that is not done can only be on the machine
+   * that its record refers to: the record is durable before the start command is sent, and changes
+   * only after the task is proved absent from that machine. The task therefore waits only for that
+   * machine.
    */
   private void adopt(Job job, StoredPartition stored) {
     PlacementRecordCodec.PartitionRecord record = stored.record();
@@ -128,7 +129,8 @@
         .forEach(job::markDone);
     job.recordDurablyDone(firstTask, record.doneTasks());
     if (job.spec().isGang() && job.hasDoneTasks()) {
-      // Its tasks complete together, also those of parts that were not written again.
+      // The tasks of a gang complete together, including those in partitions that were not
+      // rewritten.
       job.markAllDone();
     }
     adopter.adoptPartition(job, stored);
@@ -137,10 +139,10 @@
         i++) {
       Machine machine = machinesByReference.get(stored.layout()).get(record.machineReferences()[i]);
       if (machine != null && !job.isDone(firstTask + i) && !alreadyAdopted.get(firstTask + i)) {
-        TaskAttempt assumed =
+        TaskAttempt recoveredAttempt =
             TaskAttempt.fromRecord(
                 job, new TaskId(job.spec().id(), firstTask + i), machine, clock.instant());
-        inventory.add(assumed);
+        inventory.add(recoveredAttempt);
       }
     }
     if (currentLayout) {
--- a/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
+++ b/src/test/java/io/pearscale/scheduler/records/RecordMigrationTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which values a migration has yet to rewrite. */
+/** Checks which values a migration selects for its next batch. */
 class RecordMigrationTest {
   private static final int MAX_MUTATIONS = 16;
   private final LevelGate gate = new LevelGate(new SupportedLevels(0, 2));
@@ -27,27 +27,27 @@
       new RecordMigration(gate, MAX_MUTATIONS, previousLayout);
   private Instant now = Instant.EPOCH;
 
-  private void level(int level, int written) {
+  private void storeLevel(int level, int writtenLevel) {
     JsonNode record =
-        MessagePack.map().put("level", level).put("written", written).put("migrated", false);
+        MessagePack.map().put("level", level).put("written", writtenLevel).put("migrated", false);
     gate.update(Optional.of(record), 5);
   }
 
-  private static JsonNode value(int level) {
-    MachineRecordCodec.MachineRecord entry =
+  private static JsonNode machineValue(int level) {
+    MachineRecordCodec.MachineRecord machineRecord =
         new MachineRecordCodec.MachineRecord(
             0, "m", "a:1", "t", "z", false, 1, false, Maintenance.IN_SERVICE);
-    return MachineRecordCodec.encode(List.of(entry), level);
+    return MachineRecordCodec.encode(List.of(machineRecord), level);
   }
 
-  /** Items are named after the value in which their copy is to stand. */
+  /** Maps an item, which is the number of the value to copy it into; "removed" has no target. */
   private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
-    return item.equals("gone")
+    return item.equals("removed")
         ? Optional.empty()
         : Optional.of(new RecordMigration.CopyTarget(false, (Integer) item));
   }
 
-  private List<Integer> next() {
+  private List<Integer> nextMachineValues() {
     now = now.plus(RecordMigration.BATCH_INTERVAL);
     RecordMigration.Batch batch = migration.nextBatch(now, this::targetOfCopy);
     assertEquals(Set.of(), batch.placementValues());
@@ -55,69 +55,70 @@
   }
 
   @Test
-  void nothingIsDueWhereNoStepIsUnderWay() {
+  void nothingIsDueWithoutLevelChange() {
     assertFalse(migration.isDue(now));
   }
 
   @Test
-  void aFewValuesAtATimeUntilNoneIsLeft() {
-    level(1, 1);
+  void rewritesValuesInBatchesUntilNoneIsLeft() {
+    storeLevel(1, 1);
     migration.beginTerm(
         Map.of(
             "c/roster/0",
-            value(0),
+            machineValue(0),
             "c/roster/3",
-            value(0),
+            machineValue(0),
             "c/roster/4",
-            value(1),
+            machineValue(1),
             "c/roster/7",
-            value(0),
+            machineValue(0),
             "c/roster/9",
             MessagePack.map().set("m", MessagePack.map())));
     assertTrue(migration.isDue(now));
-    assertEquals(List.of(0, 3), next());
-    assertFalse(migration.isDue(now), "the rate is left to others");
-    migration.noteWritten(0, 1);
-    assertEquals(List.of(3, 7), next());
-    migration.noteWritten(3, 1);
-    migration.noteDeleted("c/roster/7");
-    assertEquals(List.of(), next());
+    assertEquals(List.of(0, 3), nextMachineValues());
+    assertFalse(migration.isDue(now), "the next batch waits for the batch interval");
+    migration.markWritten(0, 1);
+    assertEquals(List.of(3, 7), nextMachineValues());
+    migration.markWritten(3, 1);
+    migration.markDeleted("c/roster/7");
+    assertEquals(List.of(), nextMachineValues());
   }
 
   @Test
-  void aValueWrittenBeforeASwitchAndAnsweredAfterItIsMigrated() {
-    migration.beginTerm(Map.of("c/roster/0", value(0)));
-    level(1, 1);
-    migration.noteWritten(0, 0);
-    assertEquals(List.of(0), next());
-    migration.noteWritten(0, 1);
-    level(1, 0);
-    assertEquals(List.of(0), next());
+  void migratesValueWhoseWriteIsAppliedAfterLevelChange() {
+    migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
+    storeLevel(1, 1);
+    migration.markWritten(0, 0);
+    assertEquals(List.of(0), nextMachineValues());
+    migration.markWritten(0, 1);
+    storeLevel(1, 0);
+    assertEquals(List.of(0), nextMachineValues());
   }
 
   @Test
-  void whatStandsInTheOtherLayoutIsCopiedValueByValue() {
-    level(2, 2);
-    migration.beginTerm(Map.of("c/roster/0", value(0)));
-    previousLayout.add("c/marks/0", List.of("gone"));
+  void copiesPreviousLayoutInBatchesBeforeDeletingItsValues() {
+    storeLevel(2, 2);
+    migration.beginTerm(Map.of("c/roster/0", machineValue(0)));
+    previousLayout.add("c/marks/0", List.of("removed"));
     previousLayout.add("c/roster/0", List.of(3, 4));
     previousLayout.add("c/roster/1", List.of(4, 5));
-    assertEquals(List.of(3, 4), next());
-    previousLayout.noteCopied(3);
-    previousLayout.noteCopied(4);
-    assertEquals(List.of(5), next());
-    previousLayout.noteCopied(5);
-    previousLayout.noteCopied("gone");
-    RecordMigration.Batch nothing = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
-    assertFalse(migration.isComplete(nothing), "the former values are still stored");
-    List<String> removable = new ArrayList<>();
-    previousLayout.forEachDeletable(removable::add);
-    assertEquals(List.of("c/marks/0"), removable, "marks name machines by the roster");
-    previousLayout.noteDeleted("c/marks/0");
-    previousLayout.forEachDeletable(removable::add);
-    assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), removable);
-    previousLayout.noteDeleted("c/roster/0");
-    previousLayout.noteDeleted("c/roster/1");
-    assertTrue(migration.isComplete(nothing));
+    assertEquals(List.of(3, 4), nextMachineValues());
+    previousLayout.markCopied(3);
+    previousLayout.markCopied(4);
+    assertEquals(List.of(5), nextMachineValues());
+    previousLayout.markCopied(5);
+    previousLayout.markCopied("removed");
+    RecordMigration.Batch emptyBatch = migration.nextBatch(now.plusSeconds(9), this::targetOfCopy);
+    assertFalse(
+        migration.isComplete(emptyBatch), "the values of the previous layout are still stored");
+    List<String> deletable = new ArrayList<>();
+    previousLayout.forEachDeletable(deletable::add);
+    assertEquals(List.of("c/marks/0"), deletable, "placement records refer to machine records");
+    previousLayout.markDeleted("c/marks/0");
+    previousLayout.forEachDeletable(deletable::add);
+    assertEquals(List.of("c/marks/0", "c/roster/0", "c/roster/1"), deletable);
+    previousLayout.markDeleted("c/roster/0");
+    previousLayout.markDeleted("c/roster/1");
+    assertTrue(migration.isComplete(emptyBatch));
   }
 }
