--- a/src/main/java/io/pearscale/coordination/Candidacy.java
+++ b/src/main/java/io/pearscale/coordination/Candidacy.java
@@ -18,7 +18,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
 
   private final String host;
-  private final StoredLeadership stored;
+  private final StoredLeadership storedLeadership;
   private final ElectionRound round;
   private final LeadershipProof proof;
   private final ElectionEffects effects;
@@ -36,13 +36,13 @@
   /** No campaign is scheduled yet; draws the name of this process from the generator. */
   Candidacy(
       String host,
-      StoredLeadership stored,
+      StoredLeadership storedLeadership,
       ElectionRound round,
       LeadershipProof proof,
       ElectionEffects effects,
       RandomGenerator random) {
     this.host = host;
-    this.stored = stored;
+    this.storedLeadership = storedLeadership;
     this.round = round;
     this.proof = proof;
     this.effects = effects;
@@ -94,8 +94,9 @@
     }
     leaseId = granted.getAsLong();
     proof.beginElection();
-    LeaderRecord candidate = new LeaderRecord(host, stored.term() + 1, leaseId, processNonce);
-    effects.commitElection(round.current(), candidate, stored.termRevision());
+    LeaderRecord candidate =
+        new LeaderRecord(host, storedLeadership.term() + 1, leaseId, processNonce);
+    effects.commitElection(round.current(), candidate, storedLeadership.termRevision());
   }
 
   /**
@@ -104,7 +105,7 @@
    * @param conflict another controller was first; otherwise the key-value store gave no answer
    * @param status the status of the answer, 0 if there was none
    */
-  void notWon(boolean conflict, int status) {
+  void campaignFailed(boolean conflict, int status) {
     LOG.info("event=election_not_won status={}", status);
     schedule(conflict ? CampaignDelays.AFTER_CONFLICT : delays.afterFailure());
   }
@@ -130,7 +131,7 @@
   }
 
   /** Whether the record is one of this process in that term. */
-  boolean isOwn(LeaderRecord record, long term) {
+  boolean isOwnRecord(LeaderRecord record, long term) {
     return record.processNonce().equals(processNonce) && record.term() == term;
   }
 }
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -135,12 +135,12 @@
     } else if (message instanceof PeerConfirmed m) {
       election.peerConfirmed(m);
     } else {
-      receiveOwn(message);
+      receiveTimerOrReply(message);
     }
   }
 
   /** Timers that have elapsed, and answers of the key-value store. */
-  private void receiveOwn(Message message) {
+  private void receiveTimerOrReply(Message message) {
     if (message instanceof CampaignDue m) {
       election.campaignDue(m.round);
     } else if (message instanceof LeaseGranted m) {
@@ -154,7 +154,7 @@
     } else if (message instanceof ProofExpiryDue m) {
       election.proofExpiryDue(m.round);
     } else if (message instanceof TermProbed m) {
-      election.leaderProbe().answered(m.probe, StoreReplies.keyRevision(m.reply));
+      election.leaderProbe().revisionRead(m.probe, StoreReplies.keyRevision(m.reply));
     }
   }
 
@@ -162,7 +162,7 @@
     if (message.reply.ok()) {
       election.electionWon(message.round, StoreReplies.committedRevision(message.reply));
     } else {
-      election.electionNotWon(
+      election.electionFailed(
           message.round, StoreReplies.isConflict(message.reply), message.reply.status());
     }
   }
--- a/src/main/java/io/pearscale/coordination/ElectionEffects.java
+++ b/src/main/java/io/pearscale/coordination/ElectionEffects.java
@@ -43,6 +43,6 @@
   /** Looks at the age of the proof after the delay: {@link ElectionStateMachine#proofExpiryDue}. */
   void scheduleProofExpiry(int round, Duration delay);
 
-  /** Reads the revision of the term's key after the delay: {@link LeaderProbe#answered}. */
+  /** Reads the revision of the term's key after the delay: {@link LeaderProbe#revisionRead}. */
   void probeTerm(LeaderProbe.Probe probe, Duration delay);
 }
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -35,7 +35,7 @@
   private final Eligibility eligibility;
   private final ElectionEffects effects;
   private final ElectionListener listener;
-  private final StoredLeadership stored = new StoredLeadership();
+  private final StoredLeadership storedLeadership = new StoredLeadership();
   private final ElectionRound round = new ElectionRound();
   private final LeadershipProof proof;
   private final Candidacy candidacy;
@@ -65,16 +65,16 @@
     this.effects = effects;
     this.listener = listener;
     this.proof = new LeadershipProof(clock, settings.renewalAuthorityTimeout());
-    this.candidacy = new Candidacy(host, stored, round, proof, effects, random);
+    this.candidacy = new Candidacy(host, storedLeadership, round, proof, effects, random);
     this.confirmations = new PeerConfirmations(peers.size() + 1, random.nextLong() >>> 1);
-    this.leaderProbe = new LeaderProbe(stored, () -> tenure.isPresent(), effects);
+    this.leaderProbe = new LeaderProbe(storedLeadership, () -> tenure.isPresent(), effects);
     this.peerTerms = new PeerTerms(peers);
   }
 
   /** The copy of the keys was loaded, for the first time or anew. */
   void snapshotLoaded(Map<String, Entry> entries) {
     eligibility.snapshotLoaded();
-    stored.load(entries);
+    storedLeadership.load(entries);
     evaluate();
   }
 
@@ -82,7 +82,7 @@
   void keysChanged(List<KeyChange> changes) {
     boolean relevant = false;
     for (KeyChange change : changes) {
-      relevant |= eligibility.keyChanged(change.key()) || stored.apply(change);
+      relevant |= eligibility.keyChanged(change.key()) || storedLeadership.apply(change);
     }
     if (relevant) {
       evaluate();
@@ -97,29 +97,29 @@
 
   /** Acts on what the key-value store holds. */
   private void evaluate() {
-    if (abstains()) {
+    if (stepDownIfIneligible()) {
       return;
     }
     if (tenure.isPresent()) {
-      if (stored.term() > tenure.get().term()) {
+      if (storedLeadership.term() > tenure.get().term()) {
         stepDown(StepDownReason.OTHER_LEADER_STORED);
       }
-    } else if (stored.leader().isEmpty()) {
-      listener.leaderChanged(stored.term(), Optional.empty());
+    } else if (storedLeadership.leader().isEmpty()) {
+      listener.leaderChanged(storedLeadership.term(), Optional.empty());
       if (!candidacy.isActive()) {
         candidacy.scheduleAfterVacancy();
       }
-    } else if (stored.leader().get().host().equals(host)) {
-      evaluateOwnRecord(stored.leader().get());
+    } else if (storedLeadership.leader().get().host().equals(host)) {
+      evaluateOwnRecord(storedLeadership.leader().get());
     } else {
-      follow(Optional.of(stored.leader().get().host()));
+      follow(Optional.of(storedLeadership.leader().get().host()));
     }
   }
 
   private void evaluateOwnRecord(LeaderRecord record) {
     if (candidacy.hasWritten(record)) {
       // Our transaction went through although its answer got lost.
-      beginTerm(record.term(), stored.leaderRevision());
+      beginTerm(record.term(), storedLeadership.leaderRevision());
     } else if (!candidacy.isActive()) {
       // Of a previous process, or of a campaign that was given up: nobody renews that lease.
       candidacy.replacePreviousProcess(record);
@@ -129,7 +129,7 @@
   private void follow(Optional<String> leader) {
     round.next();
     candidacy.withdraw();
-    listener.leaderChanged(stored.term(), leader);
+    listener.leaderChanged(storedLeadership.term(), leader);
   }
 
   /**
@@ -138,7 +138,7 @@
    *
    * @return whether that is so
    */
-  private boolean abstains() {
+  private boolean stepDownIfIneligible() {
     if (eligibility.mayLead()) {
       return false;
     }
@@ -147,16 +147,17 @@
       stepDown(StepDownReason.INCOMPATIBLE_BUILD);
       effects.revokeLease(ownLease);
     }
-    follow(stored.leader().map(LeaderRecord::host).filter(name -> !name.equals(host)));
+    follow(storedLeadership.leader().map(LeaderRecord::host).filter(name -> !name.equals(host)));
     return true;
   }
 
   /** It is time for the campaign of that round. */
-  void campaignDue(int thatRound) {
-    if (!round.isCurrent(thatRound) || abstains()) {
+  void campaignDue(int eventRound) {
+    if (!round.isCurrent(eventRound) || stepDownIfIneligible()) {
       return;
     }
-    if (stored.leader().isPresent() && !stored.leader().get().host().equals(host)) {
+    if (storedLeadership.leader().isPresent()
+        && !storedLeadership.leader().get().host().equals(host)) {
       candidacy.withdraw();
       return;
     }
@@ -164,28 +165,31 @@
   }
 
   /** The key-value store has answered a request for a lease; empty if none was granted. */
-  void leaseGranted(int thatRound, OptionalLong granted) {
-    if (round.isCurrent(thatRound)) {
+  void leaseGranted(int eventRound, OptionalLong granted) {
+    if (round.isCurrent(eventRound)) {
       candidacy.leaseGranted(granted);
     }
   }
 
   /** The election of that round was written, at that revision. */
-  void electionWon(int thatRound, long revision) {
-    if (round.isCurrent(thatRound)) {
-      beginTerm(stored.term() + 1, revision);
+  void electionWon(int eventRound, long revision) {
+    if (round.isCurrent(eventRound)) {
+      beginTerm(storedLeadership.term() + 1, revision);
     }
   }
 
-  /** The election of that round was not written as far as known, see {@link Candidacy#notWon}. */
-  void electionNotWon(int thatRound, boolean conflict, int status) {
-    if (round.isCurrent(thatRound)) {
-      candidacy.notWon(conflict, status);
+  /**
+   * The election of that round was not written as far as known, see {@link
+   * Candidacy#campaignFailed}.
+   */
+  void electionFailed(int eventRound, boolean conflict, int status) {
+    if (round.isCurrent(eventRound)) {
+      candidacy.campaignFailed(conflict, status);
     }
   }
 
   private void beginTerm(long term, long termRevision) {
-    if (abstains()) {
+    if (stepDownIfIneligible()) {
       candidacy.revokeLease();
       return;
     }
@@ -201,37 +205,37 @@
     }
     candidacy.withdraw();
     peerTerms.beginTerm();
-    LeaderTenure begun =
+    LeaderTenure newTenure =
         new LeaderTenure(round.next(), term, proof, confirmations, clock, effects, listener);
-    tenure = Optional.of(begun);
+    tenure = Optional.of(newTenure);
     LOG.info("event=elected term={} host={}", term, host);
     listener.leaderChanged(term, Optional.of(host));
     listener.elected(term, termRevision, proof.provenAt());
-    begun.begin(candidacy.leaseId());
+    newTenure.begin(candidacy.leaseId());
   }
 
-  private Optional<LeaderTenure> tenureOf(int thatRound) {
-    return round.isCurrent(thatRound) ? tenure : Optional.empty();
+  private Optional<LeaderTenure> tenureInRound(int eventRound) {
+    return round.isCurrent(eventRound) ? tenure : Optional.empty();
   }
 
   /** It is time to look after the renewals of the lease. */
-  void renewalDue(int thatRound) {
-    tenureOf(thatRound).ifPresent(LeaderTenure::checkRenewals);
+  void renewalDue(int eventRound) {
+    tenureInRound(eventRound).ifPresent(LeaderTenure::checkRenewals);
   }
 
   /** The key-value store has renewed the leader's lease, as was requested at that time. */
-  void leaseRenewed(int thatRound, Instant requestedAt) {
-    tenureOf(thatRound).ifPresent(leader -> leader.leaseRenewed(requestedAt));
+  void leaseRenewed(int eventRound, Instant requestedAt) {
+    tenureInRound(eventRound).ifPresent(leader -> leader.leaseRenewed(requestedAt));
   }
 
   /** The key-value store knows the leader's lease no more. */
-  void leaseExpired(int thatRound) {
-    tenureOf(thatRound).ifPresent(leader -> stepDown(StepDownReason.LEASE_EXPIRED));
+  void leaseExpired(int eventRound) {
+    tenureInRound(eventRound).ifPresent(leader -> stepDown(StepDownReason.LEASE_EXPIRED));
   }
 
   /** Gives up leadership if its last proof has expired. */
-  void proofExpiryDue(int thatRound) {
-    if (tenureOf(thatRound).isPresent() && proof.isExpired()) {
+  void proofExpiryDue(int eventRound) {
+    if (tenureInRound(eventRound).isPresent() && proof.isExpired()) {
       stepDown(StepDownReason.PROOF_EXPIRED);
     }
   }
@@ -256,11 +260,14 @@
     effects.stopLeaseRenewal();
     round.next();
     listener.leadershipLost(term);
-    if (stored.leader().filter(record -> candidacy.isOwn(record, term)).isPresent()) {
+    if (storedLeadership
+        .leader()
+        .filter(record -> candidacy.isOwnRecord(record, term))
+        .isPresent()) {
       // The copy still shows ourselves: without it the next evaluation would think that we had won.
       candidacy.abandonLease();
     }
-    listener.leaderChanged(stored.term(), Optional.empty());
+    listener.leaderChanged(storedLeadership.term(), Optional.empty());
     candidacy.scheduleAfterFailure();
   }
 
@@ -278,7 +285,7 @@
    * own election.
    */
   void leaderAnnounced(String peer, long announcedTerm, Optional<String> leader) {
-    peerTerms.announced(announcedTerm);
+    peerTerms.recordAnnouncedTerm(announcedTerm);
     if (tenure.isPresent()) {
       long term = tenure.get().term();
       if (announcedTerm > term) {
@@ -286,7 +293,7 @@
       } else if (announcedTerm == term && peerTerms.acknowledge(peer)) {
         listener.electionAcknowledged();
       }
-    } else if (leader.isPresent() && announcedTerm > stored.term()) {
+    } else if (leader.isPresent() && announcedTerm > storedLeadership.term()) {
       listener.leaderChanged(announcedTerm, leader);
     }
   }
--- a/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
+++ b/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
@@ -73,7 +73,7 @@
   private final Map<Long, PendingExchange> pendingExchanges = new LinkedHashMap<>();
 
   /** Heartbeats that came while there is no leader, the oldest first. */
-  private final ArrayDeque<ParkedHeartbeat> parked = new ArrayDeque<>();
+  private final ArrayDeque<ParkedHeartbeat> parkedHeartbeats = new ArrayDeque<>();
 
   private boolean sweepScheduled;
 
@@ -150,20 +150,20 @@
    * restart of all, such responses took the processor that the election needed.
    */
   private void park(HeartbeatReceived received) {
-    if (parked.size() >= maxParked) {
+    if (parkedHeartbeats.size() >= maxParked) {
       refusedCount++;
       received.respond.accept(HeartbeatResponse.UNAVAILABLE, Optional.empty());
       return;
     }
-    parked.add(new ParkedHeartbeat(loop.clock().instant().plus(ELECTION_WAIT), received));
+    parkedHeartbeats.add(new ParkedHeartbeat(loop.clock().instant().plus(ELECTION_WAIT), received));
     scheduleSweep();
   }
 
   private void unpark() {
     if (leader.isPresent()) {
-      List<ParkedHeartbeat> reports = List.copyOf(parked);
-      parked.clear();
-      reports.forEach(p -> relay(p.received));
+      List<ParkedHeartbeat> waiting = List.copyOf(parkedHeartbeats);
+      parkedHeartbeats.clear();
+      waiting.forEach(heartbeat -> relay(heartbeat.received));
     }
   }
 
@@ -185,7 +185,8 @@
   private void sweep() {
     sweepScheduled = false;
     if (refusedCount > 0) {
-      log.info("event=heartbeats_refused count={} parked={}", refusedCount, parked.size());
+      log.info(
+          "event=heartbeats_refused count={} parked={}", refusedCount, parkedHeartbeats.size());
       refusedCount = 0;
     }
     Instant now = loop.clock().instant();
@@ -197,10 +198,14 @@
       overdue.add(entry.getKey());
     }
     overdue.forEach(exchange -> complete(exchange, HeartbeatResponse.UNAVAILABLE));
-    while (!parked.isEmpty() && !now.isBefore(parked.peek().deadline)) {
-      parked.poll().received.respond.accept(HeartbeatResponse.UNAVAILABLE, Optional.empty());
+    while (!parkedHeartbeats.isEmpty() && !now.isBefore(parkedHeartbeats.peek().deadline)) {
+      parkedHeartbeats
+          .poll()
+          .received
+          .respond
+          .accept(HeartbeatResponse.UNAVAILABLE, Optional.empty());
     }
-    if (!pendingExchanges.isEmpty() || !parked.isEmpty()) {
+    if (!pendingExchanges.isEmpty() || !parkedHeartbeats.isEmpty()) {
       scheduleSweep();
     }
   }
--- a/src/main/java/io/pearscale/coordination/LeaderProbe.java
+++ b/src/main/java/io/pearscale/coordination/LeaderProbe.java
@@ -22,7 +22,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(LeaderProbe.class);
 
-  private final StoredLeadership stored;
+  private final StoredLeadership storedLeadership;
   private final BooleanSupplier leading;
   private final ElectionEffects effects;
 
@@ -38,15 +38,15 @@
    *
    * @param leading whether this controller leads itself; then it probes nobody
    */
-  LeaderProbe(StoredLeadership stored, BooleanSupplier leading, ElectionEffects effects) {
-    this.stored = stored;
+  LeaderProbe(StoredLeadership storedLeadership, BooleanSupplier leading, ElectionEffects effects) {
+    this.storedLeadership = storedLeadership;
     this.leading = leading;
     this.effects = effects;
   }
 
   /** A peer refuses connections: probes it if it leads. */
   void start(String peer) {
-    long term = stored.term();
+    long term = storedLeadership.term();
     if (isLeader(peer, term)) {
       effects.probeTerm(new Probe(peer, term, OptionalLong.empty()), SETTLE_DELAY);
     }
@@ -57,7 +57,7 @@
    *
    * @param revision empty if the key-value store did not answer
    */
-  void answered(Probe probe, OptionalLong revision) {
+  void revisionRead(Probe probe, OptionalLong revision) {
     if (revision.isEmpty() || !isLeader(probe.peer, probe.term)) {
       return;
     }
@@ -65,13 +65,13 @@
       effects.probeTerm(new Probe(probe.peer, probe.term, revision), PROBE_INTERVAL);
     } else if (probe.firstRevision.equals(revision)) {
       LOG.info("event=leader_ended term={} host={}", probe.term, probe.peer);
-      effects.revokeLease(stored.leader().orElseThrow().leaseId());
+      effects.revokeLease(storedLeadership.leader().orElseThrow().leaseId());
     } else {
       LOG.info("event=leader_only_refuses term={} host={}", probe.term, probe.peer);
     }
   }
 
   private boolean isLeader(String peer, long term) {
-    return !leading.getAsBoolean() && stored.isLeader(peer, term);
+    return !leading.getAsBoolean() && storedLeadership.isLeader(peer, term);
   }
 }
--- a/src/main/java/io/pearscale/coordination/LeaderTenure.java
+++ b/src/main/java/io/pearscale/coordination/LeaderTenure.java
@@ -68,10 +68,10 @@
     confirmations
         .add(confirmation)
         .filter(confirmed -> confirmed.requestedAt().isAfter(proof.provenAt()))
-        .ifPresent(this::confirmedByAll);
+        .ifPresent(this::allConfirmed);
   }
 
-  private void confirmedByAll(PeerConfirmations.Confirmed confirmed) {
+  private void allConfirmed(PeerConfirmations.Confirmed confirmed) {
     proof.extendTo(confirmed.requestedAt());
     listener.confirmedByPeers(proof.provenAt(), confirmed.cancelledJobs(), confirmed.liveJobs());
     scheduleProofExpiry();
--- a/src/main/java/io/pearscale/coordination/LeadershipProof.java
+++ b/src/main/java/io/pearscale/coordination/LeadershipProof.java
@@ -60,8 +60,8 @@
 
   /** After this delay the proof has expired, unless it is extended until then. */
   Duration expiryDelay() {
-    Duration left = Duration.between(clock.instant(), expiresAt()).plus(EXPIRY_MARGIN);
-    return left.isNegative() ? MIN_EXPIRY_DELAY : left;
+    Duration remaining = Duration.between(clock.instant(), expiresAt()).plus(EXPIRY_MARGIN);
+    return remaining.isNegative() ? MIN_EXPIRY_DELAY : remaining;
   }
 
   private Instant expiresAt() {
--- a/src/main/java/io/pearscale/coordination/PeerConfirmations.java
+++ b/src/main/java/io/pearscale/coordination/PeerConfirmations.java
@@ -26,11 +26,11 @@
  */
 final class PeerConfirmations {
   /** How many controllers have to confirm, the leader itself included. */
-  private final int controllers;
+  private final int controllerCount;
 
   private long nonce;
   private Instant requestedAt = Instant.MIN;
-  private final Set<String> controllersThatConfirmed = new HashSet<>();
+  private final Set<String> confirmedControllers = new HashSet<>();
   private final Set<String> cancelledJobs = new HashSet<>();
   private final List<LiveJobs> liveJobs = new ArrayList<>();
 
@@ -51,8 +51,8 @@
    * @param firstNonce drawn at random, so that an answer to a request of an earlier process of this
    *     controller is not taken for one to ours
    */
-  PeerConfirmations(int controllers, long firstNonce) {
-    this.controllers = controllers;
+  PeerConfirmations(int controllerCount, long firstNonce) {
+    this.controllerCount = controllerCount;
     this.nonce = firstNonce;
   }
 
@@ -60,15 +60,15 @@
   long beginRequest(Instant now) {
     requestedAt = now;
     nonce++;
-    controllersThatConfirmed.clear();
+    confirmedControllers.clear();
     cancelledJobs.clear();
     liveJobs.clear();
     return nonce;
   }
 
   /** Whether the nonce is that of the last request. */
-  boolean isCurrent(long thatNonce) {
-    return nonce == thatNonce;
+  boolean isCurrent(long requestNonce) {
+    return nonce == requestNonce;
   }
 
   /**
@@ -77,10 +77,10 @@
    * @return what all have confirmed, once all have
    */
   Optional<Confirmed> add(ElectionActor.PeerConfirmed confirmation) {
-    controllersThatConfirmed.add(confirmation.peer());
+    confirmedControllers.add(confirmation.peer());
     cancelledJobs.addAll(confirmation.cancelledJobs());
     confirmation.liveJobs().ifPresent(liveJobs::add);
-    return controllersThatConfirmed.size() < controllers
+    return confirmedControllers.size() < controllerCount
         ? Optional.empty()
         : Optional.of(new Confirmed(requestedAt, Set.copyOf(cancelledJobs), List.copyOf(liveJobs)));
   }
--- a/src/main/java/io/pearscale/coordination/PeerTerms.java
+++ b/src/main/java/io/pearscale/coordination/PeerTerms.java
@@ -9,7 +9,7 @@
   private long highest;
 
   /** Peers that know of the term that this controller leads in. */
-  private final Set<String> acknowledged = new HashSet<>();
+  private final Set<String> acknowledgedPeers = new HashSet<>();
 
   /** No peer has announced anything yet. */
   PeerTerms(Set<String> peers) {
@@ -17,7 +17,7 @@
   }
 
   /** A peer has announced the highest term that it knows. */
-  void announced(long term) {
+  void recordAnnouncedTerm(long term) {
     highest = Math.max(highest, term);
   }
 
@@ -28,7 +28,7 @@
 
   /** This controller leads in a new term, which no peer knows as yet. */
   void beginTerm() {
-    acknowledged.clear();
+    acknowledgedPeers.clear();
   }
 
   /**
@@ -37,6 +37,6 @@
    * @return whether that is news, and all peers know now
    */
   boolean acknowledge(String peer) {
-    return acknowledged.add(peer) && acknowledged.containsAll(peers);
+    return acknowledgedPeers.add(peer) && acknowledgedPeers.containsAll(peers);
   }
 }
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -82,7 +82,7 @@
     } else if (message instanceof RecordRead m) {
       recordRead(m.reply);
     } else if (message instanceof RetryDue) {
-      announce();
+      requestLeaseIfMissing();
     } else if (message instanceof RecordWritten m) {
       recordWritten(m.reply);
     }
@@ -92,12 +92,12 @@
     if (leaseId.isPresent()) {
       store.renewLease(leaseId.getAsLong(), reply -> tell(new LeaseExtended(reply)));
     } else {
-      announce();
+      requestLeaseIfMissing();
     }
     loop.schedule(leaseTtl.dividedBy(RENEWALS_PER_LEASE), () -> tell(new RenewalDue()));
   }
 
-  private void announce() {
+  private void requestLeaseIfMissing() {
     if (leaseId.isEmpty()) {
       store.grantLease(leaseTtl, reply -> tell(new LeaseGranted(reply)));
     }
@@ -106,13 +106,13 @@
   private void leaseGranted(Reply reply) {
     if (reply.ok()) {
       leaseId = OptionalLong.of(StoreReplies.leaseOf(reply));
-      write();
+      writeRecord();
     } else {
       loop.schedule(RETRY_DELAY, () -> tell(new RetryDue()));
     }
   }
 
-  private void write() {
+  private void writeRecord() {
     Mutation record =
         new Mutation(
             Keys.member(host), Optional.of(support.toNode()), Optional.of(leaseId.getAsLong()));
@@ -123,9 +123,9 @@
   private void leaseExtended(Reply reply) {
     if (StoreReplies.isNotFound(reply)) {
       leaseId = OptionalLong.empty();
-      announce();
+      requestLeaseIfMissing();
     } else if (reply.ok()) {
-      store.get(Keys.member(host), found -> tell(new RecordRead(found)));
+      store.get(Keys.member(host), readReply -> tell(new RecordRead(readReply)));
     }
   }
 
@@ -136,12 +136,12 @@
    */
   private void recordRead(Reply reply) {
     boolean missing = StoreReplies.isNotFound(reply);
-    boolean foreign =
+    boolean writtenByOtherProcess =
         reply.ok()
             && (StoreReplies.leaseOf(reply) != leaseId.orElse(NO_LEASE)
                 || !StoreReplies.valueOf(reply).equals(support.toNode()));
-    if (leaseId.isPresent() && (missing || foreign)) {
-      write();
+    if (leaseId.isPresent() && (missing || writtenByOtherProcess)) {
+      writeRecord();
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -92,7 +92,7 @@
     ApiActor api =
         new ApiActor(
             loop, store, replica, settings, wallClock, levelGate, this::cancellationAcknowledged);
-    ElectionActor election = election(renewalLoop, random);
+    ElectionActor election = createElectionActor(renewalLoop, random);
     SchedulerActor scheduler =
         new SchedulerActor(
             new SchedulerActor.Environment(
@@ -106,9 +106,12 @@
                 wallClock,
                 levelGate,
                 new SchedulerEvents()));
-    actors = new ControllerActors(election, scheduler, relay(scheduler, peerTransport), api);
+    actors = new ControllerActors(election, scheduler, createRelay(scheduler, peerTransport), api);
     supportAnnouncer =
-        options.operatorSettings.supportRecordTtl().map(ttl -> announcer(usable, ttl, random));
+        options
+            .operatorSettings
+            .supportRecordTtl()
+            .map(ttl -> createSupportAnnouncer(usable, ttl, random));
     health =
         new ControllerHealth(
             loop.clock(), store, levelGate, replicaStatus, settings.leaderLeaseTtl());
@@ -118,7 +121,7 @@
     replica.addListener(new ReplicaEvents());
   }
 
-  private ElectionActor election(RenewalLoop renewalLoop, RandomGenerator random) {
+  private ElectionActor createElectionActor(RenewalLoop renewalLoop, RandomGenerator random) {
     LeaderLeaseRenewer leaseRenewer =
         new LeaderLeaseRenewer(
             renewalLoop.loop,
@@ -129,7 +132,7 @@
         loop, store, leaseRenewer, settings, random, levelGate::objection, new ElectionEvents());
   }
 
-  private HeartbeatRelayActor relay(SchedulerActor scheduler, PeerTransport peerTransport) {
+  private HeartbeatRelayActor createRelay(SchedulerActor scheduler, PeerTransport peerTransport) {
     return new HeartbeatRelayActor(
         loop,
         settings.host(),
@@ -139,7 +142,7 @@
         (heartbeat, respond) -> scheduler.offerHeartbeat(heartbeat, settings.host(), respond));
   }
 
-  private SupportAnnouncer announcer(
+  private SupportAnnouncer createSupportAnnouncer(
       SupportedLevels supported, Duration leaseTtl, RandomGenerator random) {
     MemberSupport support = new MemberSupport(supported, random.nextLong(), Release.name());
     return new SupportAnnouncer(loop, store, settings.host(), support, leaseTtl);
@@ -150,23 +153,23 @@
     health.started();
     replica.tell(new StoreReplicaActor.Start());
     supportAnnouncer.ifPresent(announcer -> announcer.tell(new SupportAnnouncer.Start()));
-    peerHeartbeat();
-    storeHeartbeat();
+    sendPeerHeartbeat();
+    requestStoreHeartbeat();
   }
 
-  private void peerHeartbeat() {
+  private void sendPeerHeartbeat() {
     peers.broadcast(
         new PeerMessage.ControllerHeartbeat(
             knownLeader.term(), knownLeader.host().orElse(""), health.isStoreHealthy()));
-    loop.schedule(PEER_HEARTBEAT_INTERVAL, this::peerHeartbeat);
+    loop.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
   }
 
   /** While a peer can't be reached, the leader shows by writes that it lives. */
-  private void storeHeartbeat() {
-    if (peers.isIncomplete()) {
+  private void requestStoreHeartbeat() {
+    if (peers.hasUnreachablePeer()) {
       tellScheduler(new SchedulerActor.StoreHeartbeatDue());
     }
-    loop.schedule(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::storeHeartbeat);
+    loop.schedule(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::requestStoreHeartbeat);
   }
 
   /** Whether it is time to listen for agents and users. */
@@ -223,8 +226,8 @@
     }
 
     @Override
-    public void onUpToDate(Instant asOf) {
-      tellScheduler(new SchedulerActor.ReplicaFresh(asOf));
+    public void onUpToDate(Instant caughtUpTo) {
+      tellScheduler(new SchedulerActor.ReplicaCaughtUp(caughtUpTo));
     }
 
     private void updateLevel(Optional<Entry> stored) {
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -103,8 +103,8 @@
   }
 
   private boolean peerHasHealthyStore() {
-    Instant limit = clock.instant().minus(PEER_TIMEOUT);
+    Instant oldestValidReport = clock.instant().minus(PEER_TIMEOUT);
     return peers.values().stream()
-        .anyMatch(peer -> peer.storeHealthy && peer.reportedAt.isAfter(limit));
+        .anyMatch(peer -> peer.storeHealthy && peer.reportedAt.isAfter(oldestValidReport));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -27,10 +27,12 @@
    * Ends the jobs that a peer does not name as live, of those that were submitted by the revision
    * of its list: its previous process may have acknowledged that they are cancelled.
    */
-  void endAllBut(LiveJobs list) {
-    Set<String> live = Set.copyOf(list.jobs());
+  void endJobsMissingFrom(LiveJobs liveJobs) {
+    Set<String> liveJobIds = Set.copyOf(liveJobs.jobs());
     List.copyOf(components.jobs.all()).stream()
-        .filter(job -> job.revision() <= list.storeRevision() && !live.contains(job.spec().id()))
+        .filter(
+            job ->
+                job.revision() <= liveJobs.storeRevision() && !liveJobIds.contains(job.spec().id()))
         .forEach(job -> jobCancelled(job.spec().id()));
   }
 
--- a/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 
 /** Hands each change of the stored keys to the component that keeps what the key holds. */
-final class StoredKeyUpdates {
+final class KeyChangeRouter {
   private final LeaderComponents components;
   private final JobTermination jobTermination;
 
-  StoredKeyUpdates(LeaderComponents components, JobTermination jobTermination) {
+  KeyChangeRouter(LeaderComponents components, JobTermination jobTermination) {
     this.components = components;
     this.jobTermination = jobTermination;
   }
@@ -24,7 +24,7 @@
     components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
     components.jobs.forgetUnreadable();
     components.records.storedValues().clear();
-    components.levelRaiser.forgetStored();
+    components.levelUpgrader.forgetStored();
     components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
     entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
   }
@@ -39,7 +39,7 @@
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
     } else if (Keys.isMember(key)) {
-      components.levelRaiser.storedChanged(change);
+      components.levelUpgrader.storedChanged(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       applyCatalogue(change.entry().get());
     }
--- a/src/main/java/io/pearscale/scheduler/CommitEffects.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderCommitListener.java
@@ -7,7 +7,7 @@
 import io.pearscale.scheduler.records.CommitListener;
 
 /** Passes the outcome of a leader's commits on to the parts that wait for it. */
-record CommitEffects(
+record LeaderCommitListener(
     GangTracker gangs,
     CommandDispatcher dispatcher,
     MachineRetirement retirement,
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -51,14 +51,14 @@
   final MachineInventory inventory;
   final LeaderRecords records;
   final LeaderStatistics statistics;
-  final SchemaLevelUpgrader levelRaiser;
+  final SchemaLevelUpgrader levelUpgrader;
   final GracefulTermination gracefulTermination;
   final GangTracker gangs;
   final CommandDispatcher dispatcher;
   final HeartbeatHandler heartbeatHandler;
   final FailureDetector failureDetector;
   final LeaderRecovery recovery;
-  final SchedulingPass placementPass;
+  final SchedulingPass schedulingPass;
   final Optional<DrainCoordinator> drainCoordinator;
   final MachineProvisioner machineProvisioner;
   final RecordWriter recordWriter;
@@ -74,44 +74,47 @@
       Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
     Settings settings = environment.settings();
     Listener listener = environment.listener();
-    AgentTimings times = AgentTimings.of(settings.agents());
+    AgentTimings timings = AgentTimings.of(settings.agents());
     MachineCatalogue catalogue = new MachineCatalogue();
-    JobClasses classes = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
-    QueueOrder order = new QueueOrder(settings.serviceLevelObjectives(), classes);
-    records = leaderRecords(environment);
-    LeaderState leaderState = leaderState(environment, teams(settings), classes, catalogue);
+    JobClasses jobClasses = new JobClasses(settings.serviceLevelObjectives(), catalogue.types());
+    QueueOrder queueOrder = new QueueOrder(settings.serviceLevelObjectives(), jobClasses);
+    records = createLeaderRecords(environment);
+    LeaderState leaderState =
+        createLeaderState(environment, teamsByName(settings), jobClasses, catalogue);
     leadership = leaderState.leadership();
     jobs = leaderState.jobs();
     gangs = leaderState.gangs();
     inventory = leaderState.inventory();
     statistics = new LeaderStatistics(leaderState);
-    gracefulTermination = new GracefulTermination(leaderState, times);
+    gracefulTermination = new GracefulTermination(leaderState, timings);
     HeartbeatProcessor processor =
         new HeartbeatProcessor(leaderState, gracefulTermination, statistics);
-    dispatcher = commandDispatcher(environment, leaderState, times, executor, processor);
+    dispatcher = createCommandDispatcher(environment, leaderState, timings, executor, processor);
     heartbeatHandler =
         new HeartbeatHandler(leaderState, processor, dispatcher, listener::higherTermSeen);
     CloudActor cloud =
         new CloudActor(environment.loop(), environment.httpClient(), settings, cloudEvents);
     MachineRetirement retirement = new MachineRetirement(leaderState, cloud::deleteMachines);
-    failureDetector = new FailureDetector(leaderState, times, dispatcher, retirement);
-    recovery = recovery(leaderState, listener);
-    placementPass = schedulingPass(environment, leaderState, times, executor, classes, order);
-    drainCoordinator = drainCoordinator(environment, leaderState, times, retirement);
+    failureDetector = new FailureDetector(leaderState, timings, dispatcher, retirement);
+    recovery = createRecovery(leaderState, listener);
+    schedulingPass =
+        createSchedulingPass(environment, leaderState, timings, executor, jobClasses, queueOrder);
+    drainCoordinator = createDrainCoordinator(environment, leaderState, timings, retirement);
     machineProvisioner =
-        machineProvisioner(environment, leaderState, cloud, retirement, classes, order);
-    levelRaiser =
+        createMachineProvisioner(
+            environment, leaderState, cloud, retirement, jobClasses, queueOrder);
+    levelUpgrader =
         new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
-    recordWriter = recordWriter(environment, leaderState, executor, retirement);
+    recordWriter = createRecordWriter(environment, leaderState, executor, retirement);
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
 
-  private LeaderRecovery recovery(LeaderState leaderState, Listener listener) {
+  private LeaderRecovery createRecovery(LeaderState leaderState, Listener listener) {
     return new LeaderRecovery(
         leaderState, records, dispatcher::probeRecordedMachines, listener::recordUnreadable);
   }
 
-  private RecordWriter recordWriter(
+  private RecordWriter createRecordWriter(
       Environment environment,
       LeaderState leaderState,
       TermExecutor executor,
@@ -126,37 +129,38 @@
         transactionContributors(environment),
         executor,
         environment.random(),
-        new CommitEffects(gangs, dispatcher, retirement, environment.listener()));
+        new LeaderCommitListener(gangs, dispatcher, retirement, environment.listener()));
   }
 
-  private static CommandDispatcher commandDispatcher(
+  private static CommandDispatcher createCommandDispatcher(
       Environment environment,
       LeaderState leaderState,
-      AgentTimings times,
+      AgentTimings timings,
       TermExecutor executor,
       HeartbeatProcessor processor) {
     return new CommandDispatcher(
         leaderState,
         environment.settings(),
-        times,
+        timings,
         environment.httpClient(),
         executor,
         environment.listener()::higherTermSeen,
         processor);
   }
 
-  private SchedulingPass schedulingPass(
+  private SchedulingPass createSchedulingPass(
       Environment environment,
       LeaderState leaderState,
-      AgentTimings times,
+      AgentTimings timings,
       TermExecutor executor,
-      JobClasses classes,
-      QueueOrder order) {
+      JobClasses jobClasses,
+      QueueOrder queueOrder) {
     var policy =
-        new SchedulingPass.Policy(environment.tuning(), environment.random(), classes, order);
+        new SchedulingPass.Policy(
+            environment.tuning(), environment.random(), jobClasses, queueOrder);
     return new SchedulingPass(
         leaderState,
-        times,
+        timings,
         policy,
         executor,
         failureDetector,
@@ -165,19 +169,19 @@
         statistics);
   }
 
-  private MachineProvisioner machineProvisioner(
+  private MachineProvisioner createMachineProvisioner(
       Environment environment,
       LeaderState leaderState,
       CloudActor cloud,
       MachineRetirement retirement,
-      JobClasses classes,
-      QueueOrder order) {
+      JobClasses jobClasses,
+      QueueOrder queueOrder) {
     return new MachineProvisioner(
         leaderState,
         environment.settings(),
         cloud,
-        new Autoscaler(environment.tuning(), classes),
-        order,
+        new Autoscaler(environment.tuning(), jobClasses),
+        queueOrder,
         failureDetector,
         retirement,
         dispatcher,
@@ -185,13 +189,13 @@
         drainCoordinator.map(RelocationGate.class::cast));
   }
 
-  private static Map<String, Team> teams(Settings settings) {
+  private static Map<String, Team> teamsByName(Settings settings) {
     Map<String, Team> teams = new HashMap<>();
     settings.teams().forEach(team -> teams.put(team.name(), team));
     return teams;
   }
 
-  private LeaderRecords leaderRecords(Environment environment) {
+  private LeaderRecords createLeaderRecords(Environment environment) {
     return new LeaderRecords(
         environment.settings().storeLimits(),
         environment.levelGate(),
@@ -200,47 +204,56 @@
   }
 
   /** What all components share. */
-  private LeaderState leaderState(
+  private LeaderState createLeaderState(
       Environment environment,
       Map<String, Team> teams,
-      JobClasses classes,
+      JobClasses jobClasses,
       MachineCatalogue catalogue) {
     Settings settings = environment.settings();
     InstantSource clock = environment.loop().clock();
     Runnable requestPass = this::requestPass;
-    Leadership term = new Leadership(clock, settings.renewalAuthorityTimeout());
-    JobTable table =
+    Leadership sharedLeadership = new Leadership(clock, settings.renewalAuthorityTimeout());
+    JobTable jobTable =
         new JobTable(
             teams,
-            term,
+            sharedLeadership,
             clock,
             environment.wallClock(),
             environment.levelGate(),
-            classes::observe,
+            jobClasses::observe,
             requestPass);
-    DecisionLog decisions = new DecisionLog(term, clock);
-    Duration forming =
+    DecisionLog decisionLog = new DecisionLog(sharedLeadership, clock);
+    Duration formationTimeout =
         settings.agents().gangs().map(GangTimeouts::formationTimeout).orElse(Duration.ZERO);
-    MachineInventory machines =
-        new MachineInventory(catalogue, teams, term, table, records, clock, requestPass, decisions);
-    GangTracker attempts = new GangTracker(term, clock, forming);
-    return new LeaderState(term, table, machines, records, clock, requestPass, decisions, attempts);
+    MachineInventory machineInventory =
+        new MachineInventory(
+            catalogue, teams, sharedLeadership, jobTable, records, clock, requestPass, decisionLog);
+    GangTracker gangTracker = new GangTracker(sharedLeadership, clock, formationTimeout);
+    return new LeaderState(
+        sharedLeadership,
+        jobTable,
+        machineInventory,
+        records,
+        clock,
+        requestPass,
+        decisionLog,
+        gangTracker);
   }
 
-  private Optional<DrainCoordinator> drainCoordinator(
+  private Optional<DrainCoordinator> createDrainCoordinator(
       Environment environment,
       LeaderState leaderState,
-      AgentTimings times,
+      AgentTimings timings,
       MachineRetirement retirement) {
     return environment
         .operatorSettings()
         .drains()
         .map(
-            set ->
+            drainSettings ->
                 new DrainCoordinator(
                     leaderState,
-                    set,
-                    times,
+                    drainSettings,
+                    timings,
                     gracefulTermination,
                     environment.levelGate(),
                     environment.settings().storeLimits().maxValueBytes(),
@@ -251,16 +264,16 @@
 
   /** The components that have more to write than the records of jobs and machines. */
   private List<TransactionContributor> transactionContributors(Environment environment) {
-    List<TransactionContributor> sources = new ArrayList<>();
+    List<TransactionContributor> contributors = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
-      sources.add(levelRaiser);
+      contributors.add(levelUpgrader);
     }
-    drainCoordinator.ifPresent(coordinator -> sources.addAll(coordinator.contributors()));
-    return sources;
+    drainCoordinator.ifPresent(coordinator -> contributors.addAll(coordinator.contributors()));
+    return contributors;
   }
 
   private void requestPass() {
-    placementPass.request();
+    schedulingPass.request();
   }
 
   private void requestCommit() {
--- a/src/main/java/io/pearscale/scheduler/PeerChannel.java
+++ b/src/main/java/io/pearscale/scheduler/PeerChannel.java
@@ -27,7 +27,7 @@
   }
 
   /** Whether some peer can't be reached. */
-  boolean isIncomplete() {
+  boolean hasUnreachablePeer() {
     return transport.connected().size() < peers.size();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -97,7 +97,7 @@
   private void confirm(String peer, ConfirmationRequest request) {
     long term = knownLeader.term();
     long revision = replicaStatus.revision();
-    boolean leaderIsBehind = request.storeRevision() < replicaStatus.firstLoadRevision();
+    boolean leaderCopyIsOlder = request.storeRevision() < replicaStatus.firstLoadRevision();
     actors
         .api()
         .tell(
@@ -109,7 +109,7 @@
                             request.nonce(),
                             term,
                             cancelledJobs,
-                            leaderIsBehind
+                            leaderCopyIsOlder
                                 ? Optional.of(new LiveJobs(revision, liveJobs))
                                 : Optional.empty()))));
   }
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -37,12 +37,12 @@
     components.gracefulTermination.endBrokenGangs();
     components.recovery.noteProgress();
     components.drainCoordinator.ifPresent(drains -> drains.roundIfDue(now));
-    components.placementPass.request();
+    components.schedulingPass.request();
     components.dispatcher.sendAllDueCommands();
     components.machineProvisioner.scaleIfDue(now);
     publishTaskCountsIfDue(now);
     components.statistics.logIfDue(
-        now, machine -> components.failureDetector.isSchedulable(machine, now));
+        now, candidate -> components.failureDetector.isSchedulable(candidate, now));
     components.recordWriter.scheduleCommitIfDue();
   }
 
--- a/src/main/java/io/pearscale/scheduler/RequestRouter.java
+++ b/src/main/java/io/pearscale/scheduler/RequestRouter.java
@@ -91,13 +91,14 @@
       respond.accept(error(400, e.getMessage()));
       return;
     }
-    boolean taken =
+    boolean accepted =
         actors
             .relay()
             .offer(
                 new HeartbeatRelayActor.HeartbeatReceived(
-                    heartbeat, (response, leader) -> respond.accept(toAgent(response, leader))));
-    if (!taken) {
+                    heartbeat,
+                    (response, leader) -> respond.accept(agentResponse(response, leader))));
+    if (!accepted) {
       respond.accept(error(503, "busy"));
     }
   }
@@ -107,7 +108,7 @@
    *
    * @param leader the controller that the agent is to turn to instead, if there is one
    */
-  private static Response toAgent(HeartbeatResponse response, Optional<String> leader) {
+  private static Response agentResponse(HeartbeatResponse response, Optional<String> leader) {
     if (response.status() == 200) {
       return Response.of(200, response.encode());
     }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -41,7 +41,7 @@
   public record KeysChanged(List<KeyChange> changes, long storeRevision) implements Message {}
 
   /** All changes of the keys that were made by that time are known. */
-  public record ReplicaFresh(Instant asOf) implements Message {}
+  public record ReplicaCaughtUp(Instant caughtUpTo) implements Message {}
 
   /**
    * This controller leads in that term.
@@ -124,7 +124,7 @@
   private final LeaderComponents components;
   private final Leadership leadership;
   private final JobTermination jobTermination;
-  private final StoredKeyUpdates storedKeyUpdates;
+  private final KeyChangeRouter keyChangeRouter;
   private final TermLifecycle lifecycle;
   private final PeriodicWork periodicWork;
 
@@ -136,7 +136,7 @@
             environment, new DeferredActions(), event -> tell(new CloudEventReceived(event)));
     leadership = components.leadership;
     jobTermination = new JobTermination(components);
-    storedKeyUpdates = new StoredKeyUpdates(components, jobTermination);
+    keyChangeRouter = new KeyChangeRouter(components, jobTermination);
     lifecycle = new TermLifecycle(components);
     periodicWork = new PeriodicWork(components, loop.clock());
   }
@@ -163,11 +163,11 @@
       }
     } else if (message instanceof KeysChanged m) {
       keysChanged(m);
-    } else if (message instanceof ReplicaFresh m) {
-      leadership.recordReplicaAsOf(m.asOf);
-      components.jobs.replicaCaughtUpTo(m.asOf);
+    } else if (message instanceof ReplicaCaughtUp m) {
+      leadership.recordReplicaAsOf(m.caughtUpTo);
+      components.jobs.replicaCaughtUpTo(m.caughtUpTo);
     } else if (message instanceof Loaded m) {
-      storedKeyUpdates.load(m.entries);
+      keyChangeRouter.load(m.entries);
       lifecycle.replicaLoaded(m.storeRevision);
     } else if (message instanceof Elected m) {
       elected(m);
@@ -189,17 +189,17 @@
   }
 
   private void keysChanged(KeysChanged message) {
-    message.changes.forEach(storedKeyUpdates::apply);
+    message.changes.forEach(keyChangeRouter::apply);
     lifecycle.replicaAdvanced(message.storeRevision);
     if (leadership.isReady()) {
-      components.placementPass.request();
+      components.schedulingPass.request();
     }
   }
 
   private void confirmedByPeers(ConfirmedByPeers message) {
     // First what was cancelled, then the proof: it extends leases, of cancelled tasks too.
     message.cancelledJobs.forEach(jobTermination::jobCancelled);
-    message.liveJobs.forEach(jobTermination::endAllBut);
+    message.liveJobs.forEach(jobTermination::endJobsMissingFrom);
     leadership.recordPeerConfirmation(message.provenAt);
   }
 
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -21,7 +21,7 @@
   /** This controller was elected; nothing is decided before it has taken over. */
   void beginTerm(long term, long termRevision, Instant provenAt) {
     leadership.begin(term, termRevision, provenAt);
-    components.placementPass.beginTerm();
+    components.schedulingPass.beginTerm();
     components.recordWriter.beginTerm();
     components.dispatcher.begin();
     components.recovery.beginTerm();
@@ -60,11 +60,11 @@
    * as the term has them all.
    */
   void takeOverWhenPossible() {
-    boolean possible =
+    boolean replicaCoversTerm =
         leadership.isLeading() && replicaLoaded && storeRevision >= leadership.termRevision();
-    if (possible && !leadership.isReady() && components.recovery.recover(storeRevision)) {
+    if (replicaCoversTerm && !leadership.isReady() && components.recovery.recover(storeRevision)) {
       components.drainCoordinator.ifPresent(DrainCoordinator::beginTerm);
-      components.placementPass.request();
+      components.schedulingPass.request();
     }
   }
 }
--- a/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -31,7 +31,7 @@
 
   private final CountingEventLoop loop = new CountingEventLoop();
   private final List<ForwardedHeartbeat> sent = new ArrayList<>();
-  private final List<Integer> answers = new ArrayList<>();
+  private final List<Integer> statuses = new ArrayList<>();
   private final HeartbeatRelayActor relay =
       new HeartbeatRelayActor(
           loop,
@@ -54,7 +54,7 @@
           },
           Duration.ofMillis(1500),
           ConnectionLimits.of(SOCKETS).parkedHeartbeats(),
-          (heartbeat, answer) -> {});
+          (heartbeat, response) -> {});
 
   HeartbeatRelayActorTest() {
     relay.tell(new LeaderChanged(1, Optional.of("hive-1")));
@@ -62,31 +62,31 @@
 
   private void sendHeartbeat() {
     relay.tell(
-        new HeartbeatReceived(HEARTBEAT, (answer, elsewhere) -> answers.add(answer.status())));
+        new HeartbeatReceived(HEARTBEAT, (response, redirect) -> statuses.add(response.status())));
   }
 
   @Test
-  void aHeartbeatWithoutAResponseIsRefusedInTime() {
+  void refusesAHeartbeatAfterTheRelayTimeout() {
     sendHeartbeat();
     loop.pass(Duration.ofMillis(1499));
-    assertEquals(List.of(), answers);
+    assertEquals(List.of(), statuses);
     loop.pass(Duration.ofMillis(300));
-    assertEquals(List.of(503), answers);
+    assertEquals(List.of(503), statuses);
     relay.tell(
         new HeartbeatRelayActor.LeaderResponded(
             new ForwardedHeartbeatResponse(
                 sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofSeconds(1));
-    assertEquals(List.of(503), answers);
+    assertEquals(List.of(503), statuses);
   }
 
   /** A refused agent asks again in a second, at a controller that knows no more. */
   @Test
-  void aHeartbeatDuringAnElectionIsAnsweredByTheNextLeader() {
+  void forwardsAParkedHeartbeatToTheNextLeader() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
     loop.pass(Duration.ofMillis(900));
-    assertEquals(List.of(), answers);
+    assertEquals(List.of(), statuses);
     relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
     loop.pass(Duration.ofMillis(10));
     relay.tell(
@@ -94,18 +94,18 @@
             new ForwardedHeartbeatResponse(
                 sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
     loop.pass(Duration.ofMillis(10));
-    assertEquals(List.of(200), answers);
+    assertEquals(List.of(200), statuses);
   }
 
   /** Half a fleet that is turned away in a takeover comes back a second later, all at once. */
   @Test
-  void aWholeFleetWaitsForAnElectionWhereSocketsAllowIt() {
+  void parksTheHeartbeatsOfAWholeFleetDuringAnElection() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     for (int i = 0; i < 4000; i++) {
       sendHeartbeat();
     }
     loop.pass(Duration.ofMillis(900));
-    assertEquals(0, answers.size());
+    assertEquals(0, statuses.size());
     relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
     loop.pass(Duration.ofMillis(10));
     assertEquals(4000, sent.size());
@@ -113,29 +113,29 @@
 
   /** Parked heartbeats hold connections, of which agents that ask meanwhile need some too. */
   @Test
-  void heartbeatsBeyondTheParkingLimitAreRefusedAtOnce() {
-    int most = ConnectionLimits.of(SOCKETS).parkedHeartbeats();
-    assertTrue(most < ConnectionLimits.of(SOCKETS).inbound());
+  void refusesHeartbeatsBeyondTheParkingLimitAtOnce() {
+    int limit = ConnectionLimits.of(SOCKETS).parkedHeartbeats();
+    assertTrue(limit < ConnectionLimits.of(SOCKETS).inbound());
     relay.tell(new LeaderChanged(2, Optional.empty()));
-    for (int i = 0; i < most + 3; i++) {
+    for (int i = 0; i < limit + 3; i++) {
       sendHeartbeat();
     }
     loop.pass(Duration.ofMillis(10));
-    assertEquals(3, answers.size());
-    assertTrue(answers.stream().allMatch(status -> status == 503));
+    assertEquals(3, statuses.size());
+    assertTrue(statuses.stream().allMatch(status -> status == 503));
   }
 
   @Test
-  void aHeartbeatWithoutALeaderIsRefusedInTime() {
+  void refusesAParkedHeartbeatAfterTheElectionWait() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
     loop.pass(Duration.ofMillis(1800));
-    assertEquals(List.of(503), answers);
+    assertEquals(List.of(503), statuses);
     assertEquals(0, sent.size());
   }
 
   @Test
-  void aThousandHeartbeatsShareTimers() {
+  void heartbeatsShareOneTimer() {
     for (int i = 0; i < 1000; i++) {
       sendHeartbeat();
       loop.pass(Duration.ofMillis(2));
@@ -145,7 +145,7 @@
                   sent.get(i).exchange(), new HeartbeatResponse(200, 1, List.of()))));
       loop.pass(Duration.ofMillis(2));
     }
-    assertEquals(1000, answers.stream().filter(status -> status == 200).count());
+    assertEquals(1000, statuses.stream().filter(status -> status == 200).count());
     assertTrue(loop.asked() <= 20, "timers: " + loop.asked());
   }
 }
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -27,8 +27,8 @@
 
   private final CountingEventLoop renewalLoop = new CountingEventLoop();
   private final List<Runnable> mainLoopTasks = new ArrayList<>();
-  private final List<String> extended = new ArrayList<>();
-  private final List<Instant> answeredAt = new ArrayList<>();
+  private final List<String> renewalPaths = new ArrayList<>();
+  private final List<Instant> reportedSendTimes = new ArrayList<>();
 
   private final EventLoop mainLoop =
       new EventLoop() {
@@ -58,7 +58,7 @@
             JsonNode body,
             Duration timeout,
             Consumer<Reply> answer) {
-          extended.add(path);
+          renewalPaths.add(path);
           renewalLoop.execute(() -> answer.accept(new Reply(200, MessagePack.map())));
         }
       };
@@ -94,36 +94,36 @@
   }
 
   @Test
-  void renewsWhileTheMainLoopIsBusyAndReportsWhenItAsked() {
-    renewer.start(7, (sent, reply) -> answeredAt.add(sent));
+  void renewsWhileTheMainLoopIsBusyAndReportsTheSendTime() {
+    renewer.start(7, (sent, reply) -> reportedSendTimes.add(sent));
     renewalLoop.pass(Duration.ofSeconds(3));
-    assertTrue(extended.size() >= 5, "renewals: " + extended.size());
-    assertEquals("/grants/7/extend", extended.get(0));
-    assertEquals(List.of(), answeredAt);
+    assertTrue(renewalPaths.size() >= 5, "renewals: " + renewalPaths.size());
+    assertEquals("/grants/7/extend", renewalPaths.get(0));
+    assertEquals(List.of(), reportedSendTimes);
     mainLoopTasks.forEach(Runnable::run);
-    assertEquals(Instant.EPOCH.plusMillis(550), answeredAt.get(0));
+    assertEquals(Instant.EPOCH.plusMillis(550), reportedSendTimes.get(0));
   }
 
   @Test
   void renewsNothingForAStalledMainLoop() {
     renewer.start(7, (sent, reply) -> {});
     renewalLoop.pass(STALL_TIMEOUT);
-    int renewals = extended.size();
+    int renewals = renewalPaths.size();
     renewalLoop.pass(Duration.ofSeconds(20));
-    assertEquals(renewals, extended.size());
+    assertEquals(renewals, renewalPaths.size());
     renewer.noteProgress();
     renewalLoop.pass(Duration.ofSeconds(1));
-    assertTrue(extended.size() > renewals);
+    assertTrue(renewalPaths.size() > renewals);
   }
 
   @Test
-  void renewsNoLeaseAfterStopNorAnEarlierOne() {
+  void renewsOnlyTheLastStartedLeaseAndNoneAfterStop() {
     renewer.start(7, (sent, reply) -> {});
     renewer.start(8, (sent, reply) -> {});
     renewalLoop.pass(Duration.ofSeconds(1));
-    assertEquals(List.of("/grants/8/extend"), extended);
+    assertEquals(List.of("/grants/8/extend"), renewalPaths);
     renewer.stop();
     renewalLoop.pass(Duration.ofSeconds(3));
-    assertEquals(1, extended.size());
+    assertEquals(1, renewalPaths.size());
   }
 }
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -27,14 +27,14 @@
 class ElectionTest extends SimulatedEventLoop implements HttpClient, ElectionListener {
   private final List<String> events = new ArrayList<>();
   private boolean holdCommits;
-  private Runnable heldReply = () -> {};
+  private Runnable heldCommitReply = () -> {};
 
   /** The key-value store answers nobody. */
-  private boolean out;
+  private boolean storeUnavailable;
 
   private final List<Long> nonces = new ArrayList<>();
 
-  private ElectionActor election() {
+  private ElectionActor createElection() {
     for (int i = 0; i < 3; i++) {
       world.controllers.put("hive-" + i, new SimController(world, "hive-" + i));
     }
@@ -53,45 +53,45 @@
         this);
   }
 
-  private void play(long millis) {
+  private void advance(long millis) {
     world.playTo(world.elapsed().plusMillis(millis));
   }
 
   @Test
-  void allPeersMustKnowOfTheTerm() {
-    ElectionActor election = election();
+  void electionIsAcknowledgedOnceAllPeersKnowTheTerm() {
+    ElectionActor election = createElection();
     election.tell(new ElectionActor.Loaded(Map.of()));
-    play(500);
+    advance(500);
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
     election.tell(new ElectionActor.LeaderAnnounced("hive-2", 0, Optional.empty()));
-    play(10);
+    advance(10);
     assertEquals(List.of("won 1"), events);
     election.tell(new ElectionActor.LeaderAnnounced("hive-2", 1, Optional.of("hive-0")));
-    play(10);
+    advance(10);
     assertEquals(List.of("won 1", "acknowledged"), events);
   }
 
   @Test
-  void whoKnowsOfANewerTermDoesNotLeadInAnOlderOne() {
-    ElectionActor election = election();
+  void lateElectionResultIsIgnoredOnceANewerTermIsKnown() {
+    ElectionActor election = createElection();
     holdCommits = true;
     election.tell(new ElectionActor.Loaded(Map.of()));
-    play(500);
+    advance(500);
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, Optional.of("hive-1")));
-    play(10);
-    heldReply.run();
-    play(10);
+    advance(10);
+    heldCommitReply.run();
+    advance(10);
     assertEquals(List.of(), events);
   }
 
   /** One that leads and asks its peers, since the key-value store answers nobody any more. */
   private ElectionActor leaderWithoutStore() {
-    ElectionActor election = election();
+    ElectionActor election = createElection();
     election.tell(new ElectionActor.Loaded(Map.of()));
-    play(500);
-    out = true;
-    play(2500);
+    advance(500);
+    storeUnavailable = true;
+    advance(2500);
     events.clear();
     return election;
   }
@@ -99,19 +99,19 @@
   private void confirm(ElectionActor election, String peer, long nonce, String... cancelled) {
     election.tell(
         new ElectionActor.PeerConfirmed(peer, nonce, 1, List.of(cancelled), Optional.empty()));
-    play(1);
+    advance(1);
   }
 
   @Test
-  void onlyAllConfirmationsOfOneRequestExtendTheProof() {
+  void proofIsExtendedOnlyByAllConfirmationsOfOneRequest() {
     ElectionActor election = leaderWithoutStore();
     int last = nonces.size() - 1;
     assertTrue(last >= 1, "the leader asked " + nonces.size() + " times");
-    long before = nonces.get(last - 1);
+    long previousNonce = nonces.get(last - 1);
     long nonce = nonces.get(last);
-    confirm(election, "hive-0", before);
-    confirm(election, "hive-1", before, "wk-old");
-    confirm(election, "hive-2", before);
+    confirm(election, "hive-0", previousNonce);
+    confirm(election, "hive-1", previousNonce, "wk-old");
+    confirm(election, "hive-2", previousNonce);
     confirm(election, "hive-0", nonce);
     confirm(election, "hive-1", nonce, "wk-1");
     assertEquals(List.of(), events, "hive-2 has not answered this request");
@@ -120,13 +120,13 @@
   }
 
   @Test
-  void aConfirmationOfANewerTermDeposes() {
+  void confirmationWithANewerTermDeposesTheLeader() {
     ElectionActor election = leaderWithoutStore();
     long nonce = nonces.get(nonces.size() - 1);
     confirm(election, "hive-0", nonce);
     confirm(election, "hive-1", nonce);
     election.tell(new ElectionActor.PeerConfirmed("hive-2", nonce, 2, List.of(), Optional.empty()));
-    play(1);
+    advance(1);
     assertEquals(List.of("lost 1"), events);
   }
 
@@ -138,26 +138,30 @@
       JsonNode body,
       Duration timeout,
       Consumer<Reply> answer) {
-    if (out) {
+    if (storeUnavailable) {
       schedule(timeout, () -> answer.accept(Reply.NO_RESPONSE));
     } else if (path.equals("/commit") && holdCommits) {
       world.store.serve(
-          "hive-0", method, path, body, r -> heldReply = () -> execute(() -> answer.accept(r)));
+          "hive-0",
+          method,
+          path,
+          body,
+          r -> heldCommitReply = () -> execute(() -> answer.accept(r)));
     } else {
       world.store.serve("hive-0", method, path, body, r -> execute(() -> answer.accept(r)));
     }
   }
 
   @Override
-  public void elected(long term, long termStamp, Instant evidence) {
+  public void elected(long term, long termRevision, Instant provenAt) {
     events.add("won " + term);
   }
 
   @Override
-  public void leadershipProven(Instant evidence) {}
+  public void leadershipProven(Instant provenAt) {}
 
   @Override
-  public void confirmedByPeers(Instant evidence, Set<String> cancelled, List<LiveJobs> live) {
+  public void confirmedByPeers(Instant provenAt, Set<String> cancelled, List<LiveJobs> live) {
     events.add("confirmed " + new TreeSet<>(cancelled));
   }
 
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -364,14 +364,14 @@
     keys.put("c/catalogue", new Entry(types, 1));
     changedTerm();
     core.tell(new SchedulerActor.Loaded(new TreeMap<>(keys), old ? 1 : revision));
-    core.tell(new SchedulerActor.ReplicaFresh(world.now));
+    core.tell(new SchedulerActor.ReplicaCaughtUp(world.now));
     core.tell(new SchedulerActor.Elected(wonTerm, world.store.revisionOf("c/term"), world.now));
     settle(Duration.ofMillis(5));
   }
 
   private void confirm() {
     core.tell(new SchedulerActor.LeadershipProven(world.now));
-    core.tell(new SchedulerActor.ReplicaFresh(world.now));
+    core.tell(new SchedulerActor.ReplicaCaughtUp(world.now));
   }
 
   private void changedTerm() {
