--- a/src/main/java/io/pearscale/coordination/CampaignDelays.java
+++ b/src/main/java/io/pearscale/coordination/CampaignDelays.java
@@ -4,37 +4,43 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long a controller waits before it campaigns. The random part keeps controllers that learn of
- * the same event at the same time from being in each other's way.
+ * Delays before a controller campaigns. The random part makes it unlikely that controllers that
+ * learn of the same event at the same time campaign simultaneously and conflict.
  */
 final class CampaignDelays {
-  /** After a campaign that another controller was quicker with. */
+  /** Delay after a campaign that failed because another controller was elected first. */
   static final Duration AFTER_CONFLICT = Duration.ofMillis(400);
 
-  /** After the lease of a previous process of this controller was revoked. */
+  /** Delay after revoking the lease of a previous process of this controller. */
   static final Duration AFTER_REVOCATION = Duration.ofMillis(500);
 
-  /** Exclusive bound of the delay, in milliseconds, once nobody leads. */
+  /** Exclusive upper bound of the delay after a vacancy, in milliseconds. */
   private static final int VACANCY_JITTER_MILLIS = 60;
 
-  /** The least delay after a failure, and the exclusive bound of what is added to it. */
+  /**
+   * Minimum delay after a failure, in milliseconds. The random part that is added to it has {@link
+   * #FAILURE_JITTER_MILLIS} as its exclusive upper bound.
+   */
   private static final int FAILURE_MILLIS = 300;
 
   private static final int FAILURE_JITTER_MILLIS = 400;
 
   private final RandomGenerator random;
 
-  /** Draws from the generator once for each delay that is asked for. */
+  /**
+   * Creates the delays. Each call of {@link #afterVacancy} or {@link #afterFailure} draws one
+   * number from the generator.
+   */
   CampaignDelays(RandomGenerator random) {
     this.random = random;
   }
 
-  /** Once the key-value store shows that nobody leads. */
+  /** Returns the delay after the key-value store shows that there is no leader. */
   Duration afterVacancy() {
     return Duration.ofMillis(random.nextInt(VACANCY_JITTER_MILLIS));
   }
 
-  /** After a campaign that got no answer, and after leadership was lost. */
+  /** Returns the delay after a campaign without a reply and after the loss of leadership. */
   Duration afterFailure() {
     return Duration.ofMillis(FAILURE_MILLIS + random.nextInt(FAILURE_JITTER_MILLIS));
   }
--- a/src/main/java/io/pearscale/coordination/Candidacy.java
+++ b/src/main/java/io/pearscale/coordination/Candidacy.java
@@ -8,11 +8,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The campaigns of this controller: each requests a store lease, and writes with it, in one
- * transaction, this controller as the leader and the next term as the highest one.
+ * Runs the campaigns of this controller. Each campaign requests a store lease and then commits one
+ * transaction that writes this controller as the leader, attached to the lease, and the next term
+ * as the highest term.
  */
 final class Candidacy {
-  /** No lease of the key-value store: ids of leases are not negative. */
+  /** Matches no lease of the key-value store, because lease ids are not negative. */
   private static final long NO_LEASE = -1;
 
   private static final Logger LOG = LoggerFactory.getLogger(Candidacy.class);
@@ -24,16 +25,18 @@
   private final ElectionEffects effects;
   private final CampaignDelays delays;
 
-  /** Names this process in the stored records. */
+  /** Identifies this process in the stored records. */
   private final String processNonce;
 
-  /** The lease that was granted last. */
+  /** The most recently granted lease. */
   private long leaseId;
 
-  /** Whether a campaign is scheduled or under way. */
+  /** Whether a campaign is scheduled or in progress. */
   private boolean active;
 
-  /** No campaign is scheduled yet; draws the name of this process from the generator. */
+  /**
+   * Creates an idle candidacy and draws the nonce that identifies this process from the generator.
+   */
   Candidacy(
       String host,
       StoredLeadership storedLeadership,
@@ -50,17 +53,20 @@
     this.delays = new CampaignDelays(random);
   }
 
-  /** Schedules a campaign once the key-value store shows that nobody leads. */
+  /** Schedules a campaign after the key-value store shows that there is no leader. */
   void scheduleAfterVacancy() {
     schedule(delays.afterVacancy());
   }
 
-  /** Schedules a campaign after one that got no answer, and after leadership was lost. */
+  /** Schedules a campaign after a campaign without a reply or after the loss of leadership. */
   void scheduleAfterFailure() {
     schedule(delays.afterFailure());
   }
 
-  /** Revokes the lease that a previous process of this controller leads by, and campaigns anew. */
+  /**
+   * Revokes the lease of the leader record that a previous process of this controller wrote, and
+   * schedules a campaign.
+   */
   void replacePreviousProcess(LeaderRecord record) {
     effects.revokeLease(record.leaseId());
     schedule(CampaignDelays.AFTER_REVOCATION);
@@ -71,22 +77,25 @@
     effects.scheduleCampaign(round.next(), delay.plusMillis(1));
   }
 
-  /** Whether a campaign is scheduled or under way. */
   boolean isActive() {
     return active;
   }
 
-  /** This controller follows or leads: no campaign is under way any more. */
+  /** Marks the candidacy as inactive because this controller now follows or leads. */
   void withdraw() {
     active = false;
   }
 
-  /** Begins the campaign that was scheduled last. */
+  /** Starts the most recently scheduled campaign by requesting a lease. */
   void begin() {
     effects.requestLease(round.current());
   }
 
-  /** The key-value store has answered the request for a lease; empty if none was granted. */
+  /**
+   * Handles the reply to the lease request.
+   *
+   * @param granted the lease id; empty if no lease was granted
+   */
   void leaseGranted(OptionalLong granted) {
     if (granted.isEmpty()) {
       scheduleAfterFailure();
@@ -100,37 +109,41 @@
   }
 
   /**
-   * The election was not written as far as known. A change of the keys will show who leads.
+   * Handles a failed election commit. If the transaction was applied although its reply was lost,
+   * the resulting change of the keys shows it.
    *
-   * @param conflict another controller was first; otherwise the key-value store gave no answer
-   * @param status the status of the answer, 0 if there was none
+   * @param conflict whether another controller was elected first; otherwise the key-value store
+   *     sent no usable reply
+   * @param status the status of the reply, 0 if there was none
    */
   void campaignFailed(boolean conflict, int status) {
     LOG.info("event=election_not_won status={}", status);
     schedule(conflict ? CampaignDelays.AFTER_CONFLICT : delays.afterFailure());
   }
 
-  /** The lease of the last campaign. */
+  /** Returns the lease id of the last campaign. */
   long leaseId() {
     return leaseId;
   }
 
-  /** Revokes the lease of the last campaign. */
   void revokeLease() {
     effects.revokeLease(leaseId);
   }
 
-  /** From now on a stored record of the last campaign is not taken for a victory. */
+  /**
+   * Discards the lease id of the last campaign, so that {@link #hasWritten} no longer treats a
+   * stored record of that campaign as an election win.
+   */
   void abandonLease() {
     leaseId = NO_LEASE;
   }
 
-  /** Whether the record is the one that the last campaign has written. */
+  /** Returns whether the last campaign of this process wrote the record. */
   boolean hasWritten(LeaderRecord record) {
     return record.processNonce().equals(processNonce) && record.leaseId() == leaseId;
   }
 
-  /** Whether the record is one of this process in that term. */
+  /** Returns whether this process wrote the record in the given term. */
   boolean isOwnRecord(LeaderRecord record, long term) {
     return record.processNonce().equals(processNonce) && record.term() == term;
   }
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -23,52 +23,53 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Takes part in elections: hands messages to the {@link ElectionStateMachine}, and carries out what
- * it decides by calls of the key-value store and timers.
+ * Takes part in elections. It passes messages to the {@link ElectionStateMachine} and carries out
+ * the effects that the state machine requests with calls of the key-value store and timers.
  */
 public final class ElectionActor extends Actor<ElectionActor.Message> {
   /**
-   * How often a leader increments the revision of the term's key while it can't reach a peer, so
-   * that the peer does not take it to have ended ({@link LeaderProbe}).
+   * Interval in which a leader increments the revision of the term's key while it can't reach a
+   * peer, so that the peer does not assume that the leader's process has ended ({@link
+   * LeaderProbe}).
    */
   public static final Duration STORE_HEARTBEAT_INTERVAL = Duration.ofMillis(200);
 
-  /** What the actor understands. */
+  /** The messages that this actor accepts. */
   public sealed interface Message {}
 
-  /** The copy of the keys was loaded. */
+  /** The replica of the stored keys was loaded. */
   public record Loaded(Map<String, Entry> entries) implements Message {}
 
-  /** Keys changed. */
+  /** Stored keys changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
 
-  /** An agent has seen a fencing token of a higher term. */
+  /** An agent reported a fencing token of a higher term. */
   public record HigherTermSeen(long term) implements Message {}
 
   /**
-   * A peer announces who leads, and the highest term that it knows.
+   * A peer announced the highest term that it knows and the leader of that term.
    *
-   * @param leader empty if it knows of no leader
+   * @param leader empty if the peer knows of no leader
    */
   public record LeaderAnnounced(String peer, long term, Optional<String> leader)
       implements Message {}
 
-  /** A peer refuses connections: its process may have ended. */
+  /** A peer refused a connection, so its process may have ended. */
   public record PeerConnectionRefused(String peer) implements Message {}
 
   /**
-   * A peer, or this controller itself, confirms that it knows of no term above the one named; see
+   * A peer, or this controller itself, confirmed that it knows of no term above {@code term}; see
    * {@link PeerConfirmations}.
    *
-   * @param nonce names the request that it answers
-   * @param cancelledJobs the jobs whose cancellation it acknowledged to users lately
-   * @param liveJobs the jobs that were live, if it loaded the keys later than the leader
+   * @param nonce identifies the confirmation request
+   * @param cancelledJobs the jobs whose cancellation the controller recently acknowledged to users
+   * @param liveJobs the live jobs, if the controller loaded the stored keys later than the leader
    */
   public record PeerConfirmed(
       String peer, long nonce, long term, List<String> cancelledJobs, Optional<LiveJobs> liveJobs)
       implements Message {}
 
-  /** A record that a leader needs can't be read here. */
+  /** This controller can't read a record that a leader needs. */
   public record RecordUnreadable(String reason) implements Message {}
 
   private record CampaignDue(int round) implements Message {}
@@ -91,10 +92,11 @@
   private final ElectionStateMachine election;
 
   /**
-   * Takes part in elections once the keys are loaded.
+   * Creates an actor that takes part in elections after it receives {@link Loaded}.
    *
-   * @param levelObjection why this build must not take part under the stored level, if it must not
-   * @param listener receives the outcome
+   * @param levelObjection the reason why this build must not take part under the stored schema
+   *     level; empty if it may
+   * @param listener receives the outcome of elections
    */
   public ElectionActor(
       EventLoop loop,
@@ -139,7 +141,7 @@
     }
   }
 
-  /** Timers that have elapsed, and answers of the key-value store. */
+  /** Handles elapsed timers and replies of the key-value store. */
   private void receiveTimerOrReply(Message message) {
     if (message instanceof CampaignDue m) {
       election.campaignDue(m.round);
--- a/src/main/java/io/pearscale/coordination/ElectionEffects.java
+++ b/src/main/java/io/pearscale/coordination/ElectionEffects.java
@@ -4,45 +4,54 @@
 import java.time.Duration;
 
 /**
- * What an {@link ElectionStateMachine} has done on its behalf. Calls are carried out in the order
- * in which they are made; whatever answers or elapses comes back as an event of the state machine.
+ * The I/O and timers that an {@link ElectionStateMachine} requests. Implementations carry out calls
+ * in the order in which they are made, and report each reply or elapsed timer to the state machine
+ * as an event.
  *
- * <p>A round is the number of an attempt to lead or of a time as leader. Answers and timers carry
- * the round that they belong to, and are void once another one has begun.
+ * <p>A round identifies one campaign or one period as follower or leader. Replies and timers carry
+ * the round in which they were requested, and the state machine ignores them after another round
+ * has begun.
  */
 interface ElectionEffects {
-  /** Starts a campaign after the delay: {@link ElectionStateMachine#campaignDue}. */
+  /** Reports {@link ElectionStateMachine#campaignDue} after the delay. */
   void scheduleCampaign(int round, Duration delay);
 
-  /** Requests a store lease for a campaign: {@link ElectionStateMachine#leaseGranted}. */
+  /** Requests a store lease for a campaign; reports {@link ElectionStateMachine#leaseGranted}. */
   void requestLease(int round);
 
   /**
-   * Writes the candidate as the leader and its term as the highest one, if there is no leader and
-   * the term's key still has the revision: {@link ElectionStateMachine#electionAnswered}.
+   * Writes the candidate as the leader and its term as the highest term, on the condition that
+   * there is no leader and that the term's key still has the given revision; reports {@link
+   * ElectionStateMachine#electionWon} or {@link ElectionStateMachine#electionFailed}.
    */
   void commitElection(int round, LeaderRecord candidate, long termRevision);
 
-  /** Revokes a store lease, and with it the leader's key if that is attached to it. */
+  /**
+   * Revokes a store lease, which also deletes the leader's key if the key is attached to that
+   * lease.
+   */
   void revokeLease(long leaseId);
 
-  /** Renews the lease periodically: {@link ElectionStateMachine#leaseRenewalAnswered}. */
+  /**
+   * Renews the lease periodically; reports {@link ElectionStateMachine#leaseRenewed} or {@link
+   * ElectionStateMachine#leaseExpired}.
+   */
   void startLeaseRenewal(int round, long leaseId);
 
-  /** Renews the lease no longer. */
+  /** Stops the renewals of the lease. */
   void stopLeaseRenewal();
 
-  /** Lets renewals go on for a while: the loop that this controller runs on makes progress. */
+  /** Records that the main loop makes progress, which allows renewals to continue for a while. */
   void noteProgress();
 
-  /**
-   * Looks after the renewals once in a renewal interval: {@link ElectionStateMachine#renewalDue}.
-   */
+  /** Reports {@link ElectionStateMachine#renewalDue} after one renewal interval. */
   void scheduleRenewalCheck(int round);
 
-  /** Looks at the age of the proof after the delay: {@link ElectionStateMachine#proofExpiryDue}. */
+  /** Reports {@link ElectionStateMachine#proofExpiryDue} after the delay. */
   void scheduleProofExpiry(int round, Duration delay);
 
-  /** Reads the revision of the term's key after the delay: {@link LeaderProbe#revisionRead}. */
+  /**
+   * Reads the revision of the term's key after the delay; reports {@link LeaderProbe#revisionRead}.
+   */
   void probeTerm(LeaderProbe.Probe probe, Duration delay);
 }
--- a/src/main/java/io/pearscale/coordination/ElectionRound.java
+++ b/src/main/java/io/pearscale/coordination/ElectionRound.java
@@ -1,23 +1,24 @@
 package io.pearscale.coordination;
 
 /**
- * The number of the current campaign, or of the current time as follower or leader. Answers and
- * timers carry the round that they belong to, and are void once another one has begun.
+ * Number of the current campaign, or of the current period as follower or leader. Replies and
+ * timers carry the round in which they were requested, and are ignored after another round has
+ * begun.
  */
 final class ElectionRound {
   private int current;
 
-  /** Begins a round; whatever belongs to an earlier one is void. */
+  /** Begins a new round, which invalidates all replies and timers of earlier rounds. */
   int next() {
     return ++current;
   }
 
-  /** The round that lasts now. */
+  /** Returns the current round. */
   int current() {
     return current;
   }
 
-  /** Whether that round still lasts. */
+  /** Returns whether the given round is the current one. */
   boolean isCurrent(int round) {
     return round == current;
   }
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -16,16 +16,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides who leads, without any I/O: takes events, and answers them by calls of {@link
- * ElectionEffects} and {@link ElectionListener}.
+ * Decides whether this controller leads. It performs no I/O: it receives events and reacts with
+ * calls of {@link ElectionEffects} and {@link ElectionListener}.
  *
- * <p>The leader's key is attached to a lease of the key-value store; whoever creates it increments
- * the durable term in the same transaction. All that a leader writes is guarded by that term, and
- * all that it tells agents carries it, so that two who both think they lead can't harm each other:
- * the election is for progress only.
+ * <p>The leader's key is attached to a lease of the key-value store. The controller that creates
+ * the key increments the durable term in the same transaction. Every write of a leader is guarded
+ * by that term, and every command to an agent carries it, so two controllers that both consider
+ * themselves leader can't cause harm. The election therefore provides progress, not safety.
  *
- * <p>A leader is one from when it <em>knew</em> that it had won. It judges itself by when its last
- * successful renewal was <em>sent</em>.
+ * <p>A controller is the leader from the moment at which it <em>learns</em> that it has won. It
+ * measures the age of its leadership proof from the time at which its last successful renewal was
+ * <em>sent</em>.
  */
 final class ElectionStateMachine {
   private static final Logger LOG = LoggerFactory.getLogger(ElectionStateMachine.class);
@@ -43,13 +44,13 @@
   private final LeaderProbe leaderProbe;
   private final PeerTerms peerTerms;
 
-  /** Present exactly while this controller leads. */
+  /** Present if and only if this controller leads. */
   private Optional<LeaderTenure> tenure = Optional.empty();
 
   /**
-   * Begins as a follower that knows of no stored keys.
+   * Creates a follower that knows of no stored keys.
    *
-   * @param random two numbers are drawn now, and later one for each random delay
+   * @param random two numbers are drawn immediately, and one more for each random delay
    */
   ElectionStateMachine(
       Settings settings,
@@ -71,14 +72,14 @@
     this.peerTerms = new PeerTerms(peers);
   }
 
-  /** The copy of the keys was loaded, for the first time or anew. */
+  /** Handles a load of the replica of the stored keys, the first one or a reload. */
   void snapshotLoaded(Map<String, Entry> entries) {
     eligibility.snapshotLoaded();
     storedLeadership.load(entries);
     evaluate();
   }
 
-  /** Keys have changed. */
+  /** Handles changes of stored keys. */
   void keysChanged(List<KeyChange> changes) {
     boolean relevant = false;
     for (KeyChange change : changes) {
@@ -89,13 +90,15 @@
     }
   }
 
-  /** This controller, as a leader, can't read a record that it needs. */
+  /**
+   * Makes this controller ineligible to lead because it can't read a record that a leader needs.
+   */
   void recordUnreadable(String reason) {
     eligibility.recordUnreadable(reason);
     evaluate();
   }
 
-  /** Acts on what the key-value store holds. */
+  /** Reacts to the stored leader and term. */
   private void evaluate() {
     if (stepDownIfIneligible()) {
       return;
@@ -118,10 +121,10 @@
 
   private void evaluateOwnRecord(LeaderRecord record) {
     if (candidacy.hasWritten(record)) {
-      // Our transaction went through although its answer got lost.
+      // The reply to our election transaction was lost, but the transaction was applied.
       beginTerm(record.term(), storedLeadership.leaderRevision());
     } else if (!candidacy.isActive()) {
-      // Of a previous process, or of a campaign that was given up: nobody renews that lease.
+      // A previous process or an abandoned campaign wrote the record, so nothing renews its lease.
       candidacy.replacePreviousProcess(record);
     }
   }
@@ -133,10 +136,10 @@
   }
 
   /**
-   * Gives up what this controller must not do while it may not lead. It still learns who leads, so
-   * as to relay heartbeats.
+   * Steps down and withdraws any campaign if this controller may not lead. The listener still
+   * learns which other controller leads, because heartbeats are relayed to it.
    *
-   * @return whether that is so
+   * @return whether this controller may not lead
    */
   private boolean stepDownIfIneligible() {
     if (eligibility.mayLead()) {
@@ -151,7 +154,7 @@
     return true;
   }
 
-  /** It is time for the campaign of that round. */
+  /** Starts the campaign that was scheduled in the given round. */
   void campaignDue(int eventRound) {
     if (!round.isCurrent(eventRound) || stepDownIfIneligible()) {
       return;
@@ -164,14 +167,14 @@
     candidacy.begin();
   }
 
-  /** The key-value store has answered a request for a lease; empty if none was granted. */
+  /** Handles the reply to a lease request; empty if no lease was granted. */
   void leaseGranted(int eventRound, OptionalLong granted) {
     if (round.isCurrent(eventRound)) {
       candidacy.leaseGranted(granted);
     }
   }
 
-  /** The election of that round was written, at that revision. */
+  /** Handles the successful commit of an election at the given revision. */
   void electionWon(int eventRound, long revision) {
     if (round.isCurrent(eventRound)) {
       beginTerm(storedLeadership.term() + 1, revision);
@@ -179,7 +182,7 @@
   }
 
   /**
-   * The election of that round was not written as far as known, see {@link
+   * Handles an election commit that is not known to have succeeded; see {@link
    * Candidacy#campaignFailed}.
    */
   void electionFailed(int eventRound, boolean conflict, int status) {
@@ -194,9 +197,9 @@
       return;
     }
     if (term < peerTerms.highest()) {
-      // The news of our election was long under way, or we stood still meanwhile. We have reported
-      // that we know of a newer term, and its leader relies on it that nobody leads in an older
-      // one.
+      // The election result arrived late, or this process was paused. This controller has already
+      // announced that it knows of a newer term, and the leader of that term relies on no
+      // controller leading in an older one.
       LOG.info("event=election_result_expired term={} seen={}", term, peerTerms.highest());
       candidacy.revokeLease();
       candidacy.abandonLease();
@@ -218,29 +221,29 @@
     return round.isCurrent(eventRound) ? tenure : Optional.empty();
   }
 
-  /** It is time to look after the renewals of the lease. */
+  /** Checks the renewals of the leader's lease. */
   void renewalDue(int eventRound) {
     tenureInRound(eventRound).ifPresent(LeaderTenure::checkRenewals);
   }
 
-  /** The key-value store has renewed the leader's lease, as was requested at that time. */
+  /** Handles a renewal of the leader's lease that was requested at the given time. */
   void leaseRenewed(int eventRound, Instant requestedAt) {
     tenureInRound(eventRound).ifPresent(leader -> leader.leaseRenewed(requestedAt));
   }
 
-  /** The key-value store knows the leader's lease no more. */
+  /** Steps down because the leader's lease no longer exists in the key-value store. */
   void leaseExpired(int eventRound) {
     tenureInRound(eventRound).ifPresent(leader -> stepDown(StepDownReason.LEASE_EXPIRED));
   }
 
-  /** Gives up leadership if its last proof has expired. */
+  /** Steps down if the leadership proof has expired. */
   void proofExpiryDue(int eventRound) {
     if (tenureInRound(eventRound).isPresent() && proof.isExpired()) {
       stepDown(StepDownReason.PROOF_EXPIRED);
     }
   }
 
-  /** A peer, or this controller itself, has answered a request for confirmations. */
+  /** Handles the confirmation of a peer or of this controller itself. */
   void peerConfirmed(ElectionActor.PeerConfirmed confirmation) {
     if (tenure.isEmpty() || !confirmations.isCurrent(confirmation.nonce())) {
       return;
@@ -252,7 +255,7 @@
     }
   }
 
-  /** Only while this controller leads. */
+  /** Ends the current term; must only be called while this controller leads. */
   private void stepDown(StepDownReason reason) {
     long term = tenure.orElseThrow().term();
     LOG.info("event=leadership_lost term={} reason={}", term, reason.logValue());
@@ -264,14 +267,17 @@
         .leader()
         .filter(record -> candidacy.isOwnRecord(record, term))
         .isPresent()) {
-      // The copy still shows ourselves: without it the next evaluation would think that we had won.
+      // The replica still shows this controller as the leader. If the candidacy kept its lease id,
+      // the next evaluation would treat that record as an election win.
       candidacy.abandonLease();
     }
     listener.leaderChanged(storedLeadership.term(), Optional.empty());
     candidacy.scheduleAfterFailure();
   }
 
-  /** An agent's fencing token shows that somebody leads, or led, in that term. */
+  /**
+   * Steps down if an agent's fencing token shows that a controller leads, or led, in a higher term.
+   */
   void higherTermSeen(long seenTerm) {
     if (tenure.isPresent() && seenTerm > tenure.get().term()) {
       LOG.warn("event=higher_term_seen term={} seen={}", tenure.get().term(), seenTerm);
@@ -280,9 +286,10 @@
   }
 
   /**
-   * A peer announces the highest term that it knows, and who leads in it, if anybody. A controller
-   * that can't ask the key-value store believes it; a leader learns from it which peers know of its
-   * own election.
+   * Handles the announcement by a peer of the highest term that it knows and the leader of that
+   * term. A follower uses the announced leader if the term is higher than the stored one, for
+   * example while the follower can't reach the key-value store. A leader learns which peers know of
+   * its election.
    */
   void leaderAnnounced(String peer, long announcedTerm, Optional<String> leader) {
     peerTerms.recordAnnouncedTerm(announcedTerm);
@@ -298,7 +305,7 @@
     }
   }
 
-  /** Decides on leaders whose connections are refused. */
+  /** Returns the probe that checks whether a leader that refuses connections has ended. */
   LeaderProbe leaderProbe() {
     return leaderProbe;
   }
--- a/src/main/java/io/pearscale/coordination/Eligibility.java
+++ b/src/main/java/io/pearscale/coordination/Eligibility.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller may lead. It may not while its build does not support the level of what
- * is stored, nor while a record that a leader needs can't be read here.
+ * Decides whether this controller may lead. A controller may not lead while its build does not
+ * support the stored schema level, or while it can't read a record that a leader needs.
  */
 final class Eligibility {
   private static final Logger LOG = LoggerFactory.getLogger(Eligibility.class);
@@ -16,33 +16,38 @@
   private final Supplier<Optional<String>> levelObjection;
   private Optional<String> unreadableRecord = Optional.empty();
 
-  /** What was logged last. */
+  /** The most recently logged objection. */
   private Optional<String> loggedObjection = Optional.empty();
 
   /**
-   * Knows of no unreadable record yet.
+   * Creates an eligibility without an unreadable record.
    *
-   * @param levelObjection why this build must not take part under the stored level, if it must not
+   * @param levelObjection the reason why this build must not take part under the stored schema
+   *     level; empty if it may
    */
   Eligibility(Supplier<Optional<String>> levelObjection) {
     this.levelObjection = levelObjection;
   }
 
-  /** A record that a leader needs can't be read here. */
+  /** Records that this controller can't read a record that a leader needs. */
   void recordUnreadable(String reason) {
     unreadableRecord = Optional.of(reason);
   }
 
-  /** All keys were loaded anew: perhaps every record can be read now. */
+  /**
+   * Clears the unreadable record after a load of all keys, because every record may now be
+   * readable.
+   */
   void snapshotLoaded() {
     unreadableRecord = Optional.empty();
   }
 
   /**
-   * A key has changed. If a record that a leader needs was unreadable, perhaps it can be read now;
-   * a new leader reads all of them anew in any case.
+   * Handles a change of a key. If a record that a leader needs was unreadable and such a record
+   * changes, the record may now be readable. Clearing the objection is safe, because a new leader
+   * reads all of these records again.
    *
-   * @return whether it may have changed what {@link #mayLead} says
+   * @return whether the change may affect the result of {@link #mayLead}
    */
   boolean keyChanged(String key) {
     if (Keys.isRequiredToLead(key) && unreadableRecord.isPresent()) {
@@ -52,12 +57,12 @@
     return key.equals(Keys.LEVEL);
   }
 
-  /** Whether this controller may lead now; logs the reason whenever it changes. */
+  /** Returns whether this controller may lead, and logs the reason whenever it changes. */
   boolean mayLead() {
     Optional<String> objection = levelObjection.get().or(() -> unreadableRecord);
     if (!objection.equals(loggedObjection)) {
       loggedObjection = objection;
-      LOG.warn("event=incompatible_build reason={}", objection.orElse("none any more"));
+      LOG.warn("event=incompatible_build reason={}", objection.orElse("none"));
     }
     return objection.isEmpty();
   }
--- a/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
+++ b/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
@@ -20,46 +20,50 @@
 import java.util.function.Consumer;
 
 /**
- * Forwards heartbeats of the agents that turn to this controller to the leader, and the leader's
- * responses back. It renews no lease on its own: each 200 stands for a response that the leader
- * gave to that very heartbeat, so the leader alone knows until when a machine may be alive.
+ * Forwards the heartbeats that agents send to this controller to the leader, and returns the
+ * leader's responses to the agents. It never renews an agent's lease itself: each response with
+ * status 200 is the leader's response to that heartbeat. Therefore only the leader determines until
+ * when a machine may be alive.
  */
 public final class HeartbeatRelayActor extends Actor<HeartbeatRelayActor.Message> {
-  /** For how long a heartbeat is parked until a leader is elected: longer than most elections. */
+  /**
+   * Maximum time for which a heartbeat is parked until a leader is elected; longer than most
+   * elections.
+   */
   private static final Duration ELECTION_WAIT = Duration.ofMillis(1500);
 
-  /** How often heartbeats that have waited for too long are looked for. */
+  /** Interval between checks for heartbeats that have exceeded their deadline. */
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
 
-  /** What the actor understands. */
+  /** The messages that this actor accepts. */
   public sealed interface Message {}
 
   /**
-   * An agent has sent a heartbeat to this controller.
+   * An agent sent a heartbeat to this controller.
    *
-   * @param respond takes the response, and the leader that the agent is to turn to instead if there
-   *     is one; called exactly once
+   * @param respond receives the response and, if the agent should contact another controller, the
+   *     leader; called exactly once
    */
   public record HeartbeatReceived(
       Heartbeat heartbeat, BiConsumer<HeartbeatResponse, Optional<String>> respond)
       implements Message {}
 
-  /** The leader's response came back. */
+  /** The leader responded to a forwarded heartbeat. */
   public record LeaderResponded(ForwardedHeartbeatResponse response) implements Message {}
 
   /**
-   * The leader has changed.
+   * The known leader changed.
    *
-   * @param leader empty while nobody is known to lead
+   * @param leader empty if no leader is known
    */
   public record LeaderChanged(long term, Optional<String> leader) implements Message {}
 
   private record SweepDue() implements Message {}
 
-  /** A heartbeat that waits for a leader until the deadline. */
+  /** A heartbeat that waits for the election of a leader until the deadline. */
   private record ParkedHeartbeat(Instant deadline, HeartbeatReceived received) {}
 
-  /** A forwarded heartbeat whose response is awaited until the deadline. */
+  /** A forwarded heartbeat that waits for the leader's response until the deadline. */
   private record PendingExchange(
       Instant deadline, BiConsumer<HeartbeatResponse, Optional<String>> respond) {}
 
@@ -69,15 +73,18 @@
   private final int maxParked;
   private final BiConsumer<Heartbeat, Consumer<HeartbeatResponse>> localLeader;
 
-  /** By the id of the exchange, the oldest first, which is also the first to be overdue. */
+  /**
+   * Pending exchanges by id, oldest first. All of them have the same timeout, so the oldest one
+   * expires first.
+   */
   private final Map<Long, PendingExchange> pendingExchanges = new LinkedHashMap<>();
 
-  /** Heartbeats that came while there is no leader, the oldest first. */
+  /** Heartbeats received while no leader was known, oldest first. */
   private final ArrayDeque<ParkedHeartbeat> parkedHeartbeats = new ArrayDeque<>();
 
   private boolean sweepScheduled;
 
-  /** Heartbeats refused since that was last logged, because too many were parked. */
+  /** Number of heartbeats refused since the last log line because too many were parked. */
   private int refusedCount;
 
   private Optional<String> leader = Optional.empty();
@@ -85,12 +92,13 @@
   private long lastExchangeId;
 
   /**
-   * Makes a relay that knows of no leader.
+   * Creates a relay that knows of no leader.
    *
    * @param self the name of this controller
-   * @param relayTimeout for how long a heartbeat waits for the leader's response
-   * @param maxParked how many heartbeats may wait for an election at the same time
-   * @param localLeader answers heartbeats while this controller leads
+   * @param relayTimeout the maximum time for which a heartbeat waits for the leader's response
+   * @param maxParked the maximum number of heartbeats that may wait for an election at the same
+   *     time
+   * @param localLeader responds to heartbeats while this controller leads
    */
   public HeartbeatRelayActor(
       EventLoop loop,
@@ -145,9 +153,9 @@
   }
 
   /**
-   * Has a heartbeat wait for the next leader. An election takes about a second. An agent that is
-   * refused meanwhile is back in a second, at another controller that knows no more: after a
-   * restart of all, such responses took the processor that the election needed.
+   * Parks a heartbeat until a leader is elected. An election takes about a second. A refused agent
+   * would retry within a second, at another controller that knows of no leader either. After a
+   * restart of all controllers, such refusals used the CPU time that the election needed.
    */
   private void park(HeartbeatReceived received) {
     if (parkedHeartbeats.size() >= maxParked) {
@@ -174,7 +182,10 @@
     }
   }
 
-  /** One timer serves all open exchanges: one for each would cost as much as a short report. */
+  /**
+   * Schedules one timer for all pending exchanges and parked heartbeats. A timer for each exchange
+   * would cost as much as handling a short heartbeat.
+   */
   private void scheduleSweep() {
     if (!sweepScheduled) {
       sweepScheduled = true;
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -8,16 +8,16 @@
 import java.util.function.BiConsumer;
 
 /**
- * Renews the leader's lease of the key-value store on an event loop of its own. On the loop that
- * does all else a renewal waits in line with hundreds of heartbeats; on a small part of a core,
- * with code that is not yet compiled, that took longer than the lease lasts, and a healthy leader
- * was deposed by its own start.
+ * Renews the leader's lease of the key-value store on a separate event loop. On the main loop, a
+ * renewal would queue behind hundreds of heartbeats. With a small share of a CPU core and before
+ * JIT compilation, that delay exceeded the lease TTL, and a healthy leader lost its lease during
+ * startup.
  *
- * <p>A process whose main loop stalls should lose its leadership all the same: nothing is renewed
- * once the main loop has made no progress for a while.
+ * <p>A process whose main loop stalls must still lose its leadership. Therefore renewals stop if
+ * the main loop has made no progress for the stall timeout.
  */
 public final class LeaderLeaseRenewer {
-  /** How often the lease is renewed: four times within the shortest TTL. */
+  /** Renewal interval, which allows four renewals within the shortest TTL. */
   static final Duration RENEWAL_INTERVAL = Duration.ofMillis(550);
 
   private final EventLoop renewalLoop;
@@ -25,18 +25,21 @@
   private final KeyValueStoreClient store;
   private final Duration stallTimeout;
 
-  /** Written on the main loop, read on the renewal loop. */
+  /** Written on the main loop and read on the renewal loop. */
   private volatile Instant lastProgressAt = Instant.MIN;
 
-  /** Renewals of an earlier generation are void; used on the renewal loop alone. */
+  /**
+   * Identifies the latest start or stop; renewals of earlier generations are ignored. Accessed only
+   * on the renewal loop.
+   */
   private int generation;
 
   /**
-   * Renews nothing before {@link #start}.
+   * Creates a renewer that is idle until {@link #start}.
    *
-   * @param renewalLoop the loop on which leases are renewed, and that the store's client runs on
-   * @param mainLoop the loop of the caller, on which replies are handed back
-   * @param stallTimeout for how long renewals go on without progress of the main loop
+   * @param renewalLoop the loop on which leases are renewed and on which the store's client runs
+   * @param mainLoop the caller's loop, on which replies are delivered
+   * @param stallTimeout the time for which renewals continue without progress of the main loop
    */
   public LeaderLeaseRenewer(
       EventLoop renewalLoop, EventLoop mainLoop, KeyValueStoreClient store, Duration stallTimeout) {
@@ -47,9 +50,9 @@
   }
 
   /**
-   * Renews the lease from now on, and no other one.
+   * Starts to renew the lease and stops the renewals of any other lease.
    *
-   * @param answered takes each reply, with the time at which its request was sent
+   * @param answered receives each reply and the time at which its request was sent
    */
   public void start(long leaseId, BiConsumer<Instant, Reply> answered) {
     noteProgress();
@@ -60,12 +63,12 @@
         });
   }
 
-  /** Renews no lease any more. */
+  /** Stops all renewals. */
   public void stop() {
     renewalLoop.execute(() -> generation++);
   }
 
-  /** The main loop makes progress; called on it. */
+  /** Records progress of the main loop; must be called on the main loop. */
   public void noteProgress() {
     lastProgressAt = mainLoop.clock().instant();
   }
--- a/src/main/java/io/pearscale/coordination/LeaderProbe.java
+++ b/src/main/java/io/pearscale/coordination/LeaderProbe.java
@@ -7,17 +7,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides whether a leader whose connections are refused has ended, so that its lease need not be
- * waited for. A refused connection alone proves nothing: there may be a packet filter in between. A
- * living leader that can't reach a peer increments the revision of the term's key at least once in
- * {@link ElectionActor#STORE_HEARTBEAT_INTERVAL}; only if two reads of it, {@link #PROBE_INTERVAL}
- * apart, find the same revision is its lease revoked.
+ * Decides whether a leader that refuses connections has ended, so that its lease can be revoked
+ * before it expires. A refused connection alone proves nothing, because a packet filter may refuse
+ * it. A running leader that can't reach a peer increments the revision of the term's key at least
+ * once in {@link ElectionActor#STORE_HEARTBEAT_INTERVAL}. The leader's lease is revoked only if two
+ * reads of that key, {@link #PROBE_INTERVAL} apart, find the same revision.
  */
 final class LeaderProbe {
-  /** What a leader that has ended wrote last may be under way for so long. */
+  /**
+   * Delay before the first read, during which the last writes of an ended leader can still arrive
+   * at the key-value store.
+   */
   private static final Duration SETTLE_DELAY = Duration.ofMillis(150);
 
-  /** Between the two reads; longer than the interval in which a leader writes. */
+  /** Delay between the two reads; longer than the interval in which a leader writes. */
   private static final Duration PROBE_INTERVAL = Duration.ofMillis(700);
 
   private static final Logger LOG = LoggerFactory.getLogger(LeaderProbe.class);
@@ -27,16 +30,16 @@
   private final ElectionEffects effects;
 
   /**
-   * A read of the term's key that is under way.
+   * A pending read of the term's key.
    *
-   * @param firstRevision what the first read found; empty if this is the first one
+   * @param firstRevision the result of the first read; empty if this is the first read
    */
   record Probe(String peer, long term, OptionalLong firstRevision) {}
 
   /**
-   * Makes a probe that is idle until {@link #start}.
+   * Creates a probe that is idle until {@link #start}.
    *
-   * @param leading whether this controller leads itself; then it probes nobody
+   * @param leading whether this controller leads; a leader probes no peer
    */
   LeaderProbe(StoredLeadership storedLeadership, BooleanSupplier leading, ElectionEffects effects) {
     this.storedLeadership = storedLeadership;
@@ -44,7 +47,7 @@
     this.effects = effects;
   }
 
-  /** A peer refuses connections: probes it if it leads. */
+  /** Probes a peer that refuses connections if that peer is the leader. */
   void start(String peer) {
     long term = storedLeadership.term();
     if (isLeader(peer, term)) {
@@ -53,7 +56,8 @@
   }
 
   /**
-   * The revision of the term's key was read; does nothing if another controller leads by now.
+   * Handles the result of a read of the term's key; does nothing if another controller leads by
+   * then.
    *
    * @param revision empty if the key-value store did not answer
    */
--- a/src/main/java/io/pearscale/coordination/LeaderTenure.java
+++ b/src/main/java/io/pearscale/coordination/LeaderTenure.java
@@ -4,8 +4,8 @@
 import java.time.InstantSource;
 
 /**
- * One time as leader: has the lease renewed, and keeps the proof that no other controller leads
- * ({@link LeadershipProof}). It ends as soon as another round begins.
+ * One period as leader. It renews the lease and extends the proof that no other controller leads
+ * ({@link LeadershipProof}). A tenure ends when another round begins.
  */
 final class LeaderTenure {
   private final int round;
@@ -16,7 +16,7 @@
   private final ElectionEffects effects;
   private final ElectionListener listener;
 
-  /** A tenure in that term and round; {@link #begin} starts its timers. */
+  /** Creates a tenure in the given term and round; {@link #begin} starts its timers. */
   LeaderTenure(
       int round,
       long term,
@@ -34,19 +34,22 @@
     this.listener = listener;
   }
 
-  /** The term that this controller leads in. */
+  /** Returns the term in which this controller leads. */
   long term() {
     return term;
   }
 
-  /** Starts the renewals of the lease, and the watch over them. */
+  /** Starts the renewals of the lease and the periodic checks of the renewals and of the proof. */
   void begin(long leaseId) {
     effects.startLeaseRenewal(round, leaseId);
     effects.scheduleRenewalCheck(round);
     scheduleProofExpiry();
   }
 
-  /** Shows that this loop makes progress, and asks all controllers when renewals stay out. */
+  /**
+   * Records progress of the main loop, and asks all controllers for a confirmation if no renewal
+   * has succeeded recently.
+   */
   void checkRenewals() {
     Instant now = clock.instant();
     effects.noteProgress();
@@ -56,14 +59,14 @@
     }
   }
 
-  /** The key-value store has renewed the lease, as was requested at that time. */
+  /** Extends the proof after a renewal of the lease that was requested at the given time. */
   void leaseRenewed(Instant requestedAt) {
     proof.extendTo(requestedAt);
     listener.leadershipProven(proof.provenAt());
     scheduleProofExpiry();
   }
 
-  /** A controller that knows of no later term has confirmed the last request. */
+  /** Adds the confirmation of a controller that knows of no later term. */
   void confirmed(ElectionActor.PeerConfirmed confirmation) {
     confirmations
         .add(confirmation)
--- a/src/main/java/io/pearscale/coordination/LeadershipProof.java
+++ b/src/main/java/io/pearscale/coordination/LeadershipProof.java
@@ -5,15 +5,16 @@
 import java.time.InstantSource;
 
 /**
- * The last proof that no other controller led: a successful renewal of the leader's lease, or the
- * confirmation of all controllers ({@link PeerConfirmations}). A proof counts from when what it
- * rests on was <em>sent</em>, and expires after the renewal authority timeout.
+ * The latest proof that no other controller led: a successful renewal of the leader's lease, or a
+ * confirmation by all controllers ({@link PeerConfirmations}). The age of a proof is measured from
+ * the time at which the underlying request was <em>sent</em>. A proof expires after the renewal
+ * authority timeout.
  */
 final class LeadershipProof {
-  /** A leader whose proof is older than this asks all controllers for a confirmation. */
+  /** Age of the proof above which a leader asks all controllers for a confirmation. */
   private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(1200);
 
-  /** Added to the delay of a timer that is to find the proof expired. */
+  /** Margin added to the expiry timer, so that the proof has expired when the timer fires. */
   private static final Duration EXPIRY_MARGIN = Duration.ofMillis(5);
 
   private static final Duration MIN_EXPIRY_DELAY = Duration.ofMillis(1);
@@ -22,43 +23,47 @@
   private final Duration renewalAuthorityTimeout;
   private Instant provenAt = Instant.MIN;
 
-  /** Nothing is proved yet. */
+  /** Creates an expired proof. */
   LeadershipProof(InstantSource clock, Duration renewalAuthorityTimeout) {
     this.clock = clock;
     this.renewalAuthorityTimeout = renewalAuthorityTimeout;
   }
 
   /**
-   * An election is sent now. What was read for it proves nothing before it is applied, and it is
-   * applied after it was sent: the time of sending is a safe lower bound.
+   * Starts the proof at the current time, at which an election is sent. The reads that precede an
+   * election prove nothing until the election is applied. It is applied after it is sent, so the
+   * time of sending is a safe lower bound.
    */
   void beginElection() {
     provenAt = clock.instant();
   }
 
-  /** Leadership was proved as of that time; an earlier one than known changes nothing. */
+  /** Extends the proof to the given time; a time before the current proof has no effect. */
   void extendTo(Instant time) {
     if (time.isAfter(provenAt)) {
       provenAt = time;
     }
   }
 
-  /** No other controller led at that time. */
+  /** Returns the latest time at which no other controller is proven to have led. */
   Instant provenAt() {
     return provenAt;
   }
 
-  /** Whether all controllers are to be asked, since renewals of the lease stay out. */
+  /**
+   * Returns whether the leader should ask all controllers for a confirmation because no lease
+   * renewal has succeeded recently.
+   */
   boolean needsConfirmation(Instant now) {
     return Duration.between(provenAt, now).compareTo(CONFIRMATION_TIMEOUT) > 0;
   }
 
-  /** Whether the proof is too old for a leader to renew leases of agents by it. */
+  /** Returns whether the proof is too old for the leader to renew agents' leases. */
   boolean isExpired() {
     return !clock.instant().isBefore(expiresAt());
   }
 
-  /** After this delay the proof has expired, unless it is extended until then. */
+  /** Returns the delay after which the proof has expired, unless it is extended before then. */
   Duration expiryDelay() {
     Duration remaining = Duration.between(clock.instant(), expiresAt()).plus(EXPIRY_MARGIN);
     return remaining.isNegative() ? MIN_EXPIRY_DELAY : remaining;
--- a/src/main/java/io/pearscale/coordination/PeerConfirmations.java
+++ b/src/main/java/io/pearscale/coordination/PeerConfirmations.java
@@ -9,23 +9,25 @@
 import java.util.Set;
 
 /**
- * Collects the confirmations with which all controllers together extend a leader's proof while the
+ * Collects the confirmations by which all controllers together extend the leader's proof while the
  * key-value store does not answer.
  *
- * <p>While the store is out running work should keep its leases, but only as long as nobody else
- * can lead. Whoever wins a newer term is one of the controllers, and knows it before it acts on it;
- * so if each of them, asked now, knows no newer term, none was acted on before now. The same goes
- * for cancellations: what users were told, one of the controllers told them. A controller that has
- * not loaded the keys since it started gives no confirmation, and one that has loaded them later
- * than the leader names what was live then, since its previous process may have acknowledged
- * cancellations that nobody else knows.
+ * <p>During an outage of the key-value store, running work should keep its leases, but only while
+ * no other controller can lead. The winner of a newer term is one of the controllers and knows of
+ * that term before it acts in it. Therefore, if no controller knows of a newer term when it is
+ * asked, no controller acted in one before that time. The same argument applies to cancellations:
+ * one of the controllers acknowledged each of them to a user. A controller that has not loaded the
+ * stored keys since it started gives no confirmation. A controller that loaded them later than the
+ * leader also lists the jobs that were live at that time, since its previous process may have
+ * acknowledged cancellations that no other controller knows.
  *
- * <p>Hence two rules. Only confirmations of one and the same request count together, and they prove
- * what was the case when that request was <em>sent</em>. And the proof extends one that still
- * holds; one that has expired is renewed by the key-value store alone ({@code Leadership}).
+ * <p>Two rules follow. Only confirmations of the same request count together, and they prove the
+ * state at the time when that request was <em>sent</em>. A confirmation can extend only a proof
+ * that is still valid; after a proof has expired, only the key-value store can renew it ({@code
+ * Leadership}).
  */
 final class PeerConfirmations {
-  /** How many controllers have to confirm, the leader itself included. */
+  /** Number of controllers that have to confirm, including the leader. */
   private final int controllerCount;
 
   private long nonce;
@@ -35,28 +37,33 @@
   private final List<LiveJobs> liveJobs = new ArrayList<>();
 
   /**
-   * What all controllers have confirmed: none of them led in a later term when the request was
-   * sent.
+   * The complete confirmation by all controllers: none of them led in a later term when the request
+   * was sent.
    *
-   * @param requestedAt when the request was sent
-   * @param cancelledJobs the jobs whose cancellation any of them acknowledged to users lately
-   * @param liveJobs the jobs that were live, from each one that loaded the keys later than the
+   * @param requestedAt the time at which the request was sent
+   * @param cancelledJobs the jobs whose cancellation a controller recently acknowledged to users
+   * @param liveJobs the live jobs of each controller that loaded the stored keys later than the
    *     leader
    */
   record Confirmed(Instant requestedAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) {}
 
   /**
-   * Nothing is requested yet.
+   * Creates a collection without a request.
    *
-   * @param firstNonce drawn at random, so that an answer to a request of an earlier process of this
-   *     controller is not taken for one to ours
+   * @param firstNonce a random number, so that a reply to a request of an earlier process of this
+   *     controller is not mistaken for a reply to a request of this process
    */
   PeerConfirmations(int controllerCount, long firstNonce) {
     this.controllerCount = controllerCount;
     this.nonce = firstNonce;
   }
 
-  /** Begins a request, sent now; what was confirmed for an earlier one is void. */
+  /**
+   * Begins a request that is sent at the given time, and discards the confirmations of earlier
+   * requests.
+   *
+   * @return the nonce of the request
+   */
   long beginRequest(Instant now) {
     requestedAt = now;
     nonce++;
@@ -66,15 +73,15 @@
     return nonce;
   }
 
-  /** Whether the nonce is that of the last request. */
+  /** Returns whether the nonce identifies the latest request. */
   boolean isCurrent(long requestNonce) {
     return nonce == requestNonce;
   }
 
   /**
-   * A controller has confirmed the last request.
+   * Adds the confirmation of the latest request by one controller.
    *
-   * @return what all have confirmed, once all have
+   * @return the complete confirmation; empty until all controllers have confirmed
    */
   Optional<Confirmed> add(ElectionActor.PeerConfirmed confirmation) {
     confirmedControllers.add(confirmation.peer());
--- a/src/main/java/io/pearscale/coordination/PeerTerms.java
+++ b/src/main/java/io/pearscale/coordination/PeerTerms.java
@@ -3,38 +3,39 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What the peers have announced of the terms that they know. */
+/** The terms that peers have announced. */
 final class PeerTerms {
   private final Set<String> peers;
   private long highest;
 
-  /** Peers that know of the term that this controller leads in. */
+  /** Peers that know of the term in which this controller leads. */
   private final Set<String> acknowledgedPeers = new HashSet<>();
 
-  /** No peer has announced anything yet. */
+  /** Creates a record without announcements. */
   PeerTerms(Set<String> peers) {
     this.peers = peers;
   }
 
-  /** A peer has announced the highest term that it knows. */
+  /** Records the highest term that a peer knows. */
   void recordAnnouncedTerm(long term) {
     highest = Math.max(highest, term);
   }
 
-  /** The highest term that any peer has announced; 0 before the first announcement. */
+  /** Returns the highest term that any peer has announced; 0 before the first announcement. */
   long highest() {
     return highest;
   }
 
-  /** This controller leads in a new term, which no peer knows as yet. */
+  /** Discards the acknowledgements of earlier terms because this controller leads in a new term. */
   void beginTerm() {
     acknowledgedPeers.clear();
   }
 
   /**
-   * A peer knows of the term that this controller leads in.
+   * Records that a peer knows of the term in which this controller leads.
    *
-   * @return whether that is news, and all peers know now
+   * @return whether this is the first acknowledgement by that peer and completes the
+   *     acknowledgements of all peers
    */
   boolean acknowledge(String peer) {
     return acknowledgedPeers.add(peer) && acknowledgedPeers.containsAll(peers);
--- a/src/main/java/io/pearscale/coordination/StepDownReason.java
+++ b/src/main/java/io/pearscale/coordination/StepDownReason.java
@@ -2,27 +2,27 @@
 
 import java.util.Locale;
 
-/** Why a leader gives up its term. */
+/** The reason why a leader steps down. */
 enum StepDownReason {
-  /** An agent has seen a fencing token of a later term. */
+  /** An agent reported a fencing token of a later term. */
   HIGHER_TERM_SEEN,
 
-  /** The key-value store shows a later term. */
+  /** The key-value store contains a later term. */
   OTHER_LEADER_STORED,
 
-  /** The build must not lead, see {@link Eligibility}. */
+  /** This controller may not lead; see {@link Eligibility}. */
   INCOMPATIBLE_BUILD,
 
   /** A peer knows of a later term. */
   PEER_HAS_HIGHER_TERM,
 
-  /** The key-value store knows the leader's lease no more. */
+  /** The leader's lease no longer exists in the key-value store. */
   LEASE_EXPIRED,
 
-  /** Nobody has proved for the renewal authority timeout that no other controller leads. */
+  /** No proof that no other controller leads was obtained for the renewal authority timeout. */
   PROOF_EXPIRED;
 
-  /** The reason as it stands in the log. */
+  /** Returns the reason in the form used in log lines. */
   String logValue() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/io/pearscale/coordination/StoredLeadership.java
+++ b/src/main/java/io/pearscale/coordination/StoredLeadership.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The leader and the highest term as the key-value store holds them, as far as known here. */
+/** The leader and the highest term in this controller's replica of the key-value store. */
 final class StoredLeadership {
   private Optional<LeaderRecord> leader = Optional.empty();
   private long leaderRevision;
   private long term;
   private long termRevision;
 
-  /** Takes over all keys as they were loaded. */
+  /** Replaces the state with the loaded keys. */
   void load(Map<String, Entry> entries) {
     updateLeader(Optional.ofNullable(entries.get(Keys.LEADER)));
     updateTerm(Optional.ofNullable(entries.get(Keys.TERM)));
   }
 
   /**
-   * Takes over a change of a key.
+   * Applies a change of a key.
    *
    * @return whether the change concerns the leader or the term
    */
@@ -48,27 +48,27 @@
     termRevision = entry.map(Entry::revision).orElse(0L);
   }
 
-  /** Who leads; empty while nobody does. */
+  /** Returns the leader; empty if there is none. */
   Optional<LeaderRecord> leader() {
     return leader;
   }
 
-  /** The revision of the leader's key; 0 while nobody leads. */
+  /** Returns the revision of the leader's key; 0 if there is no leader. */
   long leaderRevision() {
     return leaderRevision;
   }
 
-  /** The highest term so far; 0 before the first one. */
+  /** Returns the highest term; 0 before the first term. */
   long term() {
     return term;
   }
 
-  /** The revision of the term's key; 0 while there is none. */
+  /** Returns the revision of the term's key; 0 if the key does not exist. */
   long termRevision() {
     return termRevision;
   }
 
-  /** Whether the host leads in the highest term. */
+  /** Returns whether the host leads in the given term and that term is the highest one. */
   boolean isLeader(String host, long inTerm) {
     return term == inTerm && leader.map(record -> record.host().equals(host)).orElse(false);
   }
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -14,25 +14,25 @@
 import java.util.OptionalLong;
 
 /**
- * Keeps the record that says which schema levels this controller's build supports. The record is
- * attached to a lease that is renewed while the process runs, so that an upgrade is not finalised
- * because of a process that has ended. A controller whose build does not support the level in force
- * can't write its record: writes are guarded by the level.
+ * Maintains the stored record of the schema levels that this controller's build supports. The
+ * record is attached to a lease that is renewed while the process runs, so that a process that has
+ * ended does not count when an upgrade is finalised. A controller whose build does not support the
+ * level in force can't write its record, because writes are guarded by the level.
  */
 public final class SupportAnnouncer extends Actor<SupportAnnouncer.Message> {
-  /** How often the lease is renewed within its TTL. */
+  /** Number of renewals within the TTL of the lease. */
   private static final int RENEWALS_PER_LEASE = 3;
 
-  /** The delay after a failure. */
+  /** Delay before a failed request is retried. */
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** No lease of the key-value store: ids of leases are not negative. */
+  /** Matches no lease of the key-value store, because lease ids are not negative. */
   private static final long NO_LEASE = -1;
 
-  /** What the actor understands. */
+  /** The messages that this actor accepts. */
   public sealed interface Message {}
 
-  /** Begins to announce. */
+  /** Starts to maintain the record. */
   public record Start() implements Message {}
 
   private record RenewalDue() implements Message {}
@@ -54,9 +54,9 @@
   private OptionalLong leaseId = OptionalLong.empty();
 
   /**
-   * Does nothing before {@link Start}.
+   * Creates an actor that is idle until {@link Start}.
    *
-   * @param leaseTtl for how long the record outlives the process
+   * @param leaseTtl the time for which the record remains after the process has ended
    */
   public SupportAnnouncer(
       EventLoop loop,
@@ -119,7 +119,10 @@
     store.compareAndSwap(List.of(), List.of(record), reply -> tell(new RecordWritten(reply)));
   }
 
-  /** A lease that expired has taken the record with it; without an answer nothing is known. */
+  /**
+   * Handles the reply to a renewal. If the lease has expired, its record was deleted with it, so a
+   * new lease is requested. Without a reply, the state of the lease is unknown and nothing changes.
+   */
   private void leaseExtended(Reply reply) {
     if (StoreReplies.isNotFound(reply)) {
       leaseId = OptionalLong.empty();
@@ -130,9 +133,9 @@
   }
 
   /**
-   * Writes the record anew if it is not the one of this process. A write of a previous process, or
-   * one that got no answer, may have been carried out late: then the record is attached to a lease
-   * that nobody renews, and goes with it.
+   * Rewrites the record if it is missing or was not written by this process under its current
+   * lease. A write of a previous process, or a write without a reply, may be applied late. The
+   * resulting record is attached to a lease that no process renews, and is deleted with that lease.
    */
   private void recordRead(Reply reply) {
     boolean missing = StoreReplies.isNotFound(reply);
@@ -145,7 +148,10 @@
     }
   }
 
-  /** Whatever came of the write, a record that may not be there is written under the next lease. */
+  /**
+   * Handles the reply to a write. After a failure it is unknown whether the record exists, so the
+   * record is written again under a new lease.
+   */
   private void recordWritten(Reply reply) {
     if (reply.ok()) {
       log.info("event=support_announced host={} levels={}", host, support.levels());
--- a/src/main/java/io/pearscale/coordination/package-info.java
+++ b/src/main/java/io/pearscale/coordination/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Who leads, and how heartbeats of agents reach the leader and its responses come back. {@link
- * io.pearscale.coordination.ElectionStateMachine} decides, {@link
- * io.pearscale.coordination.ElectionActor} does the I/O.
+ * Leader election and heartbeat relay. {@link io.pearscale.coordination.ElectionStateMachine}
+ * decides whether this controller leads, without I/O, and {@link
+ * io.pearscale.coordination.ElectionActor} carries out its I/O. {@link
+ * io.pearscale.coordination.HeartbeatRelayActor} forwards agents' heartbeats to the leader and
+ * returns the responses. The package does not contain the work of a leader, such as scheduling and
+ * commands to agents, or the transport between controllers.
  */
 package io.pearscale.coordination;
