--- a/src/main/java/io/pearscale/coordination/Candidacy.java
+++ b/src/main/java/io/pearscale/coordination/Candidacy.java
@@ -87,7 +87,7 @@
   }
 
   /** Starts the most recently scheduled campaign by requesting a lease. */
-  void begin() {
+  void requestLease() {
     effects.requestLease(round.current());
   }
 
@@ -96,7 +96,7 @@
    *
    * @param granted the lease id; empty if no lease was granted
    */
-  void leaseGranted(OptionalLong granted) {
+  void leaseAnswered(OptionalLong granted) {
     if (granted.isEmpty()) {
       scheduleAfterFailure();
       return;
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -74,7 +74,7 @@
 
   private record CampaignDue(int round) implements Message {}
 
-  private record LeaseGranted(int round, Reply reply) implements Message {}
+  private record LeaseAnswered(int round, Reply reply) implements Message {}
 
   private record ElectionAnswered(int round, Reply reply) implements Message {}
 
@@ -145,8 +145,8 @@
   private void receiveTimerOrReply(Message message) {
     if (message instanceof CampaignDue m) {
       election.campaignDue(m.round);
-    } else if (message instanceof LeaseGranted m) {
-      election.leaseGranted(m.round, StoreReplies.grantedLease(m.reply));
+    } else if (message instanceof LeaseAnswered m) {
+      election.leaseAnswered(m.round, StoreReplies.grantedLease(m.reply));
     } else if (message instanceof ElectionAnswered m) {
       electionAnswered(m);
     } else if (message instanceof RenewalDue m) {
@@ -185,7 +185,7 @@
 
     @Override
     public void requestLease(int round) {
-      store.grantLease(leaseTtl, reply -> tell(new LeaseGranted(round, reply)));
+      store.grantLease(leaseTtl, reply -> tell(new LeaseAnswered(round, reply)));
     }
 
     @Override
--- a/src/main/java/io/pearscale/coordination/ElectionEffects.java
+++ b/src/main/java/io/pearscale/coordination/ElectionEffects.java
@@ -16,7 +16,7 @@
   /** Reports {@link ElectionStateMachine#campaignDue} after the delay. */
   void scheduleCampaign(int round, Duration delay);
 
-  /** Requests a store lease for a campaign; reports {@link ElectionStateMachine#leaseGranted}. */
+  /** Requests a store lease for a campaign; reports {@link ElectionStateMachine#leaseAnswered}. */
   void requestLease(int round);
 
   /**
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -164,13 +164,13 @@
       candidacy.withdraw();
       return;
     }
-    candidacy.begin();
+    candidacy.requestLease();
   }
 
   /** Handles the reply to a lease request; empty if no lease was granted. */
-  void leaseGranted(int eventRound, OptionalLong granted) {
+  void leaseAnswered(int eventRound, OptionalLong granted) {
     if (round.isCurrent(eventRound)) {
-      candidacy.leaseGranted(granted);
+      candidacy.leaseAnswered(granted);
     }
   }
 
@@ -251,7 +251,7 @@
     if (confirmation.term() > tenure.get().term()) {
       stepDown(StepDownReason.PEER_HAS_HIGHER_TERM);
     } else {
-      tenure.get().confirmed(confirmation);
+      tenure.get().addConfirmation(confirmation);
     }
   }
 
--- a/src/main/java/io/pearscale/coordination/LeaderTenure.java
+++ b/src/main/java/io/pearscale/coordination/LeaderTenure.java
@@ -67,16 +67,16 @@
   }
 
   /** Adds the confirmation of a controller that knows of no later term. */
-  void confirmed(ElectionActor.PeerConfirmed confirmation) {
+  void addConfirmation(ElectionActor.PeerConfirmed confirmation) {
     confirmations
         .add(confirmation)
-        .filter(confirmed -> confirmed.requestedAt().isAfter(proof.provenAt()))
+        .filter(complete -> complete.requestedAt().isAfter(proof.provenAt()))
         .ifPresent(this::allConfirmed);
   }
 
-  private void allConfirmed(PeerConfirmations.Confirmed confirmed) {
-    proof.extendTo(confirmed.requestedAt());
-    listener.confirmedByPeers(proof.provenAt(), confirmed.cancelledJobs(), confirmed.liveJobs());
+  private void allConfirmed(PeerConfirmations.Confirmed complete) {
+    proof.extendTo(complete.requestedAt());
+    listener.confirmedByPeers(proof.provenAt(), complete.cancelledJobs(), complete.liveJobs());
     scheduleProofExpiry();
   }
 
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -37,13 +37,13 @@
 
   private record RenewalDue() implements Message {}
 
-  private record LeaseGranted(Reply reply) implements Message {}
+  private record LeaseAnswered(Reply reply) implements Message {}
 
-  private record LeaseExtended(Reply reply) implements Message {}
+  private record LeaseRenewalAnswered(Reply reply) implements Message {}
 
-  private record RecordWritten(Reply reply) implements Message {}
+  private record RecordWriteAnswered(Reply reply) implements Message {}
 
-  private record RecordRead(Reply reply) implements Message {}
+  private record RecordReadAnswered(Reply reply) implements Message {}
 
   private record RetryDue() implements Message {}
 
@@ -75,22 +75,22 @@
   protected void receive(Message message) {
     if (message instanceof Start || message instanceof RenewalDue) {
       renew();
-    } else if (message instanceof LeaseGranted m) {
-      leaseGranted(m.reply);
-    } else if (message instanceof LeaseExtended m) {
-      leaseExtended(m.reply);
-    } else if (message instanceof RecordRead m) {
-      recordRead(m.reply);
+    } else if (message instanceof LeaseAnswered m) {
+      leaseAnswered(m.reply);
+    } else if (message instanceof LeaseRenewalAnswered m) {
+      leaseRenewalAnswered(m.reply);
+    } else if (message instanceof RecordReadAnswered m) {
+      recordReadAnswered(m.reply);
     } else if (message instanceof RetryDue) {
       requestLeaseIfMissing();
-    } else if (message instanceof RecordWritten m) {
-      recordWritten(m.reply);
+    } else if (message instanceof RecordWriteAnswered m) {
+      recordWriteAnswered(m.reply);
     }
   }
 
   private void renew() {
     if (leaseId.isPresent()) {
-      store.renewLease(leaseId.getAsLong(), reply -> tell(new LeaseExtended(reply)));
+      store.renewLease(leaseId.getAsLong(), reply -> tell(new LeaseRenewalAnswered(reply)));
     } else {
       requestLeaseIfMissing();
     }
@@ -99,11 +99,11 @@
 
   private void requestLeaseIfMissing() {
     if (leaseId.isEmpty()) {
-      store.grantLease(leaseTtl, reply -> tell(new LeaseGranted(reply)));
+      store.grantLease(leaseTtl, reply -> tell(new LeaseAnswered(reply)));
     }
   }
 
-  private void leaseGranted(Reply reply) {
+  private void leaseAnswered(Reply reply) {
     if (reply.ok()) {
       leaseId = OptionalLong.of(StoreReplies.leaseOf(reply));
       writeRecord();
@@ -116,19 +116,19 @@
     Mutation record =
         new Mutation(
             Keys.member(host), Optional.of(support.toNode()), Optional.of(leaseId.getAsLong()));
-    store.compareAndSwap(List.of(), List.of(record), reply -> tell(new RecordWritten(reply)));
+    store.compareAndSwap(List.of(), List.of(record), reply -> tell(new RecordWriteAnswered(reply)));
   }
 
   /**
    * Handles the reply to a renewal. If the lease has expired, its record was deleted with it, so a
    * new lease is requested. Without a reply, the state of the lease is unknown and nothing changes.
    */
-  private void leaseExtended(Reply reply) {
+  private void leaseRenewalAnswered(Reply reply) {
     if (StoreReplies.isNotFound(reply)) {
       leaseId = OptionalLong.empty();
       requestLeaseIfMissing();
     } else if (reply.ok()) {
-      store.get(Keys.member(host), readReply -> tell(new RecordRead(readReply)));
+      store.get(Keys.member(host), readReply -> tell(new RecordReadAnswered(readReply)));
     }
   }
 
@@ -137,7 +137,7 @@
    * lease. A write of a previous process, or a write without a reply, may be applied late. The
    * resulting record is attached to a lease that no process renews, and is deleted with that lease.
    */
-  private void recordRead(Reply reply) {
+  private void recordReadAnswered(Reply reply) {
     boolean missing = StoreReplies.isNotFound(reply);
     boolean writtenByOtherProcess =
         reply.ok()
@@ -152,7 +152,7 @@
    * Handles the reply to a write. After a failure it is unknown whether the record exists, so the
    * record is written again under a new lease.
    */
-  private void recordWritten(Reply reply) {
+  private void recordWriteAnswered(Reply reply) {
     if (reply.ok()) {
       log.info("event=support_announced host={} levels={}", host, support.levels());
     } else {
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -97,7 +97,7 @@
     peers = new PeerChannel(peerTransport, settings.peers().keySet());
     ApiActor api =
         new ApiActor(
-            loop, store, replica, settings, wallClock, levelGate, this::cancellationAcknowledged);
+            loop, store, replica, settings, wallClock, levelGate, this::announceCancellation);
     ElectionActor election = createElectionActor(renewalLoop, random);
     SchedulerActor scheduler =
         new SchedulerActor(
@@ -206,7 +206,7 @@
   /**
    * Informs the peers and the scheduler that a cancellation is about to be acknowledged to a user.
    */
-  private void cancellationAcknowledged(String jobId) {
+  private void announceCancellation(String jobId) {
     peers.broadcast(new PeerMessage.JobCancelled(jobId));
     tellScheduler(new SchedulerActor.JobCancelled(jobId));
   }
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -31,7 +31,7 @@
   private final LevelGate levelGate;
   private final ReplicaStatus replicaStatus;
   private final Duration loadTimeout;
-  private final Map<String, PeerHealth> peers = new HashMap<>();
+  private final Map<String, PeerHealth> peerHealth = new HashMap<>();
   private Instant startedAt = Instant.EPOCH;
 
   /**
@@ -60,12 +60,12 @@
 
   /** Records whether the key-value store answers a peer. */
   void peerReported(String peer, boolean storeHealthy) {
-    peers.put(peer, new PeerHealth(clock.instant(), storeHealthy));
+    peerHealth.put(peer, new PeerHealth(clock.instant(), storeHealthy));
   }
 
   /** Discards the health report of a peer that refuses connections. */
   void peerConnectionRefused(String peer) {
-    peers.remove(peer);
+    peerHealth.remove(peer);
   }
 
   private Duration uptime() {
@@ -113,7 +113,7 @@
 
   private boolean peerHasHealthyStore() {
     Instant oldestValidReport = clock.instant().minus(PEER_TIMEOUT);
-    return peers.values().stream()
+    return peerHealth.values().stream()
         .anyMatch(peer -> peer.storeHealthy && peer.reportedAt.isAfter(oldestValidReport));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -27,7 +27,7 @@
   private final LeaderComponents components;
   private final InstantSource clock;
   private Instant nextTaskCountsAt = Instant.MIN;
-  private int runs;
+  private int runCount;
 
   PeriodicWork(LeaderComponents components, InstantSource clock) {
     this.components = components;
@@ -68,7 +68,7 @@
   private void checkMachines(Instant now) {
     components.failureDetector.beginRound();
     int slices = Math.min(MAX_SLICES, 1 + components.inventory.size() / MACHINES_PER_SLICE);
-    int position = ++runs;
+    int position = ++runCount;
     for (Machine machine : List.copyOf(components.inventory.all())) {
       if (++position % slices == 0 || !machine.reconciled()) {
         components.failureDetector.check(machine, now);
