--- a/src/main/java/io/pearscale/coordination/Candidacy.java
+++ b/src/main/java/io/pearscale/coordination/Candidacy.java
@@ -86,7 +86,7 @@
     active = false;
   }
 
-  /** Starts the most recently scheduled campaign by requesting a lease. */
+  /** Requests the lease for the most recently scheduled campaign. */
   void requestLease() {
     effects.requestLease(round.current());
   }
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -21,8 +21,9 @@
  *
  * <p>The leader's key is attached to a lease of the key-value store. The controller that creates
  * the key increments the durable term in the same transaction. Every write of a leader is guarded
- * by that term, and every command to an agent carries it, so two controllers that both consider
- * themselves leader can't cause harm. The election therefore provides progress, not safety.
+ * by that term, and every message of a leader to an agent carries it, so two controllers that both
+ * consider themselves leader can't interfere with each other. Safety therefore does not depend on
+ * the election, which only ensures progress.
  *
  * <p>A controller is the leader from the moment at which it <em>learns</em> that it has won. It
  * measures the age of its leadership proof from the time at which its last successful renewal was
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -76,8 +76,8 @@
    * Returns whether the controller should listen. It can't respond to any request before the stored
    * keys are loaded. On a small share of a CPU core, the agents that connect as soon as it listens
    * would use the CPU time that loading needs; while it does not listen, their connections are
-   * refused and they try another controller. It does not wait any longer for an unavailable
-   * key-value store, so that it can tell users when to retry.
+   * refused and they try another controller. After the load timeout it listens even if the
+   * key-value store is unavailable, so that it can tell users when to retry.
    */
   boolean isReadyToListen() {
     return replicaStatus.isLoaded() || uptime().compareTo(loadTimeout) > 0;
--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -50,7 +50,7 @@
     components.gangs.forget(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // The results of a cancelled task are not needed. It saves no checkpoint, and a task that is
-      // already saving one, for whatever reason it was stopped, ends.
+      // already saving one ends, regardless of the reason for its stop.
       attempt.forbidCheckpoint();
       attempt.forgetStopsSent();
       components.inventory.stop(attempt);
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -262,7 +262,7 @@
                     retirement));
   }
 
-  /** Returns the components that write other records than those of jobs and machines. */
+  /** Returns the components that write records other than those of jobs and machines. */
   private List<TransactionContributor> transactionContributors(Environment environment) {
     List<TransactionContributor> contributors = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -17,8 +17,8 @@
   private static final Duration TASK_COUNTS_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * Number of machines per slice of a large fleet, which has at most {@link #MAX_SLICES} slices.
-   * Each run checks one slice.
+   * Number of machines per slice. A large fleet is divided into at most {@link #MAX_SLICES} slices,
+   * and each run checks one slice.
    */
   private static final int MACHINES_PER_SLICE = 100;
 
