--- a/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -9,27 +9,27 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Hands each change of the stored keys to the component that keeps what the key holds. */
-final class StoredKeyUpdates {
+/** Dispatches each change of a stored key to the component that maintains the state of that key. */
+final class KeyChangeRouter {
   private final LeaderComponents components;
   private final JobTermination jobTermination;
 
-  StoredKeyUpdates(LeaderComponents components, JobTermination jobTermination) {
+  KeyChangeRouter(LeaderComponents components, JobTermination jobTermination) {
     this.components = components;
     this.jobTermination = jobTermination;
   }
 
-  /** Takes over all keys, in place of what was known before. */
+  /** Replaces the known state with the loaded keys. */
   void load(Map<String, Entry> entries) {
     components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
     components.jobs.forgetUnreadable();
     components.records.storedValues().clear();
-    components.levelRaiser.clearAnnouncements();
+    components.levelUpgrader.clearAnnouncements();
     components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
     entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
   }
 
-  /** Takes over a change of one key. */
+  /** Applies a change of one key. */
   void apply(KeyChange change) {
     String key = change.key();
     if (Keys.isLiveJob(key)) {
@@ -39,7 +39,7 @@
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
     } else if (Keys.isMember(key)) {
-      components.levelRaiser.applyAnnouncement(change);
+      components.levelUpgrader.applyAnnouncement(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       applyCatalogue(change.entry().get());
     }
@@ -55,7 +55,10 @@
     }
   }
 
-  /** A leader has its catalogue from the cloud, and the stored one only until it has asked. */
+  /**
+   * Updates the machine catalogue. A leader uses the catalogue of the cloud, and the stored one
+   * only until it has received the former.
+   */
   private void applyCatalogue(Entry entry) {
     List<MachineType> types = MachineType.parseAll(entry.value());
     components.records.storedValues().updateCatalogue(types);
