--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -107,7 +107,7 @@
    */
   private Optional<Response> recordSizeRefusal(JobSpec spec, Team team) {
     int longest = settings.storeLimits().maxValueBytes();
-    if (maxRecordSize(spec, team, RecordLayout.ofLevel(levelGate.inForce().writtenLevel()))
+    if (maxRecordSize(spec, team, RecordLayout.ofLevel(levelGate.currentLevel().writtenLevel()))
         <= longest) {
       return Optional.empty();
     }
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -377,7 +377,7 @@
         return printError("no drain is called " + id, Main.EXIT_SETTINGS);
       }
       Optional<StoredValue> status = state.read(Keys.drainStatus(id));
-      if (!status.map(s -> DrainStatus.isOver(s.value())).orElse(false)) {
+      if (!status.map(s -> DrainStatus.isFinal(s.value())).orElse(false)) {
         return refuse("it is not over: cancel it, and wait until the leader has taken that up");
       }
       List<String> held = new ArrayList<>();
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -113,7 +113,7 @@
       print(
           outcome instanceof UpgradePlan.LevelChange change
               ? "finalise would raise level %d to %d"
-                  .formatted(view.plan().get().inForce().level(), change.next().level())
+                  .formatted(view.plan().get().currentLevel().level(), change.next().level())
               : "nothing to do: " + ((UpgradePlan.NoChange) outcome).reason());
       return 0;
     }
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -73,7 +73,7 @@
     return new UpgradeView(
         level,
         build,
-        gate.objection(),
+        gate.incompatibility(),
         hosts,
         members,
         inForce.map(l -> pendingValues(records, l.writtenLevel())).orElse(0),
@@ -181,13 +181,13 @@
   }
 
   private String written() {
-    return plan.map(p -> Integer.toString(p.inForce().writtenLevel())).orElse("unknown");
+    return plan.map(p -> Integer.toString(p.currentLevel().writtenLevel())).orElse("unknown");
   }
 
   private String migration() {
     return plan.map(
             p ->
-                p.inForce().migrated()
+                p.currentLevel().migrated()
                     ? "complete"
                     : pendingValues + " values are to be rewritten or copied")
         .orElse("unknown");
--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -28,7 +28,7 @@
   private static final int ENTRY_OVERHEAD = 48;
 
   /** Upper bound in bytes for its entry. */
-  public int maximumSize() {
+  public int maxEncodedSize() {
     return ENTRY_OVERHEAD + task.toString().length() + team.length() + jobClass.length();
   }
 
--- a/src/main/java/io/pearscale/drain/DisruptionBudget.java
+++ b/src/main/java/io/pearscale/drain/DisruptionBudget.java
@@ -23,21 +23,21 @@
     /** The most seconds of work without a checkpoint that may be lost at once. */
     MAX_LOST_WORK_SECONDS("most-lost-s");
 
-    private final String text;
+    private final String configName;
 
-    Kind(String text) {
-      this.text = text;
+    Kind(String configName) {
+      this.configName = configName;
     }
 
     /** Its name in files and messages. */
-    public String text() {
-      return text;
+    public String configName() {
+      return configName;
     }
 
     /** The kind of that name. */
-    public static Optional<Kind> parse(String text) {
+    public static Optional<Kind> parse(String configName) {
       for (Kind kind : values()) {
-        if (kind.text.equals(text)) {
+        if (kind.configName.equals(configName)) {
           return Optional.of(kind);
         }
       }
@@ -77,12 +77,12 @@
   }
 
   /** Whether the budget covers tasks of that team and class. */
-  public boolean covers(String ofTeam, String ofClass) {
-    return team.equals(ofTeam) && jobClass.map(c -> c.equals(ofClass)).orElse(true);
+  public boolean covers(String taskTeam, String taskJobClass) {
+    return team.equals(taskTeam) && jobClass.map(c -> c.equals(taskJobClass)).orElse(true);
   }
 
   /** Why the budget does not allow that availability; empty if it does. */
-  public Optional<String> objection(Availability availability) {
+  public Optional<String> rejectionReason(Availability availability) {
     boolean allowed =
         switch (kind) {
           case MAX_UNAVAILABLE -> availability.unavailable <= amount;
@@ -99,7 +99,7 @@
         .formatted(
             team,
             jobClass.orElse("*"),
-            kind.text,
+            kind.configName,
             amount == Math.rint(amount) ? Long.toString((long) amount) : Double.toString(amount));
   }
 }
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -61,10 +61,10 @@
   }
 
   /** Closes the disruptions of matching tasks, and returns them. */
-  public List<Disruption> closeIf(Predicate<TaskId> isOver) {
+  public List<Disruption> closeIf(Predicate<TaskId> isFinished) {
     List<Disruption> closed = new ArrayList<>();
     for (Disruption disruption : List.copyOf(open.values())) {
-      if (isOver.test(disruption.task())) {
+      if (isFinished.test(disruption.task())) {
         open.remove(disruption.task());
         closed.add(disruption);
       }
@@ -101,27 +101,27 @@
    *
    * @return why they are refused; empty if they are granted
    */
-  public Optional<String> trySpend(List<Disruption> together) {
+  public Optional<String> trySpend(List<Disruption> disruptions) {
     if (blockedReason.isPresent()) {
       return blockedReason;
     }
-    Disruption first = together.get(0);
+    Disruption first = disruptions.get(0);
     Group group = new Group(first.team(), first.jobClass());
     Availability added = new Availability(0, 0, Duration.ZERO);
-    for (Disruption disruption : together) {
+    for (Disruption disruption : disruptions) {
       added = added.plus(new Availability(0, 1, disruption.lostWork()));
     }
-    List<DisruptionBudget> covering = budgetsFor(group);
-    if (covering.isEmpty()) {
+    List<DisruptionBudget> applicable = budgetsFor(group);
+    if (applicable.isEmpty()) {
       return Optional.of("no budget covers " + group.team + " " + group.jobClass);
     }
-    for (DisruptionBudget budget : covering) {
-      Optional<String> objection = budget.objection(availabilityUnder(budget).plus(added));
-      if (objection.isPresent()) {
-        return objection;
+    for (DisruptionBudget budget : applicable) {
+      Optional<String> rejection = budget.rejectionReason(availabilityUnder(budget).plus(added));
+      if (rejection.isPresent()) {
+        return rejection;
       }
     }
-    together.forEach(disruption -> open.put(disruption.task(), disruption));
+    disruptions.forEach(disruption -> open.put(disruption.task(), disruption));
     availabilityByGroup = new HashMap<>(availabilityByGroup);
     availabilityByGroup.merge(group, added, Availability::plus);
     return Optional.empty();
@@ -129,17 +129,17 @@
 
   /** The budgets for a group; the defaults where it has none of its own. */
   private List<DisruptionBudget> budgetsFor(Group group) {
-    List<DisruptionBudget> own = new ArrayList<>();
-    List<DisruptionBudget> defaults = new ArrayList<>();
+    List<DisruptionBudget> teamBudgets = new ArrayList<>();
+    List<DisruptionBudget> defaultBudgets = new ArrayList<>();
     for (DisruptionBudget budget : budgets) {
       if (budget.covers(group.team, group.jobClass)) {
-        own.add(budget);
+        teamBudgets.add(budget);
       } else if (budget.isDefault()) {
-        defaults.add(budget.forTeam(group.team));
+        defaultBudgets.add(budget.forTeam(group.team));
       }
     }
-    defaults.removeIf(budget -> !budget.covers(group.team, group.jobClass));
-    return own.isEmpty() ? defaults : own;
+    defaultBudgets.removeIf(budget -> !budget.covers(group.team, group.jobClass));
+    return teamBudgets.isEmpty() ? defaultBudgets : teamBudgets;
   }
 
   /** The availability of the tasks that a budget covers. */
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -44,12 +44,12 @@
     List<Disruption> disruptions() {
       List<Disruption> all = new ArrayList<>();
       all.add(disruption(task));
-      gangMembers.forEach(mate -> all.add(disruption(mate)));
+      gangMembers.forEach(member -> all.add(disruption(member)));
       return all;
     }
 
-    private Disruption disruption(TaskId stopped) {
-      return new Disruption(stopped, team, jobClass, /* voluntary= */ true, lostWork);
+    private Disruption disruption(TaskId stoppedTask) {
+      return new Disruption(stoppedTask, team, jobClass, /* voluntary= */ true, lostWork);
     }
   }
 
@@ -126,7 +126,7 @@
     List<DrainRound> rounds = new ArrayList<>();
     for (Drain drain : rotated(drains)) {
       DrainRound round = new DrainRound(windows, drain, machines, plan, ledger, now);
-      round.decideOnMachines();
+      round.planMachines();
       rounds.add(round);
     }
     grantRoundRobin(rounds, ledger, capacity);
@@ -146,11 +146,11 @@
   /** Asks for one task of each drain after the other, until no candidate is left. */
   private static void grantRoundRobin(
       List<DrainRound> rounds, DisruptionLedger ledger, ReplacementCapacity capacity) {
-    boolean left = true;
-    while (left) {
-      left = false;
+    boolean candidatesLeft = true;
+    while (candidatesLeft) {
+      candidatesLeft = false;
       for (DrainRound round : rounds) {
-        left |= round.grantNext(ledger, capacity);
+        candidatesLeft |= round.grantNext(ledger, capacity);
       }
     }
   }
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -52,7 +52,7 @@
           return action;
         }
       }
-      throw unknown(text);
+      throw unknownName(text);
     }
   }
 
@@ -77,7 +77,7 @@
           return state;
         }
       }
-      throw unknown(text);
+      throw unknownName(text);
     }
   }
 
@@ -85,7 +85,7 @@
   private static final int VALUE_FILL_PERCENT = 80;
 
   /** Bytes of a name in a list beside its characters. */
-  private static final int NAME_PUNCTUATION_LENGTH = 3;
+  private static final int NAME_OVERHEAD_BYTES = 3;
 
   /** Ids are part of keys and of machine records, so they are short. */
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
@@ -109,7 +109,7 @@
         MessageFields.optionalText(map, "window"));
   }
 
-  private static MalformedMessageException unknown(String text) {
+  private static MalformedMessageException unknownName(String text) {
     return new MalformedMessageException("unknown word " + text);
   }
 
@@ -139,14 +139,14 @@
     ArrayNode list = value.putArray("m");
     int size = 0;
     for (String name : machines) {
-      if (size + name.length() + NAME_PUNCTUATION_LENGTH > fillLimit) {
+      if (size + name.length() + NAME_OVERHEAD_BYTES > fillLimit) {
         mutations.add(Mutation.put(Keys.drainMachines(id) + (mutations.size() - 1), value));
         value = MessagePack.map();
         list = value.putArray("m");
         size = 0;
       }
       list.add(name);
-      size += name.length() + NAME_PUNCTUATION_LENGTH;
+      size += name.length() + NAME_OVERHEAD_BYTES;
     }
     mutations.add(Mutation.put(Keys.drainMachines(id) + (mutations.size() - 1), value));
     return mutations;
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -74,7 +74,7 @@
   }
 
   /** Decides on the machines that the drain has cordoned, and which to cordon next. */
-  void decideOnMachines() {
+  void planMachines() {
     paused = isPaused();
     List<MachineView> machinesInService = new ArrayList<>();
     for (String name : drain.machines()) {
@@ -85,7 +85,7 @@
         inService++;
         machinesInService.add(machine);
       } else {
-        decideOn(machine);
+        planMachine(machine);
       }
     }
     if (!paused && !isCancelled() && !isPastDeadline()) {
@@ -117,9 +117,9 @@
     return false;
   }
 
-  private void decideOn(MachineView machine) {
+  private void planMachine(MachineView machine) {
     switch (machine.maintenance().stage()) {
-      case CORDONED -> decideOnCordoned(machine);
+      case CORDONED -> planCordonedMachine(machine);
       case DRAINED -> {
         if (isCancelled()) {
           plan.maintenanceChanges()
@@ -133,12 +133,12 @@
     }
   }
 
-  private void decideOnCordoned(MachineView machine) {
+  private void planCordonedMachine(MachineView machine) {
     if (isCancelled() || isPastDeadline()) {
       plan.maintenanceChanges().put(machine.name(), Maintenance.IN_SERVICE);
       inService++;
     } else if (machine.maintenanceDurable() && machine.tasks().isEmpty()) {
-      decideOnEmpty(machine);
+      planEmptyMachine(machine);
     } else {
       cordoned++;
       remainingTasks += machine.tasks().size();
@@ -148,7 +148,7 @@
     }
   }
 
-  private void decideOnEmpty(MachineView machine) {
+  private void planEmptyMachine(MachineView machine) {
     if (request.completionAction() == DrainRequest.CompletionAction.TERMINATE) {
       plan.machinesToRelease().add(machine.name());
       released++;
@@ -212,14 +212,14 @@
     if (disruptionLedger.isOpen(task.task())) {
       return true; // It ends with another task of its gang.
     }
-    Optional<String> objection = capacity.reserve(task);
-    if (objection.isPresent()) {
+    Optional<String> rejection = capacity.reserve(task);
+    if (rejection.isPresent()) {
       plan.tasksWithoutCapacity().add(task);
     } else {
-      objection = disruptionLedger.trySpend(task.disruptions());
+      rejection = disruptionLedger.trySpend(task.disruptions());
     }
-    if (objection.isPresent()) {
-      reasons.add(task.task() + ": " + objection.get());
+    if (rejection.isPresent()) {
+      reasons.add(task.task() + ": " + rejection.get());
     } else {
       plan.tasksToStop().add(task);
     }
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -50,7 +50,7 @@
   }
 
   /** Whether the encoded status is final. */
-  public static boolean isOver(JsonNode record) {
+  public static boolean isFinal(JsonNode record) {
     String stored = record.path("state").asText();
     return Stream.of(State.DRAINED, State.CANCELLED, State.FAILED)
         .anyMatch(state -> stored.equals(state.storedName));
--- a/src/main/java/io/pearscale/drain/MaintenanceWindow.java
+++ b/src/main/java/io/pearscale/drain/MaintenanceWindow.java
@@ -37,8 +37,8 @@
       return Optional.of(now);
     }
     LocalDate today = now.atZone(zone).toLocalDate();
-    for (int ahead = 0; ahead <= SEARCH_DAYS; ahead++) {
-      Optional<Interval> next = occurrence(today.plusDays(ahead)).filter(i -> i.isAfter(now));
+    for (int daysAhead = 0; daysAhead <= SEARCH_DAYS; daysAhead++) {
+      Optional<Interval> next = occurrence(today.plusDays(daysAhead)).filter(i -> i.isAfter(now));
       if (next.isPresent()) {
         return next.map(Interval::getStart);
       }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -126,7 +126,13 @@
             new KeyValueStoreClient(renewalLoop.loop, renewalLoop.httpClient, settings),
             settings.leaderLeaseTtl().multipliedBy(STALL_LEASE_TTLS));
     return new ElectionActor(
-        loop, store, leaseRenewer, settings, random, levelGate::objection, new ElectionEvents());
+        loop,
+        store,
+        leaseRenewer,
+        settings,
+        random,
+        levelGate::incompatibility,
+        new ElectionEvents());
   }
 
   private HeartbeatRelayActor relay(SchedulerActor scheduler, PeerTransport peerTransport) {
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -81,7 +81,7 @@
   /** Whether this controller may use the key-value store, and has had an answer of it lately. */
   boolean isStoreHealthy() {
     return replicaStatus.isLoaded()
-        && levelGate.objection().isEmpty()
+        && levelGate.incompatibility().isEmpty()
         && store
             .lastSuccess()
             .map(time -> Duration.between(time, clock.instant()).compareTo(STORE_TIMEOUT) < 0)
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -57,7 +57,7 @@
     if (message instanceof ControllerHeartbeat m) {
       controllerHeartbeat(peer, m);
     } else if (message instanceof ConfirmationRequest m) {
-      if (replicaStatus.isLoaded() && levelGate.objection().isEmpty()) {
+      if (replicaStatus.isLoaded() && levelGate.incompatibility().isEmpty()) {
         confirm(peer, m);
       }
     } else if (message instanceof Confirmation m) {
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -36,7 +36,7 @@
     checkMachines(now);
     components.gracefulTermination.endBrokenGangs();
     components.recovery.noteProgress();
-    components.drainCoordinator.ifPresent(drains -> drains.roundIfDue(now));
+    components.drainCoordinator.ifPresent(drains -> drains.runRoundIfDue(now));
     components.placementPass.request();
     components.dispatcher.sendAllDueCommands();
     components.machineProvisioner.scaleIfDue(now);
--- a/src/main/java/io/pearscale/scheduler/RequestRouter.java
+++ b/src/main/java/io/pearscale/scheduler/RequestRouter.java
@@ -74,7 +74,7 @@
   }
 
   private void forwardToApi(ApiActor.Message message, Consumer<Response> respond) {
-    Optional<String> objection = levelGate.objection();
+    Optional<String> objection = levelGate.incompatibility();
     if (objection.isPresent()) {
       respond.accept(Response.unavailable(INCOMPATIBLE_RETRY_AFTER, objection.get()));
     } else if (!actors.api().offer(message)) {
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -25,7 +25,7 @@
     components.recordWriter.beginTerm();
     components.dispatcher.begin();
     components.recovery.beginTerm();
-    components.machineProvisioner.begin();
+    components.machineProvisioner.beginTerm();
   }
 
   /** This controller does not lead any more: forgets all that only a leader knows. */
@@ -38,7 +38,7 @@
     components.taskCountPublisher.clear();
     components.gangs.clear();
     components.drainCoordinator.ifPresent(DrainCoordinator::endTerm);
-    components.machineProvisioner.end();
+    components.machineProvisioner.endTerm();
     components.jobs.forgetLeaderState();
   }
 
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -27,7 +27,7 @@
    * What the leader knows.
    *
    * @param schedulable which machines tasks may be placed on now
-   * @param waiting jobs with pending tasks, in the order in which they are scheduled
+   * @param queuedJobs jobs with pending tasks, in the order in which they are scheduled
    * @param quotaUsage what each team has in use; the plan charges what it provisions for
    * @param unreachableZones zones in which nothing is provisioned, since it could not be reached
    * @param drainReplacements capacity that drains lack
@@ -37,7 +37,7 @@
       Collection<Machine> machines,
       Predicate<Machine> schedulable,
       Collection<Job> jobs,
-      List<Job> waiting,
+      List<Job> queuedJobs,
       QuotaUsage quotaUsage,
       Collection<MachineType> types,
       Set<String> unreachableZones,
@@ -75,7 +75,7 @@
   }
 
   /** A term begins: what was requested in another one is not counted as coming. */
-  void begin() {
+  void beginTerm() {
     scaleOutPlanner = new ScaleOutPlanner(tuning);
   }
 
@@ -104,11 +104,11 @@
     Map<Offering, Integer> scaleOut =
         scaleOutPlanner.plan(
             demands, booting, view.types, view.unreachableZones, view.machines.size(), now);
-    scaleOut.forEach((offering, count) -> scaleOutPlanner.noteRequested(offering, count, now));
+    scaleOut.forEach((offering, count) -> scaleOutPlanner.recordRequested(offering, count, now));
     ScalingPlan plan = new ScalingPlan(scaleOut, new ArrayList<>(), new ArrayList<>());
     if (view.mayScaleIn) {
       // Some tasks wait at any moment for the next pass; what counts is whether it finds capacity.
-      boolean lacksCapacity = view.waiting.stream().anyMatch(Job::isUnschedulable);
+      boolean lacksCapacity = view.queuedJobs.stream().anyMatch(Job::isUnschedulable);
       scaleInPlanner.addTo(plan, schedulable, lacksCapacity, headroom, now);
     }
     return plan;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -119,10 +119,10 @@
   private boolean callInFlight;
   private long term;
   private long requestCount;
-  private boolean haveCatalogue;
+  private boolean catalogueRead;
   private Optional<MachineListing> listing = Optional.empty();
-  private Instant nextList = Instant.MIN;
-  private Instant nextCatalogue = Instant.MIN;
+  private Instant nextListAt = Instant.MIN;
+  private Instant nextCatalogueAt = Instant.MIN;
   private Instant backoffUntil = Instant.MIN;
 
   /**
@@ -146,8 +146,8 @@
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof BeginTerm begun) {
-      beginTerm(begun.term);
+    if (message instanceof BeginTerm beginTerm) {
+      beginTerm(beginTerm.term);
     } else if (message instanceof EndTerm) {
       generation++;
       requests.clear();
@@ -159,7 +159,7 @@
       callInFlight = false;
       call.action.run();
     } else if (message instanceof Tick tick && tick.generation == generation) {
-      nextCall();
+      makeNextCall();
       loop.schedule(TICK, () -> tell(tick));
     }
   }
@@ -171,31 +171,31 @@
     callInFlight = false;
     requests.clear();
     listing = Optional.empty();
-    nextList = Instant.MIN;
-    nextCatalogue = Instant.MIN;
+    nextListAt = Instant.MIN;
+    nextCatalogueAt = Instant.MIN;
     backoffUntil = Instant.MIN;
     tell(new Tick(generation));
   }
 
   /** Makes the most urgent call, if one may be made now. */
-  private void nextCall() {
+  private void makeNextCall() {
     Instant now = loop.clock().instant();
     if (callInFlight || now.isBefore(backoffUntil) || !rateLimit.canAcquire(1)) {
       return;
     }
-    if (!haveCatalogue || (requests.isEmpty() && now.isAfter(nextCatalogue))) {
+    if (!catalogueRead || (requests.isEmpty() && now.isAfter(nextCatalogueAt))) {
       rateLimit.tryAcquire(1);
       readCatalogue();
     } else if (listing.isPresent() && (requests.isEmpty() || !listing.get().yieldsToRequests)) {
       rateLimit.tryAcquire(1);
       readNextPage(listing.get());
-    } else if (listing.isEmpty() && now.isAfter(nextList)) {
+    } else if (listing.isEmpty() && now.isAfter(nextListAt)) {
       rateLimit.tryAcquire(1);
       listing = Optional.of(new MachineListing(now));
       readNextPage(listing.get());
     } else if (!requests.isEmpty()) {
       rateLimit.tryAcquire(1);
-      listing.ifPresent(read -> read.yieldsToRequests = false);
+      listing.ifPresent(activeListing -> activeListing.yieldsToRequests = false);
       send(requests.poll());
     }
   }
@@ -237,8 +237,8 @@
   private void handleCatalogue(Reply reply) {
     List<MachineType> types = reply.ok() ? MachineType.parseAll(reply.body()) : List.of();
     if (!types.isEmpty()) {
-      haveCatalogue = true;
-      nextCatalogue = loop.clock().instant().plus(CATALOGUE_INTERVAL);
+      catalogueRead = true;
+      nextCatalogueAt = loop.clock().instant().plus(CATALOGUE_INTERVAL);
       events.accept(new CatalogueReceived(types));
     }
   }
@@ -247,30 +247,30 @@
    * Reads the next page. The list of a large fleet takes more calls than the cloud allows at once,
    * so each page waits for its turn, and requests that have come meanwhile go first.
    */
-  private void readNextPage(MachineListing reading) {
-    reading.yieldsToRequests = true;
+  private void readNextPage(MachineListing activeListing) {
+    activeListing.yieldsToRequests = true;
     call(
         "GET",
-        CloudApi.listPath(reading.lastName),
+        CloudApi.listPath(activeListing.lastName),
         MessagePack.MISSING,
-        reply -> handlePage(reading, reply));
+        reply -> handlePage(activeListing, reply));
   }
 
-  private void handlePage(MachineListing reading, Reply reply) {
+  private void handlePage(MachineListing activeListing, Reply reply) {
     Optional<CloudApi.MachinePage> page =
         reply.ok() ? CloudApi.parsePage(reply.body()) : Optional.empty();
     if (page.isEmpty()) {
-      endListing(reading);
+      endListing(activeListing);
       return;
     }
-    String before = reading.lastName;
+    String previousLastName = activeListing.lastName;
     for (ListedMachine machine : page.get().machines()) {
-      reading.lastName = machine.name();
-      reading.machines.add(machine);
+      activeListing.lastName = machine.name();
+      activeListing.machines.add(machine);
     }
-    if (!page.get().more() || reading.lastName.equals(before)) {
-      endListing(reading);
-      events.accept(new MachinesListed(reading.machines));
+    if (!page.get().more() || activeListing.lastName.equals(previousLastName)) {
+      endListing(activeListing);
+      events.accept(new MachinesListed(activeListing.machines));
     }
   }
 
@@ -278,10 +278,10 @@
   private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
-    Instant due =
+    Instant earliestByLag =
         finished.started.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
-    Instant rested = now.plus(Duration.between(finished.started, now));
-    nextList = due.isAfter(rested) ? due : rested;
+    Instant earliestByDuration = now.plus(Duration.between(finished.started, now));
+    nextListAt = earliestByLag.isAfter(earliestByDuration) ? earliestByLag : earliestByDuration;
   }
 
   // ---- Requests ----
--- a/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
@@ -55,7 +55,7 @@
   /** The demand of queued tasks, as far as their teams' quotas let them run. */
   List<Demand> queuedDemands(ClusterView view, List<Machine> schedulable) {
     MergedDemands demands = new MergedDemands();
-    for (Job job : view.waiting()) {
+    for (Job job : view.queuedJobs()) {
       JobSpec spec = job.spec();
       // What the quota keeps pending would be pending on provisioned machines as well.
       int tasks = Math.min(job.pendingTasks(), view.quotaUsage().tasksLeftWithinLimit(spec));
@@ -77,12 +77,13 @@
   /** Each zone may take its part only. */
   private static void addSpreadDemand(
       MergedDemands demands, Job job, int tasks, Set<String> zones) {
-    int left = tasks;
+    int remainingTasks = tasks;
     for (String zone : zones) {
-      int inZone = Math.min(left, job.spec().maxTasksPerZone() - job.attemptsInZone(zone));
-      if (inZone > 0) {
-        demands.add(job, inZone, Optional.of(zone));
-        left -= inZone;
+      int tasksInZone =
+          Math.min(remainingTasks, job.spec().maxTasksPerZone() - job.attemptsInZone(zone));
+      if (tasksInZone > 0) {
+        demands.add(job, tasksInZone, Optional.of(zone));
+        remainingTasks -= tasksInZone;
       }
     }
   }
@@ -99,11 +100,11 @@
         slotsByZone.merge(machine.zone(), slots, Integer::sum);
       }
     }
-    Optional<Map.Entry<String, Integer>> most =
+    Optional<Map.Entry<String, Integer>> zoneWithMostSlots =
         slotsByZone.entrySet().stream().max(Map.Entry.comparingByValue());
-    int lacking = tasks - most.map(Map.Entry::getValue).orElse(0);
-    if (lacking > 0) {
-      demands.add(job, lacking, most.map(Map.Entry::getKey).or(spec::zone));
+    int missingTasks = tasks - zoneWithMostSlots.map(Map.Entry::getValue).orElse(0);
+    if (missingTasks > 0) {
+      demands.add(job, missingTasks, zoneWithMostSlots.map(Map.Entry::getKey).or(spec::zone));
     }
   }
 
@@ -118,12 +119,12 @@
     Set<String> zones = view.zones();
     List<Headroom.Target> targets = new ArrayList<>();
     for (String jobClass : classes.classesNeedingHeadroom()) {
-      Optional<Job> latest = classes.latestJob(jobClass);
-      if (latest.isPresent()) {
+      Optional<Job> latestJob = classes.latestJob(jobClass);
+      if (latestJob.isPresent()) {
         int share = (int) Math.ceil(tuning.headroomShare() * running.getOrDefault(jobClass, 0));
         int tasks = MIN_HEADROOM_TASKS + share;
         int tasksPerZone = (tasks + zones.size() - 1) / Math.max(1, zones.size());
-        targets.add(new Headroom.Target(latest.get(), tasksPerZone));
+        targets.add(new Headroom.Target(latestJob.get(), tasksPerZone));
       }
     }
     return new Headroom(targets, zones, schedulable);
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -55,10 +55,10 @@
   List<ScaleOutPlanner.Demand> demands() {
     List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
     deficits.forEach(
-        (target, lacking) -> {
-          if (lacking > 0) {
+        (target, missingTasks) -> {
+          if (missingTasks > 0) {
             demands.add(
-                new ScaleOutPlanner.Demand(target.sample, lacking, Optional.of(target.zone)));
+                new ScaleOutPlanner.Demand(target.sample, missingTasks, Optional.of(target.zone)));
           }
         });
     return demands;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
@@ -18,7 +18,7 @@
   private static final int REFERENCE_FLEET_SIZE = 40;
 
   /** Machines with replicas are tried so many times as often as they may be selected. */
-  private static final int TRIES_PER_EMPTIED = 3;
+  private static final int CHECKS_PER_SELECTION = 3;
 
   /** Keeps the price of a machine without processors finite. */
   private static final double MIN_CPUS = 1e-9;
@@ -33,7 +33,7 @@
   record Candidate(Machine machine, int replicas, double price, double usedCpus) {}
 
   /** Without replicas first, since those have to be relocated; then the dearest and emptiest. */
-  private static final Comparator<Candidate> ORDER =
+  private static final Comparator<Candidate> SELECTION_ORDER =
       Comparator.comparingInt(Candidate::replicas)
           .thenComparing(Candidate::price, Comparator.reverseOrder())
           .thenComparingDouble(Candidate::usedCpus)
@@ -51,10 +51,10 @@
   private double freeCpus;
 
   /** Machines with replicas that may be selected, were selected and were tried. */
-  private final int maxEmptied;
+  private final int maxSelectedWithReplicas;
 
-  private int emptied;
-  private int tried;
+  private int selectedWithReplicas;
+  private int checkedWithReplicas;
 
   /**
    * Begins a selection.
@@ -76,11 +76,11 @@
       usedCpus += candidate.usedCpus;
       freeCpus += machine.type().cpus() - candidate.usedCpus;
     }
-    candidates.sort(ORDER);
+    candidates.sort(SELECTION_ORDER);
     largeJobCapacity = new LargeJobCapacity(classes, schedulable);
     replicaCapacity = new ReplicaCapacity(schedulable);
     reserveCpus = tuning.reserveShare() * usedCpus * reserveScale(schedulable.size());
-    maxEmptied = 1 + schedulable.size() / REFERENCE_FLEET_SIZE;
+    maxSelectedWithReplicas = 1 + schedulable.size() / REFERENCE_FLEET_SIZE;
   }
 
   private static Candidate candidate(Machine machine) {
@@ -101,23 +101,23 @@
   }
 
   /** How many machines with replicas may be selected. */
-  int maxEmptied() {
-    return maxEmptied;
+  int maxSelectedWithReplicas() {
+    return maxSelectedWithReplicas;
   }
 
   /** Selects the machine if it is not needed; it counts as gone from then on. */
   boolean select(Candidate candidate, Instant now) {
     Machine machine = candidate.machine;
-    double freeAfter = freeCpus - machine.type().cpus();
-    boolean capacityIsLeft =
+    double freeCpusAfter = freeCpus - machine.type().cpus();
+    boolean capacitySuffices =
         !lacksCapacity
-            && freeAfter >= reserveCpus
+            && freeCpusAfter >= reserveCpus
             && headroom.canRelease(machine)
             && largeJobCapacity.canRelease(machine);
-    if (!capacityIsLeft || !replicasFitElsewhere(candidate, now)) {
+    if (!capacitySuffices || !replicasFitElsewhere(candidate, now)) {
       return false;
     }
-    freeCpus = freeAfter;
+    freeCpus = freeCpusAfter;
     replicaCapacity.remove(machine);
     headroom.release(machine);
     largeJobCapacity.release(machine);
@@ -130,10 +130,10 @@
       return true;
     }
     boolean fit =
-        emptied < maxEmptied
-            && tried++ < TRIES_PER_EMPTIED * maxEmptied
+        selectedWithReplicas < maxSelectedWithReplicas
+            && checkedWithReplicas++ < CHECKS_PER_SELECTION * maxSelectedWithReplicas
             && replicaCapacity.reserveForReplicasOf(candidate.machine, now);
-    emptied += fit ? 1 : 0;
+    selectedWithReplicas += fit ? 1 : 0;
     return fit;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
@@ -32,8 +32,8 @@
   /** Whether a large job of each class that could use the machine has room without it. */
   boolean canRelease(Machine machine) {
     for (String jobClass : classes.classesWithKnownSizes()) {
-      int lost = slotsOn(machine, jobClass);
-      if (lost > 0 && slots.get(jobClass) - lost < largeJobTasks.get(jobClass)) {
+      int lostSlots = slotsOn(machine, jobClass);
+      if (lostSlots > 0 && slots.get(jobClass) - lostSlots < largeJobTasks.get(jobClass)) {
         return false;
       }
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -44,7 +44,7 @@
   private static final Duration MACHINE_RECORD_DELAY = Duration.ofSeconds(1);
 
   /** A machine missing in the list is gone only if it was not reached for so long. */
-  private static final Duration UNLISTED_SILENCE = Duration.ofSeconds(6);
+  private static final Duration MIN_UNLISTED_UNREACHABLE_TIME = Duration.ofSeconds(6);
 
   /** After so many times its usual lag a list shows what a list has shown before. */
   private static final int LIST_LAG_FACTOR = 3;
@@ -63,7 +63,7 @@
   private final CommandDispatcher dispatcher;
   private final LeaderRecovery recovery;
   private final Optional<RelocationGate> relocationGate;
-  private Instant nextScaling = Instant.MIN;
+  private Instant nextScalingAt = Instant.MIN;
 
   /**
    * Makes a provisioner.
@@ -98,21 +98,21 @@
   }
 
   /** A term has begun: the cloud is called from now on. */
-  public void begin() {
-    autoscaler.begin();
+  public void beginTerm() {
+    autoscaler.beginTerm();
     cloud.tell(new CloudActor.BeginTerm(leadership.term()));
   }
 
   /** The term is over: the cloud is not called any more. */
-  public void end() {
+  public void endTerm() {
     cloud.tell(new CloudActor.EndTerm());
   }
 
   /** Provisions and releases machines, unless that was done just now. */
   public void scaleIfDue(Instant now) {
-    if (now.isAfter(nextScaling)) {
+    if (now.isAfter(nextScalingAt)) {
       scale(now);
-      nextScaling = now.plus(THROTTLE.restAfter(Duration.between(now, clock.instant())));
+      nextScalingAt = now.plus(THROTTLE.restAfter(Duration.between(now, clock.instant())));
     }
   }
 
@@ -191,7 +191,7 @@
 
   private void handleProvisioned(CloudActor.MachinesProvisioned event, Instant now) {
     Offering offering = event.offering();
-    autoscaler.scaleOutPlanner().noteGranted(offering);
+    autoscaler.scaleOutPlanner().recordGranted(offering);
     Optional<MachineType> type = inventory.catalogue().find(offering.type());
     for (String name : event.names()) {
       boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
@@ -213,9 +213,9 @@
   /** After an error of the provider the offering may be requested again at once. */
   private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
     if (event.providerError()) {
-      autoscaler.scaleOutPlanner().noteGranted(event.offering());
+      autoscaler.scaleOutPlanner().recordGranted(event.offering());
     } else {
-      autoscaler.scaleOutPlanner().noteRefused(event.offering(), now);
+      autoscaler.scaleOutPlanner().recordRefused(event.offering(), now);
       LOG.info("event=no_capacity term={} offering={}", leadership.term(), event.offering());
     }
   }
@@ -230,7 +230,7 @@
       }
     }
     for (Machine machine : inventory.all()) {
-      if (!names.contains(machine.name()) && isGone(machine, now)) {
+      if (!names.contains(machine.name()) && isPresumedDeleted(machine, now)) {
         retirement.retire(machine, Reason.NOT_LISTED);
       }
     }
@@ -257,11 +257,12 @@
    * is, but a list may be older than the one before: machines that are new may be missing in it. A
    * deletion makes sure.
    */
-  private boolean isGone(Machine machine, Instant now) {
+  private boolean isPresumedDeleted(Machine machine, Instant now) {
     Duration lag = settings.cloudLimits().listLag().multipliedBy(LIST_LAG_FACTOR);
     return machine.cloud().isListed()
         && machine.reachability().heartbeatEverReceived()
         && now.isAfter(machine.cloud().listedSince().plus(lag))
-        && now.isAfter(machine.reachability().lastReachableAt().plus(UNLISTED_SILENCE));
+        && now.isAfter(
+            machine.reachability().lastReachableAt().plus(MIN_UNLISTED_UNREACHABLE_TIME));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
@@ -22,10 +22,10 @@
 
   private final Tuning tuning;
   private final JobClasses classes;
-  private Instant nextRelocations = Instant.MIN;
+  private Instant nextRelocationsAt = Instant.MIN;
 
   /** Relocations that may still begin in the present round. */
-  private int relocationsLeft;
+  private int remainingRelocations;
 
   ScaleInPlanner(Tuning tuning, JobClasses classes) {
     this.tuning = tuning;
@@ -46,9 +46,9 @@
       Instant now) {
     IdleMachineSelector selector =
         new IdleMachineSelector(schedulable, lacksCapacity, headroom, tuning, classes);
-    if (!now.isBefore(nextRelocations)) {
-      nextRelocations = now.plus(RELOCATION_INTERVAL);
-      relocationsLeft = selector.maxEmptied();
+    if (!now.isBefore(nextRelocationsAt)) {
+      nextRelocationsAt = now.plus(RELOCATION_INTERVAL);
+      remainingRelocations = selector.maxSelectedWithReplicas();
     }
     for (IdleMachineSelector.Candidate candidate : selector.candidates()) {
       Machine machine = candidate.machine();
@@ -57,8 +57,9 @@
         continue;
       }
       machine.cloud().markScaleInCandidate(now);
-      Instant dueAfter = machine.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle());
-      if (now.isAfter(dueAfter)) {
+      Instant releasableAfter =
+          machine.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle());
+      if (now.isAfter(releasableAfter)) {
         release(candidate, plan, now);
       }
     }
@@ -76,12 +77,12 @@
   }
 
   private void relocateOneReplica(Machine machine, ScalingPlan plan) {
-    if (relocationsLeft <= 0) {
+    if (remainingRelocations <= 0) {
       return;
     }
     for (TaskAttempt attempt : machine.attempts().values()) {
       if (attempt.spec().isService() && !attempt.stopping()) {
-        relocationsLeft--;
+        remainingRelocations--;
         plan.relocations().add(attempt);
         return;
       }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -26,16 +26,16 @@
   private static final int MIN_SCALE_OUT_LIMIT = 12;
 
   /** One plan may provision one machine for so many of the fleet. */
-  private static final int FLEET_PER_PROVISIONED = 4;
+  private static final int FLEET_SIZE_PER_PROVISIONED_MACHINE = 4;
 
   /** An offering that was refused is left alone for so long at first, and at the most. */
-  private static final long REFUSAL_BACKOFF_S = 6;
+  private static final long BASE_BACKOFF_S = 6;
 
-  private static final long MAX_REFUSAL_BACKOFF_S = 60;
+  private static final long MAX_BACKOFF_S = 60;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
   /** An answer to a request is waited for so long. */
-  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(15);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(15);
 
   /** Keeps the size of a task that needs nothing above zero. */
   private static final double MIN_TASK_SIZE = 1e-6;
@@ -55,43 +55,43 @@
   public record Demand(Job job, int tasks, Optional<String> zone) {}
 
   /** An offering is not requested before {@code until}; it was refused so many times in a row. */
-  private record Refusal(Instant until, int times) {}
+  private record Backoff(Instant until, int refusalCount) {}
 
   private final Tuning tuning;
-  private final Map<Offering, Refusal> refusals = new HashMap<>();
-  private final Map<Offering, Integer> requested = new HashMap<>();
+  private final Map<Offering, Backoff> backoffs = new HashMap<>();
+  private final Map<Offering, Integer> requestedCounts = new HashMap<>();
 
   ScaleOutPlanner(Tuning tuning) {
     this.tuning = tuning;
   }
 
   /** The cloud has no capacity of the offering: it is left alone for a while, longer each time. */
-  void noteRefused(Offering offering, Instant now) {
-    requested.remove(offering);
-    int times = refusedTimes(offering) + 1;
-    long backoffSeconds = REFUSAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, times);
-    Instant until = now.plusSeconds(Math.min(MAX_REFUSAL_BACKOFF_S, backoffSeconds));
-    refusals.put(offering, new Refusal(until, times));
+  void recordRefused(Offering offering, Instant now) {
+    requestedCounts.remove(offering);
+    int refusalCount = refusalCount(offering) + 1;
+    long backoffSeconds = BASE_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, refusalCount);
+    Instant until = now.plusSeconds(Math.min(MAX_BACKOFF_S, backoffSeconds));
+    backoffs.put(offering, new Backoff(until, refusalCount));
   }
 
   /**
    * Machines of the offering were requested: no more are before there is an answer, or it is
    * overdue. They count as booting, else the same demand would request another offering meanwhile.
    */
-  void noteRequested(Offering offering, int count, Instant now) {
-    requested.put(offering, count);
-    refusals.put(offering, new Refusal(now.plus(ANSWER_TIMEOUT), refusedTimes(offering)));
+  void recordRequested(Offering offering, int count, Instant now) {
+    requestedCounts.put(offering, count);
+    backoffs.put(offering, new Backoff(now.plus(RESPONSE_TIMEOUT), refusalCount(offering)));
   }
 
-  private int refusedTimes(Offering offering) {
-    Refusal refusal = refusals.get(offering);
-    return refusal == null ? 0 : refusal.times;
+  private int refusalCount(Offering offering) {
+    Backoff backoff = backoffs.get(offering);
+    return backoff == null ? 0 : backoff.refusalCount;
   }
 
   /** The request was answered, and the offering may be requested again. */
-  void noteGranted(Offering offering) {
-    requested.remove(offering);
-    refusals.remove(offering);
+  void recordGranted(Offering offering) {
+    requestedCounts.remove(offering);
+    backoffs.remove(offering);
   }
 
   /** A machine that demands are packed into. */
@@ -137,10 +137,10 @@
       int fleetSize,
       Instant now) {
     Plan plan = new Plan(types, unreachableZones, now);
-    plan.addComing(booting);
-    int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / FLEET_PER_PROVISIONED);
+    plan.addPendingMachines(booting);
+    int limit = Math.max(MIN_SCALE_OUT_LIMIT, fleetSize / FLEET_SIZE_PER_PROVISIONED_MACHINE);
     for (int i = 0; i < demands.size(); i++) {
-      plan.meet(demands.get(i), demands.subList(i + 1, demands.size()), limit);
+      plan.packDemand(demands.get(i), demands.subList(i + 1, demands.size()), limit);
     }
     return plan.scaleOut;
   }
@@ -161,11 +161,11 @@
     }
 
     /** Adds empty bins for the machines that are booting or were requested. */
-    void addComing(Collection<Machine> booting) {
+    void addPendingMachines(Collection<Machine> booting) {
       for (Machine machine : booting) {
         bins.add(new Bin(machine.type(), machine.zone(), machine.spot()));
       }
-      requested.forEach(
+      requestedCounts.forEach(
           (offering, count) -> {
             for (MachineType type : types) {
               for (int i = 0; i < count && type.name().equals(offering.type()); i++) {
@@ -178,24 +178,24 @@
     /**
      * Packs the demand into the bins, and adds bins for what is left over.
      *
-     * @param later the demands after it
+     * @param laterDemands the demands after it
      * @param limit how many machines the plan may provision in all
      */
-    void meet(Demand demand, List<Demand> later, int limit) {
-      int left = demand.tasks();
+    void packDemand(Demand demand, List<Demand> laterDemands, int limit) {
+      int remainingTasks = demand.tasks();
       for (Bin bin : bins) {
-        if (left == 0) {
+        if (remainingTasks == 0) {
           break;
         }
-        left -= bin.pack(demand, left);
+        remainingTasks -= bin.pack(demand, remainingTasks);
       }
-      while (left > 0 && total < limit) {
-        Optional<Bin> cheapest = cheapest(demand, left, later);
+      while (remainingTasks > 0 && total < limit) {
+        Optional<Bin> cheapest = cheapest(demand, remainingTasks, laterDemands);
         if (cheapest.isEmpty()) {
           break;
         }
         Bin bin = cheapest.get();
-        left -= bin.pack(demand, left);
+        remainingTasks -= bin.pack(demand, remainingTasks);
         bins.add(bin);
         scaleOut.merge(new Offering(bin.type.name(), bin.zone, bin.spot), 1, Integer::sum);
         total++;
@@ -206,7 +206,7 @@
      * The cheapest offering by the price of what will be used. Later demands count as use too: many
      * small jobs fill a large machine as well as one large job does.
      */
-    private Optional<Bin> cheapest(Demand demand, int tasks, List<Demand> later) {
+    private Optional<Bin> cheapest(Demand demand, int tasks, List<Demand> laterDemands) {
       Bin best = null;
       double bestCost = Double.MAX_VALUE;
       for (MachineType type : types) {
@@ -215,11 +215,12 @@
             if (!isAvailable(new Offering(type.name(), zone, spot))) {
               continue;
             }
-            double used = sizeOfUse(new Bin(type, zone, spot), demand, tasks, later);
-            if (used == 0) {
+            double packedSize = packedSize(new Bin(type, zone, spot), demand, tasks, laterDemands);
+            if (packedSize == 0) {
               continue;
             }
-            double cost = type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / used;
+            double cost =
+                type.hourlyPrice(spot) * (spot ? tuning.spotRiskFactor() : 1) / packedSize;
             if (cost < bestCost) {
               bestCost = cost;
               best = new Bin(type, zone, spot);
@@ -232,26 +233,26 @@
 
     private boolean isAvailable(Offering offering) {
       return !unreachableZones.contains(offering.zone)
-          && !isRefused(offering, now)
+          && !isBackedOff(offering, now)
           && scaleOut.getOrDefault(offering, 0) < CloudApi.MAX_PROVISIONED_PER_REQUEST;
     }
   }
 
   /** The size of all tasks that would be packed into the bin; zero if none is of the demand. */
-  private static double sizeOfUse(Bin trial, Demand demand, int tasks, List<Demand> later) {
-    double used = trial.pack(demand, tasks) * taskSize(demand.job());
-    if (used == 0) {
+  private static double packedSize(Bin bin, Demand demand, int tasks, List<Demand> laterDemands) {
+    double packedSize = bin.pack(demand, tasks) * taskSize(demand.job());
+    if (packedSize == 0) {
       return 0;
     }
-    for (Demand other : later) {
-      used += trial.pack(other, other.tasks()) * taskSize(other.job());
+    for (Demand laterDemand : laterDemands) {
+      packedSize += bin.pack(laterDemand, laterDemand.tasks()) * taskSize(laterDemand.job());
     }
-    return used;
+    return packedSize;
   }
 
-  private boolean isRefused(Offering offering, Instant now) {
-    Refusal refusal = refusals.get(offering);
-    return refusal != null && now.isBefore(refusal.until);
+  private boolean isBackedOff(Offering offering, Instant now) {
+    Backoff backoff = backoffs.get(offering);
+    return backoff != null && now.isBefore(backoff.until);
   }
 
   /** A measure of a task that is comparable between machine types. */
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -78,7 +78,7 @@
     for (Map.Entry<String, JsonNode> value : stored.entrySet()) {
       try {
         for (Disruption disruption : Disruption.decode(value.getValue())) {
-          packer.adopt(disruption, disruption.maximumSize(), Keys.valueNumber(value.getKey()));
+          packer.adopt(disruption, disruption.maxEncodedSize(), Keys.valueNumber(value.getKey()));
           all.add(disruption);
         }
       } catch (MalformedMessageException e) {
@@ -97,7 +97,7 @@
 
   /** Records a disruption as soon as possible; it may be carried out once that is durable. */
   void record(Disruption disruption) {
-    packer.assignSlot(disruption, disruption.maximumSize());
+    packer.assignSlot(disruption, disruption.maxEncodedSize());
     packer.markDue(disruption);
     pending.add(disruption);
     requestCommit.run();
@@ -132,7 +132,7 @@
       transaction.addUntrackedValue(
           Keys.disruptions(valueNumber),
           Disruption.encode(content),
-          content.stream().mapToInt(Disruption::maximumSize).sum());
+          content.stream().mapToInt(Disruption::maxEncodedSize).sum());
       packer.markSent(valueNumber);
       valueNumbers.add(valueNumber);
       content.stream().filter(pending::contains).forEach(included::add);
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
@@ -61,7 +61,7 @@
     this.dispatcher = dispatcher;
     this.ledger = ledger;
     this.records = new DisruptionRecords(maxValueBytes, state.records()::requestCommit, this::stop);
-    state.inventory().onRemoved(this::noteRemoved);
+    state.inventory().onRemoved(this::handleRemoved);
   }
 
   /** The stored disruptions. */
@@ -156,7 +156,7 @@
   }
 
   /** Counts involuntary disruptions as well, so that voluntary ones wait for them. */
-  private void noteRemoved(TaskAttempt attempt) {
+  private void handleRemoved(TaskAttempt attempt) {
     boolean wasRunning = attempt.stage() == Stage.RUNNING || attempt.stage() == Stage.CHECKPOINTING;
     if (wasRunning && jobs.contains(attempt.job()) && !attempt.job().spec().isService()) {
       ledger.recordInvoluntary(disruption(attempt, /* voluntary= */ false));
@@ -196,8 +196,8 @@
     for (Job job : jobs.all()) {
       if (!job.failures().failsEverywhere()) {
         Group group = new Group(job.spec().team(), job.spec().jobClass());
-        int open = openByJob.getOrDefault(job.spec().id(), 0);
-        availability.merge(group, availabilityOf(job, open, now), Availability::plus);
+        int openCount = openByJob.getOrDefault(job.spec().id(), 0);
+        availability.merge(group, availabilityOf(job, openCount, now), Availability::plus);
       }
     }
     for (Disruption disruption : ledger.open()) {
@@ -211,9 +211,9 @@
    * Of a service all replicas count that should run; of a batch job, tasks that run or were
    * disrupted: what only waits for its turn is not down.
    *
-   * @param open how many of its tasks count as disrupted
+   * @param openCount how many of its tasks count as disrupted
    */
-  private Availability availabilityOf(Job job, int open, Instant now) {
+  private Availability availabilityOf(Job job, int openCount, Instant now) {
     int running = 0;
     int stopping = 0;
     for (TaskAttempt attempt : job.attempts().values()) {
@@ -224,6 +224,6 @@
     if (job.spec().isService()) {
       return new Availability(job.spec().tasks(), job.spec().tasks() - running, Duration.ZERO);
     }
-    return new Availability(running + stopping + open, stopping + open, Duration.ZERO);
+    return new Availability(running + stopping + openCount, stopping + openCount, Duration.ZERO);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -49,7 +49,7 @@
   private final DecisionRecorder records;
   private final Responsiveness responsiveness;
   private final LevelGate levelGate;
-  private final InstantSource timeOfDay;
+  private final InstantSource wallClock;
   private final MachineRetirement retirement;
   private final DrainPlanner planner;
   private final DisruptionLedger ledger;
@@ -58,7 +58,7 @@
   private final MaintenanceTransitions maintenance;
   private final DrainViews views;
   private final PublishedRecords published;
-  private final StatusPublisher status;
+  private final StatusPublisher statusPublisher;
   private List<TaskView> tasksWithoutCapacity = List.of();
   private Instant nextRoundAt = Instant.MIN;
 
@@ -66,29 +66,29 @@
   public DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
-      AgentTimings times,
+      AgentTimings timings,
       GracefulTermination gracefulTermination,
       LevelGate levelGate,
       int maxValueBytes,
-      InstantSource timeOfDay,
+      InstantSource wallClock,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = state.records();
     this.levelGate = levelGate;
-    this.timeOfDay = timeOfDay;
+    this.wallClock = wallClock;
     this.retirement = retirement;
     this.planner = new DrainPlanner(settings.windows());
     this.ledger = new DisruptionLedger(settings.budgets());
-    this.responsiveness = new Responsiveness(times);
+    this.responsiveness = new Responsiveness(timings);
     this.disruptions =
         new DisruptionTracker(
             state, ledger, maxValueBytes, responsiveness, gracefulTermination, dispatcher);
-    this.maintenance = new MaintenanceTransitions(state, times, responsiveness);
+    this.maintenance = new MaintenanceTransitions(state, timings, responsiveness);
     this.views = new DrainViews(disruptions, responsiveness);
     this.published = new PublishedRecords(state.clock(), maxValueBytes);
-    this.status = new StatusPublisher(state, ledger, published, timeOfDay, maxValueBytes);
+    this.statusPublisher = new StatusPublisher(state, ledger, published, wallClock, maxValueBytes);
   }
 
   /** What adds records of drains to the leader's transactions. */
@@ -131,7 +131,7 @@
   // ---- Rounds ----
 
   /** Does a round of decisions if the last one was a second ago. */
-  public void roundIfDue(Instant now) {
+  public void runRoundIfDue(Instant now) {
     if (now.isBefore(nextRoundAt)) {
       return;
     }
@@ -141,13 +141,13 @@
     disruptions.update(now);
     if (levelGate.isEnabled(Feature.MACHINE_MAINTENANCE)) {
       maintenance.endProbations(now);
-      maintenance.releaseOrphaned(requests::isKnown);
-      carryOut(decide(now));
+      maintenance.returnOrphanedToService(requests::isKnown);
+      executePlan(planRound(now));
     } else {
-      maintenance.releaseAll();
-      requests.readable().forEach(drain -> status.publishBlockedByLevel(drain.request()));
+      maintenance.returnAllToService();
+      requests.readable().forEach(drain -> statusPublisher.publishBlockedByLevel(drain.request()));
     }
-    status.publishCluster();
+    statusPublisher.publishCluster();
   }
 
   /** Records idle machines too: operators select the machines to drain from the records. */
@@ -162,7 +162,7 @@
     }
   }
 
-  private Plan decide(Instant now) {
+  private Plan planRound(Instant now) {
     Map<String, MachineView> machines = new HashMap<>();
     List<Drain> drains = requests.readable();
     if (!drains.isEmpty()) {
@@ -170,14 +170,14 @@
           .filter(machine -> machine.lifecycle() != Lifecycle.RETIRING)
           .forEach(machine -> machines.put(machine.name(), views.view(machine, now)));
     }
-    Instant today = timeOfDay.instant();
+    Instant wallClockNow = wallClock.instant();
     inventory.all().forEach(machine -> machine.planDrain(false));
-    drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
+    drains.stream().filter(drain -> drain.isActive(wallClockNow)).forEach(this::markPlannedDrain);
     DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, responsiveness);
-    return planner.plan(drains, machines, ledger, capacity, today);
+    return planner.plan(drains, machines, ledger, capacity, wallClockNow);
   }
 
-  private void noteScheduledDrain(Drain drain) {
+  private void markPlannedDrain(Drain drain) {
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
@@ -186,7 +186,7 @@
     }
   }
 
-  private void carryOut(Plan plan) {
+  private void executePlan(Plan plan) {
     plan.maintenanceChanges().forEach(maintenance::change);
     plan.machinesToRelease().stream()
         .map(inventory::get)
@@ -195,7 +195,7 @@
       disruptions.record(task);
     }
     tasksWithoutCapacity = plan.tasksWithoutCapacity();
-    status.publish(plan.statuses());
+    statusPublisher.publish(plan.statuses());
   }
 
   /** Whether a replica may be relocated; if so, it is stopped once that is durably recorded. */
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
@@ -39,8 +39,8 @@
   }
 
   private TaskView view(TaskAttempt attempt, Instant now) {
-    boolean saves = !attempt.job().spec().checkpointInterval().isZero();
-    Duration ran = attempt.runningTime(now);
+    boolean savesCheckpoints = !attempt.job().spec().checkpointInterval().isZero();
+    Duration runningTime = attempt.runningTime(now);
     return new TaskView(
         attempt.task(),
         attempt.job().spec().team(),
@@ -48,10 +48,10 @@
         disruptions.isRunning(attempt, now),
         attempt.stopping(),
         attempt.job().spec().isService()
-                || attempt.job().spec().estimatedDuration().minus(ran).isNegative()
+                || attempt.job().spec().estimatedDuration().minus(runningTime).isNegative()
             ? Optional.empty()
-            : Optional.of(attempt.job().spec().estimatedDuration().minus(ran)),
-        attempt.job().spec().isService() || saves ? Duration.ZERO : ran,
+            : Optional.of(attempt.job().spec().estimatedDuration().minus(runningTime)),
+        attempt.job().spec().isService() || savesCheckpoints ? Duration.ZERO : runningTime,
         DisruptionTracker.gangMembersOf(attempt));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -25,16 +25,16 @@
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final DecisionRecorder records;
-  private final AgentTimings times;
+  private final AgentTimings timings;
   private final Responsiveness responsiveness;
   private final Map<Machine, Instant> probationSince = new HashMap<>();
 
   /** Creates transitions for a leader's machines. */
-  MaintenanceTransitions(LeaderState state, AgentTimings times, Responsiveness responsiveness) {
+  MaintenanceTransitions(LeaderState state, AgentTimings timings, Responsiveness responsiveness) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
-    this.times = times;
+    this.timings = timings;
     this.responsiveness = responsiveness;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Puts machines back into service whose drain does not exist any more. */
-  void releaseOrphaned(Predicate<String> isKnownDrain) {
+  void returnOrphanedToService(Predicate<String> isKnownDrain) {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphaned =
           !machine.maintenance().isSchedulable()
@@ -73,7 +73,7 @@
   }
 
   /** Puts all machines back into service: below schema level 1 no record can hold maintenance. */
-  void releaseAll() {
+  void returnAllToService() {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (!machine.maintenance().isInService()) {
         change(machine.name(), Maintenance.IN_SERVICE);
@@ -93,8 +93,8 @@
       if (!responsive) {
         probationSince.put(machine, now);
       }
-      Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
-      if (responsive && (!machine.images().isEmpty() || now.isAfter(provenAt))) {
+      Instant probationEndsAt = since.plus(timings.lease().multipliedBy(PROBATION_LEASES));
+      if (responsive && (!machine.images().isEmpty() || now.isAfter(probationEndsAt))) {
         change(machine.name(), Maintenance.IN_SERVICE);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
@@ -83,15 +83,15 @@
       return;
     }
     nextWriteAt = clock.instant().plus(WRITE_INTERVAL);
-    Map<String, JsonNode> going = new HashMap<>();
+    Map<String, JsonNode> included = new HashMap<>();
     for (String key : changedKeys()) {
       if (transaction.hasCapacity()) {
         JsonNode value = latest.get(key);
         transaction.addUntrackedValue(key, value, value.toString().length());
-        going.put(key, value);
+        included.put(key, value);
       }
     }
-    inFlight.put(transaction, going);
+    inFlight.put(transaction, included);
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/maintenance/Responsiveness.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/Responsiveness.java
@@ -7,12 +7,12 @@
 /**
  * Decides whether a machine has been heard lately enough to be drained, or to take what is moved.
  *
- * @param times the timeouts of agents
+ * @param timings the timeouts of agents
  */
-record Responsiveness(AgentTimings times) {
+record Responsiveness(AgentTimings timings) {
   /** Whether the machine's agent holds its lease and sent a heartbeat lately. */
   boolean isResponsive(Machine machine, Instant now) {
     return !machine.leaseExpired()
-        && !now.isAfter(machine.reachability().lastReachableAt().plus(times.unresponsiveAfter()));
+        && !now.isAfter(machine.reachability().lastReachableAt().plus(timings.unresponsiveAfter()));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -33,21 +33,21 @@
   private final GangTracker gangs;
   private final DisruptionLedger ledger;
   private final PublishedRecords published;
-  private final InstantSource timeOfDay;
+  private final InstantSource wallClock;
   private final int maxReasons;
 
   StatusPublisher(
       LeaderState state,
       DisruptionLedger ledger,
       PublishedRecords published,
-      InstantSource timeOfDay,
+      InstantSource wallClock,
       int maxValueBytes) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
     this.gangs = state.gangs();
     this.ledger = ledger;
     this.published = published;
-    this.timeOfDay = timeOfDay;
+    this.wallClock = wallClock;
     this.maxReasons = Math.max(1, maxValueBytes / 2 / REASON_BYTES);
   }
 
@@ -75,7 +75,7 @@
   void publishCluster() {
     // In steps, so that an unchanged cluster costs a write a step and no more.
     long step = TIMESTAMP_GRANULARITY.toMillis();
-    long at = timeOfDay.instant().toEpochMilli() / step * step;
+    long at = wallClock.instant().toEpochMilli() / step * step;
     ObjectNode node = MessagePack.map().put("term", leadership.term()).put("atMs", at);
     var list = node.putArray("budgets");
     for (DisruptionBudget budget : ledger.budgets()) {
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -54,7 +54,7 @@
 
   /** The layout of the schema level that is written now. */
   RecordLayout layoutInForce() {
-    return RecordLayout.ofLevel(gate.inForce().writtenLevel());
+    return RecordLayout.ofLevel(gate.currentLevel().writtenLevel());
   }
 
   /** Whether the records are packed for the layout in force; false after the level has changed. */
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -87,7 +87,7 @@
 
   /** Whether a batch is to be written now, or the end of the migration. */
   boolean isDue(Instant now) {
-    return !gate.inForce().migrated() && !now.isBefore(nextBatchAt);
+    return !gate.currentLevel().migrated() && !now.isBefore(nextBatchAt);
   }
 
   /**
@@ -99,9 +99,9 @@
     nextBatchAt = now.plus(BATCH_INTERVAL);
     Batch batch = new Batch(new LinkedHashSet<>(), new LinkedHashSet<>());
     previousLayout.offerUncopied(item -> addToBatch(batch, targetOfCopy.apply(item)));
-    if (RecordLayout.ofLevel(gate.inForce().writtenLevel()) == RecordLayout.POSITIONAL) {
+    if (RecordLayout.ofLevel(gate.currentLevel().writtenLevel()) == RecordLayout.POSITIONAL) {
       for (Map.Entry<Integer, Integer> value : levelByValue.entrySet()) {
-        if (value.getValue() != gate.inForce().writtenLevel() && batch.size() < maxBatchSize) {
+        if (value.getValue() != gate.currentLevel().writtenLevel() && batch.size() < maxBatchSize) {
           batch.machineValues.add(value.getKey());
         }
       }
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -144,7 +144,7 @@
             leadership.term(),
             leadership.termRevision(),
             ++commitCount,
-            store.levelGate.inForce().writtenLevel());
+            store.levelGate.currentLevel().writtenLevel());
     records.contribute(transaction, inventory.catalogue().types());
     contributors.forEach(contributor -> contributor.contribute(transaction));
     if (transaction.isEmpty() && !keepAliveDue) {
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -76,7 +76,7 @@
   private Optional<UpgradePlan.LevelChange> nextStep() {
     Map<String, MemberSupport> members = new TreeMap<>();
     announcements.forEach((host, announcement) -> members.put(host, announcement.support));
-    UpgradePlan plan = new UpgradePlan(gate.inForce(), hosts, members, Map.of());
+    UpgradePlan plan = new UpgradePlan(gate.currentLevel(), hosts, members, Map.of());
     return plan.automaticUpgrade(gate.supported()) instanceof UpgradePlan.LevelChange change
         ? Optional.of(change)
         : Optional.empty();
@@ -92,7 +92,7 @@
     Optional<UpgradePlan.LevelChange> step = isDue() ? nextStep() : Optional.empty();
     if (step.isPresent() && transaction.hasCapacity()) {
       nextAttemptAt = clock.instant().plus(ATTEMPT_INTERVAL);
-      JsonNode record = step.get().next().toNode(gate.stored());
+      JsonNode record = step.get().next().toNode(gate.storedRecord());
       LOG.info("event=schema_level_raised level={}", step.get().next().level());
       hosts.forEach(
           host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -14,9 +14,9 @@
   private final int requiredLevel;
   private final String limitation;
 
-  Feature(int level, String lacking) {
-    this.requiredLevel = level;
-    this.limitation = lacking;
+  Feature(int requiredLevel, String limitation) {
+    this.requiredLevel = requiredLevel;
+    this.limitation = limitation;
   }
 
   /** The lowest schema level at which it may be used. */
@@ -30,7 +30,7 @@
   }
 
   /** Whether it may be used at the level. */
-  public boolean isEnabledAt(SchemaLevel inForce) {
-    return inForce.writtenLevel() >= requiredLevel;
+  public boolean isEnabledAt(SchemaLevel currentLevel) {
+    return currentLevel.writtenLevel() >= requiredLevel;
   }
 }
--- a/src/main/java/io/pearscale/upgrade/LevelGate.java
+++ b/src/main/java/io/pearscale/upgrade/LevelGate.java
@@ -23,21 +23,21 @@
 
   private final SupportedLevels supported;
   private long revision = ABSENT_REVISION;
-  private SchemaLevel inForce = SchemaLevel.UNVERSIONED;
-  private JsonNode stored = MessagePack.MISSING;
-  private Optional<String> objection;
+  private SchemaLevel currentLevel = SchemaLevel.UNVERSIONED;
+  private JsonNode storedRecord = MessagePack.MISSING;
+  private Optional<String> incompatibility;
 
   /** Creates a gate for a build that supports those levels; level 0 is in force until updated. */
   public LevelGate(SupportedLevels supported) {
     this.supported = supported;
-    this.objection = objectionTo(SchemaLevel.UNVERSIONED);
+    this.incompatibility = incompatibilityOf(SchemaLevel.UNVERSIONED);
   }
 
   /** Applies a change of the stored level; empty if there is none any more. */
   public void update(Optional<JsonNode> value, long newRevision) {
     revision = value.isPresent() ? newRevision : ABSENT_REVISION;
-    stored = value.orElse(MessagePack.MISSING);
-    objection = evaluate(value);
+    storedRecord = value.orElse(MessagePack.MISSING);
+    incompatibility = evaluate(value);
   }
 
   /**
@@ -46,17 +46,17 @@
    * nor, since it has the old form, under the new one.
    */
   public OptionalLong writeRevision() {
-    return objection.isEmpty() ? OptionalLong.of(revision) : OptionalLong.empty();
+    return incompatibility.isEmpty() ? OptionalLong.of(revision) : OptionalLong.empty();
   }
 
   /** Why this controller must not take part; empty if it may. */
-  public Optional<String> objection() {
-    return objection;
+  public Optional<String> incompatibility() {
+    return incompatibility;
   }
 
   /** The level in force; meaningless while there is an objection. */
-  public SchemaLevel inForce() {
-    return inForce;
+  public SchemaLevel currentLevel() {
+    return currentLevel;
   }
 
   /** The levels that the build supports. */
@@ -71,34 +71,34 @@
 
   /** Whether the feature may be used at the level in force. */
   public boolean isEnabled(Feature feature) {
-    return feature.isEnabledAt(inForce);
+    return feature.isEnabledAt(currentLevel);
   }
 
   /** The stored record of the level; a missing node if there is none. */
-  public JsonNode stored() {
-    return stored;
+  public JsonNode storedRecord() {
+    return storedRecord;
   }
 
   /** The record to store once the migration to the written level is complete. */
   public ObjectNode migrationCompletedRecord() {
-    return inForce.migrationCompleted().toNode(stored);
+    return currentLevel.migrationCompleted().toNode(storedRecord);
   }
 
   private Optional<String> evaluate(Optional<JsonNode> value) {
     try {
-      inForce = SchemaLevel.fromStored(value);
-      return objectionTo(inForce);
+      currentLevel = SchemaLevel.fromStored(value);
+      return incompatibilityOf(currentLevel);
     } catch (MalformedMessageException e) {
       return Optional.of("the level of the stored state can't be read: " + e.getMessage());
     }
   }
 
-  private Optional<String> objectionTo(SchemaLevel inForce) {
-    return supported.contains(inForce.level())
+  private Optional<String> incompatibilityOf(SchemaLevel schemaLevel) {
+    return supported.contains(schemaLevel.level())
         ? Optional.empty()
         : Optional.of(
             "the stored state is at level "
-                + inForce.level()
+                + schemaLevel.level()
                 + ", this build supports "
                 + supported);
   }
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -10,13 +10,13 @@
  * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at
  * one moment; whoever carries a step out makes it conditional on the revisions of what was read.
  *
- * @param inForce the stored schema level
+ * @param currentLevel the stored schema level
  * @param hosts all configured controllers
  * @param members what running controllers announce, by host
  * @param incompatibleRecords what is recorded that only levels with a feature can express
  */
 public record UpgradePlan(
-    SchemaLevel inForce,
+    SchemaLevel currentLevel,
     Set<String> hosts,
     Map<String, MemberSupport> members,
     Map<Feature, List<String>> incompatibleRecords) {
@@ -40,21 +40,23 @@
    * @param confirmedAbsent controllers that are down, as the operator confirms
    */
   public Outcome finalise(SupportedLevels build, Set<String> confirmedAbsent) {
-    int target = inForce.isRollingBack() ? inForce.level() : inForce.level() + 1;
+    int target = currentLevel.isRollingBack() ? currentLevel.level() : currentLevel.level() + 1;
     if (target > build.highest()) {
-      return inForce.migrated()
-          ? new NoChange("level " + inForce.level() + " is the highest that this build supports")
-          : new NoChange("level " + inForce.level() + " is in force, its records are migrated");
+      return currentLevel.migrated()
+          ? new NoChange(
+              "level " + currentLevel.level() + " is the highest that this build supports")
+          : new NoChange(
+              "level " + currentLevel.level() + " is in force, its records are migrated");
     }
-    List<String> reasons = objectionsTo(target, confirmedAbsent);
-    if (!inForce.isRollingBack() && !inForce.migrated()) {
-      reasons.add("the records of level " + inForce.level() + " are still migrated");
+    List<String> reasons = findBlockers(target, confirmedAbsent);
+    if (!currentLevel.isRollingBack() && !currentLevel.migrated()) {
+      reasons.add("the records of level " + currentLevel.level() + " are still migrated");
     }
     if (!reasons.isEmpty()) {
       return new Refusal(reasons);
     }
     return new LevelChange(
-        inForce.isRollingBack() ? inForce.resumed() : inForce.upgradedTo(target));
+        currentLevel.isRollingBack() ? currentLevel.resumed() : currentLevel.upgradedTo(target));
   }
 
   /**
@@ -64,32 +66,34 @@
    * @param build what the leader's own build supports
    */
   public Outcome automaticUpgrade(SupportedLevels build) {
-    if (inForce.pinned()) {
+    if (currentLevel.pinned()) {
       return new NoChange("an operator has taken a step back");
     }
     int target = build.highest();
     for (MemberSupport member : members.values()) {
       target = Math.min(target, member.levels().highest());
     }
-    if (target <= inForce.level() || !inForce.migrated()) {
-      return new NoChange("level " + inForce.level() + " stays in force");
+    if (target <= currentLevel.level() || !currentLevel.migrated()) {
+      return new NoChange("level " + currentLevel.level() + " stays in force");
     }
-    List<String> reasons = objectionsTo(target, Set.of());
-    return reasons.isEmpty() ? new LevelChange(inForce.upgradedTo(target)) : new Refusal(reasons);
+    List<String> reasons = findBlockers(target, Set.of());
+    return reasons.isEmpty()
+        ? new LevelChange(currentLevel.upgradedTo(target))
+        : new Refusal(reasons);
   }
 
   /** Rolls the last step back: the records are migrated to the form of the level below. */
   public Outcome rollback(SupportedLevels build) {
-    if (inForce.level() == 0) {
+    if (currentLevel.level() == 0) {
       return new NoChange("level 0 is in force, there is nothing to take back");
     }
-    if (inForce.isRollingBack()) {
+    if (currentLevel.isRollingBack()) {
       return new NoChange(
-          "the records are already written in the forms of " + inForce.writtenLevel());
+          "the records are already written in the forms of " + currentLevel.writtenLevel());
     }
-    int target = inForce.level() - 1;
+    int target = currentLevel.level() - 1;
     List<String> reasons = new ArrayList<>();
-    if (!build.contains(target) || !build.contains(inForce.level())) {
+    if (!build.contains(target) || !build.contains(currentLevel.level())) {
       reasons.add("this build supports " + build);
     }
     members.forEach(
@@ -105,11 +109,11 @@
                 "level " + target + " " + feature.limitation() + String.join(", ", records));
           }
         });
-    return reasons.isEmpty() ? new LevelChange(inForce.rollingBack()) : new Refusal(reasons);
+    return reasons.isEmpty() ? new LevelChange(currentLevel.rollingBack()) : new Refusal(reasons);
   }
 
   /** Why the level can't be raised yet; empty if all controllers support it. */
-  private List<String> objectionsTo(int target, Set<String> confirmedAbsent) {
+  private List<String> findBlockers(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
     for (String host : new TreeSet<>(hosts)) {
       MemberSupport member = members.get(host);
@@ -131,11 +135,11 @@
 
   /** The operator's next step, for display. */
   public String nextStep(SupportedLevels build) {
-    if (inForce.isRollingBack()) {
-      return "wait until level " + inForce.writtenLevel() + " is in force, or finalise again";
+    if (currentLevel.isRollingBack()) {
+      return "wait until level " + currentLevel.writtenLevel() + " is in force, or finalise again";
     }
-    if (!inForce.migrated()) {
-      return "wait until all records are at level " + inForce.level();
+    if (!currentLevel.migrated()) {
+      return "wait until all records are at level " + currentLevel.level();
     }
     Outcome outcome = finalise(build, Set.of());
     if (outcome instanceof LevelChange change) {
@@ -143,7 +147,7 @@
     }
     return outcome instanceof Refusal refusal
         ? "mend what holds level %d up: %s"
-            .formatted(inForce.level() + 1, String.join("; ", refusal.reasons()))
+            .formatted(currentLevel.level() + 1, String.join("; ", refusal.reasons()))
         : "none";
   }
 }
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -44,9 +44,9 @@
     return new DisruptionLedger(List.of(new DisruptionBudget("t", Optional.empty(), kind, amount)));
   }
 
-  private TaskView task(boolean up, Optional<Duration> remaining) {
+  private TaskView task(boolean running, Optional<Duration> remaining) {
     TaskId id = new TaskId("wk-" + ++jobs, 0);
-    return new TaskView(id, "t", "c", up, false, remaining, Duration.ZERO, List.of());
+    return new TaskView(id, "t", "c", running, false, remaining, Duration.ZERO, List.of());
   }
 
   private void machine(String name, Maintenance maintenance, int tasks) {
@@ -62,12 +62,23 @@
   }
 
   private void drain(
-      String id, CompletionAction then, DesiredState wish, Optional<String> window, String... on) {
+      String id,
+      CompletionAction completionAction,
+      DesiredState desiredState,
+      Optional<String> window,
+      String... machineNames) {
     drains.add(
         new Drain(
             new DrainRequest(
-                id, "s", 2, then, wish, NOW.minusSeconds(60), NOW.plusSeconds(60), window),
-            List.of(on)));
+                id,
+                "s",
+                2,
+                completionAction,
+                desiredState,
+                NOW.minusSeconds(60),
+                NOW.plusSeconds(60),
+                window),
+            List.of(machineNames)));
   }
 
   private Plan plan(DisruptionLedger ledger, Instant now) {
@@ -75,7 +86,7 @@
   }
 
   @Test
-  void twoDrainsShareABudgetTaskByTask() {
+  void drainsShareABudgetRoundRobin() {
     machine("m-1", cordoned("d1"), 5);
     machine("m-2", cordoned("d2"), 5);
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
@@ -97,31 +108,32 @@
     for (int i = 0; i < 4; i++) {
       gang.add(new TaskId("wk-gang", i));
     }
-    List<TaskView> here = new ArrayList<>();
+    List<TaskView> tasksOnMachine = new ArrayList<>();
     for (TaskId task : gang.subList(0, 2)) {
-      List<TaskId> mates = gang.stream().filter(mate -> !mate.equals(task)).toList();
-      here.add(new TaskView(task, "t", "c", true, false, Optional.empty(), Duration.ZERO, mates));
+      List<TaskId> otherMembers = gang.stream().filter(member -> !member.equals(task)).toList();
+      tasksOnMachine.add(
+          new TaskView(task, "t", "c", true, false, Optional.empty(), Duration.ZERO, otherMembers));
     }
-    machines.put("m-1", new MachineView("m-1", cordoned("d1"), true, true, here));
+    machines.put("m-1", new MachineView("m-1", cordoned("d1"), true, true, tasksOnMachine));
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
   }
 
   @Test
-  void aGangIsDisruptedWholeOrNotAtAll() {
+  void allOrNoTasksOfAGangAreDisrupted() {
     gangOfFour();
-    DisruptionLedger tooFew = ledger(Kind.MAX_UNAVAILABLE, 3);
-    tooFew.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
-    assertEquals(0, plan(tooFew, NOW).tasksToStop().size());
-    assertEquals(0, tooFew.open().size());
+    DisruptionLedger insufficient = ledger(Kind.MAX_UNAVAILABLE, 3);
+    insufficient.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
+    assertEquals(0, plan(insufficient, NOW).tasksToStop().size());
+    assertEquals(0, insufficient.open().size());
 
-    DisruptionLedger enough = ledger(Kind.MAX_UNAVAILABLE, 4);
-    enough.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
-    assertEquals(1, plan(enough, NOW).tasksToStop().size());
-    assertEquals(4, enough.open().size());
+    DisruptionLedger sufficient = ledger(Kind.MAX_UNAVAILABLE, 4);
+    sufficient.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
+    assertEquals(1, plan(sufficient, NOW).tasksToStop().size());
+    assertEquals(4, sufficient.open().size());
   }
 
   @Test
-  void whatIsDownAlreadyUsesTheBudgetUp() {
+  void unavailableTasksCountAgainstTheBudget() {
     machine("m-1", cordoned("d1"), 2);
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
     for (Kind kind : Kind.values()) {
@@ -141,7 +153,7 @@
   }
 
   @Test
-  void teamsWithoutABudgetOfTheirOwnHaveTheDefaultEach() {
+  void defaultBudgetAppliesToEachTeamSeparately() {
     DisruptionLedger none = new DisruptionLedger(List.of());
     Disruption first = new Disruption(new TaskId("wk-1", 0), "x", "c", true, Duration.ZERO);
     assertEquals(Optional.of("no budget covers x c"), none.trySpend(first));
@@ -162,7 +174,7 @@
   }
 
   @Test
-  void anUnreadableRecordOfWhatWasSpentStopsAll() {
+  void blockedLedgerRefusesAllDisruptions() {
     DisruptionLedger ledger = ledger(Kind.MAX_UNAVAILABLE, 5);
     ledger.blockAll("c/disrupted/0");
     Disruption disruption = new Disruption(new TaskId("wk-1", 0), "t", "c", true, Duration.ZERO);
@@ -170,7 +182,7 @@
   }
 
   @Test
-  void machinesAreCordonedEmptiestFirstAndOnlySoManyAtOnce() {
+  void emptiestMachinesAreCordonedFirstUpToTheLimit() {
     machine("m-1", Maintenance.IN_SERVICE, 3);
     machine("m-2", Maintenance.IN_SERVICE, 0);
     machine("m-3", Maintenance.IN_SERVICE, 1);
@@ -190,7 +202,7 @@
   }
 
   @Test
-  void emptyMachinesAreHeldOrGivenBack() {
+  void emptyMachinesAreHeldOrTerminated() {
     machine("m-1", cordoned("d1"), 0);
     machine("m-2", cordoned("d2"), 0);
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
@@ -202,7 +214,7 @@
   }
 
   @Test
-  void aDrainThatIsTakenBackOrLatePutsMachinesBack() {
+  void cancelledOrExpiredDrainReturnsMachinesToService() {
     machine("m-1", cordoned("d1"), 2);
     machine("m-2", new Maintenance(Stage.DRAINED, "d1"), 0);
     drain("d1", CompletionAction.HOLD, DesiredState.CANCEL, Optional.empty(), "m-1", "m-2");
@@ -213,14 +225,14 @@
     assertEquals(List.of(), cancelled.tasksToStop());
     drains.clear();
     drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
-    Plan late = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW.plusSeconds(61));
-    assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), late.maintenanceChanges());
-    assertEquals(DrainStatus.State.FAILED, late.statuses().get("d1").state());
-    assertTrue(late.statuses().get("d1").reasons().contains("its time was over"));
+    Plan expired = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW.plusSeconds(61));
+    assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), expired.maintenanceChanges());
+    assertEquals(DrainStatus.State.FAILED, expired.statuses().get("d1").state());
+    assertTrue(expired.statuses().get("d1").reasons().contains("its time was over"));
   }
 
   @Test
-  void outsideOfItsWindowADrainHoldsStill() {
+  void drainIsPausedOutsideItsWindow() {
     machine("m-1", cordoned("d1"), 2);
     machine("m-2", Maintenance.IN_SERVICE, 0);
     windows.put(
@@ -243,7 +255,7 @@
   }
 
   @Test
-  void whatIsSilentStartsOrEndsByItselfIsNotStopped() {
+  void unreachableStartingAndEndingTasksAreNotStopped() {
     TaskView starting = task(false, Optional.empty());
     TaskView ending = task(true, Optional.of(Duration.ofSeconds(30)));
     TaskView longer = task(true, Optional.of(Duration.ofMinutes(5)));
@@ -265,7 +277,7 @@
   }
 
   @Test
-  void networksSelectByAddress() throws MalformedMessageException {
+  void networkContainsHostsByAddress() throws MalformedMessageException {
     IpNetwork network = IpNetwork.parse("10.1.4.0/22");
     assertTrue(network.contains("10.1.7.255:9000"));
     assertFalse(network.contains("10.1.8.0:9000"));
--- a/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
+++ b/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aWindowOverMidnightBelongsToTheDayOnWhichItBegins() {
+  void windowAcrossMidnightBelongsToItsStartDay() {
     MaintenanceWindow night =
         window("America/Costa_Rica", EnumSet.of(DayOfWeek.FRIDAY), "22:00", "04:00");
     assertFalse(night.isOpen(utc("2026-12-05T03:59:59Z")));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void theMissingHourShortensAWindowOrClosesIt() {
+  void skippedHourShortensOrRemovesAWindow() {
     assertEquals(
         Duration.ofHours(1), daily("01:30", "03:30").occurrence(SPRING).orElseThrow().toDuration());
     assertEquals(Optional.empty(), daily("02:00", "03:00").occurrence(SPRING));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void theDoubledHourIsOpenBothTimes() {
+  void windowIsOpenInBothRepeatedHours() {
     MaintenanceWindow window = daily("02:00", "02:30");
     assertEquals(Duration.ofMinutes(90), window.occurrence(AUTUMN).orElseThrow().toDuration());
     assertTrue(window.isOpen(utc("2026-10-25T00:10:00Z")));
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -417,7 +417,7 @@
     line("bad", () -> DrainRequest.parse("d", json("{\"selector\":\"a\"}")).toNode().toString());
     for (DrainStatus.State state : DrainStatus.State.values()) {
       DrainStatus status = new DrainStatus(state, 1, 2, 3, 4, 5, List.of("one", "two", "three"));
-      lines.add("status: " + status.toNode(2) + " over: " + DrainStatus.isOver(status.toNode(2)));
+      lines.add("status: " + status.toNode(2) + " over: " + DrainStatus.isFinal(status.toNode(2)));
     }
     List<Disruption> disruptions =
         List.of(
--- a/src/test/java/io/pearscale/scheduler/autoscaling/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/CloudActorTest.java
@@ -26,16 +26,16 @@
   private static final double RATE = 1.5;
   private static final MachineType BIG =
       new MachineType("big", 32, 0, 256, 100, 1, 1, 0.4, Duration.ofSeconds(20), List.of("a"));
-  private static final Duration ANSWERED_AFTER = Duration.ofMillis(200);
+  private static final Duration RESPONSE_DELAY = Duration.ofMillis(200);
 
   private final CountingEventLoop loop = new CountingEventLoop();
   private final List<CloudActor.Event> events = new ArrayList<>();
-  private int refused;
+  private int rejectedCalls;
 
   /** Answers by the cloud's protocol: pages of a list, bursts of two seconds' worth, then 429. */
-  private final class SlowCloud implements HttpClient {
-    private double calls = 2 * RATE;
-    private Instant filled = loop.clock().instant();
+  private final class RateLimitedCloud implements HttpClient {
+    private double availableCalls = 2 * RATE;
+    private Instant refilledAt = loop.clock().instant();
 
     @Override
     public void call(
@@ -44,53 +44,53 @@
         String path,
         JsonNode body,
         Duration timeout,
-        Consumer<Reply> answer) {
+        Consumer<Reply> onReply) {
       Instant now = loop.clock().instant();
-      double passed = Duration.between(filled, now).toNanos() / 1e9;
-      calls = Math.min(2 * RATE, calls + passed * RATE);
-      filled = now;
-      if (calls < 1) {
-        refused++;
-        loop.schedule(ANSWERED_AFTER, () -> answer.accept(new Reply(429, MessagePack.map())));
+      double elapsedSeconds = Duration.between(refilledAt, now).toNanos() / 1e9;
+      availableCalls = Math.min(2 * RATE, availableCalls + elapsedSeconds * RATE);
+      refilledAt = now;
+      if (availableCalls < 1) {
+        rejectedCalls++;
+        loop.schedule(RESPONSE_DELAY, () -> onReply.accept(new Reply(429, MessagePack.map())));
         return;
       }
-      calls--;
-      loop.schedule(ANSWERED_AFTER, () -> answer.accept(new Reply(200, answer(path))));
+      availableCalls--;
+      loop.schedule(RESPONSE_DELAY, () -> onReply.accept(new Reply(200, responseBody(path))));
     }
 
-    private JsonNode answer(String path) {
+    private JsonNode responseBody(String path) {
       if (path.startsWith("/hosts?")) {
         return page(path);
       }
-      var answer = MessagePack.map();
+      var body = MessagePack.map();
       if (path.equals("/hosts")) {
-        answer.putArray("hives").add("m-rented");
+        body.putArray("hives").add("m-rented");
       } else {
-        answer.putArray("breeds").add(BIG.toNode());
+        body.putArray("breeds").add(BIG.toNode());
       }
-      return answer;
+      return body;
     }
 
     private JsonNode page(String path) {
-      int since = path.contains("since=") ? Integer.parseInt(path.split("m-|&")[1]) : -1;
-      int end = Math.min(MACHINES, since + 1 + 500);
-      var answer = MessagePack.map().put("more", end < MACHINES);
-      var list = answer.putArray("hives");
-      for (int i = since + 1; i < end; i++) {
+      int lastIndex = path.contains("since=") ? Integer.parseInt(path.split("m-|&")[1]) : -1;
+      int end = Math.min(MACHINES, lastIndex + 1 + 500);
+      var body = MessagePack.map().put("more", end < MACHINES);
+      var list = body.putArray("hives");
+      for (int i = lastIndex + 1; i < end; i++) {
         list.addObject().put("uid", "m-%06d".formatted(i)).put("stage", "running");
       }
-      return answer;
+      return body;
     }
   }
 
   private static Settings settings() {
-    InetSocketAddress nowhere = InetSocketAddress.createUnresolved("hive-0", 1);
+    InetSocketAddress unusedAddress = InetSocketAddress.createUnresolved("hive-0", 1);
     Duration second = Duration.ofSeconds(1);
     return new Settings(
         "hive-0",
         "a",
-        nowhere,
-        nowhere,
+        unusedAddress,
+        unusedAddress,
         Map.of(),
         "cloud",
         "state",
@@ -108,8 +108,8 @@
   }
 
   @Test
-  void theListOfALargeFleetArrivesWholeAndLetsProvisioningThrough() {
-    CloudActor cloud = new CloudActor(loop, new SlowCloud(), settings(), events::add);
+  void largeFleetListIsCompleteAndDoesNotDelayProvisioning() {
+    CloudActor cloud = new CloudActor(loop, new RateLimitedCloud(), settings(), events::add);
     cloud.tell(new CloudActor.BeginTerm(1));
     loop.pass(Duration.ofSeconds(3));
     cloud.tell(new CloudActor.ProvisionMachines(new Offering("big", "a", false), 1));
@@ -119,6 +119,6 @@
     List<CloudActor.MachinesListed> lists = events(CloudActor.MachinesListed.class);
     assertTrue(!lists.isEmpty(), "no list in 30 s");
     lists.forEach(list -> assertEquals(MACHINES, list.machines().size()));
-    assertEquals(0, refused);
+    assertEquals(0, rejectedCalls);
   }
 }
--- a/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void checksGrowWithTheFleetAndNotWithItsSquare() {
+  void checksGrowLinearlyWithFleetSize() {
     for (int size : new int[] {1000, 2000, 4000, 6000}) {
       int checks = checks(size);
       assertTrue(checks <= 40 * size, size + " machines: " + checks);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void capacityThatOneReplicaReservedIsNotAvailableToTheNext() {
+  void reservedCapacityIsNotReservedTwice() {
     List<Machine> machines = fleet(3, 4);
     ReplicaCapacity capacity = new ReplicaCapacity(machines);
     capacity.remove(machines.get(0));
--- a/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void itIsCarriedOutOnceItsTransactionWasApplied() {
+  void disruptionIsReportedDurableOnceItsTransactionIsApplied() {
     records.record(disruption(1));
     assertTrue(records.isPending(disruption(1).task()));
     LeaderTransaction transaction = transaction();
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void oneThatMayNotHaveArrivedGoesOutAgain() {
+  void disruptionIsWrittenAgainIfItsTransactionWasNotApplied() {
     records.record(disruption(1));
     records.onNotApplied(transaction());
     assertEquals(List.of(), durable);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void oneThatIsOverBeforeItWasDurableIsNotCarriedOut() {
+  void removedDisruptionIsNotReportedDurable() {
     records.record(disruption(1));
     LeaderTransaction transaction = transaction();
     records.remove(disruption(1));
@@ -77,15 +77,15 @@
   }
 
   @Test
-  void aSuccessorFindsWhatWasRecorded() throws MalformedMessageException {
+  void successorReadsRecordedDisruptions() throws MalformedMessageException {
     records.record(disruption(1));
     JsonNode value = valueIn(transaction());
     DisruptionRecords successor = new DisruptionRecords(8192, () -> {}, durable::add);
     successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(value, 7))));
     assertEquals(List.of(disruption(1)), successor.beginTerm());
     assertEquals(Duration.ofSeconds(3), successor.beginTerm().get(0).lostWork());
-    JsonNode bad = MessagePack.map().put("d", "?");
-    successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(bad, 8))));
+    JsonNode malformed = MessagePack.map().put("d", "?");
+    successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(malformed, 8))));
     assertThrows(MalformedMessageException.class, successor::beginTerm);
   }
 }
--- a/src/test/java/io/pearscale/upgrade/LevelGateTest.java
+++ b/src/test/java/io/pearscale/upgrade/LevelGateTest.java
@@ -15,9 +15,9 @@
 class LevelGateTest {
   private final LevelGate gate = new LevelGate(new SupportedLevels(1, 2));
 
-  private Optional<String> objectionTo(JsonNode level) {
+  private Optional<String> incompatibilityOf(JsonNode level) {
     gate.update(Optional.of(level), 7);
-    return gate.objection();
+    return gate.incompatibility();
   }
 
   private static JsonNode level(int level) {
@@ -25,42 +25,42 @@
   }
 
   @Test
-  void takesPartWithinItsRange() {
-    assertEquals(Optional.empty(), objectionTo(level(1)));
-    assertEquals(Optional.empty(), objectionTo(level(2)));
+  void acceptsLevelsWithinSupportedRange() {
+    assertEquals(Optional.empty(), incompatibilityOf(level(1)));
+    assertEquals(Optional.empty(), incompatibilityOf(level(2)));
     assertEquals(
         Optional.of("the stored state is at level 3, this build supports 1 to 2"),
-        objectionTo(level(3)));
+        incompatibilityOf(level(3)));
   }
 
   @Test
-  void noStoredLevelIsLevelZero() {
-    assertTrue(gate.objection().isPresent(), "this build does not support level 0 any more");
-    assertEquals(Optional.empty(), new LevelGate(SupportedLevels.OF_THIS_BUILD).objection());
+  void missingLevelIsLevelZero() {
+    assertTrue(gate.incompatibility().isPresent(), "this build does not support level 0 any more");
+    assertEquals(Optional.empty(), new LevelGate(SupportedLevels.OF_THIS_BUILD).incompatibility());
     assertEquals(OptionalLong.empty(), gate.writeRevision());
     assertEquals(OptionalLong.of(0), new LevelGate(SupportedLevels.OF_THIS_BUILD).writeRevision());
   }
 
   @Test
-  void aLevelThatIsTakenBackIsAbsentAgain() {
-    objectionTo(level(1));
+  void deletedLevelIsLevelZero() {
+    incompatibilityOf(level(1));
     assertEquals(OptionalLong.of(7), gate.writeRevision());
     gate.update(Optional.empty(), 9);
-    assertTrue(gate.objection().isPresent());
+    assertTrue(gate.incompatibility().isPresent());
   }
 
   @Test
-  void nothingIsWrittenUnderALevelThatIsNotSupported() {
-    objectionTo(level(1));
-    objectionTo(level(3));
+  void unsupportedLevelHasNoWriteRevision() {
+    incompatibilityOf(level(1));
+    incompatibilityOf(level(3));
     assertEquals(OptionalLong.empty(), gate.writeRevision());
-    objectionTo(level(2));
+    incompatibilityOf(level(2));
     assertEquals(OptionalLong.of(7), gate.writeRevision());
   }
 
   @Test
-  void whatCantBeReadIsNoLevel() {
-    LevelGate old = new LevelGate(SupportedLevels.OF_THIS_BUILD);
+  void unreadableLevelIsIncompatible() {
+    LevelGate oldBuildGate = new LevelGate(SupportedLevels.OF_THIS_BUILD);
     List<JsonNode> unreadable =
         List.of(
             MessagePack.map(),
@@ -69,19 +69,19 @@
             MessagePack.map().put("level", 0.5),
             MessagePack.map().putArray("level"));
     for (JsonNode value : unreadable) {
-      old.update(Optional.of(value), 3);
-      assertTrue(old.objection().isPresent(), "" + value);
+      oldBuildGate.update(Optional.of(value), 3);
+      assertTrue(oldBuildGate.incompatibility().isPresent(), "" + value);
     }
   }
 
   @Test
-  void fieldsOfALaterReleaseArePassedOver() {
+  void unknownFieldsAreIgnored() {
     assertEquals(
-        Optional.empty(), objectionTo(MessagePack.map().put("level", 2).put("later", "x")));
+        Optional.empty(), incompatibilityOf(MessagePack.map().put("level", 2).put("later", "x")));
   }
 
   @Test
-  void aRangeThatIsNone() {
+  void invalidRangeIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new SupportedLevels(2, 1));
     assertThrows(IllegalArgumentException.class, () -> new SupportedLevels(-1, 1));
   }
--- a/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
+++ b/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
@@ -20,88 +20,108 @@
 
 /** Which steps may be taken, and how the level's record changes with them. */
 class UpgradePlanTest {
-  private static final SupportedLevels OLD = new SupportedLevels(0, 0);
-  private static final SupportedLevels NEW = new SupportedLevels(0, 1);
+  private static final SupportedLevels LEVEL_0_ONLY = new SupportedLevels(0, 0);
+  private static final SupportedLevels LEVELS_0_TO_1 = new SupportedLevels(0, 1);
   private static final Set<String> HOSTS = Set.of("a", "b", "c");
-  private static final SchemaLevel RAISED = new SchemaLevel(1, 1, true);
+  private static final SchemaLevel MIGRATED_TO_LEVEL_1 = new SchemaLevel(1, 1, true);
 
-  private static UpgradePlan plan(SchemaLevel level, Map<String, SupportedLevels> seen) {
+  private static UpgradePlan plan(SchemaLevel level, Map<String, SupportedLevels> levelsByHost) {
     Map<String, MemberSupport> members = new TreeMap<>();
-    seen.forEach((host, levels) -> members.put(host, new MemberSupport(levels, 1, "r")));
+    levelsByHost.forEach((host, levels) -> members.put(host, new MemberSupport(levels, 1, "r")));
     return new UpgradePlan(level, HOSTS, members, Map.of());
   }
 
-  private static final Map<String, SupportedLevels> ALL_NEW = Map.of("a", NEW, "b", NEW, "c", NEW);
+  private static final Map<String, SupportedLevels> ALL_SUPPORT_LEVEL_1 =
+      Map.of("a", LEVELS_0_TO_1, "b", LEVELS_0_TO_1, "c", LEVELS_0_TO_1);
 
-  private static void refused(Outcome outcome, String reason) {
+  private static void assertRefused(Outcome outcome, String reason) {
     assertTrue(assertInstanceOf(Refusal.class, outcome).reasons().contains(reason), "" + outcome);
   }
 
   @Test
-  void theLevelRisesWhenAllWereSeenToSupportIt() {
+  void levelIsRaisedWhenAllControllersSupportIt() {
     assertEquals(
         new LevelChange(new SchemaLevel(1, 1, false)),
-        plan(SchemaLevel.UNVERSIONED, ALL_NEW).finalise(NEW, Set.of()));
+        plan(SchemaLevel.UNVERSIONED, ALL_SUPPORT_LEVEL_1).finalise(LEVELS_0_TO_1, Set.of()));
   }
 
   @Test
-  void whoIsAwayOrOldHoldsItUp() {
-    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, Map.of("a", NEW, "b", OLD));
-    refused(plan.finalise(NEW, Set.of()), "b supports 0, not level 1");
-    refused(
-        plan.finalise(NEW, Set.of()),
+  void absentOrOldControllerBlocksTheUpgrade() {
+    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, Map.of("a", LEVELS_0_TO_1, "b", LEVEL_0_ONLY));
+    assertRefused(plan.finalise(LEVELS_0_TO_1, Set.of()), "b supports 0, not level 1");
+    assertRefused(
+        plan.finalise(LEVELS_0_TO_1, Set.of()),
         "c was not seen: it is away, or its build does not say what it supports");
-    refused(plan.finalise(NEW, Set.of("c")), "b supports 0, not level 1");
+    assertRefused(plan.finalise(LEVELS_0_TO_1, Set.of("c")), "b supports 0, not level 1");
   }
 
   @Test
-  void onlyWhoIsAwayCanBeVouchedFor() {
-    Map<String, SupportedLevels> seen = Map.of("a", NEW, "b", NEW);
-    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, seen);
-    assertInstanceOf(LevelChange.class, plan.finalise(NEW, Set.of("c")));
-    refused(plan.finalise(NEW, Set.of("c", "b")), "b is not away");
-    refused(plan.finalise(NEW, Set.of("c", "x")), "x is no controller of this cluster");
+  void onlyAbsentControllersCanBeConfirmedAbsent() {
+    Map<String, SupportedLevels> levelsByHost = Map.of("a", LEVELS_0_TO_1, "b", LEVELS_0_TO_1);
+    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, levelsByHost);
+    assertInstanceOf(LevelChange.class, plan.finalise(LEVELS_0_TO_1, Set.of("c")));
+    assertRefused(plan.finalise(LEVELS_0_TO_1, Set.of("c", "b")), "b is not away");
+    assertRefused(
+        plan.finalise(LEVELS_0_TO_1, Set.of("c", "x")), "x is no controller of this cluster");
   }
 
   @Test
-  void oneStepAfterTheOther() {
-    SupportedLevels later = new SupportedLevels(0, 2);
-    Map<String, SupportedLevels> seen = Map.of("a", later, "b", later, "c", later);
-    refused(
-        plan(new SchemaLevel(1, 1, false), seen).finalise(later, Set.of()),
+  void levelIsRaisedOnlyAfterMigration() {
+    SupportedLevels laterBuild = new SupportedLevels(0, 2);
+    Map<String, SupportedLevels> levelsByHost =
+        Map.of("a", laterBuild, "b", laterBuild, "c", laterBuild);
+    assertRefused(
+        plan(new SchemaLevel(1, 1, false), levelsByHost).finalise(laterBuild, Set.of()),
         "the records of level 1 are still migrated");
     assertEquals(
         new LevelChange(new SchemaLevel(2, 2, false)),
-        plan(RAISED, seen).finalise(later, Set.of()));
-    assertInstanceOf(NoChange.class, plan(RAISED, ALL_NEW).finalise(NEW, Set.of()));
+        plan(MIGRATED_TO_LEVEL_1, levelsByHost).finalise(laterBuild, Set.of()));
+    assertInstanceOf(
+        NoChange.class,
+        plan(MIGRATED_TO_LEVEL_1, ALL_SUPPORT_LEVEL_1).finalise(LEVELS_0_TO_1, Set.of()));
   }
 
   @Test
-  void aStepIsTakenBackAndTakenAgain() {
-    SchemaLevel back = new SchemaLevel(1, 0, false, true);
-    assertEquals(new LevelChange(back), plan(RAISED, ALL_NEW).rollback(NEW));
+  void rollbackCanBeFollowedByAnUpgrade() {
+    SchemaLevel rollingBack = new SchemaLevel(1, 0, false, true);
     assertEquals(
-        new LevelChange(back), plan(new SchemaLevel(1, 1, false), ALL_NEW).rollback(NEW), "midway");
-    assertInstanceOf(NoChange.class, plan(back, ALL_NEW).rollback(NEW));
+        new LevelChange(rollingBack),
+        plan(MIGRATED_TO_LEVEL_1, ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1));
     assertEquals(
-        new LevelChange(new SchemaLevel(1, 1, false)), plan(back, ALL_NEW).finalise(NEW, Set.of()));
-    assertInstanceOf(NoChange.class, plan(SchemaLevel.UNVERSIONED, ALL_NEW).rollback(NEW));
-    assertEquals(new SchemaLevel(0, 0, true, true), back.migrationCompleted());
+        new LevelChange(rollingBack),
+        plan(new SchemaLevel(1, 1, false), ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1),
+        "midway");
+    assertInstanceOf(
+        NoChange.class, plan(rollingBack, ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1));
+    assertEquals(
+        new LevelChange(new SchemaLevel(1, 1, false)),
+        plan(rollingBack, ALL_SUPPORT_LEVEL_1).finalise(LEVELS_0_TO_1, Set.of()));
+    assertInstanceOf(
+        NoChange.class, plan(SchemaLevel.UNVERSIONED, ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1));
+    assertEquals(new SchemaLevel(0, 0, true, true), rollingBack.migrationCompleted());
   }
 
   @Test
-  void whatTheLevelBelowCantSayHoldsARollbackUp() {
+  void incompatibleRecordsBlockARollback() {
     UpgradePlan plan =
         new UpgradePlan(
-            RAISED, HOSTS, Map.of(), Map.of(Feature.MACHINE_MAINTENANCE, List.of("m-7")));
-    refused(plan.rollback(NEW), "level 0 can't say that machines are in maintenance: m-7");
-    SupportedLevels later = new SupportedLevels(1, 1);
-    refused(plan(RAISED, Map.of("a", later)).rollback(NEW), "a supports 1, not level 0");
-    refused(plan(RAISED, ALL_NEW).rollback(later), "this build supports 1");
+            MIGRATED_TO_LEVEL_1,
+            HOSTS,
+            Map.of(),
+            Map.of(Feature.MACHINE_MAINTENANCE, List.of("m-7")));
+    assertRefused(
+        plan.rollback(LEVELS_0_TO_1), "level 0 can't say that machines are in maintenance: m-7");
+    SupportedLevels laterBuild = new SupportedLevels(1, 1);
+    assertRefused(
+        plan(MIGRATED_TO_LEVEL_1, Map.of("a", laterBuild)).rollback(LEVELS_0_TO_1),
+        "a supports 1, not level 0");
+    assertRefused(
+        plan(MIGRATED_TO_LEVEL_1, ALL_SUPPORT_LEVEL_1).rollback(laterBuild),
+        "this build supports 1");
   }
 
   @Test
-  void theRecordKeepsWhatALaterReleaseAdded() throws MalformedMessageException {
+  void unknownFieldsOfTheRecordAreKept() throws MalformedMessageException {
     ObjectNode stored = MessagePack.map().put("level", 1).put("later", "x");
     ObjectNode next = SchemaLevel.parse(stored).rollingBack().toNode(stored);
     assertEquals("x", next.path("later").asText());
@@ -109,7 +129,7 @@
   }
 
   @Test
-  void contradictoryRecordsAreNoLevel() {
+  void contradictoryRecordsAreRejected() {
     assertThrows(
         MalformedMessageException.class,
         () -> SchemaLevel.parse(MessagePack.map().put("level", 0).put("written", 1)));
