--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -13,26 +13,27 @@
 import java.util.List;
 
 /**
- * A disruption of a task: it was stopped, or is about to be, and does not run again yet.
+ * A disruption of a task: the task was stopped or is about to be stopped, and is not yet running
+ * again.
  *
- * @param voluntary whether the scheduler chose it; then it is durable before the stop command is
- *     sent
- * @param lostWork running time that has to be repeated
+ * @param voluntary whether the scheduler chose to stop the task; a voluntary disruption is durably
+ *     recorded before the stop command is sent
+ * @param lostWork running time that the task has to repeat
  */
 public record Disruption(
     TaskId task, String team, String jobClass, boolean voluntary, Duration lostWork) {
   private static final String LIST_FIELD = "d";
   private static final int FIELDS_PER_ENTRY = 4;
 
-  /** Bytes of an entry beside its texts. */
+  /** Size in bytes of an encoded entry without its text fields. */
   private static final int ENTRY_OVERHEAD = 48;
 
-  /** Upper bound in bytes for its entry. */
+  /** Returns an upper bound in bytes for the encoded entry. */
   public int maxEncodedSize() {
     return ENTRY_OVERHEAD + task.toString().length() + team.length() + jobClass.length();
   }
 
-  /** Encodes a value of several disruptions. */
+  /** Encodes disruptions as one stored value. */
   public static JsonNode encode(Collection<Disruption> disruptions) {
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray(LIST_FIELD);
@@ -46,7 +47,7 @@
     return value;
   }
 
-  /** Decodes a value. */
+  /** Decodes a stored value; all its disruptions are voluntary. */
   public static List<Disruption> decode(JsonNode value) throws MalformedMessageException {
     List<Disruption> disruptions = new ArrayList<>();
     for (JsonNode fields : MessageFields.list(MessageFields.requireMap(value), LIST_FIELD)) {
--- a/src/main/java/io/pearscale/drain/DisruptionBudget.java
+++ b/src/main/java/io/pearscale/drain/DisruptionBudget.java
@@ -4,23 +4,24 @@
 import java.util.Optional;
 
 /**
- * How much of a team's work may be disrupted at once.
+ * Limits how much of a team's work may be disrupted at once.
  *
- * @param team whose work; {@link #ANY_TEAM}: that of each team without a budget of its own
- * @param jobClass the class of jobs that it is for; all of the team's if empty
- * @param kind what is bounded
- * @param amount the bound: tasks, a share of them, or seconds
+ * @param team the team that the budget applies to; {@link #ANY_TEAM} for a default that applies
+ *     separately to each team without a specific budget
+ * @param jobClass the job class that the budget applies to; empty for all jobs of the team
+ * @param kind the quantity that is limited
+ * @param amount the limit: a number of tasks, a share of the tasks, or seconds
  */
 public record DisruptionBudget(String team, Optional<String> jobClass, Kind kind, double amount) {
-  /** What a budget bounds. */
+  /** The quantity that a budget limits. */
   public enum Kind {
-    /** The most tasks that may be unavailable at once. */
+    /** Maximum number of tasks that may be unavailable at once. */
     MAX_UNAVAILABLE("most-down"),
-    /** The largest share of all tasks that may be unavailable at once. */
+    /** Maximum share of all tasks that may be unavailable at once. */
     MAX_UNAVAILABLE_SHARE("most-down-share"),
-    /** The fewest tasks that must stay available. */
+    /** Minimum number of tasks that must stay available. */
     MIN_AVAILABLE("least-up"),
-    /** The most seconds of work without a checkpoint that may be lost at once. */
+    /** Maximum seconds of work without checkpoints that may be lost at once. */
     MAX_LOST_WORK_SECONDS("most-lost-s");
 
     private final String configName;
@@ -29,12 +30,12 @@
       this.configName = configName;
     }
 
-    /** Its name in files and messages. */
+    /** Returns the name of this kind in settings files and messages. */
     public String configName() {
       return configName;
     }
 
-    /** The kind of that name. */
+    /** Returns the kind with the given name; empty if there is none. */
     public static Optional<Kind> parse(String configName) {
       for (Kind kind : values()) {
         if (kind.configName.equals(configName)) {
@@ -46,42 +47,42 @@
   }
 
   /**
-   * How many tasks of a group are available.
+   * The availability of a group of tasks.
    *
-   * @param total tasks that should run
-   * @param unavailable those that do not run, or are about to be stopped
-   * @param lostWork running time that is lost with them
+   * @param total number of tasks that should run
+   * @param unavailable number of tasks that are not running or are about to be stopped
+   * @param lostWork running time that the unavailable tasks lose
    */
   public record Availability(int total, int unavailable, Duration lostWork) {
-    /** No tasks. */
+    /** The availability of an empty group. */
     public static final Availability NONE = new Availability(0, 0, Duration.ZERO);
 
-    /** The sum with another group of tasks. */
+    /** Returns the combined availability of this group and another one. */
     public Availability plus(Availability other) {
       return new Availability(
           total + other.total, unavailable + other.unavailable, lostWork.plus(other.lostWork));
     }
   }
 
-  /** In place of a team's name: each team that has no budget of its own. */
+  /** Team name of a default budget, which applies to each team without a specific budget. */
   public static final String ANY_TEAM = "*";
 
-  /** This default budget applied to one team. */
+  /** Returns this default budget for one team. */
   DisruptionBudget forTeam(String name) {
     return new DisruptionBudget(name, jobClass, kind, amount);
   }
 
-  /** Whether it is the default for teams without a budget of their own. */
+  /** Returns whether this is a default for teams without a specific budget. */
   boolean isDefault() {
     return team.equals(ANY_TEAM);
   }
 
-  /** Whether the budget covers tasks of that team and class. */
+  /** Returns whether the budget applies to tasks of the given team and job class. */
   public boolean covers(String taskTeam, String taskJobClass) {
     return team.equals(taskTeam) && jobClass.map(c -> c.equals(taskJobClass)).orElse(true);
   }
 
-  /** Why the budget does not allow that availability; empty if it does. */
+  /** Returns why the budget does not allow the given availability; empty if it does. */
   public Optional<String> rejectionReason(Availability availability) {
     boolean allowed =
         switch (kind) {
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -14,12 +14,12 @@
 import java.util.function.Predicate;
 
 /**
- * Counts disruptions against the budgets. A disruption counts from the decision until its task is
- * observed running again or is over. Involuntary ones, by lost machines or preemption, count as
- * well, so that voluntary ones wait for them.
+ * Counts disruptions against the disruption budgets. A disruption counts from the decision until
+ * its task is observed running again or has finished. Involuntary disruptions, caused by lost
+ * machines or preemption, also count, so that voluntary disruptions wait for them.
  */
 public final class DisruptionLedger {
-  /** The tasks of a team and class. */
+  /** Identifies the tasks of one team and job class. */
   public record Group(String team, String jobClass) {}
 
   private final List<DisruptionBudget> budgets;
@@ -27,12 +27,15 @@
   private Map<Group, Availability> availabilityByGroup = Map.of();
   private Optional<String> blockedReason = Optional.empty();
 
-  /** Creates a ledger without disruptions. */
+  /** Creates a ledger without open disruptions. */
   public DisruptionLedger(List<DisruptionBudget> budgets) {
     this.budgets = List.copyOf(budgets);
   }
 
-  /** Begins a term: recorded disruptions of predecessors count until their tasks run again. */
+  /**
+   * Begins a term. The disruptions that previous leaders recorded count until their tasks run
+   * again.
+   */
   public void beginTerm(Collection<Disruption> recorded) {
     open.clear();
     availabilityByGroup = Map.of();
@@ -40,27 +43,27 @@
     recorded.forEach(disruption -> open.put(disruption.task(), disruption));
   }
 
-  /** Refuses all further disruptions in this term, since those recorded can't be read. */
+  /** Refuses all further disruptions in this term because recorded ones can't be read. */
   public void blockAll(String reason) {
     blockedReason = Optional.of(reason);
   }
 
-  /** The disruptions that count. */
+  /** Returns the disruptions that count against the budgets. */
   public Collection<Disruption> open() {
     return Collections.unmodifiableCollection(open.values());
   }
 
-  /** Whether the task counts as disrupted. */
+  /** Returns whether the task counts as disrupted. */
   public boolean isOpen(TaskId task) {
     return open.containsKey(task);
   }
 
-  /** Counts an involuntary disruption. */
+  /** Counts an involuntary disruption, which no budget can refuse. */
   public void recordInvoluntary(Disruption disruption) {
     open.putIfAbsent(disruption.task(), disruption);
   }
 
-  /** Closes the disruptions of matching tasks, and returns them. */
+  /** Closes the disruptions of all tasks that match, and returns these disruptions. */
   public List<Disruption> closeIf(Predicate<TaskId> isFinished) {
     List<Disruption> closed = new ArrayList<>();
     for (Disruption disruption : List.copyOf(open.values())) {
@@ -73,33 +76,32 @@
   }
 
   /**
-   * Updates the availability of all groups.
+   * Replaces the availability of all groups.
    *
-   * @param current availability by group; what is unavailable includes all disruptions that are
-   *     open
+   * @param current availability by group; its unavailable tasks include all open disruptions
    */
   public void updateAvailability(Map<Group, Availability> current) {
     availabilityByGroup = new HashMap<>(current);
   }
 
-  /** The task's open disruption, if any. */
+  /** Returns the open disruption of the task, if any. */
   public Optional<Disruption> find(TaskId task) {
     return Optional.ofNullable(open.get(task));
   }
 
   /**
-   * Requests the disruption of a running task, and counts it if it is granted.
+   * Requests the disruption of a running task, and counts the disruption if it is granted.
    *
-   * @return why it is refused; empty if it is granted
+   * @return the reason for a refusal; empty if the disruption is granted
    */
   public Optional<String> trySpend(Disruption disruption) {
     return trySpend(List.of(disruption));
   }
 
   /**
-   * Requests the disruption of several tasks of one job, and counts all of them or none.
+   * Requests the disruption of several tasks of one job, and counts all the disruptions or none.
    *
-   * @return why they are refused; empty if they are granted
+   * @return the reason for a refusal; empty if all disruptions are granted
    */
   public Optional<String> trySpend(List<Disruption> disruptions) {
     if (blockedReason.isPresent()) {
@@ -127,7 +129,7 @@
     return Optional.empty();
   }
 
-  /** The budgets for a group; the defaults where it has none of its own. */
+  /** Returns the budgets that cover the group; the default budgets if no other budget does. */
   private List<DisruptionBudget> budgetsFor(Group group) {
     List<DisruptionBudget> teamBudgets = new ArrayList<>();
     List<DisruptionBudget> defaultBudgets = new ArrayList<>();
@@ -142,7 +144,7 @@
     return teamBudgets.isEmpty() ? defaultBudgets : teamBudgets;
   }
 
-  /** The availability of the tasks that a budget covers. */
+  /** Returns the combined availability of all tasks that the budget covers. */
   public Availability availabilityUnder(DisruptionBudget budget) {
     Availability sum = new Availability(0, 0, Duration.ZERO);
     for (Map.Entry<Group, Availability> entry : availabilityByGroup.entrySet()) {
@@ -153,7 +155,7 @@
     return sum;
   }
 
-  /** All budgets. */
+  /** Returns all configured budgets. */
   public List<DisruptionBudget> budgets() {
     return budgets;
   }
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -13,22 +13,24 @@
 import java.util.Optional;
 
 /**
- * Decides what drains do next: which machines are cordoned, which tasks are stopped, which machines
- * are taken out of service or put back. Its only state is the rotation, by which drains share the
- * budgets: each round another one goes first, and tasks are granted to them round robin.
+ * Plans the next round of all drains: which machines to cordon, which tasks to stop, and which
+ * machines to take out of service or return to service. The only state is the rotation that shares
+ * the disruption budgets fairly: each round starts with a different drain, and tasks are granted to
+ * the drains round robin.
  */
 public final class DrainPlanner {
-  /** A task that is expected to end within this time is waited for instead of stopped. */
+  /** A task that is expected to finish within this time is not stopped. */
   static final Duration MAX_WAIT_FOR_COMPLETION = Duration.ofSeconds(60);
 
   /**
-   * A task that is, or may be, on a machine.
+   * A task that runs, or possibly runs, on a machine.
    *
-   * @param running whether it was observed running
-   * @param stopping whether it is being stopped, for whatever reason
-   * @param remaining expected time until it ends, if known; services have no end
-   * @param lostWork running time that a stop would lose
-   * @param gangMembers the other tasks of its gang: they are stopped with it, on whichever machine
+   * @param running whether the task was observed running
+   * @param stopping whether the task is being stopped, for any reason
+   * @param remaining expected time until the task finishes; empty if unknown, and for services
+   * @param lostWork running time that is lost if the task is stopped
+   * @param gangMembers the other tasks of the gang, on any machine; they are stopped together with
+   *     this task
    */
   public record TaskView(
       TaskId task,
@@ -40,7 +42,7 @@
       Duration lostWork,
       List<TaskId> gangMembers) {
 
-    /** The disruptions that stopping it causes. */
+    /** Returns the disruptions caused by stopping this task, one for each task of its gang. */
     List<Disruption> disruptions() {
       List<Disruption> all = new ArrayList<>();
       all.add(disruption(task));
@@ -54,10 +56,10 @@
   }
 
   /**
-   * A machine as it is now.
+   * The current state of a machine.
    *
-   * @param maintenanceDurable whether its maintenance state is durably recorded
-   * @param reachable whether it is up and responsive
+   * @param maintenanceDurable whether the maintenance state is durably recorded
+   * @param reachable whether the machine is up and responsive
    */
   public record MachineView(
       String name,
@@ -66,28 +68,29 @@
       boolean reachable,
       List<TaskView> tasks) {}
 
-  /** A drain, and the names of its machines. */
+  /** A drain request and the names of the selected machines. */
   public record Drain(DrainRequest request, List<String> machines) {
-    /** Whether it is not cancelled, and its deadline has not passed. */
+    /** Returns whether the drain is not cancelled and its deadline has not passed. */
     public boolean isActive(Instant now) {
       return request.desiredState() != DrainRequest.DesiredState.CANCEL
           && now.isBefore(request.deadline());
     }
   }
 
-  /** Finds capacity for tasks on other machines. */
+  /** Reserves capacity on other machines for tasks that are to be stopped. */
   public interface ReplacementCapacity {
-    /** Reserves capacity for the task; returns why there is none, or empty if it is reserved. */
+    /** Reserves capacity for the task; returns the reason if there is none, otherwise empty. */
     Optional<String> reserve(TaskView task);
   }
 
   /**
-   * What is to be done in this round.
+   * The actions of one round.
    *
-   * @param maintenanceChanges new maintenance states, by machine
-   * @param tasksToStop tasks to be stopped, whose disruptions the ledger has granted
-   * @param machinesToRelease empty machines to be terminated
-   * @param tasksWithoutCapacity tasks for which there is no capacity elsewhere
+   * @param maintenanceChanges new maintenance states, by machine name
+   * @param tasksToStop tasks to stop, whose disruptions the ledger has granted
+   * @param machinesToRelease empty machines to terminate
+   * @param tasksWithoutCapacity tasks for which no capacity on other machines was reserved
+   * @param statuses the status of each drain, by drain id
    */
   public record Plan(
       Map<String, Maintenance> maintenanceChanges,
@@ -99,7 +102,7 @@
   private final Map<String, MaintenanceWindow> windows;
   private int rotation;
 
-  /** Creates a planner; the windows are by name. */
+  /** Creates a planner with the given maintenance windows by name. */
   public DrainPlanner(Map<String, MaintenanceWindow> windows) {
     this.windows = Map.copyOf(windows);
   }
@@ -108,7 +111,7 @@
    * Plans the next round.
    *
    * @param machines all machines, by name
-   * @param now the time of day: it says when windows are open and deadlines are over
+   * @param now the wall clock time that maintenance windows and deadlines are compared with
    */
   public Plan plan(
       List<Drain> drains,
@@ -143,7 +146,7 @@
     return ordered;
   }
 
-  /** Asks for one task of each drain after the other, until no candidate is left. */
+  /** Requests one task of each drain in turn until no drain has candidates left. */
   private static void grantRoundRobin(
       List<DrainRound> rounds, DisruptionLedger ledger, ReplacementCapacity capacity) {
     boolean candidatesLeft = true;
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -15,13 +15,15 @@
 import java.util.regex.Pattern;
 
 /**
- * An operator's request for a drain. Only operators write it; the leader writes {@link
+ * An operator's request for a drain. Only operators write this record; the leader writes {@link
  * DrainStatus}.
  *
- * @param selector how the machines were selected, for display; their names are stored beside
- * @param maxConcurrentMachines the most machines that are cordoned at a time
- * @param completionAction what becomes of a machine that is empty
- * @param window name of the maintenance window in which it may disrupt; empty for any time
+ * @param selector description of the machine selection, for display; the names of the selected
+ *     machines are stored in separate values
+ * @param maxConcurrentMachines maximum number of machines that are cordoned at a time
+ * @param completionAction what happens to a machine once it is empty
+ * @param window name of the maintenance window in which the drain may disrupt tasks; empty for any
+ *     time
  */
 public record DrainRequest(
     String id,
@@ -33,11 +35,11 @@
     Instant deadline,
     Optional<String> window) {
 
-  /** What becomes of a machine that is empty. */
+  /** What happens to a machine once it is empty. */
   public enum CompletionAction {
-    /** It is terminated; another one is provisioned where it is needed. */
+    /** The machine is terminated; the autoscaler provisions a replacement if one is needed. */
     TERMINATE("return"),
-    /** It stays out of service until the drain is ended. */
+    /** The machine stays out of service until the drain is cancelled. */
     HOLD("hold");
 
     private final String storedName;
@@ -56,13 +58,13 @@
     }
   }
 
-  /** What the operator wants now. */
+  /** The state that the operator requests. */
   public enum DesiredState {
-    /** Cordon machines, and disrupt tasks as budgets allow. */
+    /** Cordon machines, and stop tasks as the disruption budgets allow. */
     RUN("run"),
-    /** Cordon nothing and disrupt nothing; cordoned machines stay so. */
+    /** Cordon no further machines and stop no tasks; cordoned machines stay cordoned. */
     PAUSE("pause"),
-    /** Put all machines back into service that are not terminated yet. */
+    /** Return all machines to service that are not yet terminated. */
     CANCEL("cancel");
 
     private final String storedName;
@@ -81,21 +83,21 @@
     }
   }
 
-  /** How much of a value is filled with names, in percent. */
+  /** Percentage of the maximum value size that is filled with machine names. */
   private static final int VALUE_FILL_PERCENT = 80;
 
-  /** Bytes of a name in a list beside its characters. */
+  /** Bytes that a name in a list takes in addition to its characters. */
   private static final int NAME_OVERHEAD_BYTES = 3;
 
-  /** Ids are part of keys and of machine records, so they are short. */
+  /** Ids are kept short because they are part of keys and machine records. */
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
 
-  /** Whether the text is a valid id. */
+  /** Returns whether the text is a valid drain id. */
   public static boolean isId(String text) {
     return ID.matcher(text).matches();
   }
 
-  /** Decodes the record. */
+  /** Decodes a stored request. */
   public static DrainRequest parse(String id, JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     return new DrainRequest(
@@ -110,10 +112,10 @@
   }
 
   private static MalformedMessageException unknownName(String text) {
-    return new MalformedMessageException("unknown word " + text);
+    return new MalformedMessageException("unknown completion action or desired state: " + text);
   }
 
-  /** Encodes the record. */
+  /** Encodes the request as a stored record. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -128,8 +130,8 @@
   }
 
   /**
-   * The mutations that store a new request: its record, and the names of the machines in as many
-   * values as they need.
+   * Returns the mutations that store a new request: one for its record, and one for each value that
+   * holds a part of the machine names.
    */
   public List<Mutation> toMutations(List<String> machines, int maxValueBytes) {
     List<Mutation> mutations = new ArrayList<>();
@@ -152,7 +154,7 @@
     return mutations;
   }
 
-  /** The stored record with another desired state; its other fields are kept. */
+  /** Returns a copy of the stored record with another desired state and all other fields kept. */
   public static ObjectNode withDesiredState(JsonNode stored, DesiredState desiredState) {
     ObjectNode node = stored.deepCopy();
     return node.put("wish", desiredState.storedName);
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a round decides of one drain: maintenance states, and which tasks may be stopped. */
+/** Plans one round of one drain: maintenance states of its machines, and which tasks to stop. */
 final class DrainRound {
   private final Map<String, MaintenanceWindow> windows;
   private final DrainRequest request;
@@ -41,8 +41,8 @@
    *
    * @param windows all maintenance windows, by name
    * @param machines all machines, by name
-   * @param plan receives what is decided
-   * @param now the time of day
+   * @param plan receives the planned actions
+   * @param now the wall clock time
    */
   DrainRound(
       Map<String, MaintenanceWindow> windows,
@@ -60,7 +60,7 @@
     this.now = now;
   }
 
-  /** The id of the drain. */
+  /** Returns the id of the drain. */
   String drainId() {
     return request.id();
   }
@@ -73,7 +73,7 @@
     return !now.isBefore(request.deadline());
   }
 
-  /** Decides on the machines that the drain has cordoned, and which to cordon next. */
+  /** Plans the machines that the drain has cordoned, and selects which machines to cordon next. */
   void planMachines() {
     paused = isPaused();
     List<MachineView> machinesInService = new ArrayList<>();
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Whether nothing may be begun now. */
+  /** Returns whether the drain must not act now, and adds the reason to the status. */
   private boolean isPaused() {
     if (request.desiredState() == DrainRequest.DesiredState.PAUSE) {
       reasons.add("an operator has paused it");
@@ -179,7 +179,7 @@
     }
   }
 
-  /** The emptiest machines first, as many as may be cordoned at a time. */
+  /** Cordons machines up to the limit, those with the fewest tasks first. */
   private void cordonNext(List<MachineView> machinesInService) {
     machinesInService.sort(
         Comparator.comparingInt((MachineView m) -> m.tasks().size())
@@ -203,14 +203,14 @@
     }
   }
 
-  /** Asks to stop the next of its tasks; returns false if none is left to ask for. */
+  /** Requests to stop the next candidate task; returns false if no candidate is left. */
   boolean grantNext(DisruptionLedger disruptionLedger, ReplacementCapacity capacity) {
     TaskView task = candidates.poll();
     if (task == null) {
       return false;
     }
     if (disruptionLedger.isOpen(task.task())) {
-      return true; // It ends with another task of its gang.
+      return true; // The task is stopped together with another task of its gang.
     }
     Optional<String> rejection = capacity.reserve(task);
     if (rejection.isPresent()) {
@@ -226,7 +226,7 @@
     return true;
   }
 
-  /** The status of the drain, once all tasks have been asked for. */
+  /** Returns the status of the drain; valid once {@link #grantNext} has returned false. */
   DrainStatus status() {
     return new DrainStatus(
         state(), inService, cordoned, drained, released, remainingTasks, List.copyOf(reasons));
--- a/src/main/java/io/pearscale/drain/DrainStatus.java
+++ b/src/main/java/io/pearscale/drain/DrainStatus.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 
 /**
- * The progress of a drain, and what holds it up. Only the leader writes it.
+ * The progress of a drain and the reasons that block it. Only the leader writes this record.
  *
- * @param inService machines that are still in service, or back in it
- * @param cordoned machines that get no new tasks
- * @param drained empty machines that are kept out of service
- * @param released machines that were terminated, or are not known any more
- * @param remainingTasks tasks on cordoned machines
- * @param reasons what holds it up, for display
+ * @param inService number of machines that are not yet cordoned or have returned to service
+ * @param cordoned number of machines that are being emptied and get no new tasks
+ * @param drained number of empty machines that are kept out of service
+ * @param released number of machines that were terminated or are no longer known
+ * @param remainingTasks number of tasks on cordoned machines
+ * @param reasons what blocks progress, for display
  */
 public record DrainStatus(
     State state,
@@ -33,13 +33,13 @@
     REQUESTED("requested"),
     /** Machines are being emptied. */
     DRAINING("draining"),
-    /** Paused by an operator, or outside its maintenance window. */
+    /** Paused by an operator, or outside the maintenance window. */
     PAUSED("paused"),
     /** All machines are drained or terminated. */
     DRAINED("drained"),
-    /** Cancelled by an operator, or the maintenance is over. */
+    /** Cancelled by an operator, before its completion or to end the maintenance. */
     CANCELLED("cancelled"),
-    /** The deadline passed before all machines were empty; the others are back in service. */
+    /** The deadline passed before all machines were empty; the rest have returned to service. */
     FAILED("failed");
 
     private final String storedName;
@@ -49,14 +49,14 @@
     }
   }
 
-  /** Whether the encoded status is final. */
+  /** Returns whether the encoded status is final. */
   public static boolean isFinal(JsonNode record) {
     String stored = record.path("state").asText();
     return Stream.of(State.DRAINED, State.CANCELLED, State.FAILED)
         .anyMatch(state -> stored.equals(state.storedName));
   }
 
-  /** Encodes the status, with at most so many reasons. */
+  /** Encodes the status with at most {@code maxReasons} reasons. */
   public ObjectNode toNode(int maxReasons) {
     ObjectNode node =
         MessagePack.map()
@@ -71,7 +71,7 @@
     return node;
   }
 
-  /** The reasons of an encoded status. */
+  /** Returns the reasons of an encoded status. */
   public static List<String> reasonsOf(JsonNode record) {
     List<String> reasons = new ArrayList<>();
     record.path("reasons").forEach(reason -> reasons.add(reason.asText()));
--- a/src/main/java/io/pearscale/drain/IpNetwork.java
+++ b/src/main/java/io/pearscale/drain/IpNetwork.java
@@ -7,7 +7,10 @@
 import io.pearscale.protocol.MalformedMessageException;
 import java.util.Optional;
 
-/** An IP network, such as {@code 10.1.4.0/22}, as a set of machines that fail or move together. */
+/**
+ * An IP network such as {@code 10.1.4.0/22}. It selects a group of machines that fail or are moved
+ * together.
+ */
 public final class IpNetwork {
   private final IPAddress block;
 
@@ -15,7 +18,7 @@
     this.block = block;
   }
 
-  /** Parses a network in CIDR notation; one with host bits set is rejected. */
+  /** Parses a network in CIDR notation, and rejects a network with host bits set. */
   public static IpNetwork parse(String text) throws MalformedMessageException {
     try {
       IPAddress address = new IPAddressString(text).toAddress();
@@ -30,8 +33,8 @@
   }
 
   /**
-   * Whether the host of an address like {@code 10.1.4.7:9000} lies in the network. Names are not
-   * looked up: a machine without an address lies in none.
+   * Returns whether the host of an address like {@code 10.1.4.7:9000} lies in the network. Host
+   * names are not resolved, so a machine without a numeric address lies in no network.
    */
   public boolean contains(String hostAndPort) {
     return Optional.ofNullable(new HostName(hostAndPort).asAddress())
--- a/src/main/java/io/pearscale/drain/MachineSelector.java
+++ b/src/main/java/io/pearscale/drain/MachineSelector.java
@@ -6,13 +6,13 @@
 
 /** Selects the machines of a drain. */
 public sealed interface MachineSelector {
-  /** Whether the machine is selected. */
+  /** Returns whether the machine is selected. */
   boolean matches(MachineAttributes machine);
 
   /** The attributes of a machine in its stored record; the address is empty if unknown. */
   record MachineAttributes(String name, String zone, String type, String address) {}
 
-  /** Machines of these names. */
+  /** Selects machines by name. */
   record Names(Set<String> names) implements MachineSelector {
     @Override
     public boolean matches(MachineAttributes machine) {
@@ -25,7 +25,7 @@
     }
   }
 
-  /** All machines of a zone. */
+  /** Selects all machines of a zone. */
   record Zone(String zone) implements MachineSelector {
     @Override
     public boolean matches(MachineAttributes machine) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** All machines of a type. */
+  /** Selects all machines of a type. */
   record Type(String type) implements MachineSelector {
     @Override
     public boolean matches(MachineAttributes machine) {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** All machines whose address lies in a network. */
+  /** Selects all machines whose address lies in a network. */
   record Network(IpNetwork network) implements MachineSelector {
     /** Parses a network in CIDR notation. */
     public static Network parse(String text) throws MalformedMessageException {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** All machines. */
+  /** Selects all machines. */
   record All() implements MachineSelector {
     @Override
     public boolean matches(MachineAttributes machine) {
--- a/src/main/java/io/pearscale/drain/MaintenanceWindow.java
+++ b/src/main/java/io/pearscale/drain/MaintenanceWindow.java
@@ -12,26 +12,31 @@
 import org.threeten.extra.Interval;
 
 /**
- * When drains may disrupt: from a time of day to another in a named time zone, on the days on which
- * it begins. A window that ends before it begins on the clock ends on the next day.
+ * A recurring period in which drains may disrupt tasks. The period extends from a start time to an
+ * end time in a named time zone, and starts on the given days of the week. If the end time is not
+ * after the start time, the window ends on the next day.
  *
- * <p>Where clocks change, a window begins with the first and ends with the last moment that shows
- * its times; of a time that the clocks leave out the first moment after it is taken, so a window
- * that lies in the missing hour as a whole is not open on that day.
+ * <p>A local time that occurs twice because clocks are set back counts as its first occurrence for
+ * the start and as its last occurrence for the end. A local time that is skipped because clocks are
+ * set forward moves forward by the length of the gap, so a window from the start to the end of the
+ * skipped hour does not open on that day.
  */
 public record MaintenanceWindow(
     String name, ZoneId zone, Set<DayOfWeek> days, LocalTime startTime, LocalTime endTime) {
-  /** Days on which the next opening is searched: two of each weekday, in case one is left out. */
+  /**
+   * Number of days searched for the next opening: two of each weekday, because a window may not
+   * open on a day with a clock change.
+   */
   private static final int SEARCH_DAYS = 14;
 
-  /** Whether drains may disrupt tasks at that time. */
+  /** Returns whether drains may disrupt tasks at the given time. */
   public boolean isOpen(Instant now) {
     LocalDate today = now.atZone(zone).toLocalDate();
     return occurrence(today.minusDays(1)).map(i -> i.contains(now)).orElse(false)
         || occurrence(today).map(i -> i.contains(now)).orElse(false);
   }
 
-  /** When it opens next, if within two weeks; the given time if it is open. */
+  /** Returns when the window opens next, if within two weeks; {@code now} if it is open. */
   public Optional<Instant> nextOpening(Instant now) {
     if (isOpen(now)) {
       return Optional.of(now);
@@ -46,7 +51,7 @@
     return Optional.empty();
   }
 
-  /** The occurrence that begins on that day; empty if none does. */
+  /** Returns the occurrence that begins on the given day; empty if there is none. */
   Optional<Interval> occurrence(LocalDate day) {
     if (!days.contains(day.getDayOfWeek())) {
       return Optional.empty();
@@ -57,7 +62,7 @@
     return end.isAfter(start) ? Optional.of(Interval.of(start, end)) : Optional.empty();
   }
 
-  /** How long it is open on a day without a change of clocks. */
+  /** Returns the length of the window on a day without a clock change. */
   public Duration duration() {
     Duration length = Duration.between(startTime, endTime);
     return endTime.isAfter(startTime) ? length : length.plusDays(1);
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -31,7 +31,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What drains decide: fairness, budgets, windows, ends, and what they say. */
+/** Tests the decisions of drains: fairness, budgets, windows, final states and reported reasons. */
 class DrainPlannerTest {
   private static final Instant NOW = Instant.parse("2026-12-02T12:00:00Z");
   private static final Group GROUP = new Group("t", "c");
@@ -102,7 +102,7 @@
         "" + plan.statuses());
   }
 
-  /** A gang of four has two tasks on a machine that is drained, and two elsewhere. */
+  /** Adds a gang of four tasks: two on a machine that is being drained, and two elsewhere. */
   private void gangOfFour() {
     List<TaskId> gang = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -197,7 +197,8 @@
         "m-gone");
     Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(Map.of("m-2", cordoned("d1"), "m-3", cordoned("d1")), plan.maintenanceChanges());
-    assertEquals(List.of(), plan.tasksToStop(), "cordoned durably first");
+    assertEquals(
+        List.of(), plan.tasksToStop(), "tasks are stopped only after the cordon is durable");
     assertEquals(1, plan.statuses().get("d1").released());
   }
 
--- a/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
+++ b/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Windows over midnight, on chosen days, and where clocks change. */
+/** Tests windows across midnight, on selected days, and on days with a clock change. */
 class MaintenanceWindowTest {
   private static final ZoneId BERLIN = ZoneId.of("Europe/Berlin");
   private static final LocalDate SPRING = LocalDate.of(2026, 3, 29);
