--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -1,14 +1,14 @@
 package io.pearscale.upgrade;
 
-/** What can be used only from some schema level on; below it, a build behaves as before. */
+/** A feature that requires a minimum schema level; below it, a build behaves as before. */
 public enum Feature {
-  /** Machine records hold the machine's maintenance state. */
+  /** Machine records contain the maintenance state of the machine. */
   MACHINE_MAINTENANCE(1, "can't say that machines are in maintenance: "),
 
-  /** Gang jobs, whose tasks run all together. */
+  /** Gang jobs, whose tasks all run at the same time. */
   GANG_JOBS(2, "has no gang jobs: "),
 
-  /** Jobs of any size are recorded in values of 2 KiB. */
+  /** Jobs of any size can be stored in values of at most 2 KiB. */
   SMALL_VALUES(2, "can't record the tasks of these jobs in a value: ");
 
   private final int requiredLevel;
@@ -19,17 +19,17 @@
     this.limitation = limitation;
   }
 
-  /** The lowest schema level at which it may be used. */
+  /** Returns the lowest schema level at which the feature may be used. */
   public int requiredLevel() {
     return requiredLevel;
   }
 
-  /** What a lower level lacks; to be followed by names. */
+  /** Returns what a lower level can't express, as a text to be followed by record names. */
   String limitation() {
     return limitation;
   }
 
-  /** Whether it may be used at the level. */
+  /** Returns whether the feature may be used at the given schema level. */
   public boolean isEnabledAt(SchemaLevel currentLevel) {
     return currentLevel.writtenLevel() >= requiredLevel;
   }
--- a/src/main/java/io/pearscale/upgrade/LevelGate.java
+++ b/src/main/java/io/pearscale/upgrade/LevelGate.java
@@ -8,17 +8,18 @@
 import java.util.OptionalLong;
 
 /**
- * Decides from the stored schema level whether this controller may lead, write, and answer for
- * stored state.
+ * Decides from the stored schema level whether this controller may lead, write stored state, and
+ * respond to requests about it.
  *
- * <p>Invariant: every write is conditional on the revision of the level under which it was decided,
- * so a controller that has missed a change of level, or was suspended during it, changes nothing.
+ * <p>Invariant: every write is conditional on the revision of the schema level that was current
+ * when the write was decided. A controller that missed a level change, or was suspended during one,
+ * therefore changes nothing.
  *
- * <p>A level that can't be read is not taken for level 0: it was written by a later release, or is
- * damaged, and in both cases nothing is known of the other records' form.
+ * <p>An unreadable level is not treated as level 0. It was either written by a later release or is
+ * corrupted, and in both cases the format of the other records is unknown.
  */
 public final class LevelGate {
-  /** The revision of a key that does not exist. */
+  /** The revision in a precondition on a key that does not exist. */
   private static final long ABSENT_REVISION = 0;
 
   private final SupportedLevels supported;
@@ -27,13 +28,13 @@
   private JsonNode storedRecord = MessagePack.MISSING;
   private Optional<String> incompatibility;
 
-  /** Creates a gate for a build that supports those levels; level 0 is in force until updated. */
+  /** Creates a gate for a build that supports the given levels; starts at level 0. */
   public LevelGate(SupportedLevels supported) {
     this.supported = supported;
     this.incompatibility = incompatibilityOf(SchemaLevel.UNVERSIONED);
   }
 
-  /** Applies a change of the stored level; empty if there is none any more. */
+  /** Applies a change of the stored level; {@code value} is empty if the record was deleted. */
   public void update(Optional<JsonNode> value, long newRevision) {
     revision = value.isPresent() ? newRevision : ABSENT_REVISION;
     storedRecord = value.orElse(MessagePack.MISSING);
@@ -41,45 +42,46 @@
   }
 
   /**
-   * The level's revision, a precondition of every write; empty if nothing may be written. A write
-   * decided before a change of level and sent after it must neither go out under the old revision,
-   * nor, since it has the old form, under the new one.
+   * Returns the revision of the schema level, which is a precondition of every write; empty if
+   * nothing may be written. A write that was decided before a level change must not be sent after
+   * it: neither with the old revision, nor with the new one, because its records have the old
+   * format.
    */
   public OptionalLong writeRevision() {
     return incompatibility.isEmpty() ? OptionalLong.of(revision) : OptionalLong.empty();
   }
 
-  /** Why this controller must not take part; empty if it may. */
+  /** Returns why this controller must not participate in the cluster; empty if it may. */
   public Optional<String> incompatibility() {
     return incompatibility;
   }
 
-  /** The level in force; meaningless while there is an objection. */
+  /** Returns the current schema level; undefined while there is an incompatibility. */
   public SchemaLevel currentLevel() {
     return currentLevel;
   }
 
-  /** The levels that the build supports. */
+  /** Returns the schema levels that this build supports. */
   public SupportedLevels supported() {
     return supported;
   }
 
-  /** Whether the build supports the feature, whichever level is in force. */
+  /** Returns whether this build supports the feature, regardless of the current level. */
   public boolean supports(Feature feature) {
     return supported.contains(feature.requiredLevel());
   }
 
-  /** Whether the feature may be used at the level in force. */
+  /** Returns whether the feature may be used at the current level. */
   public boolean isEnabled(Feature feature) {
     return feature.isEnabledAt(currentLevel);
   }
 
-  /** The stored record of the level; a missing node if there is none. */
+  /** Returns the stored record of the schema level; a missing node if there is none. */
   public JsonNode storedRecord() {
     return storedRecord;
   }
 
-  /** The record to store once the migration to the written level is complete. */
+  /** Returns the record to store once the migration to the written level is complete. */
   public ObjectNode migrationCompletedRecord() {
     return currentLevel.migrationCompleted().toNode(storedRecord);
   }
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/MemberSupport.java
@@ -7,14 +7,15 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * What a controller announces of its build. The record is attached to a store lease that the
- * running process renews, so it is gone soon after the process has ended.
+ * The schema levels and the release that a running controller announces. The record is attached to
+ * a store lease that the process renews, so it is deleted soon after the process ends.
  *
- * @param incarnation identifies this process; another one has another incarnation
- * @param release the build's release, for people
+ * @param levels the schema levels that the build supports
+ * @param incarnation identifies the process; changes with each restart
+ * @param release release name of the build, for display
  */
 public record MemberSupport(SupportedLevels levels, long incarnation, String release) {
-  /** Decodes the record. */
+  /** Decodes a stored record. */
   public static MemberSupport parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     int lowest = (int) MessageFields.integer(map, "lowest", 0, Integer.MAX_VALUE);
--- a/src/main/java/io/pearscale/upgrade/Release.java
+++ b/src/main/java/io/pearscale/upgrade/Release.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** The release that this build belongs to. */
+/** Provides the release name of this build. */
 public final class Release {
   private Release() {}
 
-  /** Its name, for people. */
+  /** Returns the release name, for display. */
   public static String name() {
     return Optional.ofNullable(Release.class.getPackage().getImplementationVersion())
         .orElse("(not packaged)");
--- a/src/main/java/io/pearscale/upgrade/SchemaLevel.java
+++ b/src/main/java/io/pearscale/upgrade/SchemaLevel.java
@@ -8,17 +8,16 @@
 import java.util.Optional;
 
 /**
- * The schema level in force in a cluster, as it is stored.
+ * The stored schema level of a cluster.
  *
- * @param level records may have the form of any level up to this one, so whoever takes part must be
- *     able to read them
- * @param writtenLevel the level whose forms are written; below {@code level} while a step is taken
- *     back
- * @param migrated whether all records have the form of {@code writtenLevel}
- * @param pinned whether an operator has rolled back: the level is not raised automatically
+ * @param level the highest level whose format stored records may have; every controller that
+ *     participates must be able to read all formats up to it
+ * @param writtenLevel the level whose format is written; below {@code level} during a rollback
+ * @param migrated whether all records have the format of {@code writtenLevel}
+ * @param pinned whether the level is not raised automatically because an operator rolled it back
  */
 public record SchemaLevel(int level, int writtenLevel, boolean migrated, boolean pinned) {
-  /** In force where no level is stored: the form from before there were levels. */
+  /** The level if none is stored: the format from before schema levels were introduced. */
   public static final SchemaLevel UNVERSIONED = new SchemaLevel(0, 0, true);
 
   private static final String LEVEL_FIELD = "level";
@@ -31,12 +30,12 @@
     this(level, written, migrated, /* pinned= */ false);
   }
 
-  /** The level in force, given the stored record, if there is one. */
+  /** Returns the level of the stored record, or {@link #UNVERSIONED} if there is none. */
   public static SchemaLevel fromStored(Optional<JsonNode> value) throws MalformedMessageException {
     return value.isEmpty() ? UNVERSIONED : parse(value.get());
   }
 
-  /** Decodes the record; fields that a later release may add are ignored. */
+  /** Decodes a stored record; unknown fields, which a later release may add, are ignored. */
   public static SchemaLevel parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     int level = (int) MessageFields.integer(map, LEVEL_FIELD, 0, Integer.MAX_VALUE);
@@ -46,7 +45,7 @@
     return new SchemaLevel(level, writtenLevel, migrated, map.path(PINNED_FIELD).asBoolean());
   }
 
-  /** Encodes the record; other stored fields are kept. */
+  /** Encodes the level into a copy of the stored record; its other fields are kept. */
   public ObjectNode toNode(JsonNode stored) {
     ObjectNode node = stored.isObject() ? stored.deepCopy() : MessagePack.map();
     return node.put(LEVEL_FIELD, level)
@@ -55,27 +54,30 @@
         .put(PINNED_FIELD, pinned);
   }
 
-  /** An upgrade to a higher level, whose form is written from then on. */
+  /** Returns the level after an upgrade starts; the format of {@code higher} is written next. */
   public SchemaLevel upgradedTo(int higher) {
     return new SchemaLevel(higher, higher, false);
   }
 
-  /** A rollback taken back: the level's own form is written again. */
+  /** Returns the level after a rollback is aborted; its own format is written again. */
   public SchemaLevel resumed() {
     return new SchemaLevel(level, level, false);
   }
 
-  /** A rollback: the form of the level below is written, which comes into force once migrated. */
+  /**
+   * Returns the level after a rollback starts. The format of the level below is written, and that
+   * level becomes current once the migration is complete.
+   */
   public SchemaLevel rollingBack() {
     return new SchemaLevel(level, level - 1, false, /* pinned= */ true);
   }
 
-  /** The migration is complete: the written level is in force. */
+  /** Returns the level after the migration, at which the written level is current. */
   public SchemaLevel migrationCompleted() {
     return new SchemaLevel(writtenLevel, writtenLevel, true, pinned);
   }
 
-  /** Whether a rollback is under way. */
+  /** Returns whether a rollback is in progress. */
   public boolean isRollingBack() {
     return writtenLevel < level;
   }
--- a/src/main/java/io/pearscale/upgrade/SupportedLevels.java
+++ b/src/main/java/io/pearscale/upgrade/SupportedLevels.java
@@ -1,29 +1,34 @@
 package io.pearscale.upgrade;
 
 /**
- * The schema levels that a build can read and write, both ends inclusive. A level stands for the
- * form of all records together; a release that changes the form of any record adds one.
+ * The inclusive range of schema levels that a build can read and write. A level identifies the
+ * format of all records; a release that changes the format of any record adds a level.
  */
 public record SupportedLevels(int lowest, int highest) {
   /**
-   * What this build supports. Level 0 is the form from before there were levels; level 1 adds each
-   * machine's maintenance state; level 2 adds gang jobs, and records that fit small values.
+   * The levels that this build supports. Level 0 is the format from before schema levels were
+   * introduced; level 1 adds the maintenance state of machines; level 2 adds gang jobs, and records
+   * that fit small values.
    */
   public static final SupportedLevels OF_THIS_BUILD = new SupportedLevels(0, 2);
 
-  /** Checks the range. */
+  /** Validates the range. */
   public SupportedLevels {
     if (lowest < 0 || highest < lowest) {
-      throw new IllegalArgumentException("levels " + lowest + " to " + highest);
+      throw new IllegalArgumentException(
+          "invalid range of schema levels, expected 0 <= lowest <= highest: "
+              + lowest
+              + " to "
+              + highest);
     }
   }
 
-  /** The same without the levels above that one, as an earlier build supported. */
+  /** Returns this range without the levels above the given one, as an earlier build has it. */
   public SupportedLevels upTo(int highestAllowed) {
     return new SupportedLevels(Math.min(lowest, highestAllowed), Math.min(highest, highestAllowed));
   }
 
-  /** Whether the level lies in the range. */
+  /** Returns whether the level lies in the range. */
   public boolean contains(int level) {
     return lowest <= level && level <= highest;
   }
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -7,13 +7,14 @@
 import java.util.TreeSet;
 
 /**
- * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at
- * one moment; whoever carries a step out makes it conditional on the revisions of what was read.
+ * Decides which upgrade steps are allowed. The plan has no side effects and is based on a snapshot
+ * of the cluster; the caller that executes a step makes it conditional on the revisions of the
+ * records that were read.
  *
  * @param currentLevel the stored schema level
- * @param hosts all configured controllers
- * @param members what running controllers announce, by host
- * @param incompatibleRecords what is recorded that only levels with a feature can express
+ * @param hosts names of all configured controllers
+ * @param members announcements of running controllers, by host name
+ * @param incompatibleRecords names of existing records that require a feature, by feature
  */
 public record UpgradePlan(
     SchemaLevel currentLevel,
@@ -21,23 +22,23 @@
     Map<String, MemberSupport> members,
     Map<Feature, List<String>> incompatibleRecords) {
 
-  /** The outcome of a request for a step. */
+  /** The outcome of a requested step. */
   public sealed interface Outcome {}
 
-  /** The level is to become this one. */
+  /** The step is allowed; the schema level changes to {@code next}. */
   public record LevelChange(SchemaLevel next) implements Outcome {}
 
-  /** Nothing is to be done, with the reason. */
+  /** There is nothing to do for the given reason. */
   public record NoChange(String reason) implements Outcome {}
 
-  /** The step must not be taken, with the reasons. */
+  /** The step is not allowed for the given reasons. */
   public record Refusal(List<String> reasons) implements Outcome {}
 
   /**
-   * Raises the level by one.
+   * Raises the level by one, or aborts a rollback that is in progress.
    *
-   * @param build what the operator's own build supports
-   * @param confirmedAbsent controllers that are down, as the operator confirms
+   * @param build levels supported by the operator's build
+   * @param confirmedAbsent controllers that the operator confirms to be down
    */
   public Outcome finalise(SupportedLevels build, Set<String> confirmedAbsent) {
     int target = currentLevel.isRollingBack() ? currentLevel.level() : currentLevel.level() + 1;
@@ -60,10 +61,11 @@
   }
 
   /**
-   * Raises the level automatically, in one step to the highest that all controllers support, once
-   * each of them has announced it. After an operator's rollback nothing is raised automatically.
+   * Raises the level automatically, in one step to the highest level that all controllers support,
+   * once each controller has announced its support. After a rollback by an operator, the level is
+   * not raised automatically.
    *
-   * @param build what the leader's own build supports
+   * @param build levels supported by the leader's build
    */
   public Outcome automaticUpgrade(SupportedLevels build) {
     if (currentLevel.pinned()) {
@@ -82,7 +84,11 @@
         : new Refusal(reasons);
   }
 
-  /** Rolls the last step back: the records are migrated to the form of the level below. */
+  /**
+   * Rolls back the last step: records are migrated to the format of the level below.
+   *
+   * @param build levels supported by the operator's build
+   */
   public Outcome rollback(SupportedLevels build) {
     if (currentLevel.level() == 0) {
       return new NoChange("level 0 is in force, there is nothing to take back");
@@ -112,7 +118,7 @@
     return reasons.isEmpty() ? new LevelChange(currentLevel.rollingBack()) : new Refusal(reasons);
   }
 
-  /** Why the level can't be raised yet; empty if all controllers support it. */
+  /** Returns what prevents raising the level; empty if all controllers support the target. */
   private List<String> findBlockers(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
     for (String host : new TreeSet<>(hosts)) {
@@ -133,7 +139,7 @@
     return reasons;
   }
 
-  /** The operator's next step, for display. */
+  /** Returns a description of the operator's next step, for display. */
   public String nextStep(SupportedLevels build) {
     if (currentLevel.isRollingBack()) {
       return "wait until level " + currentLevel.writtenLevel() + " is in force, or finalise again";
--- a/src/test/java/io/pearscale/upgrade/LevelGateTest.java
+++ b/src/test/java/io/pearscale/upgrade/LevelGateTest.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** Which stored levels a build takes part under. */
+/** Tests which stored schema levels a build accepts. */
 class LevelGateTest {
   private final LevelGate gate = new LevelGate(new SupportedLevels(1, 2));
 
@@ -35,7 +35,7 @@
 
   @Test
   void missingLevelIsLevelZero() {
-    assertTrue(gate.incompatibility().isPresent(), "this build does not support level 0 any more");
+    assertTrue(gate.incompatibility().isPresent(), "this build no longer supports level 0");
     assertEquals(Optional.empty(), new LevelGate(SupportedLevels.OF_THIS_BUILD).incompatibility());
     assertEquals(OptionalLong.empty(), gate.writeRevision());
     assertEquals(OptionalLong.of(0), new LevelGate(SupportedLevels.OF_THIS_BUILD).writeRevision());
--- a/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
+++ b/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Which steps may be taken, and how the level's record changes with them. */
+/** Tests which upgrade steps are allowed, and how they change the stored schema level. */
 class UpgradePlanTest {
   private static final SupportedLevels LEVEL_0_ONLY = new SupportedLevels(0, 0);
   private static final SupportedLevels LEVELS_0_TO_1 = new SupportedLevels(0, 1);
@@ -90,7 +90,7 @@
     assertEquals(
         new LevelChange(rollingBack),
         plan(new SchemaLevel(1, 1, false), ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1),
-        "midway");
+        "during the migration");
     assertInstanceOf(
         NoChange.class, plan(rollingBack, ALL_SUPPORT_LEVEL_1).rollback(LEVELS_0_TO_1));
     assertEquals(
