--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -19,19 +19,21 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which machines to provision, which to empty and which to release, from what is queued,
- * running and booting. It only makes plans; {@link MachineProvisioner} carries them out.
+ * Decides which machines to provision, empty and release, based on queued and running tasks and
+ * booting machines. It only creates plans; {@link MachineProvisioner} executes them.
  */
 public final class Autoscaler {
   /**
-   * What the leader knows.
+   * The leader's view of the cluster.
    *
-   * @param schedulable which machines tasks may be placed on now
+   * @param schedulable tests whether tasks may be placed on a machine now
    * @param queuedJobs jobs with pending tasks, in the order in which they are scheduled
-   * @param quotaUsage what each team has in use; the plan charges what it provisions for
-   * @param unreachableZones zones in which nothing is provisioned, since it could not be reached
-   * @param drainReplacements capacity that drains lack
-   * @param mayScaleIn whether it is known where all tasks are, and retirements can be recorded
+   * @param quotaUsage resource usage of each team; the plan charges the demand it provisions for
+   * @param types the machine types of the cloud's catalogue
+   * @param unreachableZones zones in which no machines are provisioned, because they could not be
+   *     reached
+   * @param drainReplacements capacity that drains need on other machines
+   * @param mayScaleIn whether the locations of all tasks are known and retirements can be recorded
    */
   public record ClusterView(
       Collection<Machine> machines,
@@ -43,7 +45,7 @@
       Set<String> unreachableZones,
       List<ScaleOutPlanner.Demand> drainReplacements,
       boolean mayScaleIn) {
-    /** All zones of the catalogue, in its order. */
+    /** Returns all zones of the catalogue, in catalogue order. */
     Set<String> zones() {
       Set<String> zones = new LinkedHashSet<>();
       types.forEach(type -> zones.addAll(type.zones()));
@@ -52,11 +54,11 @@
   }
 
   /**
-   * What is to be done.
+   * The actions that the autoscaler decided on.
    *
-   * @param scaleOut how many machines to provision of each offering, in this order
+   * @param scaleOut number of machines to provision of each offering, in this order
    * @param scaleIn machines to release
-   * @param relocations replicas to move off machines that are to be empty
+   * @param relocations replicas to relocate from machines that are to be emptied
    */
   public record ScalingPlan(
       Map<Offering, Integer> scaleOut, List<Machine> scaleIn, List<TaskAttempt> relocations) {}
@@ -66,7 +68,7 @@
   private final ScaleInPlanner scaleInPlanner;
   private ScaleOutPlanner scaleOutPlanner;
 
-  /** Makes an autoscaler that has not requested anything. */
+  /** Creates an autoscaler without outstanding requests. */
   public Autoscaler(Tuning tuning, JobClasses classes) {
     this.tuning = tuning;
     this.demandEstimator = new DemandEstimator(tuning, classes);
@@ -74,17 +76,17 @@
     this.scaleOutPlanner = new ScaleOutPlanner(tuning);
   }
 
-  /** A term begins: what was requested in another one is not counted as coming. */
+  /** Begins a term; machines requested in a previous term do not count as requested. */
   void beginTerm() {
     scaleOutPlanner = new ScaleOutPlanner(tuning);
   }
 
-  /** Has to be notified of what the provider grants and refuses. */
+  /** Returns the planner that has to be notified of granted and refused requests. */
   ScaleOutPlanner scaleOutPlanner() {
     return scaleOutPlanner;
   }
 
-  /** What to do now; what is to be provisioned counts as requested. */
+  /** Creates a plan; the machines it provisions count as requested from then on. */
   ScalingPlan plan(ClusterView view, Instant now) {
     List<Machine> booting = new ArrayList<>();
     List<Machine> schedulable = new ArrayList<>();
@@ -107,7 +109,7 @@
     scaleOut.forEach((offering, count) -> scaleOutPlanner.recordRequested(offering, count, now));
     ScalingPlan plan = new ScalingPlan(scaleOut, new ArrayList<>(), new ArrayList<>());
     if (view.mayScaleIn) {
-      // Some tasks wait at any moment for the next pass; what counts is whether it finds capacity.
+      // Pending tasks alone don't show a lack of capacity: some always wait for the next pass.
       boolean lacksCapacity = view.queuedJobs.stream().anyMatch(Job::isUnschedulable);
       scaleInPlanner.addTo(plan, schedulable, lacksCapacity, headroom, now);
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -21,35 +21,35 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's client of the cloud: one call at a time, within the cloud's rate limit. A request
- * for machines that gets no answer is repeated under the same name, so that nothing is provisioned
- * twice when only the answer was lost.
+ * The leader's client of the cloud's API. It makes one call at a time, within the cloud's rate
+ * limit. A request for machines without a response is retried under the same name, so that no
+ * machine is provisioned twice if only the response was lost.
  */
 public final class CloudActor extends Actor<CloudActor.Message> {
   private static final Duration TICK = Duration.ofMillis(100);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
 
-  /** No call is made for so long after one that failed. */
+  /** Pause after a failed call. */
   private static final Duration ERROR_BACKOFF = Duration.ofSeconds(2);
 
   private static final Duration CATALOGUE_INTERVAL = Duration.ofSeconds(60);
 
-  /** A request for machines is sent so often at most. */
+  /** Maximum number of times that a request for machines is sent. */
   private static final int MAX_TRIES = 4;
 
-  /** The part of the rate that is used: a previous leader may have used some of the burst. */
+  /** Share of the rate limit that is used; a previous leader may have used a part of the burst. */
   private static final double RATE_SHARE = 0.9;
 
-  /** What the actor receives. */
+  /** A message to the actor. */
   public sealed interface Message {}
 
-  /** Begins to call, for the given term, whose number request names carry. */
+  /** Starts calling the cloud for the given term, whose number is part of request names. */
   public record BeginTerm(long term) implements Message {}
 
-  /** Stops calling. */
+  /** Stops calling the cloud. */
   public record EndTerm() implements Message {}
 
-  /** Provisions machines; a count above the cloud's limit is cut down to it. */
+  /** Provisions machines; a count above the cloud's limit is reduced to the limit. */
   record ProvisionMachines(Offering offering, int count) implements Message {}
 
   /** Deletes machines. */
@@ -59,47 +59,47 @@
 
   private record CallCompleted(int generation, Runnable action) implements Message {}
 
-  /** What the cloud has answered. */
+  /** A result that the cloud returned. */
   public sealed interface Event {}
 
-  /** The catalogue was read, with current prices. */
+  /** The machine types of the catalogue were read, with current prices. */
   record CatalogueReceived(List<MachineType> types) implements Event {}
 
   /** Machines were provisioned. */
   record MachinesProvisioned(Offering offering, List<String> names) implements Event {}
 
   /**
-   * Machines were not provisioned, or not all of them.
+   * None or not all of the requested machines were provisioned.
    *
-   * @param providerError whether the cloud failed to handle the request, so that nothing is known
-   *     about its capacity
+   * @param providerError whether the cloud failed to process the request, so that its capacity is
+   *     unknown
    */
   record ProvisioningRefused(Offering offering, boolean providerError) implements Event {}
 
-  /** Machines are gone, and all that was on them. */
+  /** Machines were deleted, including everything that ran on them. */
   record MachinesDeleted(List<String> names) implements Event {}
 
-  /** A deletion was not carried out, as far as known. */
+  /** The cloud did not confirm the deletion; its outcome is unknown. */
   record DeletionFailed(List<String> names) implements Event {}
 
-  /** The whole machine list was read; it may be some seconds older than the answer. */
+  /** The complete machine list was read; it may be some seconds older than the response. */
   record MachinesListed(List<ListedMachine> machines) implements Event {}
 
   /**
-   * A request that waits for its call.
+   * A request that is queued until its call can be made.
    *
-   * @param requestName of a request for machines; empty for a deletion
-   * @param tries how often it was sent
+   * @param requestName name of a request for machines; empty for a deletion
+   * @param tries how often the request was sent before
    */
   private record PendingRequest(Message message, String requestName, int tries) {}
 
-  /** A machine list that is being read, a page at a time. */
+  /** A machine list that is being read one page at a time. */
   private static final class MachineListing {
     final Instant started;
     final List<ListedMachine> machines = new ArrayList<>();
     String lastName = "";
 
-    /** Whether requests that wait go before its next page. */
+    /** Whether queued requests take precedence over the next page. */
     boolean yieldsToRequests;
 
     MachineListing(Instant started) {
@@ -113,7 +113,7 @@
   private final Consumer<Event> events;
   private final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
 
-  /** Incremented when a term begins or ends: what belongs to another generation is dropped. */
+  /** Incremented when a term begins or ends; messages of other generations are dropped. */
   private int generation;
 
   private boolean callInFlight;
@@ -126,9 +126,9 @@
   private Instant backoffUntil = Instant.MIN;
 
   /**
-   * Makes an actor that does not call yet.
+   * Creates an actor that makes no calls until {@link BeginTerm}.
    *
-   * @param events receives what the cloud of the settings answers
+   * @param events receives the results of calls
    */
   public CloudActor(
       EventLoop loop, HttpClient httpClient, Settings settings, Consumer<Event> events) {
@@ -139,7 +139,7 @@
     this.rateLimit = new TokenBucket(loop, settings.cloudLimits().requestsPerSecond() * RATE_SHARE);
   }
 
-  /** Requests that machines be deleted, before all requests for machines that wait. */
+  /** Requests the deletion of machines, ahead of all queued requests for machines. */
   public void deleteMachines(List<String> names) {
     tell(new DeleteMachines(names));
   }
@@ -177,7 +177,7 @@
     tell(new Tick(generation));
   }
 
-  /** Makes the most urgent call, if one may be made now. */
+  /** Makes the most urgent call if the rate limit and the back-off allow one now. */
   private void makeNextCall() {
     Instant now = loop.clock().instant();
     if (callInFlight || now.isBefore(backoffUntil) || !rateLimit.canAcquire(1)) {
@@ -244,8 +244,9 @@
   }
 
   /**
-   * Reads the next page. The list of a large fleet takes more calls than the cloud allows at once,
-   * so each page waits for its turn, and requests that have come meanwhile go first.
+   * Reads the next page. The list of a large fleet takes more calls than the cloud allows in a
+   * burst, so each page waits for the rate limit, and requests queued in the meantime are sent
+   * first.
    */
   private void readNextPage(MachineListing activeListing) {
     activeListing.yieldsToRequests = true;
@@ -274,7 +275,7 @@
     }
   }
 
-  /** Between lists of a large fleet at least as much time passes as each of them takes. */
+  /** Schedules the next list, after a pause of at least the time that the finished one took. */
   private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
--- a/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
@@ -18,9 +18,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Estimates for how many tasks capacity is needed: queued ones, and ones expected to come. */
+/** Estimates the capacity that is needed for queued tasks and, as headroom, for expected tasks. */
 final class DemandEstimator {
-  /** Tasks of a class for which headroom is kept although none of the class runs. */
+  /** Number of tasks of a class for which headroom is kept even if none of the class is running. */
   private static final int MIN_HEADROOM_TASKS = 2;
 
   private final Tuning tuning;
@@ -31,12 +31,10 @@
     this.classes = classes;
   }
 
-  /** What demands are merged by: equivalent tasks are asked for as one. */
+  /** Key for merging demands: tasks of the same equivalence class and zone form one demand. */
   private record DemandKey(EquivalenceClass equivalenceClass, Optional<String> zone) {}
 
-  /**
-   * Demands that are being collected, in the order in which the first task of each is scheduled.
-   */
+  /** Collects demands in the order in which the first task of each is scheduled. */
   private static final class MergedDemands {
     private final Map<DemandKey, Demand> demands = new LinkedHashMap<>();
 
@@ -52,12 +50,12 @@
     }
   }
 
-  /** The demand of queued tasks, as far as their teams' quotas let them run. */
+  /** Returns the demand of queued tasks, limited by the quotas of their teams. */
   List<Demand> queuedDemands(ClusterView view, List<Machine> schedulable) {
     MergedDemands demands = new MergedDemands();
     for (Job job : view.queuedJobs()) {
       JobSpec spec = job.spec();
-      // What the quota keeps pending would be pending on provisioned machines as well.
+      // Tasks above the quota would stay pending even if machines were provisioned for them.
       int tasks = Math.min(job.pendingTasks(), view.quotaUsage().tasksLeftWithinLimit(spec));
       if (tasks == 0 || (spec.isGang() && tasks < job.pendingTasks())) {
         continue;
@@ -74,7 +72,7 @@
     return demands.toList();
   }
 
-  /** Each zone may take its part only. */
+  /** Splits the demand between zones, because the job limits its tasks in each zone. */
   private static void addSpreadDemand(
       MergedDemands demands, Job job, int tasks, Set<String> zones) {
     int remainingTasks = tasks;
@@ -88,7 +86,7 @@
     }
   }
 
-  /** What a gang lacks in the zone that lacks least, so that all of its tasks fit there. */
+  /** Adds the capacity that the zone with the most free slots lacks for all tasks of the gang. */
   private static void addSingleZoneDemand(
       MergedDemands demands, Job job, int tasks, List<Machine> schedulable) {
     JobSpec spec = job.spec();
@@ -108,7 +106,7 @@
     }
   }
 
-  /** The headroom to keep for classes whose tasks could not wait for a machine to boot. */
+  /** Returns the headroom for classes whose tasks can't wait until a new machine has booted. */
   Headroom headroom(ClusterView view, List<Machine> schedulable) {
     Map<String, Integer> running = new HashMap<>();
     for (Job job : view.jobs()) {
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -11,15 +11,16 @@
 import java.util.Optional;
 
 /**
- * Headroom: capacity that is kept in each zone for classes whose tasks could not wait for a machine
- * to boot. Counted once over all machines; releasing one only subtracts what it has.
+ * Capacity that is kept available in each zone for classes whose tasks can't wait until a new
+ * machine has booted. The slots of all machines are counted once; releasing a machine only
+ * subtracts its slots.
  */
 final class Headroom {
   /**
-   * What is to be kept for one class.
+   * The headroom to keep for one class.
    *
-   * @param sample a job of the class: capacity is counted in tasks like its own
-   * @param tasksPerZone how many tasks are to have room in each zone
+   * @param sample a job of the class; capacity is counted in tasks of this job
+   * @param tasksPerZone number of tasks that have to fit in each zone
    */
   record Target(Job sample, int tasksPerZone) {}
 
@@ -27,7 +28,7 @@
 
   private final Collection<Target> targets;
 
-  /** Tasks without room, by class and zone; below 0 where there is more room than needed. */
+  /** Tasks without capacity, by class and zone; negative if there is more capacity than needed. */
   private final Map<ZoneTarget, Integer> deficits = new LinkedHashMap<>();
 
   Headroom(Collection<Target> targets, Collection<String> zones, Collection<Machine> schedulable) {
@@ -51,7 +52,7 @@
         : 0;
   }
 
-  /** What has to be provisioned so that each zone has its headroom. */
+  /** Returns the demands to provision so that each zone has its headroom. */
   List<ScaleOutPlanner.Demand> demands() {
     List<ScaleOutPlanner.Demand> demands = new ArrayList<>();
     deficits.forEach(
@@ -65,8 +66,8 @@
   }
 
   /**
-   * Whether no zone would lack more without the machine. A deficit to which the machine contributes
-   * nothing must not keep it.
+   * Returns whether releasing the machine leaves all deficits unchanged. A deficit that the machine
+   * does not reduce must not prevent its release.
    */
   boolean canRelease(Machine machine) {
     for (Target target : targets) {
@@ -78,7 +79,7 @@
     return true;
   }
 
-  /** The machine is to be released. */
+  /** Subtracts the slots of a machine that is to be released. */
   void release(Machine machine) {
     for (Target target : targets) {
       deficits.merge(
--- a/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
@@ -10,29 +10,30 @@
 import java.util.List;
 
 /**
- * Selects machines that are not needed: what they run would fit elsewhere, with capacity left for
- * what may come. For one plan: each machine that is selected counts as gone for those after it.
+ * Selects machines that are not needed: their tasks fit on other machines, and enough capacity
+ * remains for expected demand. An instance is used for one plan; each selected machine counts as
+ * removed in later selections.
  */
 final class IdleMachineSelector {
-  /** The fleet size for which the reserve share is meant. */
+  /** Fleet size up to which the configured reserve share applies unscaled. */
   private static final int REFERENCE_FLEET_SIZE = 40;
 
-  /** Machines with replicas are tried so many times as often as they may be selected. */
+  /** Machines with replicas that are checked for each one that may be selected. */
   private static final int CHECKS_PER_SELECTION = 3;
 
-  /** Keeps the price of a machine without processors finite. */
+  /** Keeps the price per CPU finite for a machine without CPUs. */
   private static final double MIN_CPUS = 1e-9;
 
   /**
-   * A machine that might not be needed.
+   * A machine that may not be needed.
    *
-   * @param replicas tasks of services that would have to be relocated
-   * @param price per processor and hour
-   * @param usedCpus processors of the tasks that are to stay on it
+   * @param replicas number of service tasks that would have to be relocated
+   * @param price price per CPU and hour
+   * @param usedCpus CPUs used by tasks above idle priority
    */
   record Candidate(Machine machine, int replicas, double price, double usedCpus) {}
 
-  /** Without replicas first, since those have to be relocated; then the dearest and emptiest. */
+  /** Fewest replicas first, since each has to be relocated; then most expensive, then emptiest. */
   private static final Comparator<Candidate> SELECTION_ORDER =
       Comparator.comparingInt(Candidate::replicas)
           .thenComparing(Candidate::price, Comparator.reverseOrder())
@@ -45,21 +46,23 @@
   private final ReplicaCapacity replicaCapacity;
   private final List<Candidate> candidates = new ArrayList<>();
 
-  /** Processors that are to be left free, and those that are free on machines not selected. */
+  /** CPUs that have to stay free on the machines that are not selected. */
   private final double reserveCpus;
 
+  /** CPUs that are free on the machines that are not selected. */
   private double freeCpus;
 
-  /** Machines with replicas that may be selected, were selected and were tried. */
+  /** Maximum number of machines with replicas that may be selected. */
   private final int maxSelectedWithReplicas;
 
   private int selectedWithReplicas;
   private int checkedWithReplicas;
 
   /**
-   * Begins a selection.
+   * Starts a selection.
    *
-   * @param lacksCapacity whether tasks found no capacity, so that every machine is needed
+   * @param schedulable machines on which tasks may be placed
+   * @param lacksCapacity whether some task found no machine, so that every machine is needed
    */
   IdleMachineSelector(
       List<Machine> schedulable,
@@ -90,22 +93,22 @@
     return new Candidate(machine, machine.attempts().replicaCount(), price, usedCpus);
   }
 
-  /** Of many machines a smaller part is kept: what comes and goes varies by the square root. */
+  /** Reduces the reserve share of a large fleet: load varies with the square root of its size. */
   private static double reserveScale(int fleetSize) {
     return Math.sqrt(Math.min(1, REFERENCE_FLEET_SIZE / (double) Math.max(1, fleetSize)));
   }
 
-  /** All machines, in the order in which they are to be offered to {@link #select}. */
+  /** Returns all machines in the order in which they have to be passed to {@link #select}. */
   List<Candidate> candidates() {
     return candidates;
   }
 
-  /** How many machines with replicas may be selected. */
+  /** Returns the maximum number of machines with replicas that may be selected. */
   int maxSelectedWithReplicas() {
     return maxSelectedWithReplicas;
   }
 
-  /** Selects the machine if it is not needed; it counts as gone from then on. */
+  /** Selects the machine if it is not needed; from then on it counts as removed. */
   boolean select(Candidate candidate, Instant now) {
     Machine machine = candidate.machine;
     double freeCpusAfter = freeCpus - machine.type().cpus();
@@ -124,7 +127,7 @@
     return true;
   }
 
-  /** Whether the machine has no replicas, or room was reserved for each on other machines. */
+  /** Returns whether the machine has no replicas or capacity was reserved elsewhere for each. */
   private boolean replicasFitElsewhere(Candidate candidate, Instant now) {
     if (candidate.replicas == 0) {
       return true;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * Capacity that is kept for a large job of each class of batch jobs with a service-level objective.
- * Counted once over all machines; releasing one only subtracts what it has.
+ * Keeps capacity for one large job of each class of batch jobs with a service-level objective. The
+ * slots of all machines are counted once; releasing a machine only subtracts its slots.
  */
 final class LargeJobCapacity {
   private final JobClasses classes;
 
-  /** How many tasks of each class have room on machines that were not released. */
+  /** Number of tasks of each class that fit on the machines that were not released. */
   private final Map<String, Integer> slots = new HashMap<>();
 
-  /** How many tasks a large job of each class has. */
+  /** Number of tasks of a large job, by class. */
   private final Map<String, Integer> largeJobTasks = new HashMap<>();
 
   LargeJobCapacity(JobClasses classes, List<Machine> schedulable) {
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Whether a large job of each class that could use the machine has room without it. */
+  /** Returns whether a large job of each class still fits if the machine is released. */
   boolean canRelease(Machine machine) {
     for (String jobClass : classes.classesWithKnownSizes()) {
       int lostSlots = slotsOn(machine, jobClass);
@@ -40,14 +40,14 @@
     return true;
   }
 
-  /** The machine is to be released. */
+  /** Subtracts the slots of a machine that is to be released. */
   void release(Machine machine) {
     for (String jobClass : classes.classesWithKnownSizes()) {
       slots.merge(jobClass, -slotsOn(machine, jobClass), Integer::sum);
     }
   }
 
-  /** How many tasks like those of the class's latest job have room on the machine now. */
+  /** Returns how many tasks of the class's latest job fit on the machine now. */
   private int slotsOn(Machine machine, String jobClass) {
     return classes
         .latestJob(jobClass)
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -29,24 +29,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what the autoscaler plans, and takes in what the cloud answers. */
+/** Executes the autoscaler's plans, and processes the cloud's results. */
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** A round of planning takes one part in 20 of the time. */
+  /** Limits planning to one part in 20 of the time. */
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
-  /** Machines are released only if the key-value store could be written so lately. */
+  /** Machines are released only if a write to the key-value store succeeded this recently. */
   private static final Duration STORE_PROOF_MAX_AGE = Duration.ofSeconds(2);
 
-  /** The record of a new machine is written within that time, long before its first start. */
+  /** Maximum delay before a new machine is recorded, well before its first task starts. */
   private static final Duration MACHINE_RECORD_DELAY = Duration.ofSeconds(1);
 
-  /** A machine missing in the list is gone only if it was not reached for so long. */
+  /** A machine missing from the list is presumed deleted only after being unreachable this long. */
   private static final Duration MIN_UNLISTED_UNREACHABLE_TIME = Duration.ofSeconds(6);
 
-  /** After so many times its usual lag a list shows what a list has shown before. */
+  /** After this multiple of the usual lag, a list contains every machine that was listed before. */
   private static final int LIST_LAG_FACTOR = 3;
 
   private final Leadership leadership;
@@ -66,9 +66,10 @@
   private Instant nextScalingAt = Instant.MIN;
 
   /**
-   * Makes a provisioner.
+   * Creates a provisioner.
    *
-   * @param relocationGate empty where drains are switched off: replicas are relocated directly
+   * @param relocationGate approves relocations; empty if drains are disabled, in which case
+   *     replicas are relocated without approval
    */
   public MachineProvisioner(
       LeaderState state,
@@ -97,18 +98,18 @@
     this.relocationGate = relocationGate;
   }
 
-  /** A term has begun: the cloud is called from now on. */
+  /** Begins a term: calls to the cloud start. */
   public void beginTerm() {
     autoscaler.beginTerm();
     cloud.tell(new CloudActor.BeginTerm(leadership.term()));
   }
 
-  /** The term is over: the cloud is not called any more. */
+  /** Ends the term: calls to the cloud stop. */
   public void endTerm() {
     cloud.tell(new CloudActor.EndTerm());
   }
 
-  /** Provisions and releases machines, unless that was done just now. */
+  /** Provisions and releases machines, unless the last round was too recent. */
   public void scaleIfDue(Instant now) {
     if (now.isAfter(nextScalingAt)) {
       scale(now);
@@ -121,7 +122,7 @@
     if (inventory.catalogue().types().isEmpty()) {
       return;
     }
-    // When the store can't be written, a machine retired now would be of no use to anybody.
+    // While the store can't be written, a retired machine would neither run tasks nor be deleted.
     boolean mayScaleIn = recovery.isComplete() && leadership.provenWithin(STORE_PROOF_MAX_AGE);
     Autoscaler.ScalingPlan plan =
         autoscaler.plan(
@@ -168,11 +169,11 @@
     }
   }
 
-  /** Takes in what the cloud has answered. */
+  /** Processes a result from the cloud. */
   public void handleCloudEvent(CloudActor.Event event) {
     Instant now = clock.instant();
     if (event instanceof CloudActor.CatalogueReceived received) {
-      // Kept for restarts during an outage of the cloud; prices in it may be old.
+      // Recorded for restarts during a cloud outage; recorded prices may be outdated.
       inventory.updateCatalogue(received.types());
       records.updateCatalogue(inventory.catalogue().names());
     } else if (event instanceof CloudActor.MachinesProvisioned received) {
@@ -210,7 +211,7 @@
         event.names().size());
   }
 
-  /** After an error of the provider the offering may be requested again at once. */
+  /** Handles a refusal; after a provider error, the offering may be requested again at once. */
   private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
     if (event.providerError()) {
       autoscaler.scaleOutPlanner().recordGranted(event.offering());
@@ -220,7 +221,7 @@
     }
   }
 
-  /** Takes in the whole machine list: machines that it misses may be gone. */
+  /** Processes the complete machine list; machines missing from it may have been deleted. */
   private void handleListed(List<ListedMachine> listing, Instant now) {
     Set<String> names = new HashSet<>();
     for (ListedMachine listed : listing) {
@@ -236,7 +237,7 @@
     }
   }
 
-  /** Takes in a line of the machine list, which may name a machine that nobody knew. */
+  /** Processes one entry of the machine list, which may be an unknown machine. */
   private void handleListed(ListedMachine listed, Instant now) {
     Machine machine = inventory.get(listed.name());
     if (machine == null) {
@@ -253,9 +254,10 @@
   }
 
   /**
-   * Whether a machine that the list misses is gone. Once listed, a machine stays listed until it
-   * is, but a list may be older than the one before: machines that are new may be missing in it. A
-   * deletion makes sure.
+   * Returns whether a machine that is missing from the list is presumed deleted. Once listed, a
+   * machine stays listed until its deletion, but a list may be older than the previous one, so new
+   * machines may be missing from it. The machine is deleted explicitly in case the presumption is
+   * wrong.
    */
   private boolean isPresumedDeleted(Machine machine, Instant now) {
     Duration lag = settings.cloudLimits().listLag().multipliedBy(LIST_LAG_FACTOR);
--- a/src/main/java/io/pearscale/scheduler/autoscaling/RelocationGate.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/RelocationGate.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * What the autoscaler has to agree with drains: relocations of replicas count against disruption
- * budgets, and drains may lack capacity for what they displace.
+ * Coordinates the autoscaler with drains: relocations of replicas count against disruption budgets,
+ * and drains may need capacity for the tasks that they displace.
  */
 public interface RelocationGate {
-  /** Capacity that drains lack at present. */
+  /** Returns the capacity that drains currently need on other machines. */
   List<ScaleOutPlanner.Demand> replacementDemands();
 
   /**
-   * Requests that a replica be stopped, to be started on another machine.
+   * Requests that a replica be stopped, so that it is started on another machine.
    *
-   * @return whether it will be stopped; if not, the replica stays
+   * @return whether the replica will be stopped
    */
   boolean requestRelocation(TaskAttempt attempt);
 }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -12,42 +12,42 @@
 import java.util.Set;
 
 /**
- * Capacity that the replicas of machines to be emptied could be relocated to. Both the number of
- * machines to be emptied and the number of machines to check for each grow with the fleet, so the
- * checks of one plan are bounded in proportion to the fleet's size: what is not found by then is
- * left for the next plan.
+ * Reserves capacity to which the replicas of machines to be emptied can be relocated. Both the
+ * number of machines to empty and the number of machines to check for each grow with the fleet, so
+ * the number of checks in one plan is limited in proportion to the fleet size. Replicas without a
+ * target at that point are left for the next plan.
  */
 final class ReplicaCapacity {
-  /** Checks that a plan may take for each machine of the fleet. */
+  /** Maximum number of checks in one plan for each machine of the fleet. */
   private static final int CHECKS_PER_MACHINE = 32;
 
-  /** Checks that a plan may take in any fleet: a small one is searched as a whole. */
+  /** Number of checks that is always allowed, so that a small fleet is searched completely. */
   private static final int MIN_CHECKS = 10_000;
 
   private final Set<Machine> machines;
   private final Map<Machine, Resources> available = new HashMap<>();
   private int checksLeft;
 
-  /** Begins with what is available on machines that tasks may be placed on. */
+  /** Starts with the available resources of all machines on which tasks may be placed. */
   ReplicaCapacity(Collection<Machine> schedulable) {
     machines = new LinkedHashSet<>(schedulable);
     checksLeft = Math.max(MIN_CHECKS, CHECKS_PER_MACHINE * schedulable.size());
   }
 
-  /** A machine that is to be emptied takes no replicas. */
+  /** Excludes a machine that is to be emptied from receiving replicas. */
   void remove(Machine machine) {
     machines.remove(machine);
   }
 
-  /** Checks that this plan may still take. */
+  /** Returns how many more checks this plan allows. */
   int checksLeft() {
     return checksLeft;
   }
 
   /**
-   * Reserves capacity for each replica of the machine on another one that has its image.
+   * Reserves capacity for each replica of the machine on another machine that has its image.
    *
-   * @return whether all replicas have a place; if not, what was reserved stays reserved
+   * @return whether capacity was found for all replicas; if not, partial reservations are kept
    */
   boolean reserveForReplicasOf(Machine machine, Instant now) {
     for (TaskAttempt attempt : machine.attempts().values()) {
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
@@ -10,21 +10,22 @@
 import java.util.List;
 
 /**
- * Decides which machines to release, and which replicas to move off those that are to be released.
- * New tasks are placed last on machines that are not needed, so these run empty.
+ * Plans which machines to release, and which replicas to relocate from machines before their
+ * release. The scheduler places new tasks on scale-in candidates only as a last resort, so these
+ * machines become empty.
  */
 final class ScaleInPlanner {
-  /** Replicas are relocated in rounds with this interval between them. */
+  /** Interval between rounds of replica relocations. */
   private static final Duration RELOCATION_INTERVAL = Duration.ofSeconds(3);
 
-  /** A machine is not released sooner after it was provisioned, since that much is paid for. */
+  /** A machine is not released before this age, because that time is billed in any case. */
   private static final Duration MIN_MACHINE_AGE = Duration.ofSeconds(60);
 
   private final Tuning tuning;
   private final JobClasses classes;
   private Instant nextRelocationsAt = Instant.MIN;
 
-  /** Relocations that may still begin in the present round. */
+  /** Relocations that may still start in the current round. */
   private int remainingRelocations;
 
   ScaleInPlanner(Tuning tuning, JobClasses classes) {
@@ -33,10 +34,11 @@
   }
 
   /**
-   * Adds to the plan the machines to release and the replicas to relocate, and marks machines that
-   * are not needed.
+   * Adds the machines to release and the replicas to relocate to the plan, and updates which
+   * machines are marked as scale-in candidates.
    *
-   * @param lacksCapacity whether the last scheduling pass found no machine for some task
+   * @param schedulable machines on which tasks may be placed
+   * @param lacksCapacity whether the last scheduling pass found no machine for at least one task
    */
   void addTo(
       ScalingPlan plan,
@@ -65,7 +67,7 @@
     }
   }
 
-  /** Releases a machine that was not needed for long; first its replicas have to leave it. */
+  /** Releases a machine after its idle time has passed; relocates its replicas first. */
   private void release(IdleMachineSelector.Candidate candidate, ScalingPlan plan, Instant now) {
     Machine machine = candidate.machine();
     if (candidate.replicas() > 0) {
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -18,43 +18,48 @@
 import java.util.Set;
 
 /**
- * Plans which machines to provision: demands are packed into machines that are booting, and for
- * what is left over the cheapest offering that can be had is chosen.
+ * Plans which machines to provision: packs demands into machines that are booting or were
+ * requested, and chooses the cheapest available offering for the remaining tasks.
  */
 public final class ScaleOutPlanner {
-  /** Machines that one plan may provision in a small fleet. */
+  /** Maximum number of machines that one plan may provision in a small fleet. */
   private static final int MIN_SCALE_OUT_LIMIT = 12;
 
-  /** One plan may provision one machine for so many of the fleet. */
+  /** In a larger fleet, one plan may provision one machine per this number of machines. */
   private static final int FLEET_SIZE_PER_PROVISIONED_MACHINE = 4;
 
-  /** An offering that was refused is left alone for so long at first, and at the most. */
+  /**
+   * Base of the back-off after a refusal, doubled per consecutive refusal: the first takes 12 s.
+   */
   private static final long BASE_BACKOFF_S = 6;
 
+  /** Upper bound of the back-off, however many refusals there were in a row. */
   private static final long MAX_BACKOFF_S = 60;
+
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-  /** An answer to a request is waited for so long. */
+  /** How long a request to the cloud may stay unanswered before the offering is requested again. */
   private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(15);
 
-  /** Keeps the size of a task that needs nothing above zero. */
+  /** Lower bound of a task's size, so that a task without resource needs has a positive size. */
   private static final double MIN_TASK_SIZE = 1e-6;
 
-  /** A gigabyte of memory counts as so much of a processor. */
+  /** Weight of a gigabyte of memory relative to a CPU. */
   private static final double MEMORY_WEIGHT = 1e-3;
 
-  /** What the cloud offers, and grants or refuses: a machine type in a zone, spot or not. */
+  /** A unit that the cloud offers, grants or refuses: a machine type in a zone, spot or not. */
   record Offering(String type, String zone, boolean spot) {}
 
   /**
-   * Tasks that capacity is needed for.
+   * A number of equivalent tasks that need capacity.
    *
-   * @param job what each of the tasks needs
-   * @param zone the zone that they have to run in, if it matters
+   * @param job the job that defines the needs of each task
+   * @param tasks the number of tasks
+   * @param zone the zone in which the tasks have to run; empty for any zone
    */
   public record Demand(Job job, int tasks, Optional<String> zone) {}
 
-  /** An offering is not requested before {@code until}; it was refused so many times in a row. */
+  /** The offering is not requested before {@code until}; counts consecutive refusals. */
   private record Backoff(Instant until, int refusalCount) {}
 
   private final Tuning tuning;
@@ -65,7 +70,7 @@
     this.tuning = tuning;
   }
 
-  /** The cloud has no capacity of the offering: it is left alone for a while, longer each time. */
+  /** Records that the cloud has no capacity of the offering, which starts a growing back-off. */
   void recordRefused(Offering offering, Instant now) {
     requestedCounts.remove(offering);
     int refusalCount = refusalCount(offering) + 1;
@@ -75,8 +80,9 @@
   }
 
   /**
-   * Machines of the offering were requested: no more are before there is an answer, or it is
-   * overdue. They count as booting, else the same demand would request another offering meanwhile.
+   * Records that machines of the offering were requested. No more are requested until the cloud
+   * answers or the response timeout passes. The requested machines count as booting, because
+   * otherwise the same demand would request another offering in the meantime.
    */
   void recordRequested(Offering offering, int count, Instant now) {
     requestedCounts.put(offering, count);
@@ -88,13 +94,13 @@
     return backoff == null ? 0 : backoff.refusalCount;
   }
 
-  /** The request was answered, and the offering may be requested again. */
+  /** Records that the request was answered, so that the offering may be requested again. */
   void recordGranted(Offering offering) {
     requestedCounts.remove(offering);
     backoffs.remove(offering);
   }
 
-  /** A machine that demands are packed into. */
+  /** A machine, existing or planned, that demands are packed into. */
   private static final class Bin {
     final MachineType type;
     final String zone;
@@ -108,7 +114,7 @@
       this.available = new Resources(type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    /** Packs as many of the tasks as fit; returns how many. */
+    /** Packs as many of the tasks as fit, and returns their number. */
     int pack(Demand demand, int tasks) {
       if (!demand.job().spec().allows(type, zone, spot)
           || !demand.zone().map(zone::equals).orElse(true)) {
@@ -123,11 +129,13 @@
   }
 
   /**
-   * Plans how many machines to provision of each offering.
+   * Plans how many machines of each offering to provision.
    *
-   * @param booting machines that will take tasks soon
-   * @param unreachableZones zones in which nothing is to be provisioned
-   * @param fleetSize how many machines there are: a large fleet may grow by more at once
+   * @param demands demands in the order in which they are packed
+   * @param booting machines that are booting
+   * @param types the machine types of the cloud's catalogue
+   * @param unreachableZones zones in which no machines are provisioned
+   * @param fleetSize number of existing machines, on which the limit for one plan depends
    */
   Map<Offering, Integer> plan(
       List<Demand> demands,
@@ -145,7 +153,7 @@
     return plan.scaleOut;
   }
 
-  /** A plan that is being made, for one demand after the other. */
+  /** A plan under construction, to which demands are added one at a time. */
   private final class Plan {
     private final Collection<MachineType> types;
     private final Set<String> unreachableZones;
@@ -176,10 +184,10 @@
     }
 
     /**
-     * Packs the demand into the bins, and adds bins for what is left over.
+     * Packs the demand into the existing bins, and adds bins for the remaining tasks.
      *
-     * @param laterDemands the demands after it
-     * @param limit how many machines the plan may provision in all
+     * @param laterDemands the demands that are packed after this one
+     * @param limit maximum number of machines that the plan may provision in total
      */
     void packDemand(Demand demand, List<Demand> laterDemands, int limit) {
       int remainingTasks = demand.tasks();
@@ -203,8 +211,8 @@
     }
 
     /**
-     * The cheapest offering by the price of what will be used. Later demands count as use too: many
-     * small jobs fill a large machine as well as one large job does.
+     * Returns the offering with the lowest price per used capacity. Later demands count as use too,
+     * because many small jobs can fill a large machine as well as one large job.
      */
     private Optional<Bin> cheapest(Demand demand, int tasks, List<Demand> laterDemands) {
       Bin best = null;
@@ -238,7 +246,7 @@
     }
   }
 
-  /** The size of all tasks that would be packed into the bin; zero if none is of the demand. */
+  /** Returns the total size of the tasks that fit the bin; zero if none is of {@code demand}. */
   private static double packedSize(Bin bin, Demand demand, int tasks, List<Demand> laterDemands) {
     double packedSize = bin.pack(demand, tasks) * taskSize(demand.job());
     if (packedSize == 0) {
@@ -255,14 +263,14 @@
     return backoff != null && now.isBefore(backoff.until);
   }
 
-  /** A measure of a task that is comparable between machine types. */
+  /** Returns a measure of a task's size that is comparable between machine types. */
   private static double taskSize(Job job) {
     return Math.max(
         MIN_TASK_SIZE,
         job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * MEMORY_WEIGHT);
   }
 
-  /** How long a machine may boot before it no longer counts as booting. */
+  /** Returns how long a machine of the type counts as booting. */
   static Duration bootTimeout(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
--- a/src/test/java/io/pearscale/scheduler/autoscaling/CloudActorTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/CloudActorTest.java
@@ -20,7 +20,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The cloud's list of a large fleet, at the rate of a cloud that allows few calls. */
+/**
+ * Tests reading the machine list of a large fleet from a cloud with a low rate limit. The list
+ * takes many calls, which must neither exceed the limit nor delay provisioning.
+ */
 class CloudActorTest {
   private static final int MACHINES = 4000;
   private static final double RATE = 1.5;
@@ -32,7 +35,7 @@
   private final List<CloudActor.Event> events = new ArrayList<>();
   private int rejectedCalls;
 
-  /** Answers by the cloud's protocol: pages of a list, bursts of two seconds' worth, then 429. */
+  /** A cloud that returns pages of the list, and status 429 after bursts of two seconds' worth. */
   private final class RateLimitedCloud implements HttpClient {
     private double availableCalls = 2 * RATE;
     private Instant refilledAt = loop.clock().instant();
--- a/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
+++ b/src/test/java/io/pearscale/scheduler/autoscaling/ReplicaCapacityTest.java
@@ -21,13 +21,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Emptying machines of a fleet that is full, where every look is in vain. */
+/** Tests the reservation of capacity for replicas, also in a full fleet where every check fails. */
 public class ReplicaCapacityTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
   private static final MachineType BIG =
       new MachineType("big", 8, 0, 64, 100, 1, 1, 0.4, Duration.ofSeconds(20), List.of("a"));
 
-  /** A replica of a service that takes so many CPUs. */
+  /** Returns the spec of a service whose replicas take the given number of CPUs. */
   public static JobSpec replica(int cpus, Priority priority) {
     return new JobSpec(
         "wk-1",
@@ -52,7 +52,9 @@
         Optional.empty());
   }
 
-  /** Machines that each hold one replica of so many processors, and its image. */
+  /**
+   * Creates machines that each run one replica with the given number of CPUs and hold its image.
+   */
   private static List<Machine> fleet(int size, int cpus) {
     Job job = new Job(replica(cpus, Priority.CRITICAL), 0, NOW, false);
     List<Machine> machines = new ArrayList<>();
@@ -73,7 +75,7 @@
     return machines;
   }
 
-  /** Asks about as many machines as a plan does: a part of the fleet. */
+  /** Counts the checks of one plan that tries to empty a share of the fleet. */
   private static int checks(int size) {
     List<Machine> machines = fleet(size, 8);
     ReplicaCapacity capacity = new ReplicaCapacity(machines);
