--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -19,18 +19,19 @@
 import java.util.function.Consumer;
 
 /**
- * The stored records of voluntary disruptions. One is durable before the stop command of its task
- * is sent: if the leader ends in between, its successor counts the disruption as spent.
+ * The stored records of voluntary disruptions. A disruption is durable before the stop command of
+ * its task is sent, so if the leader fails in between, the next leader counts it against the
+ * budgets.
  */
 final class DisruptionRecords implements TransactionContributor {
-  /** Upper bound in bytes for a packed value, whatever the store accepts. */
+  /** Maximum size in bytes of a packed value, even if the store accepts larger values. */
   private static final int MAX_PACKED_VALUE_BYTES = 3000;
 
   /**
-   * What a transaction under way carries.
+   * The content of a transaction in flight.
    *
-   * @param disruptions those that become durable with it
-   * @param values numbers of the values that it writes
+   * @param disruptions pending disruptions that become durable with the transaction
+   * @param values numbers of the values that the transaction writes
    */
   private record InFlight(List<Disruption> disruptions, List<Integer> values) {}
 
@@ -43,8 +44,10 @@
   private RecordPacker<Disruption> packer;
 
   /**
-   * Creates empty records.
+   * Creates an empty set of records.
    *
+   * @param maxValueBytes maximum size in bytes of a value that the store accepts
+   * @param requestCommit requests a transaction as soon as possible
    * @param onDurable receives each disruption once it is durable
    */
   DisruptionRecords(int maxValueBytes, Runnable requestCommit, Consumer<Disruption> onDurable) {
@@ -54,12 +57,12 @@
     this.packer = new RecordPacker<>(packedValueBytes);
   }
 
-  /** Forgets all stored values: a new snapshot is about to be delivered. */
+  /** Discards all stored values before a new snapshot is delivered. */
   void forgetStored() {
     stored.clear();
   }
 
-  /** Applies a change of a stored value. */
+  /** Applies a change to a stored value. */
   void storedChanged(KeyChange change) {
     change
         .entry()
@@ -68,7 +71,7 @@
   }
 
   /**
-   * Takes over the stored disruptions for a term that begins, and returns them.
+   * Loads the stored disruptions at the beginning of a term, and returns them.
    *
    * @throws MalformedMessageException if a value can't be read; the message names its key
    */
@@ -88,14 +91,14 @@
     return all;
   }
 
-  /** Drops all records: the term is over. */
+  /** Discards all records at the end of the term. */
   void clear() {
     packer = new RecordPacker<>(packedValueBytes);
     pending.clear();
     inFlight.clear();
   }
 
-  /** Records a disruption as soon as possible; it may be carried out once that is durable. */
+  /** Records a disruption as soon as possible; its task may be stopped once it is durable. */
   void record(Disruption disruption) {
     packer.assignSlot(disruption, disruption.maxEncodedSize());
     packer.markDue(disruption);
@@ -103,14 +106,14 @@
     requestCommit.run();
   }
 
-  /** Drops a disruption that does not count any more. */
+  /** Removes a disruption that no longer counts against the budgets. */
   void remove(Disruption disruption) {
     pending.remove(disruption);
     packer.markDue(disruption);
     packer.remove(disruption);
   }
 
-  /** Whether the task has a disruption that is not durable yet. */
+  /** Returns whether the task has a recorded disruption that is not yet durable. */
   boolean isPending(TaskId task) {
     return pending.stream().anyMatch(disruption -> disruption.task().equals(task));
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
@@ -25,11 +25,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the ledger of disruptions in step with what runs, and stops a task once its voluntary
- * disruption is durable.
+ * Updates the disruption ledger from the state of running tasks, and stops a task once its
+ * voluntary disruption is durably recorded.
  *
  * <p>Invariant: no task is stopped voluntarily before its disruption is counted against the budgets
- * and durably recorded, so a successor counts it as well.
+ * and durably recorded, so the next leader counts it as well.
  */
 final class DisruptionTracker {
   private static final Logger LOG = LoggerFactory.getLogger(DisruptionTracker.class);
@@ -43,9 +43,9 @@
   private final DisruptionRecords records;
 
   /**
-   * Creates a tracker that knows of no disruptions, and subscribes it to removed attempts.
+   * Creates a tracker without disruptions, and subscribes it to the removal of attempts.
    *
-   * @param maxValueBytes the longest value that the store accepts, in bytes
+   * @param maxValueBytes maximum size in bytes of a value that the store accepts
    */
   DisruptionTracker(
       LeaderState state,
@@ -64,12 +64,12 @@
     state.inventory().onRemoved(this::handleRemoved);
   }
 
-  /** The stored disruptions. */
+  /** Returns the stored records of voluntary disruptions. */
   DisruptionRecords records() {
     return records;
   }
 
-  /** Takes the stored disruptions over; if they can't be read, none is granted in this term. */
+  /** Loads the stored disruptions; if they can't be read, none is granted in this term. */
   void beginTerm() {
     try {
       ledger.beginTerm(records.beginTerm());
@@ -80,22 +80,23 @@
     }
   }
 
-  /** Closes the disruptions of tasks that run again or are over, and counts what is available. */
+  /** Closes disruptions of tasks that run again or have finished, and updates availability. */
   void update(Instant now) {
     closeFinished(now);
     ledger.updateAvailability(availabilityByGroup(now));
   }
 
-  /** Records the granted disruptions of a task and of its gang, which stops them once durable. */
+  /** Records the granted disruptions of a task and its gang; they are stopped once durable. */
   void record(TaskView task) {
     ledger.find(task.task()).ifPresent(records::record);
     task.gangMembers().forEach(member -> ledger.find(member).ifPresent(records::record));
   }
 
   /**
-   * Asks the budgets for the relocation of a replica, which is stopped once that is durable.
+   * Requests the relocation of a replica from the disruption budgets. If granted, the replica is
+   * stopped once its disruption is durable.
    *
-   * @return whether it is granted
+   * @return whether the relocation is granted
    */
   boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
@@ -116,8 +117,8 @@
   }
 
   /**
-   * Stops the task of a durable disruption, and with it its gang, once the disruptions of all of
-   * them are durable.
+   * Stops the task of a durable disruption. A gang is stopped once the disruptions of all its tasks
+   * are durable.
    */
   private void stop(Disruption disruption) {
     Optional<TaskAttempt> found = attemptOf(disruption.task());
@@ -140,7 +141,7 @@
         .forEach(stopped -> dispatcher.sendDueCommands(stopped.machine()));
   }
 
-  /** The other tasks of the attempt's gang; none if it is of no gang. */
+  /** Returns the other tasks of the attempt's gang; empty if the job is not a gang. */
   static List<TaskId> gangMembersOf(TaskAttempt attempt) {
     if (!attempt.job().spec().isGang()) {
       return List.of();
@@ -155,7 +156,7 @@
     return Optional.ofNullable(jobs.get(task.job())).map(job -> job.attempts().get(task.index()));
   }
 
-  /** Counts involuntary disruptions as well, so that voluntary ones wait for them. */
+  /** Counts the removal as an involuntary disruption, so that voluntary ones wait for it. */
   private void handleRemoved(TaskAttempt attempt) {
     boolean wasRunning = attempt.stage() == Stage.RUNNING || attempt.stage() == Stage.CHECKPOINTING;
     if (wasRunning && jobs.contains(attempt.job()) && !attempt.job().spec().isService()) {
@@ -176,10 +177,10 @@
   }
 
   /**
-   * Whether the task was reported as running, and nothing is under way that would stop it. A
-   * machine counts as responsive only once it has shown a fencing token of this term, after which
-   * no stop command of a previous leader can reach it: a new leader takes all others' tasks as
-   * down.
+   * Returns whether the task was reported as running and is not about to be stopped. A machine
+   * counts as responsive only after it has presented a fencing token of this term, because from
+   * then on it rejects stop commands of previous leaders. A new leader treats the tasks of all
+   * other machines as unavailable.
    */
   boolean isRunning(TaskAttempt attempt, Instant now) {
     return attempt.stage() == Stage.RUNNING
@@ -208,10 +209,10 @@
   }
 
   /**
-   * Of a service all replicas count that should run; of a batch job, tasks that run or were
-   * disrupted: what only waits for its turn is not down.
+   * Computes the availability of a job. For a service, all configured replicas count. For a batch
+   * job, only running and disrupted tasks count, because queued tasks are not unavailable.
    *
-   * @param openCount how many of its tasks count as disrupted
+   * @param openCount number of tasks of the job with an open disruption
    */
   private Availability availabilityOf(Job job, int openCount, Instant now) {
     int running = 0;
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds capacity for tasks of drained machines, and reserves it for one round. */
+/** Reserves capacity on other machines for tasks of drained machines, for one round. */
 final class DrainCapacity implements DrainPlanner.ReplacementCapacity {
   private final JobTable jobs;
   private final List<Machine> usable = new ArrayList<>();
@@ -35,7 +35,7 @@
         usable.add(machine);
       }
     }
-    // A task that goes to a machine that is to be drained later has to be moved again.
+    // Prefer machines without a planned drain: a task on another one has to be moved again.
     usable.sort(Comparator.comparing(machine -> machine.isDrainPlanned()));
   }
 
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -38,8 +38,8 @@
 import java.util.Optional;
 
 /**
- * Carries drains out in rounds: shows the planner the jobs and machines as they are, and does what
- * it decides. Whoever stops a task voluntarily asks here first.
+ * Executes drains in rounds: passes the current state of jobs and machines to the planner, and
+ * executes its plan. Every component that stops a task voluntarily must request it here first.
  */
 public final class DrainCoordinator implements RelocationGate {
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
@@ -62,7 +62,7 @@
   private List<TaskView> tasksWithoutCapacity = List.of();
   private Instant nextRoundAt = Instant.MIN;
 
-  /** Creates a coordinator that has read no stored drains yet. */
+  /** Creates a coordinator without stored drains. */
   public DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
@@ -91,20 +91,20 @@
     this.statusPublisher = new StatusPublisher(state, ledger, published, wallClock, maxValueBytes);
   }
 
-  /** What adds records of drains to the leader's transactions. */
+  /** Returns the contributors that add drain records to the leader's transactions. */
   public List<TransactionContributor> contributors() {
     return List.of(disruptions.records(), published);
   }
 
   // ---- Stored values ----
 
-  /** Forgets all stored values: a new snapshot is about to be delivered. */
+  /** Discards all stored values before a new snapshot is delivered. */
   public void forgetStored() {
     requests.forgetStored();
     disruptions.records().forgetStored();
   }
 
-  /** Applies a change of a stored value. */
+  /** Applies a change to a stored value. */
   public void storedChanged(KeyChange change) {
     if (Keys.isDisruptions(change.key())) {
       disruptions.records().storedChanged(change);
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Begins a term; all stored values have been delivered. */
+  /** Begins a term, after all stored values have been delivered. */
   public void beginTerm() {
     published.clear();
     maintenance.beginTerm();
@@ -122,7 +122,7 @@
     disruptions.beginTerm();
   }
 
-  /** Ends the term: nothing more is written in it. */
+  /** Ends the term; nothing more is written. */
   public void endTerm() {
     disruptions.records().clear();
     published.clear();
@@ -130,7 +130,7 @@
 
   // ---- Rounds ----
 
-  /** Does a round of decisions if the last one was a second ago. */
+  /** Runs a round of decisions if at least a second has passed since the last one. */
   public void runRoundIfDue(Instant now) {
     if (now.isBefore(nextRoundAt)) {
       return;
@@ -150,7 +150,7 @@
     statusPublisher.publishCluster();
   }
 
-  /** Records idle machines too: operators select the machines to drain from the records. */
+  /** Records idle machines too, because operators select machines to drain from the records. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
       if (machine.lifecycle() == Lifecycle.UP
@@ -198,13 +198,13 @@
     statusPublisher.publish(plan.statuses());
   }
 
-  /** Whether a replica may be relocated; if so, it is stopped once that is durably recorded. */
+  /** Requests a relocation; if granted, the replica is stopped once its disruption is durable. */
   @Override
   public boolean requestRelocation(TaskAttempt attempt) {
     return disruptions.requestRelocation(attempt);
   }
 
-  /** What should be provisioned so that drained tasks find capacity elsewhere. */
+  /** Returns the demands to provision so that drained tasks have capacity elsewhere. */
   @Override
   public List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stored drain requests of operators: a record for each, and values with the names of its
- * machines.
+ * The stored drain requests of operators: one record for each request, and separate values with the
+ * names of its machines.
  */
 final class DrainRequests {
   private static final Logger LOG = LoggerFactory.getLogger(DrainRequests.class);
@@ -23,13 +23,13 @@
   private final Map<String, JsonNode> requests = new TreeMap<>();
   private final Map<String, JsonNode> machineNames = new TreeMap<>();
 
-  /** Forgets all stored values: a new snapshot is about to be delivered. */
+  /** Discards all stored values before a new snapshot is delivered. */
   void forgetStored() {
     requests.clear();
     machineNames.clear();
   }
 
-  /** Applies a change of a stored value. */
+  /** Applies a change to a stored value. */
   void storedChanged(KeyChange change) {
     Map<String, JsonNode> values = Keys.isDrain(change.key()) ? requests : machineNames;
     change
@@ -38,12 +38,12 @@
             entry -> values.put(change.key(), entry.value()), () -> values.remove(change.key()));
   }
 
-  /** Whether the drain is stored, even if its record can't be read. */
+  /** Returns whether the drain is stored, even if its record can't be read. */
   boolean isKnown(String id) {
     return requests.containsKey(Keys.drain(id));
   }
 
-  /** All drains that can be read; one that can't be read drains and releases no machine. */
+  /** Returns all readable drains; an unreadable drain neither drains nor releases machines. */
   List<Drain> readable() {
     List<Drain> drains = new ArrayList<>();
     for (Map.Entry<String, JsonNode> request : requests.entrySet()) {
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
@@ -12,13 +12,13 @@
 import java.util.Optional;
 
 /**
- * Shows machines and their tasks to the drain planner as they are now.
+ * Creates snapshots of machines and their tasks for the drain planner.
  *
  * @param disruptions decides which tasks count as running
- * @param responsiveness decides which machines are heard
+ * @param responsiveness decides which machines count as responsive
  */
 record DrainViews(DisruptionTracker disruptions, Responsiveness responsiveness) {
-  /** The machine with all its tasks. */
+  /** Returns a snapshot of the machine with all its tasks. */
   MachineView view(Machine machine, Instant now) {
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -15,11 +15,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Changes the maintenance state of machines, and ends their probation. */
+/** Changes the maintenance state of machines and ends their probation. */
 final class MaintenanceTransitions {
   private static final Logger LOG = LoggerFactory.getLogger(MaintenanceTransitions.class);
 
-  /** A machine has proven to work once it was responsive for so many leases on end. */
+  /** Probation ends after a machine has been responsive for this many lease periods in a row. */
   private static final int PROBATION_LEASES = 2;
 
   private final Leadership leadership;
@@ -29,7 +29,7 @@
   private final Responsiveness responsiveness;
   private final Map<Machine, Instant> probationSince = new HashMap<>();
 
-  /** Creates transitions for a leader's machines. */
+  /** Creates transitions for the machines of a leader. */
   MaintenanceTransitions(LeaderState state, AgentTimings timings, Responsiveness responsiveness) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
@@ -38,12 +38,12 @@
     this.responsiveness = responsiveness;
   }
 
-  /** Forgets since when machines are in probation: a term begins. */
+  /** Begins a term; the probation of all machines starts again. */
   void beginTerm() {
     probationSince.clear();
   }
 
-  /** Changes a machine's maintenance state, and records it as soon as possible. */
+  /** Changes the maintenance state of a machine, and records it as soon as possible. */
   void change(String name, Maintenance maintenance) {
     Machine machine = inventory.get(name);
     LOG.info(
@@ -60,7 +60,7 @@
     records.recordMachineNow(machine);
   }
 
-  /** Puts machines back into service whose drain does not exist any more. */
+  /** Returns machines whose drain no longer exists to service, starting with probation. */
   void returnOrphanedToService(Predicate<String> isKnownDrain) {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphaned =
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Puts all machines back into service: below schema level 1 no record can hold maintenance. */
+  /** Returns all machines to service: below schema level 1, maintenance can't be recorded. */
   void returnAllToService() {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (!machine.maintenance().isInService()) {
@@ -81,7 +81,9 @@
     }
   }
 
-  /** Ends the probation of machines that have proven to work. */
+  /**
+   * Ends the probation of responsive machines that hold an image or served their full probation.
+   */
   void endProbations(Instant now) {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (machine.maintenance().stage() != Maintenance.Stage.PROBATION) {
--- a/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
@@ -16,11 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The status values that the leader publishes for operators' commands. Nothing is decided by them,
- * so they are written behind all else, only when changed, and at a low rate.
+ * The status values that the leader publishes for operators' commands. No decisions depend on them,
+ * so they are written after all other records, only when changed, and at a low rate.
  */
 final class PublishedRecords implements TransactionContributor {
-  /** Shortest time between two writes. */
+  /** Minimum time between two writes. */
   static final Duration WRITE_INTERVAL = Duration.ofSeconds(5);
 
   private static final Logger LOG = LoggerFactory.getLogger(PublishedRecords.class);
@@ -32,13 +32,13 @@
   private final Map<LeaderTransaction, Map<String, JsonNode>> inFlight = new HashMap<>();
   private Instant nextWriteAt = Instant.MIN;
 
-  /** Creates a publisher of values of at most that length in bytes. */
+  /** Creates a publisher of values of at most {@code maxValueBytes} bytes. */
   PublishedRecords(InstantSource clock, int maxValueBytes) {
     this.clock = clock;
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** Publishes a value; one that is too long is dropped, as it would make the commit invalid. */
+  /** Publishes a value; drops a value that is too long, because the commit would be invalid. */
   void publish(String key, JsonNode value) {
     int length = value.toString().length();
     if (length <= maxValueBytes) {
@@ -48,13 +48,13 @@
     }
   }
 
-  /** Stops publishing the values whose keys match. */
+  /** Stops publishing values whose keys match. */
   void withdraw(Predicate<String> keys) {
     latest.keySet().removeIf(keys);
     lastWritten.keySet().removeIf(keys);
   }
 
-  /** Forgets all values: the term is over. */
+  /** Discards all values when a term begins or ends. */
   void clear() {
     latest.clear();
     lastWritten.clear();
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -19,13 +19,14 @@
 import java.util.Map;
 
 /**
- * Publishes the status that operators' commands show: budgets, disruptions, drains, waiting jobs.
+ * Publishes the status that operators' commands show: disruption budgets, disruptions, drains and
+ * queued jobs.
  */
 final class StatusPublisher {
-  /** Granularity of the published time, so that an unchanged status is rarely written. */
+  /** Granularity of the published time; it keeps an unchanged status from being written often. */
   private static final Duration TIMESTAMP_GRANULARITY = Duration.ofSeconds(10);
 
-  /** Bytes for a reason with its job's id; half of a value is for reasons. */
+  /** Estimated bytes of a reason with its job id; reasons may take half of a value. */
   private static final int REASON_BYTES = 200;
 
   private final Leadership leadership;
@@ -51,13 +52,13 @@
     this.maxReasons = Math.max(1, maxValueBytes / 2 / REASON_BYTES);
   }
 
-  /** Publishes the status of drains, by id. */
+  /** Publishes the status of drains, given by id. */
   void publish(Map<String, DrainStatus> drains) {
     drains.forEach(
         (id, status) -> published.publish(Keys.drainStatus(id), status.toNode(maxReasons)));
   }
 
-  /** Publishes that a drain can't start before the schema level is raised. */
+  /** Publishes that a drain can't start until the schema level is raised. */
   void publishBlockedByLevel(DrainRequest request) {
     DrainStatus status =
         new DrainStatus(
@@ -73,7 +74,7 @@
 
   /** Publishes the status of the cluster. */
   void publishCluster() {
-    // In steps, so that an unchanged cluster costs a write a step and no more.
+    // Rounded, so that an unchanged status causes at most one write per step.
     long step = TIMESTAMP_GRANULARITY.toMillis();
     long at = wallClock.instant().toEpochMilli() / step * step;
     ObjectNode node = MessagePack.map().put("term", leadership.term()).put("atMs", at);
--- a/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A stop is sent only after its record is durable, and a successor finds the record. */
+/** Tests that disruptions are reported only once durable, and are read by the next leader. */
 class DisruptionRecordsTest {
   private final List<Disruption> durable = new ArrayList<>();
   private final DisruptionRecords records = new DisruptionRecords(8192, () -> {}, durable::add);
@@ -51,7 +51,7 @@
     assertEquals(List.of(disruption(1)), durable);
     assertFalse(records.isPending(disruption(1).task()));
     records.onApplied(transaction);
-    assertEquals(1, durable.size(), "once");
+    assertEquals(1, durable.size(), "reported durable only once");
   }
 
   @Test
