--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -28,7 +28,7 @@
 
   private final Collection<Target> targets;
 
-  /** Tasks without capacity, by class and zone; negative if there is more capacity than needed. */
+  /** Tasks without capacity, by class and zone; below 0 if there is more capacity than needed. */
   private final Map<ZoneTarget, Integer> deficits = new LinkedHashMap<>();
 
   Headroom(Collection<Target> targets, Collection<String> zones, Collection<Machine> schedulable) {
