--- a/src/main/java/io/pearscale/drain/DisruptionBudget.java
+++ b/src/main/java/io/pearscale/drain/DisruptionBudget.java
@@ -4,40 +4,41 @@
 import java.util.Optional;
 
 /**
- * How much of a team's work may be disrupted at once.
+ * Limits how much of a team's work may be disrupted at once.
  *
- * @param team whose work; {@link #ANY_TEAM}: that of each team without a budget of its own
- * @param jobClass the class of jobs that it is for; all of the team's if empty
- * @param kind what is bounded
- * @param amount the bound: tasks, a share of them, or seconds
+ * @param team the team that the budget applies to; {@link #ANY_TEAM} for a default that applies
+ *     separately to each team without a specific budget
+ * @param jobClass the job class that the budget applies to; empty for all jobs of the team
+ * @param kind the quantity that is limited
+ * @param amount the limit: a number of tasks, a share of the tasks, or seconds
  */
 public record DisruptionBudget(String team, Optional<String> jobClass, Kind kind, double amount) {
-  /** What a budget bounds. */
+  /** The quantity that a budget limits. */
   public enum Kind {
-    /** The most tasks that may be unavailable at once. */
+    /** Maximum number of tasks that may be unavailable at once. */
     MAX_UNAVAILABLE("most-down"),
-    /** The largest share of all tasks that may be unavailable at once. */
+    /** Maximum share of all tasks that may be unavailable at once. */
     MAX_UNAVAILABLE_SHARE("most-down-share"),
-    /** The fewest tasks that must stay available. */
+    /** Minimum number of tasks that must stay available. */
     MIN_AVAILABLE("least-up"),
-    /** The most seconds of work without a checkpoint that may be lost at once. */
+    /** Maximum seconds of work without checkpoints that may be lost at once. */
     MAX_LOST_WORK_SECONDS("most-lost-s");
 
-    private final String text;
+    private final String configName;
 
-    Kind(String text) {
-      this.text = text;
+    Kind(String configName) {
+      this.configName = configName;
     }
 
-    /** Its name in files and messages. */
-    public String text() {
-      return text;
+    /** Returns the name of this kind in settings files and messages. */
+    public String configName() {
+      return configName;
     }
 
-    /** The kind of that name. */
-    public static Optional<Kind> parse(String text) {
+    /** Returns the kind with the given name; empty if there is none. */
+    public static Optional<Kind> parse(String configName) {
       for (Kind kind : values()) {
-        if (kind.text.equals(text)) {
+        if (kind.configName.equals(configName)) {
           return Optional.of(kind);
         }
       }
@@ -46,43 +47,43 @@
   }
 
   /**
-   * How many tasks of a group are available.
+   * The availability of a group of tasks.
    *
-   * @param total tasks that should run
-   * @param unavailable those that do not run, or are about to be stopped
-   * @param lostWork running time that is lost with them
+   * @param total number of tasks that should run
+   * @param unavailable number of tasks that are not running or are about to be stopped
+   * @param lostWork running time that the unavailable tasks lose
    */
   public record Availability(int total, int unavailable, Duration lostWork) {
-    /** No tasks. */
+    /** The availability of an empty group. */
     public static final Availability NONE = new Availability(0, 0, Duration.ZERO);
 
-    /** The sum with another group of tasks. */
+    /** Returns the combined availability of this group and another one. */
     public Availability plus(Availability other) {
       return new Availability(
           total + other.total, unavailable + other.unavailable, lostWork.plus(other.lostWork));
     }
   }
 
-  /** In place of a team's name: each team that has no budget of its own. */
+  /** Team name of a default budget, which applies to each team without a specific budget. */
   public static final String ANY_TEAM = "*";
 
-  /** This default budget applied to one team. */
+  /** Returns this default budget for one team. */
   DisruptionBudget forTeam(String name) {
     return new DisruptionBudget(name, jobClass, kind, amount);
   }
 
-  /** Whether it is the default for teams without a budget of their own. */
+  /** Returns whether this is a default for teams without a specific budget. */
   boolean isDefault() {
     return team.equals(ANY_TEAM);
   }
 
-  /** Whether the budget covers tasks of that team and class. */
-  public boolean covers(String ofTeam, String ofClass) {
-    return team.equals(ofTeam) && jobClass.map(c -> c.equals(ofClass)).orElse(true);
+  /** Returns whether the budget applies to tasks of the given team and job class. */
+  public boolean covers(String taskTeam, String taskJobClass) {
+    return team.equals(taskTeam) && jobClass.map(c -> c.equals(taskJobClass)).orElse(true);
   }
 
-  /** Why the budget does not allow that availability; empty if it does. */
-  public Optional<String> objection(Availability availability) {
+  /** Returns why the budget does not allow the given availability; empty if it does. */
+  public Optional<String> rejectionReason(Availability availability) {
     boolean allowed =
         switch (kind) {
           case MAX_UNAVAILABLE -> availability.unavailable <= amount;
@@ -99,7 +100,7 @@
         .formatted(
             team,
             jobClass.orElse("*"),
-            kind.text,
+            kind.configName,
             amount == Math.rint(amount) ? Long.toString((long) amount) : Double.toString(amount));
   }
 }
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a round decides of one drain: maintenance states, and which tasks may be stopped. */
+/** Plans one round of one drain: maintenance states of its machines, and which tasks to stop. */
 final class DrainRound {
   private final Map<String, MaintenanceWindow> windows;
   private final DrainRequest request;
@@ -41,8 +41,8 @@
    *
    * @param windows all maintenance windows, by name
    * @param machines all machines, by name
-   * @param plan receives what is decided
-   * @param now the time of day
+   * @param plan receives the planned actions
+   * @param now the wall clock time
    */
   DrainRound(
       Map<String, MaintenanceWindow> windows,
@@ -60,7 +60,7 @@
     this.now = now;
   }
 
-  /** The id of the drain. */
+  /** Returns the id of the drain. */
   String drainId() {
     return request.id();
   }
@@ -73,8 +73,8 @@
     return !now.isBefore(request.deadline());
   }
 
-  /** Decides on the machines that the drain has cordoned, and which to cordon next. */
-  void decideOnMachines() {
+  /** Plans the machines that the drain has cordoned, and selects which machines to cordon next. */
+  void planMachines() {
     paused = isPaused();
     List<MachineView> machinesInService = new ArrayList<>();
     for (String name : drain.machines()) {
@@ -85,7 +85,7 @@
         inService++;
         machinesInService.add(machine);
       } else {
-        decideOn(machine);
+        planMachine(machine);
       }
     }
     if (!paused && !isCancelled() && !isPastDeadline()) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Whether nothing may be begun now. */
+  /** Returns whether the drain must not act now, and adds the reason to the status. */
   private boolean isPaused() {
     if (request.desiredState() == DrainRequest.DesiredState.PAUSE) {
       reasons.add("an operator has paused it");
@@ -117,9 +117,9 @@
     return false;
   }
 
-  private void decideOn(MachineView machine) {
+  private void planMachine(MachineView machine) {
     switch (machine.maintenance().stage()) {
-      case CORDONED -> decideOnCordoned(machine);
+      case CORDONED -> planCordonedMachine(machine);
       case DRAINED -> {
         if (isCancelled()) {
           plan.maintenanceChanges()
@@ -133,12 +133,12 @@
     }
   }
 
-  private void decideOnCordoned(MachineView machine) {
+  private void planCordonedMachine(MachineView machine) {
     if (isCancelled() || isPastDeadline()) {
       plan.maintenanceChanges().put(machine.name(), Maintenance.IN_SERVICE);
       inService++;
     } else if (machine.maintenanceDurable() && machine.tasks().isEmpty()) {
-      decideOnEmpty(machine);
+      planEmptyMachine(machine);
     } else {
       cordoned++;
       remainingTasks += machine.tasks().size();
@@ -148,7 +148,7 @@
     }
   }
 
-  private void decideOnEmpty(MachineView machine) {
+  private void planEmptyMachine(MachineView machine) {
     if (request.completionAction() == DrainRequest.CompletionAction.TERMINATE) {
       plan.machinesToRelease().add(machine.name());
       released++;
@@ -179,7 +179,7 @@
     }
   }
 
-  /** The emptiest machines first, as many as may be cordoned at a time. */
+  /** Cordons machines up to the limit, those with the fewest tasks first. */
   private void cordonNext(List<MachineView> machinesInService) {
     machinesInService.sort(
         Comparator.comparingInt((MachineView m) -> m.tasks().size())
@@ -203,30 +203,30 @@
     }
   }
 
-  /** Asks to stop the next of its tasks; returns false if none is left to ask for. */
+  /** Requests to stop the next candidate task; returns false if no candidate is left. */
   boolean grantNext(DisruptionLedger disruptionLedger, ReplacementCapacity capacity) {
     TaskView task = candidates.poll();
     if (task == null) {
       return false;
     }
     if (disruptionLedger.isOpen(task.task())) {
-      return true; // It ends with another task of its gang.
+      return true; // The task is stopped together with another task of its gang.
     }
-    Optional<String> objection = capacity.reserve(task);
-    if (objection.isPresent()) {
+    Optional<String> rejection = capacity.reserve(task);
+    if (rejection.isPresent()) {
       plan.tasksWithoutCapacity().add(task);
     } else {
-      objection = disruptionLedger.trySpend(task.disruptions());
+      rejection = disruptionLedger.trySpend(task.disruptions());
     }
-    if (objection.isPresent()) {
-      reasons.add(task.task() + ": " + objection.get());
+    if (rejection.isPresent()) {
+      reasons.add(task.task() + ": " + rejection.get());
     } else {
       plan.tasksToStop().add(task);
     }
     return true;
   }
 
-  /** The status of the drain, once all tasks have been asked for. */
+  /** Returns the status of the drain; valid once {@link #grantNext} has returned false. */
   DrainStatus status() {
     return new DrainStatus(
         state(), inService, cordoned, drained, released, remainingTasks, List.copyOf(reasons));
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -89,7 +89,7 @@
    */
   boolean isStoreHealthy() {
     return replicaStatus.isLoaded()
-        && levelGate.objection().isEmpty()
+        && levelGate.incompatibility().isEmpty()
         && store
             .lastSuccess()
             .map(time -> Duration.between(time, clock.instant()).compareTo(STORE_TIMEOUT) < 0)
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -43,7 +43,7 @@
     checkMachines(now);
     components.gracefulTermination.endBrokenGangs();
     components.recovery.updateCompletion();
-    components.drainCoordinator.ifPresent(drains -> drains.roundIfDue(now));
+    components.drainCoordinator.ifPresent(drains -> drains.runRoundIfDue(now));
     components.schedulingPass.request();
     components.dispatcher.sendAllDueCommands();
     components.machineProvisioner.scaleIfDue(now);
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -31,7 +31,7 @@
     components.recordWriter.beginTerm();
     components.dispatcher.beginTerm();
     components.recovery.beginTerm();
-    components.machineProvisioner.begin();
+    components.machineProvisioner.beginTerm();
   }
 
   /** Ends the term and discards all state that exists only on a leader. */
@@ -44,7 +44,7 @@
     components.taskCountPublisher.clear();
     components.gangs.clear();
     components.drainCoordinator.ifPresent(DrainCoordinator::endTerm);
-    components.machineProvisioner.end();
+    components.machineProvisioner.endTerm();
     components.jobs.forgetLeaderState();
   }
 
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleInPlanner.java
@@ -10,22 +10,23 @@
 import java.util.List;
 
 /**
- * Decides which machines to release, and which replicas to move off those that are to be released.
- * New tasks are placed last on machines that are not needed, so these run empty.
+ * Plans which machines to release, and which replicas to relocate from machines before their
+ * release. The scheduler places new tasks on scale-in candidates only as a last resort, so these
+ * machines become empty.
  */
 final class ScaleInPlanner {
-  /** Replicas are relocated in rounds with this interval between them. */
+  /** Interval between rounds of replica relocations. */
   private static final Duration RELOCATION_INTERVAL = Duration.ofSeconds(3);
 
-  /** A machine is not released sooner after it was provisioned, since that much is paid for. */
+  /** A machine is not released before this age, because that time is billed in any case. */
   private static final Duration MIN_MACHINE_AGE = Duration.ofSeconds(60);
 
   private final Tuning tuning;
   private final JobClasses classes;
-  private Instant nextRelocations = Instant.MIN;
+  private Instant nextRelocationsAt = Instant.MIN;
 
-  /** Relocations that may still begin in the present round. */
-  private int relocationsLeft;
+  /** Relocations that may still start in the current round. */
+  private int remainingRelocations;
 
   ScaleInPlanner(Tuning tuning, JobClasses classes) {
     this.tuning = tuning;
@@ -33,10 +34,11 @@
   }
 
   /**
-   * Adds to the plan the machines to release and the replicas to relocate, and marks machines that
-   * are not needed.
+   * Adds the machines to release and the replicas to relocate to the plan, and updates which
+   * machines are marked as scale-in candidates.
    *
-   * @param lacksCapacity whether the last scheduling pass found no machine for some task
+   * @param schedulable machines on which tasks may be placed
+   * @param lacksCapacity whether the last scheduling pass found no machine for at least one task
    */
   void addTo(
       ScalingPlan plan,
@@ -46,9 +48,9 @@
       Instant now) {
     IdleMachineSelector selector =
         new IdleMachineSelector(schedulable, lacksCapacity, headroom, tuning, classes);
-    if (!now.isBefore(nextRelocations)) {
-      nextRelocations = now.plus(RELOCATION_INTERVAL);
-      relocationsLeft = selector.maxEmptied();
+    if (!now.isBefore(nextRelocationsAt)) {
+      nextRelocationsAt = now.plus(RELOCATION_INTERVAL);
+      remainingRelocations = selector.maxSelectedWithReplicas();
     }
     for (IdleMachineSelector.Candidate candidate : selector.candidates()) {
       Machine machine = candidate.machine();
@@ -57,14 +59,15 @@
         continue;
       }
       machine.cloud().markScaleInCandidate(now);
-      Instant dueAfter = machine.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle());
-      if (now.isAfter(dueAfter)) {
+      Instant releasableAfter =
+          machine.cloud().scaleInCandidateSince().plus(tuning.scaleInAfterIdle());
+      if (now.isAfter(releasableAfter)) {
         release(candidate, plan, now);
       }
     }
   }
 
-  /** Releases a machine that was not needed for long; first its replicas have to leave it. */
+  /** Releases a machine after its idle time has passed; relocates its replicas first. */
   private void release(IdleMachineSelector.Candidate candidate, ScalingPlan plan, Instant now) {
     Machine machine = candidate.machine();
     if (candidate.replicas() > 0) {
@@ -76,12 +79,12 @@
   }
 
   private void relocateOneReplica(Machine machine, ScalingPlan plan) {
-    if (relocationsLeft <= 0) {
+    if (remainingRelocations <= 0) {
       return;
     }
     for (TaskAttempt attempt : machine.attempts().values()) {
       if (attempt.spec().isService() && !attempt.stopping()) {
-        relocationsLeft--;
+        remainingRelocations--;
         plan.relocations().add(attempt);
         return;
       }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -38,8 +38,8 @@
 import java.util.Optional;
 
 /**
- * Carries drains out in rounds: shows the planner the jobs and machines as they are, and does what
- * it decides. Whoever stops a task voluntarily asks here first.
+ * Executes drains in rounds: passes the current state of jobs and machines to the planner, and
+ * executes its plan. Every component that stops a task voluntarily must request it here first.
  */
 public final class DrainCoordinator implements RelocationGate {
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
@@ -49,7 +49,7 @@
   private final DecisionRecorder records;
   private final Responsiveness responsiveness;
   private final LevelGate levelGate;
-  private final InstantSource timeOfDay;
+  private final InstantSource wallClock;
   private final MachineRetirement retirement;
   private final DrainPlanner planner;
   private final DisruptionLedger ledger;
@@ -58,53 +58,53 @@
   private final MaintenanceTransitions maintenance;
   private final DrainViews views;
   private final PublishedRecords published;
-  private final StatusPublisher status;
+  private final StatusPublisher statusPublisher;
   private List<TaskView> tasksWithoutCapacity = List.of();
   private Instant nextRoundAt = Instant.MIN;
 
-  /** Creates a coordinator that has read no stored drains yet. */
+  /** Creates a coordinator without stored drains. */
   public DrainCoordinator(
       LeaderState state,
       DrainSettings settings,
-      AgentTimings times,
+      AgentTimings timings,
       GracefulTermination gracefulTermination,
       LevelGate levelGate,
       int maxValueBytes,
-      InstantSource timeOfDay,
+      InstantSource wallClock,
       CommandDispatcher dispatcher,
       MachineRetirement retirement) {
     this.jobs = state.jobs();
     this.inventory = state.inventory();
     this.records = state.records();
     this.levelGate = levelGate;
-    this.timeOfDay = timeOfDay;
+    this.wallClock = wallClock;
     this.retirement = retirement;
     this.planner = new DrainPlanner(settings.windows());
     this.ledger = new DisruptionLedger(settings.budgets());
-    this.responsiveness = new Responsiveness(times);
+    this.responsiveness = new Responsiveness(timings);
     this.disruptions =
         new DisruptionTracker(
             state, ledger, maxValueBytes, responsiveness, gracefulTermination, dispatcher);
-    this.maintenance = new MaintenanceTransitions(state, times, responsiveness);
+    this.maintenance = new MaintenanceTransitions(state, timings, responsiveness);
     this.views = new DrainViews(disruptions, responsiveness);
     this.published = new PublishedRecords(state.clock(), maxValueBytes);
-    this.status = new StatusPublisher(state, ledger, published, timeOfDay, maxValueBytes);
+    this.statusPublisher = new StatusPublisher(state, ledger, published, wallClock, maxValueBytes);
   }
 
-  /** What adds records of drains to the leader's transactions. */
+  /** Returns the contributors that add drain records to the leader's transactions. */
   public List<TransactionContributor> contributors() {
     return List.of(disruptions.records(), published);
   }
 
   // ---- Stored values ----
 
-  /** Forgets all stored values: a new snapshot is about to be delivered. */
+  /** Discards all stored values before a new snapshot is delivered. */
   public void forgetStored() {
     requests.forgetStored();
     disruptions.records().forgetStored();
   }
 
-  /** Applies a change of a stored value. */
+  /** Applies a change to a stored value. */
   public void storedChanged(KeyChange change) {
     if (Keys.isDisruptions(change.key())) {
       disruptions.records().storedChanged(change);
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Begins a term; all stored values have been delivered. */
+  /** Begins a term, after all stored values have been delivered. */
   public void beginTerm() {
     published.clear();
     maintenance.beginTerm();
@@ -122,7 +122,7 @@
     disruptions.beginTerm();
   }
 
-  /** Ends the term: nothing more is written in it. */
+  /** Ends the term; nothing more is written. */
   public void endTerm() {
     disruptions.records().clear();
     published.clear();
@@ -130,8 +130,8 @@
 
   // ---- Rounds ----
 
-  /** Does a round of decisions if the last one was a second ago. */
-  public void roundIfDue(Instant now) {
+  /** Runs a round of decisions if at least a second has passed since the last one. */
+  public void runRoundIfDue(Instant now) {
     if (now.isBefore(nextRoundAt)) {
       return;
     }
@@ -141,16 +141,16 @@
     disruptions.update(now);
     if (levelGate.isEnabled(Feature.MACHINE_MAINTENANCE)) {
       maintenance.endProbations(now);
-      maintenance.releaseOrphaned(requests::isKnown);
-      carryOut(decide(now));
+      maintenance.returnOrphanedToService(requests::isKnown);
+      executePlan(planRound(now));
     } else {
-      maintenance.releaseAll();
-      requests.readable().forEach(drain -> status.publishBlockedByLevel(drain.request()));
+      maintenance.returnAllToService();
+      requests.readable().forEach(drain -> statusPublisher.publishBlockedByLevel(drain.request()));
     }
-    status.publishCluster();
+    statusPublisher.publishCluster();
   }
 
-  /** Records idle machines too: operators select the machines to drain from the records. */
+  /** Records idle machines too, because operators select machines to drain from the records. */
   private void recordAllMachines() {
     for (Machine machine : inventory.all()) {
       if (machine.lifecycle() == Lifecycle.UP
@@ -162,7 +162,7 @@
     }
   }
 
-  private Plan decide(Instant now) {
+  private Plan planRound(Instant now) {
     Map<String, MachineView> machines = new HashMap<>();
     List<Drain> drains = requests.readable();
     if (!drains.isEmpty()) {
@@ -170,14 +170,14 @@
           .filter(machine -> machine.lifecycle() != Lifecycle.RETIRING)
           .forEach(machine -> machines.put(machine.name(), views.view(machine, now)));
     }
-    Instant today = timeOfDay.instant();
+    Instant wallClockNow = wallClock.instant();
     inventory.all().forEach(machine -> machine.planDrain(false));
-    drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
+    drains.stream().filter(drain -> drain.isActive(wallClockNow)).forEach(this::markPlannedDrain);
     DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, responsiveness);
-    return planner.plan(drains, machines, ledger, capacity, today);
+    return planner.plan(drains, machines, ledger, capacity, wallClockNow);
   }
 
-  private void noteScheduledDrain(Drain drain) {
+  private void markPlannedDrain(Drain drain) {
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
@@ -186,7 +186,7 @@
     }
   }
 
-  private void carryOut(Plan plan) {
+  private void executePlan(Plan plan) {
     plan.maintenanceChanges().forEach(maintenance::change);
     plan.machinesToRelease().stream()
         .map(inventory::get)
@@ -195,16 +195,16 @@
       disruptions.record(task);
     }
     tasksWithoutCapacity = plan.tasksWithoutCapacity();
-    status.publish(plan.statuses());
+    statusPublisher.publish(plan.statuses());
   }
 
-  /** Whether a replica may be relocated; if so, it is stopped once that is durably recorded. */
+  /** Requests a relocation; if granted, the replica is stopped once its disruption is durable. */
   @Override
   public boolean requestRelocation(TaskAttempt attempt) {
     return disruptions.requestRelocation(attempt);
   }
 
-  /** What should be provisioned so that drained tasks find capacity elsewhere. */
+  /** Returns the demands to provision so that drained tasks have capacity elsewhere. */
   @Override
   public List<ScaleOutPlanner.Demand> replacementDemands() {
     Map<Job, Integer> tasks = new LinkedHashMap<>();
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainViews.java
@@ -12,13 +12,13 @@
 import java.util.Optional;
 
 /**
- * Shows machines and their tasks to the drain planner as they are now.
+ * Creates snapshots of machines and their tasks for the drain planner.
  *
  * @param disruptions decides which tasks count as running
- * @param responsiveness decides which machines are heard
+ * @param responsiveness decides which machines count as responsive
  */
 record DrainViews(DisruptionTracker disruptions, Responsiveness responsiveness) {
-  /** The machine with all its tasks. */
+  /** Returns a snapshot of the machine with all its tasks. */
   MachineView view(Machine machine, Instant now) {
     List<TaskView> tasks = new ArrayList<>();
     boolean reachable =
@@ -39,8 +39,8 @@
   }
 
   private TaskView view(TaskAttempt attempt, Instant now) {
-    boolean saves = !attempt.job().spec().checkpointInterval().isZero();
-    Duration ran = attempt.runningTime(now);
+    boolean savesCheckpoints = !attempt.job().spec().checkpointInterval().isZero();
+    Duration runningTime = attempt.runningTime(now);
     return new TaskView(
         attempt.task(),
         attempt.job().spec().team(),
@@ -48,10 +48,10 @@
         disruptions.isRunning(attempt, now),
         attempt.stopping(),
         attempt.job().spec().isService()
-                || attempt.job().spec().estimatedDuration().minus(ran).isNegative()
+                || attempt.job().spec().estimatedDuration().minus(runningTime).isNegative()
             ? Optional.empty()
-            : Optional.of(attempt.job().spec().estimatedDuration().minus(ran)),
-        attempt.job().spec().isService() || saves ? Duration.ZERO : ran,
+            : Optional.of(attempt.job().spec().estimatedDuration().minus(runningTime)),
+        attempt.job().spec().isService() || savesCheckpoints ? Duration.ZERO : runningTime,
         DisruptionTracker.gangMembersOf(attempt));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -15,35 +15,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Changes the maintenance state of machines, and ends their probation. */
+/** Changes the maintenance state of machines and ends their probation. */
 final class MaintenanceTransitions {
   private static final Logger LOG = LoggerFactory.getLogger(MaintenanceTransitions.class);
 
-  /** A machine has proven to work once it was responsive for so many leases on end. */
+  /** Probation ends after a machine has been responsive for this many lease periods in a row. */
   private static final int PROBATION_LEASES = 2;
 
   private final Leadership leadership;
   private final MachineInventory inventory;
   private final DecisionRecorder records;
-  private final AgentTimings times;
+  private final AgentTimings timings;
   private final Responsiveness responsiveness;
   private final Map<Machine, Instant> probationSince = new HashMap<>();
 
-  /** Creates transitions for a leader's machines. */
-  MaintenanceTransitions(LeaderState state, AgentTimings times, Responsiveness responsiveness) {
+  /** Creates transitions for the machines of a leader. */
+  MaintenanceTransitions(LeaderState state, AgentTimings timings, Responsiveness responsiveness) {
     this.leadership = state.leadership();
     this.inventory = state.inventory();
     this.records = state.records();
-    this.times = times;
+    this.timings = timings;
     this.responsiveness = responsiveness;
   }
 
-  /** Forgets since when machines are in probation: a term begins. */
+  /** Begins a term; the probation of all machines starts again. */
   void beginTerm() {
     probationSince.clear();
   }
 
-  /** Changes a machine's maintenance state, and records it as soon as possible. */
+  /** Changes the maintenance state of a machine, and records it as soon as possible. */
   void change(String name, Maintenance maintenance) {
     Machine machine = inventory.get(name);
     LOG.info(
@@ -60,8 +60,8 @@
     records.recordMachineNow(machine);
   }
 
-  /** Puts machines back into service whose drain does not exist any more. */
-  void releaseOrphaned(Predicate<String> isKnownDrain) {
+  /** Returns machines whose drain no longer exists to service, starting with probation. */
+  void returnOrphanedToService(Predicate<String> isKnownDrain) {
     for (Machine machine : List.copyOf(inventory.all())) {
       boolean orphaned =
           !machine.maintenance().isSchedulable()
@@ -72,8 +72,8 @@
     }
   }
 
-  /** Puts all machines back into service: below schema level 1 no record can hold maintenance. */
-  void releaseAll() {
+  /** Returns all machines to service: below schema level 1, maintenance can't be recorded. */
+  void returnAllToService() {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (!machine.maintenance().isInService()) {
         change(machine.name(), Maintenance.IN_SERVICE);
@@ -81,7 +81,9 @@
     }
   }
 
-  /** Ends the probation of machines that have proven to work. */
+  /**
+   * Ends the probation of responsive machines that hold an image or served their full probation.
+   */
   void endProbations(Instant now) {
     for (Machine machine : List.copyOf(inventory.all())) {
       if (machine.maintenance().stage() != Maintenance.Stage.PROBATION) {
@@ -93,8 +95,8 @@
       if (!responsive) {
         probationSince.put(machine, now);
       }
-      Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
-      if (responsive && (!machine.images().isEmpty() || now.isAfter(provenAt))) {
+      Instant probationEndsAt = since.plus(timings.lease().multipliedBy(PROBATION_LEASES));
+      if (responsive && (!machine.images().isEmpty() || now.isAfter(probationEndsAt))) {
         change(machine.name(), Maintenance.IN_SERVICE);
       }
     }
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -7,89 +7,99 @@
 import java.util.TreeSet;
 
 /**
- * Decides which steps of an upgrade may be taken. Pure: it knows what was read of the cluster at
- * one moment; whoever carries a step out makes it conditional on the revisions of what was read.
+ * Decides which upgrade steps are allowed. The plan has no side effects and is based on a snapshot
+ * of the cluster; the caller that executes a step makes it conditional on the revisions of the
+ * records that were read.
  *
- * @param inForce the stored schema level
- * @param hosts all configured controllers
- * @param members what running controllers announce, by host
- * @param incompatibleRecords what is recorded that only levels with a feature can express
+ * @param currentLevel the stored schema level
+ * @param hosts names of all configured controllers
+ * @param members announcements of running controllers, by host name
+ * @param incompatibleRecords names of existing records that require a feature, by feature
  */
 public record UpgradePlan(
-    SchemaLevel inForce,
+    SchemaLevel currentLevel,
     Set<String> hosts,
     Map<String, MemberSupport> members,
     Map<Feature, List<String>> incompatibleRecords) {
 
-  /** The outcome of a request for a step. */
+  /** The outcome of a requested step. */
   public sealed interface Outcome {}
 
-  /** The level is to become this one. */
+  /** The step is allowed; the schema level changes to {@code next}. */
   public record LevelChange(SchemaLevel next) implements Outcome {}
 
-  /** Nothing is to be done, with the reason. */
+  /** There is nothing to do for the given reason. */
   public record NoChange(String reason) implements Outcome {}
 
-  /** The step must not be taken, with the reasons. */
+  /** The step is not allowed for the given reasons. */
   public record Refusal(List<String> reasons) implements Outcome {}
 
   /**
-   * Raises the level by one.
+   * Raises the level by one, or aborts a rollback that is in progress.
    *
-   * @param build what the operator's own build supports
-   * @param confirmedAbsent controllers that are down, as the operator confirms
+   * @param build levels supported by the operator's build
+   * @param confirmedAbsent controllers that the operator confirms to be down
    */
   public Outcome finalise(SupportedLevels build, Set<String> confirmedAbsent) {
-    int target = inForce.isRollingBack() ? inForce.level() : inForce.level() + 1;
+    int target = currentLevel.isRollingBack() ? currentLevel.level() : currentLevel.level() + 1;
     if (target > build.highest()) {
-      return inForce.migrated()
-          ? new NoChange("level " + inForce.level() + " is the highest that this build supports")
-          : new NoChange("level " + inForce.level() + " is in force, its records are migrated");
+      return currentLevel.migrated()
+          ? new NoChange(
+              "level " + currentLevel.level() + " is the highest that this build supports")
+          : new NoChange(
+              "level " + currentLevel.level() + " is in force, its records are migrated");
     }
-    List<String> reasons = objectionsTo(target, confirmedAbsent);
-    if (!inForce.isRollingBack() && !inForce.migrated()) {
-      reasons.add("the records of level " + inForce.level() + " are still migrated");
+    List<String> reasons = findBlockers(target, confirmedAbsent);
+    if (!currentLevel.isRollingBack() && !currentLevel.migrated()) {
+      reasons.add("the records of level " + currentLevel.level() + " are still migrated");
     }
     if (!reasons.isEmpty()) {
       return new Refusal(reasons);
     }
     return new LevelChange(
-        inForce.isRollingBack() ? inForce.resumed() : inForce.upgradedTo(target));
+        currentLevel.isRollingBack() ? currentLevel.resumed() : currentLevel.upgradedTo(target));
   }
 
   /**
-   * Raises the level automatically, in one step to the highest that all controllers support, once
-   * each of them has announced it. After an operator's rollback nothing is raised automatically.
+   * Raises the level automatically, in one step to the highest level that all controllers support,
+   * once each controller has announced its support. After a rollback by an operator, the level is
+   * not raised automatically.
    *
-   * @param build what the leader's own build supports
+   * @param build levels supported by the leader's build
    */
   public Outcome automaticUpgrade(SupportedLevels build) {
-    if (inForce.pinned()) {
+    if (currentLevel.pinned()) {
       return new NoChange("an operator has taken a step back");
     }
     int target = build.highest();
     for (MemberSupport member : members.values()) {
       target = Math.min(target, member.levels().highest());
     }
-    if (target <= inForce.level() || !inForce.migrated()) {
-      return new NoChange("level " + inForce.level() + " stays in force");
+    if (target <= currentLevel.level() || !currentLevel.migrated()) {
+      return new NoChange("level " + currentLevel.level() + " stays in force");
     }
-    List<String> reasons = objectionsTo(target, Set.of());
-    return reasons.isEmpty() ? new LevelChange(inForce.upgradedTo(target)) : new Refusal(reasons);
+    List<String> reasons = findBlockers(target, Set.of());
+    return reasons.isEmpty()
+        ? new LevelChange(currentLevel.upgradedTo(target))
+        : new Refusal(reasons);
   }
 
-  /** Rolls the last step back: the records are migrated to the form of the level below. */
+  /**
+   * Rolls back the last step: records are migrated to the format of the level below.
+   *
+   * @param build levels supported by the operator's build
+   */
   public Outcome rollback(SupportedLevels build) {
-    if (inForce.level() == 0) {
+    if (currentLevel.level() == 0) {
       return new NoChange("level 0 is in force, there is nothing to take back");
     }
-    if (inForce.isRollingBack()) {
+    if (currentLevel.isRollingBack()) {
       return new NoChange(
-          "the records are already written in the forms of " + inForce.writtenLevel());
+          "the records are already written in the forms of " + currentLevel.writtenLevel());
     }
-    int target = inForce.level() - 1;
+    int target = currentLevel.level() - 1;
     List<String> reasons = new ArrayList<>();
-    if (!build.contains(target) || !build.contains(inForce.level())) {
+    if (!build.contains(target) || !build.contains(currentLevel.level())) {
       reasons.add("this build supports " + build);
     }
     members.forEach(
@@ -105,11 +115,11 @@
                 "level " + target + " " + feature.limitation() + String.join(", ", records));
           }
         });
-    return reasons.isEmpty() ? new LevelChange(inForce.rollingBack()) : new Refusal(reasons);
+    return reasons.isEmpty() ? new LevelChange(currentLevel.rollingBack()) : new Refusal(reasons);
   }
 
-  /** Why the level can't be raised yet; empty if all controllers support it. */
-  private List<String> objectionsTo(int target, Set<String> confirmedAbsent) {
+  /** Returns what prevents raising the level; empty if all controllers support the target. */
+  private List<String> findBlockers(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
     for (String host : new TreeSet<>(hosts)) {
       MemberSupport member = members.get(host);
@@ -129,13 +139,13 @@
     return reasons;
   }
 
-  /** The operator's next step, for display. */
+  /** Returns a description of the operator's next step, for display. */
   public String nextStep(SupportedLevels build) {
-    if (inForce.isRollingBack()) {
-      return "wait until level " + inForce.writtenLevel() + " is in force, or finalise again";
+    if (currentLevel.isRollingBack()) {
+      return "wait until level " + currentLevel.writtenLevel() + " is in force, or finalise again";
     }
-    if (!inForce.migrated()) {
-      return "wait until all records are at level " + inForce.level();
+    if (!currentLevel.migrated()) {
+      return "wait until all records are at level " + currentLevel.level();
     }
     Outcome outcome = finalise(build, Set.of());
     if (outcome instanceof LevelChange change) {
@@ -143,7 +153,7 @@
     }
     return outcome instanceof Refusal refusal
         ? "mend what holds level %d up: %s"
-            .formatted(inForce.level() + 1, String.join("; ", refusal.reasons()))
+            .formatted(currentLevel.level() + 1, String.join("; ", refusal.reasons()))
         : "none";
   }
 }
--- a/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
+++ b/src/test/java/io/pearscale/drain/MaintenanceWindowTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Windows over midnight, on chosen days, and where clocks change. */
+/** Tests windows across midnight, on selected days, and on days with a clock change. */
 class MaintenanceWindowTest {
   private static final ZoneId BERLIN = ZoneId.of("Europe/Berlin");
   private static final LocalDate SPRING = LocalDate.of(2026, 3, 29);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aWindowOverMidnightBelongsToTheDayOnWhichItBegins() {
+  void windowAcrossMidnightBelongsToItsStartDay() {
     MaintenanceWindow night =
         window("America/Costa_Rica", EnumSet.of(DayOfWeek.FRIDAY), "22:00", "04:00");
     assertFalse(night.isOpen(utc("2026-12-05T03:59:59Z")));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void theMissingHourShortensAWindowOrClosesIt() {
+  void skippedHourShortensOrRemovesAWindow() {
     assertEquals(
         Duration.ofHours(1), daily("01:30", "03:30").occurrence(SPRING).orElseThrow().toDuration());
     assertEquals(Optional.empty(), daily("02:00", "03:00").occurrence(SPRING));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void theDoubledHourIsOpenBothTimes() {
+  void windowIsOpenInBothRepeatedHours() {
     MaintenanceWindow window = daily("02:00", "02:30");
     assertEquals(Duration.ofMinutes(90), window.occurrence(AUTUMN).orElseThrow().toDuration());
     assertTrue(window.isOpen(utc("2026-10-25T00:10:00Z")));
