--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -47,7 +47,7 @@
       // that
       // saves already, for whatever reason it was stopped, ends.
       attempt.forbidCheckpoint();
-      attempt.forgetStopsSent();
+      attempt.resetStopsSent();
       components.inventory.stop(attempt);
       components.inventory.markCommandDue(attempt.machine());
       components.dispatcher.sendDueCommands(attempt.machine());
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -164,7 +164,7 @@
     } else if (message instanceof KeysChanged m) {
       keysChanged(m);
     } else if (message instanceof ReplicaFresh m) {
-      leadership.recordReplicaAsOf(m.asOf);
+      leadership.recordReplicaUpToDate(m.asOf);
       components.jobs.replicaCaughtUpTo(m.asOf);
     } else if (message instanceof Loaded m) {
       storedKeyUpdates.load(m.entries);
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable action) {
+    public void executeAfter(Duration delay, Runnable action) {
       long term = leadership.term();
       loop.schedule(delay, () -> tell(new DeferredAction(term, action)));
     }
--- a/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
+++ b/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
@@ -21,7 +21,7 @@
 
   /** Takes over all keys, in place of what was known before. */
   void load(Map<String, Entry> entries) {
-    components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
+    components.jobs.idsWithoutKey(entries.keySet()).forEach(jobTermination::endJob);
     components.jobs.forgetUnreadable();
     components.records.storedValues().clear();
     components.levelRaiser.forgetStored();
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -39,7 +39,7 @@
     components.gangs.clear();
     components.drainCoordinator.ifPresent(DrainCoordinator::endTerm);
     components.machineProvisioner.end();
-    components.jobs.forgetLeaderState();
+    components.jobs.clearLeaderState();
   }
 
   /** The copy of the keys was loaded, and has that revision. */
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -135,7 +135,7 @@
     List<AgentCommand> commands =
         dueCommands.take(machine, /* inHeartbeatResponse= */ false, clock.instant());
     if (!commands.isEmpty()) {
-      decisions.sendingStarts(machine, commands, Channel.COMMAND);
+      decisions.recordStartsSent(machine, commands, Channel.COMMAND);
       send(machine, commands);
     }
   }
@@ -144,7 +144,7 @@
   List<AgentCommand> commandsForHeartbeatResponse(Machine machine) {
     List<AgentCommand> commands =
         dueCommands.take(machine, /* inHeartbeatResponse= */ true, clock.instant());
-    decisions.sendingStarts(machine, commands, Channel.HEARTBEAT_RESPONSE);
+    decisions.recordStartsSent(machine, commands, Channel.HEARTBEAT_RESPONSE);
     return commands;
   }
 
@@ -268,7 +268,7 @@
         continue;
       }
       if (command.verb() == AgentCommand.Verb.STOP) {
-        attempt.forgetStopsSent();
+        attempt.resetStopsSent();
       } else if (command.verb() == AgentCommand.Verb.START
           && !attempt.observed()
           && attempt.startToken() == call.fencingToken) {
@@ -281,7 +281,7 @@
     if (attempt.stopping()) {
       inventory.remove(attempt, AbsenceProof.NOT_EXECUTED);
     } else {
-      attempt.startNotExecuted();
+      attempt.recordStartNotExecuted();
       inventory.markCommandDue(attempt.machine());
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
@@ -81,7 +81,7 @@
               && !attempt.stopping()
               && !machine.reachability().commandInFlight();
       if (seemsLost && leadership.mayStartTasks()) {
-        attempt.startResent(machine.fencing().current(), machine.lease().incarnation());
+        attempt.recordStartResent(machine.fencing().current(), machine.lease().incarnation());
         commands.add(AgentCommand.start(attempt.task(), attempt.number()));
       }
     }
@@ -142,7 +142,7 @@
         continue;
       }
       available.subtract(attempt.spec());
-      attempt.startSent(machine.fencing().current(), machine.lease().incarnation());
+      attempt.recordStartSent(machine.fencing().current(), machine.lease().incarnation());
       commands.add(AgentCommand.start(attempt.task(), attempt.number()));
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -86,7 +86,7 @@
    */
   private void expireLease(Machine machine) {
     machine.expireLease();
-    decisions.leaseExpired(machine, machine.attempts().size(), timings.leaseExpiryBound());
+    decisions.recordLeaseExpired(machine, machine.attempts().size(), timings.leaseExpiryBound());
     inventory.removeAll(machine, AbsenceProof.LEASE_EXPIRED);
     machine.lease().endIncarnation();
     if (machine.lifecycle() == Lifecycle.UP && machine.maintenance().isInService()) {
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -72,7 +72,7 @@
   }
 
   private void quarantineIfFaulty(Machine machine) {
-    if (!machine.failures().isQuarantined() && machine.failures().pointToMachine()) {
+    if (!machine.failures().isQuarantined() && machine.failures().indicateFaultyMachine()) {
       machine.failures().quarantine();
       LOG.warn(
           "event=machine_quarantined term={} machine={} failures={}",
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -66,7 +66,7 @@
       if (!leadership.isFromThisTerm(heartbeat.fencingToken())) {
         return;
       }
-      machine.reconcile();
+      machine.markReconciled();
       requestPass.run();
     }
     updateLiveness(machine, heartbeat, reachable);
@@ -119,7 +119,7 @@
     long previous = machine.lease().incarnation();
     boolean isNew = machine.lease().observe(heartbeat, now);
     if (isNew && (machine.leaseExpired() || (previous > 0 && heartbeat.incarnation() > previous))) {
-      decisions.incarnationBegan(machine, heartbeat, previous);
+      decisions.recordIncarnationBegan(machine, heartbeat, previous);
     }
   }
 
@@ -127,7 +127,7 @@
   private void updateLiveness(Machine machine, Heartbeat heartbeat, boolean reachable) {
     Instant now = clock.instant();
     if (reachable) {
-      machine.reachability().reached(now);
+      machine.reachability().recordReachable(now);
     }
     if (heartbeat.preemptionNotice().isPresent() && machine.preemptionNoticeAt().isEmpty()) {
       LOG.info(
--- a/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
@@ -66,8 +66,9 @@
         && !machine.failures().isQuarantined()
         && machine.preemptionNoticeAt().isEmpty()
         && machine.reachability().answersWithoutHeartbeatSince().isEmpty()
-        && now.isBefore(machine.reachability().lastReachableAt().plus(timings.heartbeatDue()))
-        && machine.lease().isHeld(now, timings.lease());
+        && now.isBefore(
+            machine.reachability().lastReachableAt().plus(timings.heartbeatOverdueAfter()))
+        && machine.lease().isHeld(now, timings.leaseTtl());
   }
 
   /** Whether it was silent for longer than any lease that was ever renewed lasts. */
@@ -83,7 +84,7 @@
    * @param allRecordedProbed whether the probes after the failover are through
    */
   boolean needsProbe(Machine machine, boolean allRecordedProbed, Instant now) {
-    boolean silent = sinceLastContact(machine, now).compareTo(timings.heartbeatDue()) > 0;
+    boolean silent = sinceLastContact(machine, now).compareTo(timings.heartbeatOverdueAfter()) > 0;
     boolean unreconciled = !machine.reconciled() && allRecordedProbed;
     return machine.lifecycle() == Lifecycle.UP
         && machine.reachability().heartbeatEverReceived()
@@ -162,7 +163,7 @@
             : SILENT_MACHINE_LEASES;
     return machine.leaseExpired()
         && machine.lifecycle() == Lifecycle.UP
-        && now.isAfter(lastContact(machine).plus(timings.lease().multipliedBy(leases)));
+        && now.isAfter(lastContact(machine).plus(timings.leaseTtl().multipliedBy(leases)));
   }
 
   private Duration sinceLastContact(Machine machine, Instant now) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
@@ -85,10 +85,12 @@
         MessageFields.seconds(probing) / settings.cpuShare()
             < MessageFields.seconds(settings.agents().heartbeatInterval());
     probesAllowedFrom =
-        soonerThanHeartbeats ? clock.instant() : clock.instant().plus(timings.heartbeatDue());
+        soonerThanHeartbeats
+            ? clock.instant()
+            : clock.instant().plus(timings.heartbeatOverdueAfter());
     sendMoreProbes();
     if (!soonerThanHeartbeats) {
-      executor.after(timings.heartbeatDue(), this::sendMoreProbes);
+      executor.executeAfter(timings.heartbeatOverdueAfter(), this::sendMoreProbes);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -85,7 +85,7 @@
           && machine.record().isRetiring()
           && !machine.cloud().isDeletionRequested()
           && names.size() < CloudApi.MAX_DELETED_PER_REQUEST) {
-        machine.cloud().deletionRequested();
+        machine.cloud().recordDeletionRequested();
         names.add(machine.name());
       }
     }
@@ -99,7 +99,7 @@
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.cloud().deletionFailed();
+        machine.cloud().recordDeletionFailed();
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/StopCommands.java
@@ -37,7 +37,7 @@
    */
   static List<AgentCommand> due(Machine machine, boolean inHeartbeatResponse, Instant now) {
     List<AgentCommand> stops = new ArrayList<>();
-    machine.reportedAttempts().unknownStopsSent(now);
+    machine.reportedAttempts().recordUnknownStopsSent(now);
     machine
         .reportedAttempts()
         .unknown()
@@ -46,7 +46,7 @@
     for (TaskAttempt attempt : machine.attempts().values()) {
       if (isDue(attempt, inHeartbeatResponse, now)) {
         stops.add(stopCommand(attempt));
-        attempt.stopSent(now);
+        attempt.recordStopSent(now);
       }
     }
     return stops;
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -170,7 +170,7 @@
         sinceStart.toMillis());
     attempt.machine().recordImageUse(attempt.spec().image(), attempt.spec().imageGb());
     if (before.compareTo(Stage.RUNNING) < 0) {
-      statistics.recordStart(sinceStart);
+      statistics.recordStartLatency(sinceStart);
     }
     attempt.beginRunning(now);
   }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
@@ -95,7 +95,7 @@
     for (Machine machine : schedulable) {
       if (spec.allows(machine.type(), machine.zone(), machine.spot())
           && job.isOnlyInZone(machine.zone())) {
-        int slots = machine.availableAbove(Priority.IDLE).countFitting(spec);
+        int slots = machine.availableWithPreemption(Priority.IDLE).countFitting(spec);
         slotsByZone.merge(machine.zone(), slots, Integer::sum);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/IdleMachineSelector.java
@@ -84,7 +84,7 @@
   }
 
   private static Candidate candidate(Machine machine) {
-    double usedCpus = machine.type().cpus() - machine.availableAbove(Priority.IDLE).cpus();
+    double usedCpus = machine.type().cpus() - machine.availableWithPreemption(Priority.IDLE).cpus();
     double price =
         machine.type().hourlyPrice(machine.spot()) / Math.max(MIN_CPUS, machine.type().cpus());
     return new Candidate(machine, machine.attempts().replicaCount(), price, usedCpus);
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -171,7 +171,7 @@
           .forEach(machine -> machines.put(machine.name(), views.view(machine, now)));
     }
     Instant today = timeOfDay.instant();
-    inventory.all().forEach(machine -> machine.planDrain(false));
+    inventory.all().forEach(machine -> machine.setDrainPlanned(false));
     drains.stream().filter(drain -> drain.isActive(today)).forEach(this::noteScheduledDrain);
     DrainCapacity capacity = new DrainCapacity(inventory, jobs, now, responsiveness);
     return planner.plan(drains, machines, ledger, capacity, today);
@@ -181,7 +181,7 @@
     for (String name : drain.machines()) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.planDrain(true);
+        machine.setDrainPlanned(true);
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -93,7 +93,7 @@
       if (!responsive) {
         probationSince.put(machine, now);
       }
-      Instant provenAt = since.plus(times.lease().multipliedBy(PROBATION_LEASES));
+      Instant provenAt = since.plus(times.leaseTtl().multipliedBy(PROBATION_LEASES));
       if (responsive && (!machine.images().isEmpty() || now.isAfter(provenAt))) {
         change(machine.name(), Maintenance.IN_SERVICE);
       }
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -92,7 +92,7 @@
       putReason(waiting, job);
     }
     for (Job job : jobs.gangs()) {
-      if (gangs.isHeldUp(job)) {
+      if (gangs.isWaiting(job)) {
         putReason(waiting, job);
       }
     }
@@ -109,7 +109,7 @@
     if (job.failures().failsEverywhere()) {
       return "it failed wherever it was tried, and is tried ever more rarely";
     }
-    if (job.spec().isGang() && gangs.isHeldUp(job)) {
+    if (job.spec().isGang() && gangs.isWaiting(job)) {
       return gangs.waitReason(job);
     }
     if (!job.isUnschedulable()) {
--- a/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
+++ b/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
@@ -7,12 +7,12 @@
  * Times that follow from the interval of agents' heartbeats and the time of their leases. They are
  * asked for every machine in each pass, so they are computed once.
  *
- * @param lease how long an agent keeps its tasks without a response
+ * @param leaseTtl how long an agent keeps its tasks without a response
  * @param halfLease how long an unresponsive machine with replicas is waited for
  * @param leaseExpiryBound when nothing can be alive on a machine any more, after its last renewal:
  *     steady clocks differ by up to 0.05 % each; twice that and a second on top
- * @param heartbeatDue how long after the last a heartbeat is late, and the machine is probed: they
- *     come up to a quarter of their interval early or late
+ * @param heartbeatOverdueAfter how long after the last a heartbeat is late, and the machine is
+ *     probed: they come up to a quarter of their interval early or late
  * @param reachableWithin a machine that was reached so lately is taken to be reachable now
  * @param unresponsiveAfter how long a machine may be silent before it counts as unresponsive
  * @param schedulableWithin how long a machine may be silent and still get tasks
@@ -20,10 +20,10 @@
  *     planned for it are taken back
  */
 public record AgentTimings(
-    Duration lease,
+    Duration leaseTtl,
     Duration halfLease,
     Duration leaseExpiryBound,
-    Duration heartbeatDue,
+    Duration heartbeatOverdueAfter,
     Duration reachableWithin,
     Duration unresponsiveAfter,
     Duration schedulableWithin,
@@ -32,11 +32,11 @@
   /** Derives them from the settings of agents. */
   public static AgentTimings of(Settings.AgentSettings agents) {
     Duration heartbeatInterval = agents.heartbeatInterval();
-    Duration lease = agents.leaseTtl();
+    Duration leaseTtl = agents.leaseTtl();
     return new AgentTimings(
-        lease,
-        lease.dividedBy(2),
-        lease.plus(lease.dividedBy(500)).plusSeconds(1),
+        leaseTtl,
+        leaseTtl.dividedBy(2),
+        leaseTtl.plus(leaseTtl.dividedBy(500)).plusSeconds(1),
         heartbeatInterval.multipliedBy(13).dividedBy(10),
         heartbeatInterval.multipliedBy(11).dividedBy(10),
         heartbeatInterval.multipliedBy(9).dividedBy(5),
--- a/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
@@ -8,22 +8,22 @@
  */
 public final class AttemptNumbers {
   private static final int TERM_SHIFT = 40;
-  private static final long MAX_COUNT = (1L << TERM_SHIFT) - 1;
+  private static final long MAX_ATTEMPTS_PER_TERM = (1L << TERM_SHIFT) - 1;
 
   private long term;
-  private long count;
+  private long attemptsInTerm;
 
   /** Begins a term. */
   public void beginTerm(long newTerm) {
     term = newTerm;
-    count = 0;
+    attemptsInTerm = 0;
   }
 
   /** A number that was not used before. */
   public long next() {
-    if (count == MAX_COUNT) {
+    if (attemptsInTerm == MAX_ATTEMPTS_PER_TERM) {
       throw new IllegalStateException("all attempts of term " + term + " are used up");
     }
-    return (term << TERM_SHIFT) + ++count;
+    return (term << TERM_SHIFT) + ++attemptsInTerm;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
+++ b/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
@@ -12,23 +12,23 @@
  */
 final class CancelledJobs {
   /** When each was noted, the earliest first. */
-  private final Map<String, Instant> cancelledAt = new LinkedHashMap<>();
+  private final Map<String, Instant> recordedAt = new LinkedHashMap<>();
 
   /** Notes a job as cancelled. */
   void add(String job, Instant now) {
-    cancelledAt.putIfAbsent(job, now);
+    recordedAt.putIfAbsent(job, now);
   }
 
   /** Whether the job is known to be cancelled. */
   boolean contains(String job) {
-    return cancelledAt.containsKey(job);
+    return recordedAt.containsKey(job);
   }
 
   /**
    * The replica has all changes that were made before that time. What was noted before is gone from
    * it for good, since keys of jobs that are over are never written again.
    */
-  void replicaCaughtUpTo(Instant asOf) {
-    cancelledAt.values().removeIf(at -> at.isBefore(asOf));
+  void replicaCaughtUpTo(Instant replicaTime) {
+    recordedAt.values().removeIf(recordTime -> recordTime.isBefore(replicaTime));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/CloudState.java
+++ b/src/main/java/io/pearscale/scheduler/model/CloudState.java
@@ -38,12 +38,12 @@
   }
 
   /** The cloud is being asked to delete the machine. */
-  public void deletionRequested() {
+  public void recordDeletionRequested() {
     deletionRequested = true;
   }
 
   /** The cloud has not deleted the machine, as far as known. */
-  public void deletionFailed() {
+  public void recordDeletionFailed() {
     deletionRequested = false;
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
@@ -30,7 +30,7 @@
   private final InstantSource clock;
   private final int[] absencesByProof = new int[AbsenceProof.values().length];
   private final int[] startsByChannel = new int[Channel.values().length];
-  private int incarnationsBegun;
+  private int newIncarnations;
 
   /** Makes a log for the decisions of a leader. */
   public DecisionLog(Leadership leadership, InstantSource clock) {
@@ -39,12 +39,12 @@
   }
 
   /** Starts are being sent; commands of other kinds among them are not counted. */
-  public void sendingStarts(Machine machine, List<AgentCommand> orders, Channel channel) {
-    int before = startsByChannel[channel.ordinal()];
-    for (AgentCommand command : orders) {
+  public void recordStartsSent(Machine machine, List<AgentCommand> commands, Channel channel) {
+    int previousCount = startsByChannel[channel.ordinal()];
+    for (AgentCommand command : commands) {
       startsByChannel[channel.ordinal()] += command.verb() == AgentCommand.Verb.START ? 1 : 0;
     }
-    if (startsByChannel[channel.ordinal()] > before && LOG.isDebugEnabled()) {
+    if (startsByChannel[channel.ordinal()] > previousCount && LOG.isDebugEnabled()) {
       LOG.debug(
           "event=starts_sent term={} machine={} fencing_token={} channel={} {} tasks={}",
           leadership.term(),
@@ -52,12 +52,12 @@
           machine.fencing().current(),
           channel,
           describeLease(machine),
-          startsIn(orders));
+          describeStarts(commands));
     }
   }
 
-  private static List<String> startsIn(List<AgentCommand> orders) {
-    return orders.stream()
+  private static List<String> describeStarts(List<AgentCommand> commands) {
+    return commands.stream()
         .filter(command -> command.verb() == AgentCommand.Verb.START)
         .map(command -> command.task() + "@" + command.attempt())
         .toList();
@@ -66,8 +66,8 @@
   /**
    * A machine shows an incarnation that was not expected of it, or the one after its lease expired.
    */
-  public void incarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
-    incarnationsBegun++;
+  public void recordIncarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
+    newIncarnations++;
     LOG.info(
         "event=incarnation_began term={} machine={} previous_incarnation={} fencing_token={} {}",
         leadership.term(),
@@ -80,20 +80,20 @@
   /**
    * The machine's lease has expired, and with it all that was there.
    *
-   * @param bound how long after the last renewal that is certain
+   * @param expiryBound how long after the last renewal that is certain
    */
-  public void leaseExpired(Machine machine, int tasks, Duration bound) {
+  public void recordLeaseExpired(Machine machine, int tasks, Duration expiryBound) {
     LOG.warn(
         "event=machine_lease_expired term={} machine={} tasks={} bound_ms={} {}",
         leadership.term(),
         machine.name(),
         tasks,
-        bound.toMillis(),
+        expiryBound.toMillis(),
         describeLease(machine));
   }
 
   /** It is proven that a task is not on its machine. */
-  void absenceProved(TaskAttempt attempt, AbsenceProof proof) {
+  void recordAbsenceProved(TaskAttempt attempt, AbsenceProof proof) {
     absencesByProof[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
       LOG.debug(
@@ -128,10 +128,10 @@
             .formatted(
                 Arrays.toString(startsByChannel).replace(" ", ""),
                 Arrays.toString(absencesByProof).replace(" ", ""),
-                incarnationsBegun);
+                newIncarnations);
     Arrays.fill(startsByChannel, 0);
     Arrays.fill(absencesByProof, 0);
-    incarnationsBegun = 0;
+    newIncarnations = 0;
     return counts;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
+++ b/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
@@ -9,14 +9,14 @@
  * <p>Owned by its {@link Machine}; written while the leader handles heartbeats and commands.
  */
 public final class FencingTokens {
-  private static final long NONE = -1;
+  private static final long NO_TOKEN = -1;
 
   private long current;
   private long observed;
-  private long lastResponseToken = NONE;
+  private long lastResponseToken = NO_TOKEN;
   private String lastResponseController = "";
   private int unacknowledgedResponses;
-  private long unknownOutcomeToken = NONE;
+  private long unknownOutcomeToken = NO_TOKEN;
 
   /** The token that commands to the machine carry. */
   public long current() {
@@ -37,7 +37,7 @@
   }
 
   /** The leader's first token for the machine in this term. */
-  void begin(long firstToken) {
+  void initialize(long firstToken) {
     current = firstToken;
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -24,7 +24,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
   /** Machines that are named at most as what a gang waits for. */
-  private static final int MAX_MACHINES_NAMED = 3;
+  private static final int MAX_MACHINES_IN_WAIT_REASON = 3;
 
   private final Leadership leadership;
   private final InstantSource clock;
@@ -68,7 +68,7 @@
   }
 
   /** Whether tasks of the gang are placed, but do not run. */
-  public boolean isHeldUp(Job job) {
+  public boolean isWaiting(Job job) {
     Phase phase = phase(job);
     return phase != Phase.VACANT && phase != Phase.RUNNING;
   }
@@ -82,10 +82,10 @@
                   countInStage(job, Stage.WAITING_FOR_GANG), job.spec().tasks(), stragglers(job));
       case ENDING ->
           "tasks of the attempt before are not yet proven gone: "
-              + machinesOf(job, attempt -> true);
+              + machineNames(job, attempt -> true);
       case UNKNOWN ->
           "tasks that a former leader placed were not shown yet: "
-              + machinesOf(job, attempt -> !attempt.observed());
+              + machineNames(job, attempt -> !attempt.observed());
       case VACANT, RUNNING -> "it does not wait";
     };
   }
@@ -95,13 +95,13 @@
   }
 
   private static String stragglers(Job job) {
-    return machinesOf(job, attempt -> attempt.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
+    return machineNames(job, attempt -> attempt.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
-  private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
+  private static String machineNames(Job job, Predicate<TaskAttempt> filter) {
     return job.attempts().values().stream()
-        .filter(which)
-        .limit(MAX_MACHINES_NAMED)
+        .filter(filter)
+        .limit(MAX_MACHINES_IN_WAIT_REASON)
         .map(attempt -> attempt.machine().name())
         .distinct()
         .collect(Collectors.joining(", "));
@@ -113,23 +113,26 @@
       return Action.NONE; // One completed task completes all: what is left exits by itself.
     }
     GangAttempt attempt = attemptOf(job);
-    Phase before = attempt.phase();
+    Phase previousPhase = attempt.phase();
     Action action = attempt.nextAction(membersOf(job), clock.instant());
-    notePhaseChange(job, before, /* checkpointed= */ false);
+    recordPhaseChange(job, previousPhase, /* checkpointed= */ false);
     return action;
   }
 
   /** Logs a change of phase, and counts the work that is lost if a gang that ran has to end. */
-  private void notePhaseChange(Job job, Phase before, boolean checkpointed) {
+  private void recordPhaseChange(Job job, Phase previousPhase, boolean checkpointed) {
     GangAttempt attempt = attemptOf(job);
     Phase phase = attempt.phase();
-    if (before == phase) {
+    if (previousPhase == phase) {
       return;
     }
     Instant now = clock.instant();
-    Duration lasted = Duration.between(phaseSince.put(job, now), now);
-    if (before == Phase.RUNNING && phase == Phase.ENDING && !job.hasDoneTasks() && !checkpointed) {
-      lostWork = lostWork.plus(workSinceCheckpoint(job, lasted));
+    Duration previousPhaseDuration = Duration.between(phaseSince.put(job, now), now);
+    if (previousPhase == Phase.RUNNING
+        && phase == Phase.ENDING
+        && !job.hasDoneTasks()
+        && !checkpointed) {
+      lostWork = lostWork.plus(workSinceCheckpoint(job, previousPhaseDuration));
     }
     LOG.info(
         "event=gang term={} job={} phase={} attempt={} tasks={} ended={} before={} lasted_ms={}",
@@ -139,15 +142,15 @@
         attempt.number().orElse(-1L),
         job.attempts().size(),
         attempt.endedAttempts(),
-        before,
-        lasted.toMillis());
+        previousPhase,
+        previousPhaseDuration.toMillis());
   }
 
   /** Time that all tasks together ran since their last checkpoint, as far as this leader knows. */
-  private static Duration workSinceCheckpoint(Job job, Duration ran) {
+  private static Duration workSinceCheckpoint(Job job, Duration runDuration) {
     long checkpointMillis = job.spec().checkpointInterval().toMillis();
     long sinceCheckpoint =
-        checkpointMillis == 0 ? ran.toMillis() : ran.toMillis() % checkpointMillis;
+        checkpointMillis == 0 ? runDuration.toMillis() : runDuration.toMillis() % checkpointMillis;
     return Duration.ofMillis(sinceCheckpoint * job.spec().tasks());
   }
 
@@ -172,9 +175,9 @@
 
   /** An attempt begins under that number. */
   public void beginAttempt(Job job, long number) {
-    Phase before = phase(job);
+    Phase previousPhase = phase(job);
     attemptOf(job).begin(number, clock.instant());
-    notePhaseChange(job, before, /* checkpointed= */ false);
+    recordPhaseChange(job, previousPhase, /* checkpointed= */ false);
   }
 
   /** The number under which missing tasks of the present attempt are started. */
@@ -188,9 +191,9 @@
    * @param checkpoints whether they get time for a checkpoint
    */
   public void noteEnding(Job job, boolean checkpoints) {
-    Phase before = phase(job);
+    Phase previousPhase = phase(job);
     attemptOf(job).noteEnding();
-    notePhaseChange(job, before, checkpoints);
+    recordPhaseChange(job, previousPhase, checkpoints);
   }
 
   /** A task of the attempt of that number has exited since others are missing or gone. */
@@ -221,20 +224,20 @@
    * work that was lost.
    */
   public String logFields() {
-    int[] phases = new int[Phase.values().length];
-    int ended = 0;
+    int[] gangsByPhase = new int[Phase.values().length];
+    int endedAttempts = 0;
     for (GangAttempt attempt : attempts.values()) {
-      phases[attempt.phase().ordinal()]++;
-      ended += attempt.endedAttempts();
+      gangsByPhase[attempt.phase().ordinal()]++;
+      endedAttempts += attempt.endedAttempts();
     }
     return ("gangs_forming=%d gangs_running=%d gangs_ending=%d gangs_unknown=%d gang_attempts_ended=%d"
             + " gang_work_lost_s=%d")
         .formatted(
-            phases[Phase.FORMING.ordinal()],
-            phases[Phase.RUNNING.ordinal()],
-            phases[Phase.ENDING.ordinal()],
-            phases[Phase.UNKNOWN.ordinal()],
-            ended,
+            gangsByPhase[Phase.FORMING.ordinal()],
+            gangsByPhase[Phase.RUNNING.ordinal()],
+            gangsByPhase[Phase.ENDING.ordinal()],
+            gangsByPhase[Phase.UNKNOWN.ordinal()],
+            endedAttempts,
             lostWork.toSeconds());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/HostedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/HostedAttempts.java
@@ -21,7 +21,7 @@
   private final Collection<TaskAttempt> values =
       Collections.unmodifiableCollection(attempts.values());
   private MachineType type;
-  private Resources[] availableByPriority;
+  private Resources[] availableByPreemptor;
 
   HostedAttempts(MachineType type) {
     this.type = type;
@@ -65,7 +65,7 @@
 
   /** What is here, or is to stay here, has changed. */
   void invalidateAvailable() {
-    availableByPriority = null;
+    availableByPreemptor = null;
   }
 
   /** How many of them are of the job. */
@@ -103,21 +103,21 @@
     return others.size();
   }
 
-  /** See {@link Machine#availableAbove}. */
-  Resources availableAbove(Priority priority) {
-    if (availableByPriority == null) {
-      availableByPriority = new Resources[Priority.values().length];
-      for (Priority floor : Priority.values()) {
-        availableByPriority[floor.ordinal()] = countAvailableAbove(floor);
+  /** See {@link Machine#availableWithPreemption}. */
+  Resources availableWithPreemption(Priority priority) {
+    if (availableByPreemptor == null) {
+      availableByPreemptor = new Resources[Priority.values().length];
+      for (Priority preemptor : Priority.values()) {
+        availableByPreemptor[preemptor.ordinal()] = computeAvailableWithPreemption(preemptor);
       }
     }
-    return availableByPriority[priority.ordinal()];
+    return availableByPreemptor[priority.ordinal()];
   }
 
-  private Resources countAvailableAbove(Priority floor) {
+  private Resources computeAvailableWithPreemption(Priority preemptor) {
     Resources available = Resources.of(type);
     for (TaskAttempt attempt : attempts.values()) {
-      if (!attempt.stopping() && attempt.spec().priority().compareTo(floor) >= 0) {
+      if (!attempt.stopping() && attempt.spec().priority().compareTo(preemptor) >= 0) {
         available.subtract(attempt.spec());
       }
     }
--- a/src/main/java/io/pearscale/scheduler/model/ImageCache.java
+++ b/src/main/java/io/pearscale/scheduler/model/ImageCache.java
@@ -34,11 +34,11 @@
     }
     var iterator = sizes.entrySet().iterator();
     while (totalGb > capacityGb && iterator.hasNext()) {
-      var oldest = iterator.next();
-      if (oldest.getKey().equals(image)) {
+      var leastRecentlyUsed = iterator.next();
+      if (leastRecentlyUsed.getKey().equals(image)) {
         break;
       }
-      totalGb -= oldest.getValue();
+      totalGb -= leastRecentlyUsed.getValue();
       iterator.remove();
     }
   }
--- a/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
@@ -33,36 +33,36 @@
   /** Stands for the incarnation of an agent that has shown none which is acceptable. */
   private static final long NO_INCARNATION = -1;
 
-  private long leastAcceptableIncarnation;
+  private long minimumAcceptableIncarnation;
   private long observedIncarnation = NO_INCARNATION;
   private long observedSequence;
-  private Instant countedFrom = Instant.MIN;
+  private Instant leaseStart = Instant.MIN;
   private Basis basis = Basis.NONE;
 
   /** A stored record names the incarnation: older ones are not acceptable. */
-  public void acceptFromRecorded(long incarnation) {
-    leastAcceptableIncarnation = incarnation;
+  public void setMinimumIncarnation(long incarnation) {
+    minimumAcceptableIncarnation = incarnation;
   }
 
   /** Previous leaders may have renewed, or may yet renew, the lease until then. */
-  void previousLeadersRenewUntil(Instant until) {
-    if (until.isAfter(countedFrom)) {
-      countedFrom = until;
+  void extendForPreviousLeaders(Instant until) {
+    if (until.isAfter(leaseStart)) {
+      leaseStart = until;
       basis = Basis.PREVIOUS_LEADERS;
     }
   }
 
   /** Previous leaders renew no leases any more. */
   public void previousLeadersEnded(Instant now) {
-    if (countedFrom.isAfter(now)) {
-      countedFrom = now;
+    if (leaseStart.isAfter(now)) {
+      leaseStart = now;
     }
   }
 
   /** Whether the message is later than all that were observed, and of an acceptable incarnation. */
   public boolean isNewer(Heartbeat message) {
     return observedIncarnation == NO_INCARNATION
-        ? message.incarnation() >= leastAcceptableIncarnation
+        ? message.incarnation() >= minimumAcceptableIncarnation
         : message.isNewerThan(observedIncarnation, observedSequence);
   }
 
@@ -76,8 +76,8 @@
         observedIncarnation == NO_INCARNATION || message.incarnation() > observedIncarnation;
     observedIncarnation = message.incarnation();
     observedSequence = message.sequence();
-    if (incarnationIsNew && now.isAfter(countedFrom)) {
-      countedFrom = now;
+    if (incarnationIsNew && now.isAfter(leaseStart)) {
+      leaseStart = now;
       basis = Basis.INCARNATION_OBSERVED;
     }
     return incarnationIsNew;
@@ -85,37 +85,39 @@
 
   /** A heartbeat of the present incarnation is answered: its lease may last its time from now. */
   public void renew(Instant now) {
-    countedFrom = now;
+    leaseStart = now;
     basis = Basis.HEARTBEAT_RESPONSE;
   }
 
   /**
    * Whether nothing that was started in the present incarnation, or in one before, can be alive.
    *
-   * @param bound the lease's time, with what clocks may differ by
+   * @param expiryBound the lease's time, with what clocks may differ by
    */
-  public boolean isExpired(Instant now, Duration bound) {
-    return basis != Basis.NONE && now.isAfter(countedFrom.plus(bound));
+  public boolean isExpired(Instant now, Duration expiryBound) {
+    return basis != Basis.NONE && now.isAfter(leaseStart.plus(expiryBound));
   }
 
   /**
    * Whether the lease was renewed so lately that the agent still has it.
    *
-   * @param lease the lease's time
+   * @param leaseTtl the lease's time
    */
-  public boolean isHeld(Instant now, Duration lease) {
-    return basis != Basis.NONE && now.isBefore(countedFrom.plus(lease));
+  public boolean isHeld(Instant now, Duration leaseTtl) {
+    return basis != Basis.NONE && now.isBefore(leaseStart.plus(leaseTtl));
   }
 
   /** The present incarnation is proven to be over; the agent has yet to show a later one. */
   public void endIncarnation() {
-    leastAcceptableIncarnation = incarnation() + 1;
+    minimumAcceptableIncarnation = incarnation() + 1;
     observedIncarnation = NO_INCARNATION;
   }
 
   /** The incarnation that commands name: the observed one, or else the least acceptable. */
   public long incarnation() {
-    return observedIncarnation == NO_INCARNATION ? leastAcceptableIncarnation : observedIncarnation;
+    return observedIncarnation == NO_INCARNATION
+        ? minimumAcceptableIncarnation
+        : observedIncarnation;
   }
 
   /** The sequence of the last message; -1 when no incarnation is observed. */
@@ -130,6 +132,6 @@
 
   /** The time since the lease was last counted; negative while previous leaders may renew it. */
   Duration age(Instant now) {
-    return basis == Basis.NONE ? Duration.ZERO : Duration.between(countedFrom, now);
+    return basis == Basis.NONE ? Duration.ZERO : Duration.between(leaseStart, now);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/Job.java
+++ b/src/main/java/io/pearscale/scheduler/model/Job.java
@@ -15,7 +15,7 @@
 /** A job that is not over, as the leader sees it, with the attempts of its tasks. */
 public final class Job {
   /** A batch job of which nothing runs for so long gets a task started before others. */
-  public static final Duration LONG_WAIT = Duration.ofSeconds(75);
+  public static final Duration STARVATION_THRESHOLD = Duration.ofSeconds(75);
 
   /** What is stopped sooner is no start in its user's eyes. */
   public static final Duration MIN_RUN_TO_COUNT_AS_START = Duration.ofSeconds(30);
@@ -53,17 +53,17 @@
    * gone.
    */
   public static Job orphaned(
-      PlacementRecordCodec.PartitionRecord part,
+      PlacementRecordCodec.PartitionRecord partition,
       PlacementRecordCodec.QuotaClaim claim,
       Instant now) {
     JobSpec spec =
         new JobSpec(
-            part.job(),
+            partition.job(),
             "",
             claim.team(),
             WorkloadType.SERVICE,
             Priority.IDLE,
-            part.firstTask() + part.machineReferences().length,
+            partition.firstTask() + partition.machineReferences().length,
             claim.cpus(),
             claim.gpus(),
             claim.memoryGb(),
@@ -154,7 +154,7 @@
   }
 
   /** Forgets all that only a leader knows. */
-  void forgetLeaderState() {
+  void clearLeaderState() {
     attempts.clear();
     attemptsByZone.clear();
     doneTasks.clear();
--- a/src/main/java/io/pearscale/scheduler/model/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -42,7 +42,9 @@
   /** In which time tasks of the class are to start; the shortest, if there are several. */
   public Optional<Duration> startObjective(JobSpec spec) {
     return objectives.stream()
-        .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
+        .filter(
+            objective ->
+                objective.kind().equals("wait") && objective.jobClass().equals(spec.jobClass()))
         .map(ServiceLevelObjective::target)
         .min(Comparator.naturalOrder());
   }
@@ -53,8 +55,8 @@
    * has a minute or two needs none.
    */
   public boolean needsHeadroom(JobSpec spec) {
-    Optional<Duration> within = startObjective(spec);
-    if (within.isEmpty()) {
+    Optional<Duration> objective = startObjective(spec);
+    if (objective.isEmpty()) {
       return false;
     }
     return types.stream()
@@ -64,7 +66,7 @@
                 expectedBootTime(type)
                     .plus(type.fetchTime(spec.imageGb()))
                     .plus(MESSAGING_OVERHEAD))
-        .noneMatch(need -> need.compareTo(within.get()) <= 0);
+        .noneMatch(startDelay -> startDelay.compareTo(objective.get()) <= 0);
   }
 
   /** How long most machines take to boot: up to half as long again as the catalogue says. */
@@ -77,9 +79,11 @@
    * victim.
    */
   public boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
-    Duration needed =
+    Duration startDelay =
         victim.checkpointDuration().plus(type.fetchTime(spec.imageGb())).plus(MESSAGING_OVERHEAD);
-    return startObjective(spec).filter(w -> w.compareTo(needed) < 0).isPresent();
+    return startObjective(spec)
+        .filter(objective -> objective.compareTo(startDelay) < 0)
+        .isPresent();
   }
 
   /** Tasks of a large job of the class, as seen lately: nine of ten have no more. */
@@ -106,7 +110,7 @@
   /** The classes whose tasks {@linkplain #needsHeadroom need headroom}, by name. */
   public List<String> classesNeedingHeadroom() {
     return latestJobs.entrySet().stream()
-        .filter(e -> needsHeadroom(e.getValue().spec()))
+        .filter(latest -> needsHeadroom(latest.getValue().spec()))
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
@@ -115,7 +119,7 @@
   /** A job has come; it is remembered if its class has an objective. */
   public void observe(Job job) {
     JobSpec spec = job.spec();
-    if (objectives.stream().noneMatch(o -> o.jobClass().equals(spec.jobClass()))) {
+    if (objectives.stream().noneMatch(objective -> objective.jobClass().equals(spec.jobClass()))) {
       return;
     }
     if (!spec.isService()) {
--- a/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
@@ -15,11 +15,11 @@
  */
 public final class JobFailureHistory {
   /** On so many machines a job must fail before it is thought to be its own fault. */
-  private static final int MACHINES_TO_BLAME_JOB = 3;
+  private static final int MIN_FAILED_MACHINES_TO_BLAME_JOB = 3;
 
-  private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(60);
-  private static final long FIRST_BACKOFF_S = 4;
-  private static final int MOST_DOUBLINGS = 4;
+  private static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
+  private static final long INITIAL_BACKOFF_S = 4;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
   private final boolean service;
   private final Set<String> machinesFailedOn = new HashSet<>();
@@ -39,7 +39,7 @@
 
   /** Whether it seems to have been submitted with a mistake: it failed wherever it was tried. */
   public boolean failsEverywhere() {
-    return !hasSucceeded() && machinesFailedOn.size() >= MACHINES_TO_BLAME_JOB;
+    return !hasSucceeded() && machinesFailedOn.size() >= MIN_FAILED_MACHINES_TO_BLAME_JOB;
   }
 
   /** Whether any of its tasks ran for long enough to count as a start. */
@@ -84,8 +84,8 @@
   /** Puts the next try off, by more each time, unless it is put off already. */
   public void backOff(Instant now) {
     if (!now.isBefore(retryNotBefore)) {
-      long seconds = FIRST_BACKOFF_S << Math.min(MOST_DOUBLINGS, retries++);
-      retryNotBefore = now.plusSeconds(Math.min(LONGEST_BACKOFF.toSeconds(), seconds));
+      long seconds = INITIAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, retries++);
+      retryNotBefore = now.plusSeconds(Math.min(MAX_BACKOFF.toSeconds(), seconds));
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -40,7 +40,7 @@
   private final Consumer<Job> jobAdded;
   private final Runnable requestPass;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Collection<Job> all = Collections.unmodifiableCollection(jobs.values());
+  private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
   private final CancelledJobs cancelled = new CancelledJobs();
   private final Set<String> unreadableKeys = new HashSet<>();
   private final Set<Job> queued = new LinkedHashSet<>();
@@ -90,7 +90,7 @@
   /** Returns all jobs that are not over. */
   /** All of them, in the order in which they were added; a live view. */
   public Collection<Job> all() {
-    return all;
+    return jobsView;
   }
 
   /** Returns how many jobs are not over. */
@@ -114,12 +114,12 @@
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
         return;
       }
-      Instant submittedTimeOfDay = Instant.ofEpochMilli(entry.value().path("at").asLong());
-      Duration age = Duration.between(submittedTimeOfDay, wallClock.instant());
+      Instant submittedWallTime = Instant.ofEpochMilli(entry.value().path("at").asLong());
+      Duration age = Duration.between(submittedWallTime, wallClock.instant());
       Team team = teams.get(spec.team());
-      boolean limited = team != null && team.hasQuotaLimit();
+      boolean quotaLimited = team != null && team.hasQuotaLimit();
       Instant submittedAt = clock.instant().minus(age.isNegative() ? Duration.ZERO : age);
-      Job job = new Job(spec, entry.revision(), submittedAt, limited);
+      Job job = new Job(spec, entry.revision(), submittedAt, quotaLimited);
       jobs.put(spec.id(), job);
       if (spec.isGang()) {
         gangs.add(job);
@@ -161,12 +161,12 @@
   }
 
   /** The replica of the keys has all changes that were made before that time. */
-  public void replicaCaughtUpTo(Instant asOf) {
-    cancelled.replicaCaughtUpTo(asOf);
+  public void replicaCaughtUpTo(Instant replicaTime) {
+    cancelled.replicaCaughtUpTo(replicaTime);
   }
 
   /** The ids of jobs whose keys are not among these. */
-  public List<String> absentFrom(Set<String> keys) {
+  public List<String> idsWithoutKey(Set<String> keys) {
     List<String> absent = new ArrayList<>();
     for (String id : jobs.keySet()) {
       if (!keys.contains(Keys.liveJob(id))) {
@@ -197,7 +197,7 @@
   }
 
   /** Forgets of all jobs what only a leader knows. */
-  public void forgetLeaderState() {
-    jobs.values().forEach(Job::forgetLeaderState);
+  public void clearLeaderState() {
+    jobs.values().forEach(Job::clearLeaderState);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -15,7 +15,7 @@
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
 
   /** Longer than that is recorded as that. */
-  private static final long LONGEST_RECORDED_MS = 3_600_000;
+  private static final long MAX_RECORDED_MS = 3_600_000;
 
   private final Leadership leadership;
   private final JobTable jobs;
@@ -36,13 +36,13 @@
   }
 
   /** A task runs, so long after its start was decided. */
-  public void recordStart(Duration afterDecision) {
-    startMillis.recordValue(Math.max(0, Math.min(LONGEST_RECORDED_MS, afterDecision.toMillis())));
+  public void recordStartLatency(Duration sinceDecision) {
+    startMillis.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, sinceDecision.toMillis())));
   }
 
   /** A scheduling pass took so long. */
-  public void recordPass(Duration time) {
-    passMicros.recordValue(Math.min(LONGEST_RECORDED_MS * 1000, time.toNanos() / 1000));
+  public void recordPassDuration(Duration duration) {
+    passMicros.recordValue(Math.min(MAX_RECORDED_MS * 1000, duration.toNanos() / 1000));
   }
 
   /**
--- a/src/main/java/io/pearscale/scheduler/model/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -26,7 +26,7 @@
    * A watch that comes back without changes was sent 2 s before, so starts can't ask for a fresher
    * copy than this, however short the renewal authority timeout.
    */
-  private static final Duration QUIET_WATCH_AGE = Duration.ofSeconds(3);
+  private static final Duration MIN_START_AUTHORITY_TIMEOUT = Duration.ofSeconds(3);
 
   private final InstantSource clock;
   private final Duration renewalAuthorityTimeout;
@@ -44,7 +44,7 @@
   private Instant leadershipProvenAt = Instant.MIN;
 
   /** The copy of the keys has all changes made by then. */
-  private Instant replicaAsOf = Instant.MIN;
+  private Instant replicaUpToDateAt = Instant.MIN;
 
   /**
    * Leads in no term.
@@ -55,7 +55,8 @@
     this.clock = clock;
     this.renewalAuthorityTimeout = renewalAuthorityTimeout;
     Duration half = renewalAuthorityTimeout.dividedBy(2);
-    this.startAuthorityTimeout = half.compareTo(QUIET_WATCH_AGE) > 0 ? half : QUIET_WATCH_AGE;
+    this.startAuthorityTimeout =
+        half.compareTo(MIN_START_AUTHORITY_TIMEOUT) > 0 ? half : MIN_START_AUTHORITY_TIMEOUT;
   }
 
   /**
@@ -145,8 +146,8 @@
   }
 
   /** The copy of the keys has all changes made by that time; an earlier one changes nothing. */
-  public void recordReplicaAsOf(Instant time) {
-    replicaAsOf = later(replicaAsOf, time);
+  public void recordReplicaUpToDate(Instant time) {
+    replicaUpToDateAt = later(replicaUpToDateAt, time);
   }
 
   /**
@@ -155,9 +156,9 @@
    * date within one such timeout; an older one is brought up to date by the key-value store alone.
    */
   public void recordPeerConfirmation(Instant time) {
-    if (time.isBefore(replicaAsOf.plus(renewalAuthorityTimeout))) {
+    if (time.isBefore(replicaUpToDateAt.plus(renewalAuthorityTimeout))) {
       recordProof(time);
-      recordReplicaAsOf(time);
+      recordReplicaUpToDate(time);
     }
   }
 
@@ -176,7 +177,7 @@
     Instant now = clock.instant();
     return leading
         && now.isBefore(leadershipProvenAt.plus(renewalAuthorityTimeout))
-        && now.isBefore(replicaAsOf.plus(renewalAuthorityTimeout));
+        && now.isBefore(replicaUpToDateAt.plus(renewalAuthorityTimeout));
   }
 
   /**
@@ -186,7 +187,8 @@
    * leaves time to a leader that has just taken over and receives everything late.
    */
   public boolean mayStartTasks() {
-    return mayRenewLeases() && clock.instant().isBefore(replicaAsOf.plus(startAuthorityTimeout));
+    return mayRenewLeases()
+        && clock.instant().isBefore(replicaUpToDateAt.plus(startAuthorityTimeout));
   }
 
   /** The fencing token with which a machine is commanded first in this term. */
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -192,7 +192,7 @@
   }
 
   /** Says whether a drain will come to it. */
-  public void planDrain(boolean planned) {
+  public void setDrainPlanned(boolean planned) {
     drainPlanned = planned;
   }
 
@@ -212,7 +212,7 @@
   }
 
   /** A message has shown a token of this term. */
-  public void reconcile() {
+  public void markReconciled() {
     reconciled = true;
   }
 
@@ -269,15 +269,15 @@
 
   /** What is available once everything decided has come to pass; the caller may change it. */
   public Resources available() {
-    return availableAbove(Priority.IDLE).copy();
+    return availableWithPreemption(Priority.IDLE).copy();
   }
 
   /**
    * What would be available if all below the priority were preempted. Kept from one question to the
    * next, since every pass asks every machine and most have not changed. Not to be changed.
    */
-  public Resources availableAbove(Priority priority) {
-    return attempts.availableAbove(priority);
+  public Resources availableWithPreemption(Priority priority) {
+    return attempts.availableWithPreemption(priority);
   }
 
   /** What is available now, counting all that may be on the machine; the caller may change it. */
@@ -287,6 +287,6 @@
 
   /** How many more tasks of the job it could take, preempting lower ones if need be. */
   public int capacityWithPreemption(JobSpec spec) {
-    return availableAbove(spec.priority()).countFitting(spec);
+    return availableWithPreemption(spec.priority()).countFitting(spec);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/MachineFailures.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineFailures.java
@@ -11,7 +11,7 @@
  */
 public final class MachineFailures {
   /** Of jobs that fail wherever they are tried, so many at once point at the machine. */
-  private static final int MANY_FAILING_JOBS = 5;
+  private static final int MIN_FAILING_JOBS_TO_BLAME_MACHINE = 5;
 
   /** Failures since a task was last done here, by the job's history. */
   private final Map<JobFailureHistory, Integer> failuresByJob = new HashMap<>();
@@ -62,15 +62,15 @@
    * Whether what failed here points at the machine: twice a job that has succeeded, or two jobs of
    * which it is not known that they fail everywhere. Of those that do, it takes many at once.
    */
-  public boolean pointToMachine() {
-    int failuresOfSucceedingJobs = 0;
+  public boolean indicateFaultyMachine() {
+    int failuresOfProvenJobs = 0;
     int suspectJobs = 0;
     for (Map.Entry<JobFailureHistory, Integer> failure : failuresByJob.entrySet()) {
-      failuresOfSucceedingJobs += failure.getKey().hasSucceeded() ? failure.getValue() : 0;
+      failuresOfProvenJobs += failure.getKey().hasSucceeded() ? failure.getValue() : 0;
       suspectJobs += failure.getKey().failsEverywhere() ? 0 : 1;
     }
-    return failuresOfSucceedingJobs >= 2
+    return failuresOfProvenJobs >= 2
         || suspectJobs >= 2
-        || failuresByJob.size() >= MANY_FAILING_JOBS;
+        || failuresByJob.size() >= MIN_FAILING_JOBS_TO_BLAME_MACHINE;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -32,10 +32,11 @@
   private final Runnable requestPass;
   private final DecisionLog decisionLog;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
+  private final Collection<Machine> machinesView =
+      Collections.unmodifiableCollection(machines.values());
   private final MachineTombstones tombstones = new MachineTombstones();
   private Consumer<TaskAttempt> removedListener = attempt -> {};
-  private final Set<Machine> withDueCommands = new LinkedHashSet<>();
+  private final Set<Machine> machinesWithDueCommands = new LinkedHashSet<>();
 
   /** Makes an empty inventory. */
   public MachineInventory(
@@ -85,7 +86,7 @@
   /** Returns all machines known to the leader. */
   /** All of them, in the order in which they were added; a live view. */
   public Collection<Machine> all() {
-    return all;
+    return machinesView;
   }
 
   /** Returns how many machines the leader knows. */
@@ -101,14 +102,14 @@
 
   /** Adds a machine that was not there in this term before. */
   public void add(Machine machine) {
-    machine.fencing().begin(leadership.firstFencingToken());
+    machine.fencing().initialize(leadership.firstFencingToken());
     machines.put(machine.name(), machine);
   }
 
   /** Adds a machine that a previous leader may have known, whose lease it may have renewed. */
   public void addFromPreviousLeader(Machine machine) {
     add(machine);
-    machine.lease().previousLeadersRenewUntil(leadership.previousLeadersUntil());
+    machine.lease().extendForPreviousLeaders(leadership.previousLeadersUntil());
   }
 
   /** The cloud says that the machine, and all that was on it, is gone. */
@@ -126,7 +127,7 @@
   /** Forgets all, since this controller does not lead any more. */
   public void clear() {
     machines.clear();
-    withDueCommands.clear();
+    machinesWithDueCommands.clear();
   }
 
   // ---- Tasks on machines ----
@@ -154,7 +155,7 @@
   /** It is proven that the task is not on the machine. */
   public void remove(TaskAttempt attempt, AbsenceProof proof) {
     Job job = attempt.job();
-    decisionLog.absenceProved(attempt, proof);
+    decisionLog.recordAbsenceProved(attempt, proof);
     removedListener.accept(attempt);
     attempt.machine().attempts().remove(attempt);
     job.remove(attempt, clock.instant());
@@ -211,7 +212,7 @@
 
   /** A command to the machine may be due. */
   public void markCommandDue(Machine machine) {
-    withDueCommands.add(machine);
+    machinesWithDueCommands.add(machine);
   }
 
   /**
@@ -221,7 +222,7 @@
    * @param stillDue whether a command still waits afterwards
    */
   public void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
-    for (Iterator<Machine> iterator = withDueCommands.iterator(); iterator.hasNext(); ) {
+    for (Iterator<Machine> iterator = machinesWithDueCommands.iterator(); iterator.hasNext(); ) {
       Machine machine = iterator.next();
       if (contains(machine)) {
         send.accept(machine);
--- a/src/main/java/io/pearscale/scheduler/model/MachineRecords.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineRecordMapper.java
@@ -6,8 +6,8 @@
 import java.time.Instant;
 
 /** Maps machines to what is stored of them, and back. */
-public final class MachineRecords {
-  private MachineRecords() {}
+public final class MachineRecordMapper {
+  private MachineRecordMapper() {}
 
   /**
    * What the machine's record is to say.
@@ -15,7 +15,7 @@
    * @param number by which placement records name the machine, or its position, by the layout; 0
    *     where only the size counts
    */
-  public static MachineRecord of(Machine machine, int number) {
+  public static MachineRecord toRecord(Machine machine, int number) {
     return new MachineRecord(
         number,
         machine.name(),
@@ -29,19 +29,19 @@
   }
 
   /** A machine that a previous leader recorded; one with an address had been heard of. */
-  public static Machine restore(MachineRecord record, MachineType type, Instant now) {
-    boolean seen = !record.address().isEmpty();
+  public static Machine fromRecord(MachineRecord record, MachineType type, Instant now) {
+    boolean observed = !record.address().isEmpty();
     Lifecycle lifecycle =
-        record.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
+        record.retiring() ? Lifecycle.RETIRING : observed ? Lifecycle.UP : Lifecycle.BOOTING;
     Machine machine =
         new Machine(record.machine(), record.zone(), record.spot(), type, lifecycle, now);
     machine.updateAddress(record.address());
     machine.changeMaintenance(record.maintenance());
     machine.record().restore(record.retiring(), record.address(), record.maintenance());
-    if (seen) {
+    if (observed) {
       machine.reachability().messageReceived();
     }
-    machine.lease().acceptFromRecorded(record.incarnation());
+    machine.lease().setMinimumIncarnation(record.incarnation());
     return machine;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/Reachability.java
+++ b/src/main/java/io/pearscale/scheduler/model/Reachability.java
@@ -95,7 +95,7 @@
   }
 
   /** The machine has shown that what the leader says reaches it. */
-  public void reached(Instant now) {
+  public void recordReachable(Instant now) {
     lastReachableAt = now;
     if (missedProbes > 0) {
       missedProbes = 0;
--- a/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
@@ -52,7 +52,7 @@
   }
 
   /** Stops for all unknown attempts are being sent. */
-  public void unknownStopsSent(Instant now) {
+  public void recordUnknownStopsSent(Instant now) {
     unknown.replaceAll((attempt, sent) -> now);
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
@@ -160,23 +160,23 @@
   }
 
   /** The start command is being sent for the first time. */
-  public void startSent(long token, long incarnation) {
+  public void recordStartSent(long token, long incarnation) {
     if (stage != Stage.PLANNED || !placementRecorded) {
       throw new IllegalStateException(
           "start of " + task + " at " + stage + ", recorded: " + placementRecorded);
     }
     stage = Stage.START_SENT;
-    startResent(token, incarnation);
+    recordStartResent(token, incarnation);
   }
 
   /** The start command is being sent again; the same attempt can't run twice. */
-  public void startResent(long token, long incarnation) {
+  public void recordStartResent(long token, long incarnation) {
     startToken = token;
     startIncarnation = incarnation;
   }
 
   /** The command with its start was not executed and never will be. */
-  public void startNotExecuted() {
+  public void recordStartNotExecuted() {
     stage = Stage.PLANNED;
   }
 
@@ -218,13 +218,13 @@
   }
 
   /** A stop command for it is being sent. */
-  public void stopSent(Instant now) {
+  public void recordStopSent(Instant now) {
     lastStopSentAt = now;
     stopsSent++;
   }
 
   /** Its stop is to be sent as if none had been sent. */
-  public void forgetStopsSent() {
+  public void resetStopsSent() {
     stopsSent = 0;
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
+++ b/src/main/java/io/pearscale/scheduler/model/TermExecutor.java
@@ -13,7 +13,7 @@
   void execute(Runnable action);
 
   /** Runs the action after the delay. */
-  void after(Duration delay, Runnable action);
+  void executeAfter(Duration delay, Runnable action);
 
   /** Hands an answer that comes later to the handler. */
   <T> Consumer<T> callback(Consumer<T> handler);
--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -95,7 +95,7 @@
     }
     List<Machine> withCapacity = new ArrayList<>();
     for (Machine machine : machines) {
-      Resources available = machine.availableAbove(Priority.IDLE);
+      Resources available = machine.availableWithPreemption(Priority.IDLE);
       if (available.cpus() + Resources.TOLERANCE >= cpus
           && available.memoryGb() + Resources.TOLERANCE >= memoryGb) {
         withCapacity.add(machine);
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -150,7 +150,7 @@
     return PlacementConstraints.allowsKind(spec, machine)
         && allowed.test(machine)
         && (image.isEmpty() || canStartAtOnce(machine, image.get()))
-        && (guaranteed || machine.availableAbove(spec.priority()).fits(spec));
+        && (guaranteed || machine.availableWithPreemption(spec.priority()).fits(spec));
   }
 
   /** Whether the machine has the image, and a stop would be carried out there at once. */
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -120,7 +120,7 @@
     return !job.spec().isService()
         && !job.hasStarted()
         && !job.hasDoneTasks()
-        && now.isAfter(job.submittedAt().plus(Job.LONG_WAIT))
+        && now.isAfter(job.submittedAt().plus(Job.STARVATION_THRESHOLD))
         && job.attempts().isEmpty();
   }
 
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -97,7 +97,7 @@
   public void request() {
     if (!requested && leadership.isLeading() && !jobs.queued().isEmpty()) {
       requested = true;
-      executor.after(THROTTLE.restAfter(lastPassDuration), this::run);
+      executor.executeAfter(THROTTLE.restAfter(lastPassDuration), this::run);
     }
   }
 
@@ -129,7 +129,7 @@
     }
     dispatcher.sendAllDueCommands();
     lastPassDuration = Duration.between(now, clock.instant());
-    statistics.recordPass(lastPassDuration);
+    statistics.recordPassDuration(lastPassDuration);
   }
 
   private Placer placer(
--- a/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
+++ b/src/main/java/io/pearscale/scheduler/placement/VictimSelector.java
@@ -63,7 +63,7 @@
         && !job.hasStarted()
         && !job.hasDoneTasks()
         && (job.spec().isGang() || job.attempts().size() == 1)
-        && job.submittedAt().isBefore(context.now().minus(Job.LONG_WAIT))
+        && job.submittedAt().isBefore(context.now().minus(Job.STARVATION_THRESHOLD))
         && attempt.runningTime(context.now()).compareTo(Job.MIN_RUN_TO_COUNT_AS_START) < 0;
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -70,7 +70,7 @@
       return false;
     }
     leadership.becomeReady();
-    jobs.forgetLeaderState();
+    jobs.clearLeaderState();
     records.clear();
     new RecordAdoption(state, records).adopt(stored.get());
     jobs.all().forEach(jobs::requeue);
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -5,7 +5,7 @@
 import io.pearscale.protocol.MachineType;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.MachineRecords;
+import io.pearscale.scheduler.model.MachineRecordMapper;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.storage.KeyValueStoreClient.Mutation;
 import io.pearscale.storage.KeyValueStoreClient.Precondition;
@@ -121,7 +121,8 @@
         .forEach(
             (position, machine) ->
                 records.add(
-                    MachineRecords.of(machine, numbered ? machine.record().number() : position)));
+                    MachineRecordMapper.toRecord(
+                        machine, numbered ? machine.record().number() : position)));
     machineValues.add(valueNumber);
     records.forEach(record -> writtenMachines.add(new WrittenMachine(valueNumber, record)));
     JsonNode encodedValue = MachineRecordCodec.encode(records, level);
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -3,7 +3,7 @@
 import io.pearscale.protocol.Settings.StoreLimits;
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.model.Machine;
-import io.pearscale.scheduler.model.MachineRecords;
+import io.pearscale.scheduler.model.MachineRecordMapper;
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.MachineRecordCodec;
 import io.pearscale.storage.PlacementRecordCodec;
@@ -99,7 +99,8 @@
     if (layout == RecordLayout.NUMBERED && machine.record().number() == 0) {
       machine.record().assignNumber(recordNumbers.allocate());
     }
-    machines.assignSlot(machine, MachineRecordCodec.maximumSize(MachineRecords.of(machine, 0)));
+    machines.assignSlot(
+        machine, MachineRecordCodec.maximumSize(MachineRecordMapper.toRecord(machine, 0)));
   }
 
   /** Whether a slot is assigned to the machine's record. */
--- a/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordAdoption.java
@@ -7,7 +7,7 @@
 import io.pearscale.scheduler.model.Machine;
 import io.pearscale.scheduler.model.Machine.Lifecycle;
 import io.pearscale.scheduler.model.MachineInventory;
-import io.pearscale.scheduler.model.MachineRecords;
+import io.pearscale.scheduler.model.MachineRecordMapper;
 import io.pearscale.scheduler.model.TaskAttempt;
 import io.pearscale.scheduler.records.StoredRecords.StoredMachine;
 import io.pearscale.scheduler.records.StoredRecords.StoredPartition;
@@ -74,7 +74,7 @@
     Machine machine = inventory.get(record.machine());
     if (machine == null) {
       machine =
-          MachineRecords.restore(
+          MachineRecordMapper.fromRecord(
               record, inventory.catalogue().typeOf(record.type()), clock.instant());
       inventory.addFromPreviousLeader(machine);
     } else if (record.retiring() && machine.lifecycle() != Lifecycle.RETIRING) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -121,7 +121,7 @@
       // After this message: what the rest of the scheduling pass decides goes along.
       executor.execute(this::commit);
     } else {
-      executor.after(wait, this::commit);
+      executor.executeAfter(wait, this::commit);
     }
   }
 
@@ -177,13 +177,13 @@
     } else if (outcome instanceof CommitOutcome.Refused refused) {
       onRefused(transaction, refused);
     } else {
-      executor.after(TERM_READ_DELAY, this::readTerm);
+      executor.executeAfter(TERM_READ_DELAY, this::readTerm);
     }
   }
 
   private void onPreconditionFailed(LeaderTransaction transaction, List<String> failedKeys) {
     if (failedKeys.contains(Keys.TERM)) {
-      executor.after(IMMEDIATE_TERM_READ_DELAY, this::readTerm);
+      executor.executeAfter(IMMEDIATE_TERM_READ_DELAY, this::readTerm);
       return;
     }
     commitInFlight = false;
@@ -211,7 +211,8 @@
 
   private void scheduleRetry() {
     commitScheduled = true;
-    executor.after(RETRY_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::commit);
+    executor.executeAfter(
+        RETRY_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::commit);
   }
 
   private void readTerm() {
@@ -221,7 +222,7 @@
   /** Goes on from the term's present revision, if this controller still leads. */
   private void onTermRead(Reply reply) {
     if (!reply.ok()) {
-      executor.after(
+      executor.executeAfter(
           TERM_READ_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::readTerm);
       return;
     }
--- a/src/test/java/io/pearscale/scheduler/model/AttemptNumbersTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/AttemptNumbersTest.java
@@ -6,14 +6,14 @@
 
 class AttemptNumbersTest {
   /** Two hours of 4,000 machines with short tasks. */
-  private static final int MANY = 1 << 25;
+  private static final int ATTEMPTS_IN_TWO_HOURS = 1 << 25;
 
   @Test
-  void aLongTermDoesNotUseTheNumbersOfTheNext() {
+  void numbersOfALongTermDoNotOverlapTheNextTerm() {
     AttemptNumbers numbers = new AttemptNumbers();
     numbers.beginTerm(6);
     long last = 0;
-    for (int i = 0; i < MANY; i++) {
+    for (int i = 0; i < ATTEMPTS_IN_TWO_HOURS; i++) {
       long next = numbers.next();
       assertTrue(next > last);
       last = next;
--- a/src/test/java/io/pearscale/scheduler/model/CancelledJobsTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/CancelledJobsTest.java
@@ -8,33 +8,33 @@
 
 /** A cancel is remembered for as long as the copy of the keys may lack it, and no longer. */
 class CancelledJobsTest {
-  private static final int MANY = 50_000;
+  private static final int JOB_COUNT = 50_000;
   private final CancelledJobs cancelled = new CancelledJobs();
-  private final Instant noted = Instant.EPOCH.plusSeconds(100);
+  private final Instant recordedAt = Instant.EPOCH.plusSeconds(100);
 
   @Test
-  void staysWhileTheCopyMayBeOlder() {
-    cancelled.add("wk-1", noted);
-    cancelled.replicaCaughtUpTo(noted);
+  void keepsJobWhileReplicaMayBeOlder() {
+    cancelled.add("wk-1", recordedAt);
+    cancelled.replicaCaughtUpTo(recordedAt);
     assertTrue(cancelled.contains("wk-1"), "the copy was read before, or at the same moment");
-    cancelled.replicaCaughtUpTo(noted.plusNanos(1));
+    cancelled.replicaCaughtUpTo(recordedAt.plusNanos(1));
     assertFalse(cancelled.contains("wk-1"));
   }
 
   @Test
-  void isNotForgottenForTheNumberOfOthers() {
-    cancelled.add("wk-first", noted);
-    for (int i = 0; i < MANY; i++) {
-      cancelled.add("wk-" + i, noted.plusNanos(i));
+  void keepsJobRegardlessOfJobCount() {
+    cancelled.add("wk-first", recordedAt);
+    for (int i = 0; i < JOB_COUNT; i++) {
+      cancelled.add("wk-" + i, recordedAt.plusNanos(i));
     }
     assertTrue(cancelled.contains("wk-first"));
   }
 
   @Test
-  void countsFromWhenItWasFirstNoted() {
-    cancelled.add("wk-1", noted);
-    cancelled.add("wk-1", noted.plusSeconds(30));
-    cancelled.replicaCaughtUpTo(noted.plusSeconds(1));
+  void keepsTimeOfFirstCancellation() {
+    cancelled.add("wk-1", recordedAt);
+    cancelled.add("wk-1", recordedAt.plusSeconds(30));
+    cancelled.replicaCaughtUpTo(recordedAt.plusSeconds(1));
     assertFalse(cancelled.contains("wk-1"), "the first word was of a durable end already");
   }
 }
--- a/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
@@ -26,19 +26,19 @@
           Instant.EPOCH);
 
   @Test
-  void countsStartsAndProofsOnce() {
-    log.sendingStarts(
+  void resetsCountersWhenTaken() {
+    log.recordStartsSent(
         machine,
         List.of(
             AgentCommand.start(TASK, 1),
             AgentCommand.forget(TASK, 0),
             AgentCommand.start(new TaskId("wk-1", 1), 2)),
         Channel.COMMAND);
-    log.sendingStarts(machine, List.of(AgentCommand.start(TASK, 3)), Channel.HEARTBEAT_RESPONSE);
+    log.recordStartsSent(machine, List.of(AgentCommand.start(TASK, 3)), Channel.HEARTBEAT_RESPONSE);
     TaskAttempt attempt =
         new TaskAttempt(null, TASK, 1, machine, TaskAttempt.Stage.START_SENT, Instant.EPOCH);
-    log.absenceProved(attempt, AbsenceProof.ENDED);
-    log.absenceProved(attempt, AbsenceProof.LEASE_EXPIRED);
+    log.recordAbsenceProved(attempt, AbsenceProof.ENDED);
+    log.recordAbsenceProved(attempt, AbsenceProof.LEASE_EXPIRED);
     assertEquals("starts=[2,1] absences=[0,0,1,0,0,1,0] incarnations=0", log.takeCounts());
     assertEquals("starts=[0,0] absences=[0,0,0,0,0,0,0] incarnations=0", log.takeCounts());
   }
--- a/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
@@ -12,22 +12,23 @@
 /** What is kept of gangs, and for how long. */
 class GangTrackerTest {
   private static final InstantSource CLOCK = () -> Instant.EPOCH;
-  private static final Duration HOLD = Duration.ofSeconds(14);
-  private static final Duration FORMING = Duration.ofSeconds(40);
+  private static final Duration RENEWAL_AUTHORITY_TIMEOUT = Duration.ofSeconds(14);
+  private static final Duration FORMING_TIMEOUT = Duration.ofSeconds(40);
 
   private static Job job() {
     return new Job(ReplicaCapacityTest.replica(1, Priority.NORMAL), 0, Instant.EPOCH, false);
   }
 
   @Test
-  void aGangWhoseJobIsOverIsForgotten() {
-    GangTracker gangs = new GangTracker(new Leadership(CLOCK, HOLD), CLOCK, FORMING);
-    Job kept = job();
-    Job over = job();
-    gangs.beginAttempt(kept, 1);
-    gangs.beginAttempt(over, 2);
+  void forgetsGangOfFinishedJob() {
+    GangTracker gangs =
+        new GangTracker(new Leadership(CLOCK, RENEWAL_AUTHORITY_TIMEOUT), CLOCK, FORMING_TIMEOUT);
+    Job liveJob = job();
+    Job finishedJob = job();
+    gangs.beginAttempt(liveJob, 1);
+    gangs.beginAttempt(finishedJob, 2);
     assertTrue(gangs.logFields().contains("gangs_forming=2"), gangs.logFields());
-    gangs.forget(over);
+    gangs.forget(finishedJob);
     assertTrue(gangs.logFields().contains("gangs_forming=1"), gangs.logFields());
   }
 }
--- a/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
@@ -14,53 +14,53 @@
 
 class IncarnationLeaseTest {
   private static final Instant START = Instant.EPOCH;
-  private static final Duration BOUND = Duration.ofSeconds(17);
+  private static final Duration EXPIRY_BOUND = Duration.ofSeconds(17);
   private final IncarnationLease lease = new IncarnationLease();
 
   private static Instant at(long seconds) {
     return START.plusSeconds(seconds);
   }
 
-  private static Heartbeat message(long session, long sequence) {
+  private static Heartbeat message(long incarnation, long sequence) {
     return new Heartbeat(
-        "m-1", "", "small", "a", false, session, sequence, 0, Optional.empty(), List.of());
+        "m-1", "", "small", "a", false, incarnation, sequence, 0, Optional.empty(), List.of());
   }
 
   @Test
-  void nothingIsKnownOfAMachineThatSaidNothing() {
+  void leaseIsNeitherHeldNorExpiredBeforeFirstMessage() {
     assertEquals(Basis.NONE, lease.basis());
-    assertFalse(lease.isExpired(at(1000), BOUND));
-    assertFalse(lease.isHeld(START, BOUND));
+    assertFalse(lease.isExpired(at(1000), EXPIRY_BOUND));
+    assertFalse(lease.isHeld(START, EXPIRY_BOUND));
     assertTrue(lease.isNewer(message(1, 1)));
   }
 
   @Test
-  void theFirstMessageOfEachSessionCountsItsLease() {
+  void firstMessageOfEachIncarnationStartsItsLease() {
     assertTrue(lease.observe(message(1, 1), at(0)));
     assertFalse(lease.observe(message(1, 2), at(10)));
-    assertTrue(lease.isExpired(at(18), BOUND));
+    assertTrue(lease.isExpired(at(18), EXPIRY_BOUND));
     assertTrue(lease.observe(message(2, 3), at(18)));
-    assertFalse(lease.isExpired(at(35), BOUND));
-    assertTrue(lease.isExpired(at(36), BOUND));
+    assertFalse(lease.isExpired(at(35), EXPIRY_BOUND));
+    assertTrue(lease.isExpired(at(36), EXPIRY_BOUND));
     assertEquals(Basis.INCARNATION_OBSERVED, lease.basis());
   }
 
   @Test
-  void theSessionAfterOneThatWasProvenOverCountsFromItsFirstMessage() {
+  void leaseAfterEndedIncarnationStartsAtFirstMessage() {
     lease.observe(message(1, 1), at(0));
     lease.renew(at(2));
-    assertTrue(lease.isExpired(at(20), BOUND));
+    assertTrue(lease.isExpired(at(20), EXPIRY_BOUND));
     lease.endIncarnation();
     assertEquals(2, lease.incarnation());
     assertFalse(lease.isNewer(message(1, 9)));
     assertTrue(lease.isNewer(message(2, 10)));
     assertTrue(lease.observe(message(2, 10), at(21)));
-    assertFalse(lease.isExpired(at(38), BOUND));
-    assertTrue(lease.isExpired(at(39), BOUND));
+    assertFalse(lease.isExpired(at(38), EXPIRY_BOUND));
+    assertTrue(lease.isExpired(at(39), EXPIRY_BOUND));
   }
 
   @Test
-  void onlyLaterMessagesAreNews() {
+  void onlyLaterMessagesAreNewer() {
     lease.observe(message(3, 5), at(0));
     assertFalse(lease.isNewer(message(3, 5)));
     assertFalse(lease.isNewer(message(2, 6)));
@@ -69,38 +69,38 @@
   }
 
   @Test
-  void aRecordedSessionIsNotAShownOne() {
-    lease.acceptFromRecorded(4);
-    lease.previousLeadersRenewUntil(at(14));
+  void recordedIncarnationIsNotObserved() {
+    lease.setMinimumIncarnation(4);
+    lease.extendForPreviousLeaders(at(14));
     assertEquals(4, lease.incarnation());
     assertFalse(lease.isNewer(message(3, 9)));
     // Its own lease counts from now when it is seen after all former leaders are over.
     assertTrue(lease.observe(message(4, 1), at(20)));
-    assertFalse(lease.isExpired(at(37), BOUND));
-    assertTrue(lease.isExpired(at(38), BOUND));
+    assertFalse(lease.isExpired(at(37), EXPIRY_BOUND));
+    assertTrue(lease.isExpired(at(38), EXPIRY_BOUND));
   }
 
   @Test
-  void formerLeadersBoundTheLeaseUntilTheyAreKnownToHaveEnded() {
-    lease.acceptFromRecorded(1);
-    lease.previousLeadersRenewUntil(at(14));
+  void previousLeadersExtendLeaseUntilTheyEnd() {
+    lease.setMinimumIncarnation(1);
+    lease.extendForPreviousLeaders(at(14));
     lease.observe(message(1, 1), at(3));
     assertEquals(Basis.PREVIOUS_LEADERS, lease.basis());
-    assertFalse(lease.isExpired(at(31), BOUND));
+    assertFalse(lease.isExpired(at(31), EXPIRY_BOUND));
     lease.previousLeadersEnded(at(5));
-    assertTrue(lease.isExpired(at(23), BOUND));
+    assertTrue(lease.isExpired(at(23), EXPIRY_BOUND));
     lease.previousLeadersEnded(at(20));
-    assertTrue(lease.isExpired(at(23), BOUND));
+    assertTrue(lease.isExpired(at(23), EXPIRY_BOUND));
   }
 
   @Test
-  void anAnswerRenews() {
+  void heartbeatResponseRenewsLease() {
     lease.observe(message(1, 1), at(0));
     lease.renew(at(10));
     assertEquals(Basis.HEARTBEAT_RESPONSE, lease.basis());
     assertTrue(lease.isHeld(at(20), Duration.ofSeconds(16)));
     assertEquals(Duration.ofSeconds(10), lease.age(at(20)));
-    assertFalse(lease.isExpired(at(27), BOUND));
-    assertTrue(lease.isExpired(at(28), BOUND));
+    assertFalse(lease.isExpired(at(27), EXPIRY_BOUND));
+    assertTrue(lease.isExpired(at(28), EXPIRY_BOUND));
   }
 }
--- a/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
@@ -11,7 +11,7 @@
 
   /** A fleet that is given back goes on to be listed for as long as the list lags. */
   @Test
-  void aWholeFleetIsRememberedWhileListsAndReportsMayNameIt() {
+  void keepsTombstonesOfLargeFleet() {
     MachineTombstones tombstones = new MachineTombstones();
     for (int i = 0; i < 6000; i++) {
       tombstones.add("m-" + i, NOW.plusMillis(i));
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void whatIsLongGoneIsForgotten() {
+  void dropsTombstonesAfterRetention() {
     MachineTombstones tombstones = new MachineTombstones();
     tombstones.add("m-1", NOW);
     tombstones.add("m-2", NOW.plusSeconds(1));
