--- a/src/main/java/io/pearscale/scheduler/model/AbsenceProof.java
+++ b/src/main/java/io/pearscale/scheduler/model/AbsenceProof.java
@@ -1,22 +1,29 @@
 package io.pearscale.scheduler.model;
 
 /**
- * Why a task is known not to be on a machine, nor to come there by a late command. Until there is
- * one of these proofs a task counts as being on its machine, and is not started elsewhere.
+ * Proof that a task attempt is not on a machine and that no late command can start it there. Until
+ * such a proof exists, the leader counts the attempt as being on the machine and does not start the
+ * task elsewhere.
  */
 public enum AbsenceProof {
-  /** It was decided, but no command was sent. */
+  /** The attempt was planned, but no start command was sent. */
   NOT_SENT,
-  /** The agent refused the command that would have started it. */
+  /** The agent refused the start command. */
   NOT_EXECUTED,
-  /** A message of the machine shows that the attempt has ended. */
+  /** A message from the machine reports that the attempt has ended. */
   ENDED,
-  /** A message lacks it, and it was there before or the machine has seen a higher token. */
+  /**
+   * A message from the machine does not list the attempt, although an earlier message listed it or
+   * the machine has observed a higher fencing token than the start command carried.
+   */
   NOT_REPORTED,
-  /** A message of a later incarnation than the start's lacks it. */
+  /**
+   * A message from a later incarnation than the one that the start command named does not list the
+   * attempt.
+   */
   LATER_INCARNATION,
   /** The machine's lease has expired. */
   LEASE_EXPIRED,
-  /** The cloud has deleted the machine. */
+  /** The cloud provider has deleted the machine. */
   MACHINE_DELETED
 }
--- a/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
+++ b/src/main/java/io/pearscale/scheduler/model/AgentTimings.java
@@ -4,20 +4,21 @@
 import java.time.Duration;
 
 /**
- * Times that follow from the interval of agents' heartbeats and the time of their leases. They are
- * asked for every machine in each pass, so they are computed once.
+ * Timeouts derived from the agents' heartbeat interval and lease TTL. Every scheduling pass reads
+ * them for every machine, so they are computed once.
  *
- * @param leaseTtl how long an agent keeps its tasks without a response
- * @param halfLease how long an unresponsive machine with replicas is waited for
- * @param leaseExpiryBound when nothing can be alive on a machine any more, after its last renewal:
- *     steady clocks differ by up to 0.05 % each; twice that and a second on top
- * @param heartbeatOverdueAfter how long after the last a heartbeat is late, and the machine is
- *     probed: they come up to a quarter of their interval early or late
- * @param reachableWithin a machine that was reached so lately is taken to be reachable now
- * @param unresponsiveAfter how long a machine may be silent before it counts as unresponsive
- * @param schedulableWithin how long a machine may be silent and still get tasks
- * @param withdrawPlannedAfter how long a machine may be silent before attempts that were only
- *     planned for it are taken back
+ * @param leaseTtl how long an agent keeps its tasks without a heartbeat response
+ * @param halfLease how long to wait for an unresponsive machine that runs replicas
+ * @param leaseExpiryBound how long after the last renewal every task on the machine has certainly
+ *     ended: the lease TTL, 0.2% of it for clock drift, and 1 s. Steady clocks drift by up to 0.05%
+ *     each, so two clocks differ by at most 0.1%, and the margin is twice that
+ * @param heartbeatOverdueAfter how long after the last heartbeat the next one is overdue and the
+ *     machine is probed: heartbeats arrive up to a quarter of their interval early or late
+ * @param reachableWithin a machine that was reached within this time counts as reachable now
+ * @param unresponsiveAfter how long after the last contact a machine counts as unresponsive
+ * @param schedulableWithin how long after the last contact a machine may still receive tasks
+ * @param withdrawPlannedAfter how long after the last contact planned attempts whose start was not
+ *     sent are withdrawn
  */
 public record AgentTimings(
     Duration leaseTtl,
@@ -29,7 +30,7 @@
     Duration schedulableWithin,
     Duration withdrawPlannedAfter) {
 
-  /** Derives them from the settings of agents. */
+  /** Derives the timeouts from the agent settings. */
   public static AgentTimings of(Settings.AgentSettings agents) {
     Duration heartbeatInterval = agents.heartbeatInterval();
     Duration leaseTtl = agents.leaseTtl();
--- a/src/main/java/io/pearscale/scheduler/model/AttemptId.java
+++ b/src/main/java/io/pearscale/scheduler/model/AttemptId.java
@@ -3,12 +3,13 @@
 import io.pearscale.protocol.TaskId;
 
 /**
- * Names one attempt of a task.
+ * Identifies one attempt of a task.
  *
- * @param attempt the attempt's number, unique over all terms
+ * @param attempt the attempt's number, unique across all terms
  */
 public record AttemptId(TaskId task, long attempt) {
-  // Written out, since these are keys of maps that are looked up for each task of each heartbeat.
+  // Implemented explicitly for speed: instances are map keys that are looked up for every task in
+  // every heartbeat.
   @Override
   public boolean equals(Object other) {
     return other instanceof AttemptId that && attempt == that.attempt && task.equals(that.task);
--- a/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
@@ -1,10 +1,11 @@
 package io.pearscale.scheduler.model;
 
 /**
- * Numbers of attempts, which no two leaders may ever share: the term stands above the count. A
- * fleet of 4,000 machines with short tasks starts thousands a second and uses up 24 bits within
- * hours, after which the numbers would run into those of the next term; 40 bits last for years at
- * ten thousand a second, and leave room for millions of terms.
+ * Generates attempt numbers that are unique across terms: the high bits hold the term and the low
+ * 40 bits a counter. A fleet of 4,000 machines with short tasks starts thousands of attempts per
+ * second and would exhaust a counter of 24 bits within hours, so that its numbers would collide
+ * with those of the next term. 40 bits last for years at ten thousand attempts per second and leave
+ * enough bits for millions of terms.
  */
 public final class AttemptNumbers {
   private static final int TERM_SHIFT = 40;
@@ -13,16 +14,17 @@
   private long term;
   private long attemptsInTerm;
 
-  /** Begins a term. */
+  /** Begins a term and resets the counter. */
   public void beginTerm(long newTerm) {
     term = newTerm;
     attemptsInTerm = 0;
   }
 
-  /** A number that was not used before. */
+  /** Returns the next unused number. */
   public long next() {
     if (attemptsInTerm == MAX_ATTEMPTS_PER_TERM) {
-      throw new IllegalStateException("all attempts of term " + term + " are used up");
+      throw new IllegalStateException(
+          "term " + term + " has no attempt numbers left: all 2^40 - 1 are in use");
     }
     return (term << TERM_SHIFT) + ++attemptsInTerm;
   }
--- a/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
+++ b/src/main/java/io/pearscale/scheduler/model/CancelledJobs.java
@@ -5,28 +5,29 @@
 import java.util.Map;
 
 /**
- * Jobs that are known to be cancelled although this controller's copy of the keys may still show
- * them as live: another controller said so, before or instead of the key-value store. Each was
- * durable before it was noted. An end is final, so such a job must not come back with a change that
- * was long under way, nor with a copy that was read before the end.
+ * Jobs that are known to be cancelled although this controller's replica of the stored keys may
+ * still list them as live, because another controller reported the cancellation. Each cancellation
+ * was durable before it was recorded here. A cancellation is final, so neither a delayed change nor
+ * an older copy of the keys may restore such a job.
  */
 final class CancelledJobs {
-  /** When each was noted, the earliest first. */
+  /** The time at which each cancellation was recorded, earliest first. */
   private final Map<String, Instant> recordedAt = new LinkedHashMap<>();
 
-  /** Notes a job as cancelled. */
+  /** Records that the job is cancelled. */
   void add(String job, Instant now) {
     recordedAt.putIfAbsent(job, now);
   }
 
-  /** Whether the job is known to be cancelled. */
+  /** Returns whether the job is known to be cancelled. */
   boolean contains(String job) {
     return recordedAt.containsKey(job);
   }
 
   /**
-   * The replica has all changes that were made before that time. What was noted before is gone from
-   * it for good, since keys of jobs that are over are never written again.
+   * Drops cancellations recorded before the given time, because the replica contains all changes
+   * made before then. The replica can't list those jobs again: keys of ended jobs are never
+   * rewritten.
    */
   void replicaCaughtUpTo(Instant replicaTime) {
     recordedAt.values().removeIf(recordTime -> recordTime.isBefore(replicaTime));
--- a/src/main/java/io/pearscale/scheduler/model/CloudState.java
+++ b/src/main/java/io/pearscale/scheduler/model/CloudState.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * A machine as the cloud and the autoscaler see it: whether it is listed, whether its deletion was
- * asked for, and since when it could be released.
+ * State of a machine at the cloud provider and in the autoscaler: whether the provider lists it,
+ * whether its deletion was requested, and since when it has been a candidate for scale in.
  *
  * <p>Owned by its {@link Machine}; written by the autoscaler and by machine retirement.
  */
@@ -14,17 +14,19 @@
   private boolean deletionRequested;
   private Instant scaleInCandidateSince = Instant.MAX;
 
-  /** Whether a list of the cloud has ever named the machine. */
+  /** Returns whether any machine list of the cloud provider has contained the machine. */
   public boolean isListed() {
     return listed;
   }
 
-  /** When a list of the cloud first named the machine; MIN while none did. */
+  /**
+   * Returns when a machine list first contained the machine, or {@link Instant#MIN} if none has.
+   */
   public Instant listedSince() {
     return listedSince;
   }
 
-  /** A list of the cloud names the machine. */
+  /** Records that a machine list contains the machine. */
   public void recordListed(Instant now) {
     if (!listed) {
       listed = true;
@@ -32,39 +34,42 @@
     }
   }
 
-  /** Whether the cloud was asked to delete the machine and has not refused. */
+  /** Returns whether deletion was requested and has not failed. */
   public boolean isDeletionRequested() {
     return deletionRequested;
   }
 
-  /** The cloud is being asked to delete the machine. */
+  /** Records that deletion is being requested. */
   public void recordDeletionRequested() {
     deletionRequested = true;
   }
 
-  /** The cloud has not deleted the machine, as far as known. */
+  /** Records that, as far as is known, the cloud provider has not deleted the machine. */
   public void recordDeletionFailed() {
     deletionRequested = false;
   }
 
-  /** Since when the machine could be released; MAX while it is needed. */
+  /**
+   * Returns since when the machine has been a scale-in candidate, or {@link Instant#MAX} if it is
+   * needed.
+   */
   public Instant scaleInCandidateSince() {
     return scaleInCandidateSince;
   }
 
-  /** Whether the machine could be released, and is left to run empty. */
+  /** Returns whether the machine is a scale-in candidate that is left to run empty. */
   public boolean isScaleInCandidate() {
     return !scaleInCandidateSince.equals(Instant.MAX);
   }
 
-  /** The machine could be released from now on, unless that was so before. */
+  /** Marks the machine as a scale-in candidate; keeps the earlier time if it is one already. */
   public void markScaleInCandidate(Instant now) {
     if (!isScaleInCandidate()) {
       scaleInCandidateSince = now;
     }
   }
 
-  /** The machine is needed. */
+  /** Records that the machine is needed. */
   public void clearScaleInCandidate() {
     scaleInCandidateSince = Instant.MAX;
   }
--- a/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionLog.java
@@ -10,17 +10,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs what each start, each new incarnation and each proof of absence rests on: the incarnation,
- * sequence and fencing token that the machine has shown, and what its lease is counted from. With
- * it the log alone tells why a task was started elsewhere. Counts of the three are part of the
- * leader's statistics.
+ * Logs the evidence behind each start, new incarnation and absence proof: the incarnation, sequence
+ * and fencing token that the machine has reported, and the event from which its lease is counted.
+ * The log alone then explains why a task was started elsewhere. The leader's statistics include the
+ * counts of all three.
  */
 public final class DecisionLog {
-  /** How starts are brought to an agent. */
+  /** The channel by which a start reaches an agent. */
   public enum Channel {
-    /** A request of the leader to the agent. */
+    /** A request from the leader to the agent. */
     COMMAND,
-    /** The response to one of the agent's heartbeats. */
+    /** The response to a heartbeat of the agent. */
     HEARTBEAT_RESPONSE
   }
 
@@ -32,13 +32,13 @@
   private final int[] startsByChannel = new int[Channel.values().length];
   private int newIncarnations;
 
-  /** Makes a log for the decisions of a leader. */
+  /** Creates a log for the decisions of a leader. */
   public DecisionLog(Leadership leadership, InstantSource clock) {
     this.leadership = leadership;
     this.clock = clock;
   }
 
-  /** Starts are being sent; commands of other kinds among them are not counted. */
+  /** Logs and counts the start commands among the commands that are being sent. */
   public void recordStartsSent(Machine machine, List<AgentCommand> commands, Channel channel) {
     int previousCount = startsByChannel[channel.ordinal()];
     for (AgentCommand command : commands) {
@@ -64,7 +64,8 @@
   }
 
   /**
-   * A machine shows an incarnation that was not expected of it, or the one after its lease expired.
+   * Logs and counts an unexpected new incarnation, or the first one after the machine's lease
+   * expired.
    */
   public void recordIncarnationBegan(Machine machine, Heartbeat message, long previousIncarnation) {
     newIncarnations++;
@@ -78,9 +79,9 @@
   }
 
   /**
-   * The machine's lease has expired, and with it all that was there.
+   * Logs that the machine's lease has expired and that every task on it has ended.
    *
-   * @param expiryBound how long after the last renewal that is certain
+   * @param expiryBound how long after the last renewal the lease has certainly expired
    */
   public void recordLeaseExpired(Machine machine, int tasks, Duration expiryBound) {
     LOG.warn(
@@ -92,7 +93,7 @@
         describeLease(machine));
   }
 
-  /** It is proven that a task is not on its machine. */
+  /** Logs and counts a proof that the attempt is not on its machine. */
   void recordAbsenceProved(TaskAttempt attempt, AbsenceProof proof) {
     absencesByProof[proof.ordinal()]++;
     if (LOG.isDebugEnabled()) {
@@ -121,7 +122,7 @@
             lease.age(clock.instant()).toMillis());
   }
 
-  /** What was counted since the last call, as fields of a log line. */
+  /** Returns the counts since the last call as fields of a log line, and resets them. */
   String takeCounts() {
     String counts =
         "starts=%s absences=%s incarnations=%d"
--- a/src/main/java/io/pearscale/scheduler/model/DecisionRecorder.java
+++ b/src/main/java/io/pearscale/scheduler/model/DecisionRecorder.java
@@ -4,45 +4,54 @@
 import java.util.Set;
 
 /**
- * Where decisions say what a successor must find stored. What is recorded is written with one of
- * the leader's next transactions; nothing is durable when a method returns.
+ * Receives the decisions that a successor must find in the key-value store. They are written with
+ * one of the leader's next transactions; nothing is durable when a method returns.
  */
 public interface DecisionRecorder {
   /**
-   * The task's placement record is to name the attempt's machine, and the machine needs a record.
+   * Requests a placement record that names the attempt's machine, and a record of that machine if
+   * it has none.
    */
   void recordPlacement(TaskAttempt attempt);
 
-  /** The task is done. Until that is written its agent goes on to report it: there is no hurry. */
+  /**
+   * Requests a record that the task is done. The write may be delayed, because the agent reports
+   * the task until the record is durable.
+   */
   void recordTaskDone(Job job, int task);
 
-  /** All tasks of the job are done. */
+  /** Requests a record that all tasks of the job are done. */
   void recordJobFinished(Job job);
 
-  /** The placement records of the job's tasks are not needed any more. */
+  /** Requests removal of the job's placement records, which are no longer needed. */
   void removeJob(Job job);
 
-  /** Gives the machine a place among the machine records, unless it has one. */
+  /** Assigns the machine a slot among the machine records, unless it has one. */
   void assignSlot(Machine machine);
 
-  /** Whether the machine has a place among the machine records. */
+  /** Returns whether the machine has a slot among the machine records. */
   boolean hasSlot(Machine machine);
 
-  /** The machine's record is to be written within that time. */
+  /** Requests a write of the machine's record within the given time. */
   void recordMachine(Machine machine, Duration within);
 
-  /** The machine's record has changed, but nobody waits for it. */
+  /**
+   * Requests a deferred write of the machine's record, for a change that no operation waits for.
+   */
   void recordMachineDeferred(Machine machine);
 
-  /** The machine's record is to be written as soon as possible. */
+  /** Requests a write of the machine's record as soon as possible. */
   void recordMachineNow(Machine machine);
 
-  /** The machine is gone, or nothing can be alive on it: its record is not needed any more. */
+  /**
+   * Requests removal of the record of a machine that was deleted or on which no task can be
+   * running.
+   */
   void removeMachine(Machine machine);
 
-  /** The cloud offers these types; the catalogue is stored if it has others. */
+  /** Stores the names of the machine types that the cloud provider offers, if they have changed. */
   void updateCatalogue(Set<String> typeNames);
 
-  /** Asks for a transaction. */
+  /** Requests a transaction. */
   void requestCommit();
 }
--- a/src/main/java/io/pearscale/scheduler/model/EquivalenceClass.java
+++ b/src/main/java/io/pearscale/scheduler/model/EquivalenceClass.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What decides where a task may go and whom it may evict. */
+/**
+ * The properties of a task that determine where it can be placed and which tasks it can preempt.
+ */
 public record EquivalenceClass(
     Priority priority,
     double cpus,
@@ -15,7 +17,7 @@
     Optional<String> zone,
     boolean spotAllowed) {
 
-  /** Returns the class of the tasks of a job. */
+  /** Returns the equivalence class of the job's tasks. */
   public static EquivalenceClass of(JobSpec spec) {
     return new EquivalenceClass(
         spec.priority(),
--- a/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
+++ b/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
@@ -1,10 +1,10 @@
 package io.pearscale.scheduler.model;
 
 /**
- * The fencing tokens of one machine: the one that commands carry, the highest that the machine has
- * shown, and what follows from the difference. An agent refuses commands whose token is below the
- * highest that it has seen, so incrementing the token ends all uncertainty about commands that were
- * sent with a lower one, once the machine has shown the new one.
+ * The fencing tokens of one machine: the token that commands carry, the highest token that the
+ * machine has reported, and what follows from the difference. An agent refuses commands whose token
+ * is below the highest that it has seen. So after the leader increments the token and the machine
+ * reports the new one, no command with a lower token can be executed any more.
  *
  * <p>Owned by its {@link Machine}; written while the leader handles heartbeats and commands.
  */
@@ -18,67 +18,72 @@
   private int unacknowledgedResponses;
   private long unknownOutcomeToken = NO_TOKEN;
 
-  /** The token that commands to the machine carry. */
+  /** Returns the token that commands to the machine carry. */
   public long current() {
     return current;
   }
 
-  /** The highest token that a message of the machine has shown; 0 while there was none. */
+  /** Returns the highest token that the machine has reported, or 0 if it has reported none. */
   public long observed() {
     return observed;
   }
 
   /**
-   * How many heartbeats in a row did not show the token of the response before; 0 when the last one
-   * did.
+   * Returns how many consecutive heartbeats reported a lower token than the preceding response
+   * carried; 0 if the last heartbeat did not.
    */
   public int unacknowledgedResponses() {
     return unacknowledgedResponses;
   }
 
-  /** The leader's first token for the machine in this term. */
+  /** Sets the leader's first token for the machine in this term. */
   void initialize(long firstToken) {
     current = firstToken;
   }
 
-  /** From when the machine has shown the next token, no command with an older one is executed. */
+  /**
+   * Increments the token. Once the machine reports the new token, it executes no command with an
+   * older one.
+   */
   public void increment() {
     current++;
   }
 
-  /** A message of the machine shows the token. */
+  /** Records a token that a message from the machine reports. */
   void observe(long token) {
     observed = Math.max(observed, token);
   }
 
   /**
-   * A command that carried the token got no answer: it may have been executed, or may be executed
-   * later, until the machine has shown a higher token.
+   * Records that the outcome of a command with the given token is unknown: it may have been
+   * executed, or may be executed until the machine reports a higher token. Increments the token so
+   * that the machine can report one.
    */
   public void commandOutcomeUnknown(long token) {
     unknownOutcomeToken = Math.max(unknownOutcomeToken, token);
     increment();
   }
 
-  /** Whether a command without an answer may still be executed. */
+  /** Returns whether a command of unknown outcome may still be executed. */
   public boolean isCommandOutcomeUnknown() {
     return unknownOutcomeToken >= observed;
   }
 
-  /** A heartbeat was answered with the present token, through that controller. */
+  /** Records that a heartbeat was answered with the current token through the given controller. */
   public void responseSent(String controller) {
     lastResponseController = controller;
     lastResponseToken = current;
   }
 
   /**
-   * Takes in which token a heartbeat shows, and which controller it came to, and says whether the
-   * machine has received the last response, as far as that can tell. A machine whose heartbeats
-   * arrive while responses and commands don't reach it shows an older token than it was answered
-   * with, or turns to another controller although it was answered, as agents do when no answer
-   * comes. In the second case a higher token makes sure.
+   * Checks whether a heartbeat acknowledges the last response, given the token that it reports and
+   * the controller that received it. Two symptoms show that heartbeats arrive while responses and
+   * commands do not: the machine reports an older token than the last response carried, or it
+   * switches to another controller although it was answered, as agents do when no response arrives.
+   * The second symptom is not conclusive, so the token is incremented, and the next heartbeat
+   * acknowledges a response only if it reports the new token.
    *
-   * @return whether the last response has arrived
+   * @return whether the machine has received the last response
    */
   public boolean acknowledgeResponse(long token, String controller) {
     if (token < lastResponseToken) {
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -19,11 +19,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tracks the present attempt of each gang job that has, or had, tasks on machines. */
+/** Tracks the current attempt of each gang job that has, or had, tasks on machines. */
 public final class GangTracker {
   private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
-  /** Machines that are named at most as what a gang waits for. */
+  /** The maximum number of machines that a wait reason names. */
   private static final int MAX_MACHINES_IN_WAIT_REASON = 3;
 
   private final Leadership leadership;
@@ -34,7 +34,7 @@
   private Duration lostWork = Duration.ZERO;
 
   /**
-   * Makes a tracker that knows of no gangs.
+   * Creates a tracker without any gangs.
    *
    * @param formingTimeout how long a task of a gang waits for the others
    */
@@ -44,14 +44,14 @@
     this.formingTimeout = formingTimeout;
   }
 
-  /** Forgets all gangs, since the term is over. */
+  /** Removes all gangs when the term ends. */
   public void clear() {
     attempts.clear();
     phaseSince.clear();
     lostWork = Duration.ZERO;
   }
 
-  /** Forgets a gang whose job is over. */
+  /** Removes the gang of a job that has ended. */
   public void forget(Job job) {
     attempts.remove(job);
     phaseSince.remove(job);
@@ -62,18 +62,18 @@
     return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formingTimeout));
   }
 
-  /** The phase of the job's present attempt, when it was last looked at. */
+  /** Returns the phase that the last evaluation of the job's current attempt found. */
   public Phase phase(Job job) {
     return attemptOf(job).phase();
   }
 
-  /** Whether tasks of the gang are placed, but do not run. */
+  /** Returns whether tasks of the gang are placed but the gang is not running. */
   public boolean isWaiting(Job job) {
     Phase phase = phase(job);
     return phase != Phase.VACANT && phase != Phase.RUNNING;
   }
 
-  /** What a gang that is held up waits for, as a phrase for operators. */
+  /** Returns what a waiting gang waits for, as a phrase for operators. */
   public String waitReason(Job job) {
     return switch (phase(job)) {
       case FORMING ->
@@ -107,10 +107,11 @@
         .collect(Collectors.joining(", "));
   }
 
-  /** What is to be done for the gang now; looks at what its tasks are at. */
+  /** Evaluates the gang's tasks and returns the next action for the gang. */
   public Action nextAction(Job job) {
     if (job.hasDoneTasks()) {
-      return Action.NONE; // One completed task completes all: what is left exits by itself.
+      return Action
+          .NONE; // One completed task completes the gang: the remaining tasks exit by themselves.
     }
     GangAttempt attempt = attemptOf(job);
     Phase previousPhase = attempt.phase();
@@ -119,7 +120,10 @@
     return action;
   }
 
-  /** Logs a change of phase, and counts the work that is lost if a gang that ran has to end. */
+  /**
+   * Logs a phase change, and adds up the run time that is lost when a running gang has to end
+   * without a checkpoint.
+   */
   private void recordPhaseChange(Job job, Phase previousPhase, boolean checkpointed) {
     GangAttempt attempt = attemptOf(job);
     Phase phase = attempt.phase();
@@ -146,7 +150,10 @@
         previousPhaseDuration.toMillis());
   }
 
-  /** Time that all tasks together ran since their last checkpoint, as far as this leader knows. */
+  /**
+   * Returns the run time since the last checkpoint, added up over all tasks. It is derived from the
+   * time that this leader observed the gang running.
+   */
   private static Duration workSinceCheckpoint(Job job, Duration runDuration) {
     long checkpointMillis = job.spec().checkpointInterval().toMillis();
     long sinceCheckpoint =
@@ -173,22 +180,22 @@
     };
   }
 
-  /** An attempt begins under that number. */
+  /** Begins an attempt with the given number. */
   public void beginAttempt(Job job, long number) {
     Phase previousPhase = phase(job);
     attemptOf(job).begin(number, clock.instant());
     recordPhaseChange(job, previousPhase, /* checkpointed= */ false);
   }
 
-  /** The number under which missing tasks of the present attempt are started. */
+  /** Returns the number of the current attempt, under which missing tasks are started. */
   public long attemptNumber(Job job) {
     return attemptOf(job).number().orElseThrow();
   }
 
   /**
-   * All tasks of the gang are being stopped.
+   * Records that all tasks of the gang are being stopped.
    *
-   * @param checkpoints whether they get time for a checkpoint
+   * @param checkpoints whether the tasks get time for a checkpoint
    */
   public void noteEnding(Job job, boolean checkpoints) {
     Phase previousPhase = phase(job);
@@ -196,15 +203,18 @@
     recordPhaseChange(job, previousPhase, checkpoints);
   }
 
-  /** A task of the attempt of that number has exited since others are missing or gone. */
+  /**
+   * Records that a task of the given attempt exited because other tasks were missing or had ended.
+   */
   public void noteBroken(Job job, long attempt) {
     attemptOf(job).noteBroken(attempt);
   }
 
   /**
-   * Whether starts of the job may be sent: those of a gang only when all its tasks are placed and
-   * all placement records are durable, so that none is started in vain and a successor knows of
-   * each.
+   * Returns whether starts of the job's tasks may be sent. Tasks of a gang are started only when
+   * all its tasks are placed and all their placement and machine records are durable. This avoids
+   * starts of tasks that would wait for tasks that are not placed, and a successor knows of every
+   * started task.
    */
   public static boolean mayStart(Job job) {
     if (!job.spec().isGang()) {
@@ -220,8 +230,8 @@
   }
 
   /**
-   * Fields of a log line: how many gangs are in each phase, how many attempts have ended, and the
-   * work that was lost.
+   * Returns the fields of a log line: the number of gangs in each phase, the number of ended
+   * attempts and the lost run time.
    */
   public String logFields() {
     int[] gangsByPhase = new int[Phase.values().length];
--- a/src/main/java/io/pearscale/scheduler/model/HostedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/HostedAttempts.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 
 /**
- * The attempts that may be on one machine, in the order in which they were decided, and what they
- * leave of its resources.
+ * The attempts that may be on one machine, in the order in which they were planned, and the
+ * resources that they leave available.
  *
- * <p>Owned by its {@link Machine}; attempts come and go through the {@link MachineInventory} alone.
+ * <p>Owned by its {@link Machine}; only the {@link MachineInventory} adds and removes attempts.
  */
 public final class HostedAttempts {
   private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
@@ -27,22 +27,22 @@
     this.type = type;
   }
 
-  /** All of them. */
+  /** Returns a live view of all attempts. */
   public Collection<TaskAttempt> values() {
     return values;
   }
 
-  /** The attempt of that task; null if none is here. */
+  /** Returns the attempt of the task, or null if none may be on this machine. */
   public TaskAttempt get(TaskId task) {
     return attempts.get(task);
   }
 
-  /** Whether there is none. */
+  /** Returns whether no attempt may be on this machine. */
   public boolean isEmpty() {
     return attempts.isEmpty();
   }
 
-  /** How many there are. */
+  /** Returns the number of attempts. */
   public int size() {
     return attempts.size();
   }
@@ -57,18 +57,18 @@
     invalidateAvailable();
   }
 
-  /** The machine's type is known better. */
+  /** Sets the machine's type, for which more accurate data are known. */
   void updateType(MachineType newType) {
     type = newType;
     invalidateAvailable();
   }
 
-  /** What is here, or is to stay here, has changed. */
+  /** Discards the cached resources after a change to the attempts or to their stop requests. */
   void invalidateAvailable() {
     availableByPreemptor = null;
   }
 
-  /** How many of them are of the job. */
+  /** Returns how many of the attempts belong to the job. */
   public int countOf(Job job) {
     int count = 0;
     for (TaskAttempt attempt : attempts.values()) {
@@ -79,7 +79,7 @@
     return count;
   }
 
-  /** How many of them are of services. */
+  /** Returns how many of the attempts belong to services. */
   public int replicaCount() {
     int count = 0;
     for (TaskAttempt attempt : attempts.values()) {
@@ -90,7 +90,10 @@
     return count;
   }
 
-  /** How many images beside that one are fetched, or are to be, for attempts that are here. */
+  /**
+   * Returns how many images other than the given one are being, or will be, fetched for attempts on
+   * this machine.
+   */
   int otherImageFetches(String image, ImageCache cached) {
     Set<String> others = new HashSet<>();
     for (TaskAttempt attempt : attempts.values()) {
@@ -103,7 +106,7 @@
     return others.size();
   }
 
-  /** See {@link Machine#availableWithPreemption}. */
+  /** Implements {@link Machine#availableWithPreemption}. */
   Resources availableWithPreemption(Priority priority) {
     if (availableByPreemptor == null) {
       availableByPreemptor = new Resources[Priority.values().length];
@@ -124,7 +127,7 @@
     return available;
   }
 
-  /** See {@link Machine#physicallyAvailable}. */
+  /** Implements {@link Machine#physicallyAvailable}. */
   Resources physicallyAvailable() {
     Resources available = Resources.of(type);
     for (TaskAttempt attempt : attempts.values()) {
--- a/src/main/java/io/pearscale/scheduler/model/ImageCache.java
+++ b/src/main/java/io/pearscale/scheduler/model/ImageCache.java
@@ -3,29 +3,32 @@
 import java.util.LinkedHashMap;
 
 /**
- * Which images a machine is taken to have, from what ran there: the least recently used ones are
- * dropped when they exceed the machine's cache.
+ * Model of a machine's image cache, derived from the tasks that ran on the machine. When the images
+ * exceed the cache's capacity, the least recently used ones are evicted.
  */
 public final class ImageCache {
-  /** Sizes in gigabytes; the least recently used first. */
+  /** Image sizes in gigabytes, in access order, least recently used first. */
   private final LinkedHashMap<String, Double> sizes = new LinkedHashMap<>(8, 0.75f, true);
 
-  /** Whether the image is taken to be there. */
+  /** Returns whether the image is assumed to be cached. */
   public boolean contains(String image) {
     return sizes.containsKey(image);
   }
 
-  /** Whether no image is known to be there. */
+  /** Returns whether no image is known to be cached. */
   public boolean isEmpty() {
     return sizes.isEmpty();
   }
 
-  /** Nothing is known of the images any more. */
+  /** Removes all images, because the contents of the cache are unknown. */
   void clear() {
     sizes.clear();
   }
 
-  /** A task with the image runs: the agent has it, and may have dropped others for it. */
+  /**
+   * Records that a task with the image runs. The agent has the image and may have evicted others to
+   * make space for it.
+   */
   void recordUse(String image, double sizeGb, double capacityGb) {
     sizes.put(image, sizeGb);
     double totalGb = 0;
--- a/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
@@ -5,32 +5,32 @@
 import java.time.Instant;
 
 /**
- * The incarnations of one agent, and until when anything in them can be alive.
+ * The incarnations of one agent, and the lease that bounds how long tasks in them can run.
  *
- * <p>An agent whose lease expires forgets its tasks and begins its next incarnation, whose lease
- * runs from its beginning without any response. Two facts are kept apart: the incarnation that a
- * message of the agent has shown (<em>observed</em>), and the least one of which messages may still
- * be believed (<em>acceptable</em>), which follows from a stored record or from an expired lease.
- * Only a message makes an incarnation an observed one, and that counts the incarnation's lease: so
- * nothing is started in an incarnation whose lease is not counted.
+ * <p>An agent whose lease expires discards its tasks and begins its next incarnation. The lease of
+ * that incarnation starts when the incarnation begins, before any heartbeat response. This class
+ * distinguishes the incarnation that a message has reported (<em>observed</em>) from the lowest
+ * incarnation whose messages are accepted (<em>acceptable</em>), which follows from a stored record
+ * or an expired lease. Only a message makes an incarnation observed, and the lease is counted from
+ * that message on. So nothing is started in an incarnation whose lease is not counted.
  *
- * <p>Owned by its {@link Machine}. Written while messages of the agent are handled, and when the
+ * <p>Owned by its {@link Machine}; written while messages of the agent are handled and when the
  * lease has expired.
  */
 public final class IncarnationLease {
-  /** What the lease was last counted from. */
+  /** The event from which the lease was last counted. */
   enum Basis {
-    /** The agent has not been heard of, and nobody can have started anything there. */
+    /** No message was received from the agent, and no controller can have started a task there. */
     NONE,
-    /** A previous leader may have renewed it until then. */
+    /** A previous leader may have renewed the lease until this time. */
     PREVIOUS_LEADERS,
-    /** The incarnation was observed for the first time: it began then at the latest. */
+    /** The incarnation was observed for the first time; it began no later than that. */
     INCARNATION_OBSERVED,
-    /** A heartbeat was answered. */
+    /** The leader answered a heartbeat. */
     HEARTBEAT_RESPONSE
   }
 
-  /** Stands for the incarnation of an agent that has shown none which is acceptable. */
+  /** The observed incarnation of an agent that has reported no acceptable one. */
   private static final long NO_INCARNATION = -1;
 
   private long minimumAcceptableIncarnation;
@@ -39,12 +39,15 @@
   private Instant leaseStart = Instant.MIN;
   private Basis basis = Basis.NONE;
 
-  /** A stored record names the incarnation: older ones are not acceptable. */
+  /** Sets the lowest acceptable incarnation to the one that a stored record names. */
   public void setMinimumIncarnation(long incarnation) {
     minimumAcceptableIncarnation = incarnation;
   }
 
-  /** Previous leaders may have renewed, or may yet renew, the lease until then. */
+  /**
+   * Extends the lease to the time until which previous leaders may renew it, or may have renewed
+   * it.
+   */
   void extendForPreviousLeaders(Instant until) {
     if (until.isAfter(leaseStart)) {
       leaseStart = until;
@@ -52,14 +55,17 @@
     }
   }
 
-  /** Previous leaders renew no leases any more. */
+  /** Records that previous leaders no longer renew the lease. */
   public void previousLeadersEnded(Instant now) {
     if (leaseStart.isAfter(now)) {
       leaseStart = now;
     }
   }
 
-  /** Whether the message is later than all that were observed, and of an acceptable incarnation. */
+  /**
+   * Returns whether the message is newer than all observed messages and belongs to an acceptable
+   * incarnation.
+   */
   public boolean isNewer(Heartbeat message) {
     return observedIncarnation == NO_INCARNATION
         ? message.incarnation() >= minimumAcceptableIncarnation
@@ -67,9 +73,9 @@
   }
 
   /**
-   * Takes in a message that {@link #isNewer}.
+   * Records a message for which {@link #isNewer} returns true.
    *
-   * @return whether it shows an incarnation for the first time, whose lease counts from now
+   * @return whether the message is the first of its incarnation, whose lease is counted from now
    */
   public boolean observe(Heartbeat message, Instant now) {
     boolean incarnationIsNew =
@@ -83,54 +89,66 @@
     return incarnationIsNew;
   }
 
-  /** A heartbeat of the present incarnation is answered: its lease may last its time from now. */
+  /**
+   * Renews the lease from now, because a heartbeat of the current incarnation is being answered.
+   */
   public void renew(Instant now) {
     leaseStart = now;
     basis = Basis.HEARTBEAT_RESPONSE;
   }
 
   /**
-   * Whether nothing that was started in the present incarnation, or in one before, can be alive.
+   * Returns whether every task started in the current or an earlier incarnation has certainly
+   * ended.
    *
-   * @param expiryBound the lease's time, with what clocks may differ by
+   * @param expiryBound the lease TTL plus the maximum clock drift
    */
   public boolean isExpired(Instant now, Duration expiryBound) {
     return basis != Basis.NONE && now.isAfter(leaseStart.plus(expiryBound));
   }
 
   /**
-   * Whether the lease was renewed so lately that the agent still has it.
+   * Returns whether the lease was renewed recently enough that the agent still holds it.
    *
-   * @param leaseTtl the lease's time
+   * @param leaseTtl the lease TTL
    */
   public boolean isHeld(Instant now, Duration leaseTtl) {
     return basis != Basis.NONE && now.isBefore(leaseStart.plus(leaseTtl));
   }
 
-  /** The present incarnation is proven to be over; the agent has yet to show a later one. */
+  /**
+   * Records that the current incarnation has certainly ended. The agent has not yet reported a
+   * later one.
+   */
   public void endIncarnation() {
     minimumAcceptableIncarnation = incarnation() + 1;
     observedIncarnation = NO_INCARNATION;
   }
 
-  /** The incarnation that commands name: the observed one, or else the least acceptable. */
+  /**
+   * Returns the incarnation that commands name: the observed one, or the lowest acceptable one if
+   * none is observed.
+   */
   public long incarnation() {
     return observedIncarnation == NO_INCARNATION
         ? minimumAcceptableIncarnation
         : observedIncarnation;
   }
 
-  /** The sequence of the last message; -1 when no incarnation is observed. */
+  /** Returns the sequence of the last message, or -1 if no incarnation is observed. */
   long sequence() {
     return observedIncarnation == NO_INCARNATION ? NO_INCARNATION : observedSequence;
   }
 
-  /** What the lease was last counted from. */
+  /** Returns the event from which the lease was last counted. */
   Basis basis() {
     return basis;
   }
 
-  /** The time since the lease was last counted; negative while previous leaders may renew it. */
+  /**
+   * Returns the time since the lease was last counted; negative while previous leaders may renew
+   * it.
+   */
   Duration age(Instant now) {
     return basis == Basis.NONE ? Duration.ZERO : Duration.between(leaseStart, now);
   }
--- a/src/main/java/io/pearscale/scheduler/model/Job.java
+++ b/src/main/java/io/pearscale/scheduler/model/Job.java
@@ -12,12 +12,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A job that is not over, as the leader sees it, with the attempts of its tasks. */
+/** A live job, as the leader sees it, with the attempts of its tasks. */
 public final class Job {
-  /** A batch job of which nothing runs for so long gets a task started before others. */
+  /**
+   * A batch job that has not started any task within this time gets one task started before tasks
+   * of other jobs.
+   */
   public static final Duration STARVATION_THRESHOLD = Duration.ofSeconds(75);
 
-  /** What is stopped sooner is no start in its user's eyes. */
+  /** A task that is stopped before it has run this long does not count as started for the user. */
   public static final Duration MIN_RUN_TO_COUNT_AS_START = Duration.ofSeconds(30);
 
   private final JobSpec spec;
@@ -33,11 +36,11 @@
   private boolean unschedulable;
 
   /**
-   * A job of which no task is known to be anywhere.
+   * Creates a job without attempts.
    *
-   * @param revision the revision of the key that holds it
-   * @param submittedAt on the leader's own clock
-   * @param quotaLimited whether its team may use only so much at any time
+   * @param revision the revision of the key that stores the job
+   * @param submittedAt the submission time on the leader's clock
+   * @param quotaLimited whether the job's team has a quota limit
    */
   public Job(JobSpec spec, long revision, Instant submittedAt, boolean quotaLimited) {
     this.spec = spec;
@@ -48,9 +51,9 @@
   }
 
   /**
-   * What a previous leader started of a job that is over by now. Nothing is known of it but the
-   * records of one partition; its tasks count for their team's limit until they are known to be
-   * gone.
+   * Creates a placeholder for an ended job whose tasks a previous leader started. It is built from
+   * the record of one partition and that record's quota claim, because nothing else is known about
+   * the job. Its tasks count against the team's quota limit until they are known to have ended.
    */
   public static Job orphaned(
       PlacementRecordCodec.PartitionRecord partition,
@@ -81,22 +84,22 @@
     return new Job(spec, 0, now, /* quotaLimited= */ true);
   }
 
-  /** What was submitted. */
+  /** Returns the submitted job specification. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The revision of the key that holds it. */
+  /** Returns the revision of the key that stores the job. */
   public long revision() {
     return revision;
   }
 
-  /** When it was submitted, on the leader's own clock. */
+  /** Returns the submission time on the leader's clock. */
   public Instant submittedAt() {
     return submittedAt;
   }
 
-  /** What its tasks take of their team's limit; empty where the team has none. */
+  /** Returns the quota that each task uses, or empty if the job's team has no quota limit. */
   public Optional<PlacementRecordCodec.QuotaClaim> quotaClaim() {
     return quotaLimited
         ? Optional.of(
@@ -107,43 +110,47 @@
 
   // ---- Failures and starts ----
 
-  /** Where its tasks failed, and whether one ever ran well. */
+  /** Returns where the job's tasks failed and whether any of them succeeded. */
   public JobFailureHistory failures() {
     return failures;
   }
 
-  /** Whether any of its tasks ran for long enough to count as a start. */
+  /** Returns whether any task of the job ran long enough to count as started. */
   public boolean hasStarted() {
     return failures.hasStarted();
   }
 
-  /** Whether the last pass found no place for one of its tasks. */
+  /** Returns whether the last scheduling pass failed to place a task of the job. */
   public boolean isUnschedulable() {
     return unschedulable;
   }
 
-  /** A pass has found a place for its task, or none. */
+  /** Records whether a scheduling pass placed the job's task. */
   public void recordSchedulingResult(boolean placed) {
     unschedulable = !placed;
   }
 
-  // ---- Its tasks ----
+  // ---- Tasks ----
 
   /**
-   * Where each task is, or may be, by index: also such as were not seen since the takeover, each on
-   * the machine that its placement record names.
+   * Returns a live view of the attempts by task index. It includes attempts that were not observed
+   * since the failover, each on the machine that its placement record names.
    */
   public Map<Integer, TaskAttempt> attempts() {
     return attemptsView;
   }
 
-  /** Called by the inventory alone, which adds the attempt to its machine as well. */
+  /**
+   * Adds an attempt. Only the inventory calls this, and it also adds the attempt to the machine.
+   */
   void add(TaskAttempt attempt) {
     attempts.put(attempt.task().index(), attempt);
     attemptsByZone.merge(attempt.machine().zone(), 1, Integer::sum);
   }
 
-  /** Called by the inventory alone; counts a start if the attempt ran for long enough. */
+  /**
+   * Removes an attempt and records a start if it ran long enough. Only the inventory calls this.
+   */
   void remove(TaskAttempt attempt, Instant now) {
     if (attempts.remove(attempt.task().index(), attempt)) {
       attemptsByZone.merge(attempt.machine().zone(), -1, Integer::sum);
@@ -153,7 +160,7 @@
     }
   }
 
-  /** Forgets all that only a leader knows. */
+  /** Clears the state that only a leader maintains. */
   void clearLeaderState() {
     attempts.clear();
     attemptsByZone.clear();
@@ -161,12 +168,14 @@
     durablyDoneTasks.clear();
   }
 
-  /** Tasks that are neither done nor may be anywhere. */
+  /** Returns the number of tasks that are neither done nor have an attempt. */
   public int pendingTasks() {
     return spec.tasks() - doneTasks.cardinality() - attempts.size();
   }
 
-  /** The index of the next pending task from {@code from} on, or -1. */
+  /**
+   * Returns the index of the first pending task at or after {@code from}, or -1 if there is none.
+   */
   public int nextPendingTask(int from) {
     for (int i = from; i < spec.tasks(); i++) {
       if (!doneTasks.get(i) && !attempts.containsKey(i)) {
@@ -176,7 +185,7 @@
     return -1;
   }
 
-  /** Tasks that run, or save what they have done. */
+  /** Returns the number of tasks that are running or checkpointing. */
   public int runningTasks() {
     int count = 0;
     for (TaskAttempt attempt : attempts.values()) {
@@ -188,59 +197,64 @@
     return count;
   }
 
-  /** Tasks that may be in the zone. */
+  /** Returns the number of attempts that may be in the zone. */
   public int attemptsInZone(String zone) {
     return attemptsByZone.getOrDefault(zone, 0);
   }
 
-  /** Whether no task may be outside of the zone. */
+  /** Returns whether no attempt may be outside the zone. */
   public boolean isOnlyInZone(String zone) {
     return attemptsInZone(zone) == attempts.size();
   }
 
-  // ---- Tasks that are done ----
+  // ---- Done tasks ----
 
-  /** Whether the task is known to be done. */
+  /** Returns whether the task is known to be done. */
   public boolean isDone(int task) {
     return doneTasks.get(task);
   }
 
-  /** Whether a successor would know that the task is done. */
+  /**
+   * Returns whether a durable record says that the task is done, so that a successor would know it.
+   */
   public boolean isDurablyDone(int task) {
     return durablyDoneTasks.get(task);
   }
 
-  /** How many tasks are done. */
+  /** Returns the number of done tasks. */
   public int doneCount() {
     return doneTasks.cardinality();
   }
 
-  /** Whether any task is done. */
+  /** Returns whether any task is done. */
   public boolean hasDoneTasks() {
     return !doneTasks.isEmpty();
   }
 
-  /** Which of so many tasks are done, numbered from the first one on. */
+  /**
+   * Returns which of the {@code count} tasks from {@code first} on are done; bit 0 is the first
+   * task.
+   */
   public BitSet doneTasks(int first, int count) {
     return doneTasks.get(first, first + count);
   }
 
-  /** Whether all tasks are done; a service never is. */
+  /** Returns whether all tasks are done; always false for a service. */
   public boolean isComplete() {
     return !spec.isService() && doneTasks.cardinality() >= spec.tasks();
   }
 
-  /** The task is done. */
+  /** Marks the task as done. */
   public void markDone(int task) {
     doneTasks.set(task);
   }
 
-  /** All tasks are done, as those of a gang are with the first one. */
+  /** Marks all tasks as done, as when the first task of a gang completes. */
   public void markAllDone() {
     doneTasks.set(0, spec.tasks());
   }
 
-  /** The tasks were written as done; they are numbered from the first one on. */
+  /** Records that a durable record marks the given tasks as done; bit 0 is the first task. */
   public void recordDurablyDone(int firstTask, BitSet written) {
     for (int i = written.nextSetBit(0); i >= 0; i = written.nextSetBit(i + 1)) {
       if (firstTask + i < spec.tasks()) {
@@ -249,7 +263,7 @@
     }
   }
 
-  /** The job's end was written: a successor knows all that is done. */
+  /** Records that the end of the job is durable, so that a successor knows of all done tasks. */
   public void recordAllDurablyDone() {
     durablyDoneTasks.or(doneTasks);
   }
--- a/src/main/java/io/pearscale/scheduler/model/JobClasses.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobClasses.java
@@ -14,13 +14,13 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The service-level objectives of each class of jobs, and what its jobs were like lately. */
+/** The service-level objectives of each job class, and statistics of the class's recent jobs. */
 public final class JobClasses {
   private static final int RECENT_JOBS_KEPT = 40;
 
   /**
-   * What a stop or a start takes beside the checkpoint and the fetch: messages and the agent's own
-   * time.
+   * The time that a stop or a start takes in addition to the checkpoint and the image fetch:
+   * message latency and processing time in the agent.
    */
   private static final Duration MESSAGING_OVERHEAD = Duration.ofSeconds(2);
 
@@ -30,16 +30,19 @@
   private final Map<String, ArrayDeque<Integer>> recentSizes = new HashMap<>();
 
   /**
-   * Knows the objectives, and no jobs yet.
+   * Creates an instance without any jobs.
    *
-   * @param types the machine types as they are known at any time
+   * @param types a live view of the known machine types
    */
   public JobClasses(List<ServiceLevelObjective> objectives, Collection<MachineType> types) {
     this.objectives = objectives;
     this.types = types;
   }
 
-  /** In which time tasks of the class are to start; the shortest, if there are several. */
+  /**
+   * Returns the time within which tasks of the job's class are to start; the shortest if the class
+   * has several such objectives.
+   */
   public Optional<Duration> startObjective(JobSpec spec) {
     return objectives.stream()
         .filter(
@@ -50,9 +53,9 @@
   }
 
   /**
-   * Whether capacity has to be free before the job comes: no machine that is provisioned when it
-   * comes would be up, with its image, in the time that its tasks have to start. Batch work that
-   * has a minute or two needs none.
+   * Returns whether capacity must be available before the job is submitted, because no machine
+   * provisioned on submission would boot and fetch the image within the start objective. Batch jobs
+   * with a start objective of one or two minutes need no headroom.
    */
   public boolean needsHeadroom(JobSpec spec) {
     Optional<Duration> objective = startObjective(spec);
@@ -69,14 +72,16 @@
         .noneMatch(startDelay -> startDelay.compareTo(objective.get()) <= 0);
   }
 
-  /** How long most machines take to boot: up to half as long again as the catalogue says. */
+  /**
+   * Returns the time within which most machines boot: up to 1.5 times the time in the catalogue.
+   */
   private static Duration expectedBootTime(MachineType type) {
     return type.bootTime().multipliedBy(3).dividedBy(2);
   }
 
   /**
-   * Whether a start on a machine of the type would be late if it waited for the checkpoint of the
-   * victim.
+   * Returns whether a start on a machine of the type would miss its objective if it waited for the
+   * victim's checkpoint.
    */
   public boolean isLateIfCheckpointed(JobSpec spec, JobSpec victim, MachineType type) {
     Duration startDelay =
@@ -86,28 +91,33 @@
         .isPresent();
   }
 
-  /** Tasks of a large job of the class, as seen lately: nine of ten have no more. */
+  /**
+   * Returns the task count of a large job of the class: the 90th percentile of recent batch jobs.
+   */
   public int largeJobTasks(String jobClass) {
     int[] sorted = recentSizes.get(jobClass).stream().mapToInt(n -> n).sorted().toArray();
     return sorted.length == 0 ? 0 : sorted[sorted.length * 9 / 10];
   }
 
-  /** Whether sizes of its jobs are known: it has batch jobs and an objective. */
+  /**
+   * Returns whether job sizes of the class are known. They are if it has batch jobs and an
+   * objective.
+   */
   public boolean hasKnownSizes(String jobClass) {
     return recentSizes.containsKey(jobClass);
   }
 
-  /** The classes with batch jobs and an objective; a live view. */
+  /** Returns a live view of the classes that have batch jobs and an objective. */
   public Set<String> classesWithKnownSizes() {
     return Collections.unmodifiableSet(recentSizes.keySet());
   }
 
-  /** The job of the class that was seen last. */
+  /** Returns the most recently observed job of the class. */
   public Optional<Job> latestJob(String jobClass) {
     return Optional.ofNullable(latestJobs.get(jobClass));
   }
 
-  /** The classes whose tasks {@linkplain #needsHeadroom need headroom}, by name. */
+  /** Returns the names of the classes that {@linkplain #needsHeadroom need headroom}, sorted. */
   public List<String> classesNeedingHeadroom() {
     return latestJobs.entrySet().stream()
         .filter(latest -> needsHeadroom(latest.getValue().spec()))
@@ -116,7 +126,7 @@
         .toList();
   }
 
-  /** A job has come; it is remembered if its class has an objective. */
+  /** Records a new job if its class has an objective. */
   public void observe(Job job) {
     JobSpec spec = job.spec();
     if (objectives.stream().noneMatch(objective -> objective.jobClass().equals(spec.jobClass()))) {
--- a/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
@@ -8,13 +8,16 @@
 import java.util.Set;
 
 /**
- * Whether a job's tasks can run at all, from where they failed and whether one ever ran well. A job
- * that was submitted with a mistake fails on healthy machines, which must not be blamed for it.
+ * Tracks on which machines a job's tasks failed and whether any task succeeded, to decide whether
+ * the tasks can run at all. A job that was submitted with a mistake fails on healthy machines, and
+ * those failures must not be attributed to the machines.
  *
  * <p>Owned by its {@link Job}; written by fault attribution.
  */
 public final class JobFailureHistory {
-  /** On so many machines a job must fail before it is thought to be its own fault. */
+  /**
+   * The number of machines on which a job must fail before the failures are attributed to the job.
+   */
   private static final int MIN_FAILED_MACHINES_TO_BLAME_JOB = 3;
 
   private static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
@@ -32,45 +35,55 @@
     this.service = service;
   }
 
-  /** Whether it is known that its tasks can run: one was done, or a replica ran for a while. */
+  /**
+   * Returns whether the job's tasks are known to be able to run: a task is done, or a replica ran
+   * long enough to count as started.
+   */
   public boolean hasSucceeded() {
     return taskSucceeded || (service && hasStarted);
   }
 
-  /** Whether it seems to have been submitted with a mistake: it failed wherever it was tried. */
+  /**
+   * Returns whether the job appears to have been submitted with a mistake: it failed on every
+   * machine where it was tried.
+   */
   public boolean failsEverywhere() {
     return !hasSucceeded() && machinesFailedOn.size() >= MIN_FAILED_MACHINES_TO_BLAME_JOB;
   }
 
-  /** Whether any of its tasks ran for long enough to count as a start. */
+  /** Returns whether any task of the job ran long enough to count as started. */
   boolean hasStarted() {
     return hasStarted;
   }
 
-  /** One of its tasks has run for long enough to count as a start. */
+  /** Records that a task of the job ran long enough to count as started. */
   void recordStart() {
     hasStarted = true;
   }
 
-  /** The names of the machines on which its tasks failed. */
+  /** Returns the names of the machines on which tasks of the job failed. */
   public Collection<String> machinesFailedOn() {
     return Collections.unmodifiableSet(machinesFailedOn);
   }
 
-  /** Its tasks are not started before; MIN where nothing stands against it. */
+  /**
+   * Returns the time before which no task of the job is started, or {@link Instant#MIN} if there is
+   * no such restriction.
+   */
   public Instant retryNotBefore() {
     return retryNotBefore;
   }
 
-  /** One of its tasks failed on the machine of that name. */
+  /** Records that a task of the job failed on the named machine. */
   public void recordFailure(String machine) {
     machinesFailedOn.add(machine);
   }
 
   /**
-   * One of its tasks was done.
+   * Records that a task of the job is done.
    *
-   * @return whether it is the first: from now on, failures elsewhere point at machines
+   * @return whether this is the job's first success. From then on, the job's failures on other
+   *     machines indicate faults of those machines
    */
   public boolean recordSuccess() {
     if (taskSucceeded) {
@@ -81,7 +94,7 @@
     return true;
   }
 
-  /** Puts the next try off, by more each time, unless it is put off already. */
+  /** Delays the next retry with exponential backoff, unless a retry is already delayed. */
   public void backOff(Instant now) {
     if (!now.isBefore(retryNotBefore)) {
       long seconds = INITIAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, retries++);
@@ -89,7 +102,7 @@
     }
   }
 
-  /** Puts the next try off until that time. */
+  /** Delays the next retry until the given time. */
   public void retryNotBefore(Instant time) {
     retryNotBefore = time;
   }
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -25,9 +25,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs that are not over, as the replica of the stored keys has them, and which of them have
- * tasks that wait for a machine. A job that was cancelled never comes back: an end is final, even
- * where a late change or an older copy of the keys still shows the job.
+ * The live jobs according to the replica of the stored keys, and those among them with pending
+ * tasks. A cancelled job is never added again, because cancellation is final even if a late change
+ * or an older copy of the keys still contains the job.
  */
 public final class JobTable {
   private static final Logger LOG = LoggerFactory.getLogger(JobTable.class);
@@ -48,12 +48,12 @@
   private final Collection<Job> queuedView = Collections.unmodifiableCollection(queued);
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
-   * @param wallClock on it, submissions carry their time
-   * @param levelGate says which features this build has
+   * @param wallClock the clock of the submission times in stored jobs
+   * @param levelGate reports which features this build supports
    * @param jobAdded receives each new job
-   * @param requestPass asks for a pass over the jobs that wait
+   * @param requestPass requests a scheduling pass
    */
   public JobTable(
       Map<String, Team> teams,
@@ -72,44 +72,46 @@
     this.requestPass = requestPass;
   }
 
-  /** The job of that id; null when it is over or never was. */
+  /** Returns the live job with the given ID, or null if there is none. */
   public Job get(String id) {
     return jobs.get(id);
   }
 
-  /** Whether the job is not over. */
+  /** Returns whether the job is live. */
   public boolean isLive(String id) {
     return jobs.containsKey(id);
   }
 
-  /** Whether the table still has this very job. */
+  /** Returns whether the table contains this job instance. */
   public boolean contains(Job job) {
     return jobs.get(job.spec().id()) == job;
   }
 
-  /** Returns all jobs that are not over. */
-  /** All of them, in the order in which they were added; a live view. */
+  /** Returns a live view of all live jobs in the order in which they were added. */
   public Collection<Job> all() {
     return jobsView;
   }
 
-  /** Returns how many jobs are not over. */
-  /** How many there are. */
+  /** Returns the number of live jobs. */
   public int size() {
     return jobs.size();
   }
 
-  /** The gang jobs among them. */
+  /** Returns a copy of the live gang jobs. */
   public Collection<Job> gangs() {
     return List.copyOf(gangs);
   }
 
-  /** Takes a stored job in; one that can't be read is remembered as such, not as absent. */
+  /**
+   * Adds a stored job. If the job can't be read, its key is recorded as unreadable, so that the job
+   * is not treated as absent.
+   */
   public void add(String key, Entry entry) {
     try {
       JobSpec spec = JobSpec.parse(entry.value().path("spec"));
       if (spec.isGang() && !levelGate.supports(Feature.GANG_JOBS)) {
-        throw new MalformedMessageException("a gang job, which this build must not serve");
+        throw new MalformedMessageException(
+            "the job is a gang job, and this build does not support gang jobs");
       }
       if (jobs.containsKey(spec.id()) || cancelled.contains(spec.id())) {
         return;
@@ -132,22 +134,22 @@
     }
   }
 
-  /** The key of a job was removed; what could not be read there is no obstacle any more. */
+  /** Records that a job's key was removed, so that it no longer counts as unreadable. */
   public void forgetUnreadable(String key) {
     unreadableKeys.remove(key);
   }
 
-  /** All keys are about to be read anew. */
+  /** Clears the unreadable keys before all keys are read again. */
   public void forgetUnreadable() {
     unreadableKeys.clear();
   }
 
-  /** The key of a job that can't be read, if there is one. */
+  /** Returns the key of a job that can't be read, or empty if there is none. */
   public Optional<String> unreadableKey() {
     return unreadableKeys.stream().findFirst();
   }
 
-  /** The job is over. */
+  /** Removes the job that has ended. */
   public Optional<Job> remove(String id) {
     Optional<Job> job = Optional.ofNullable(jobs.remove(id));
     job.ifPresent(queued::remove);
@@ -155,17 +157,20 @@
     return job;
   }
 
-  /** The job is over although the replica of the keys may not show it yet. */
+  /** Records that the job is cancelled although the replica of the keys may still contain it. */
   public void markCancelled(String id) {
     cancelled.add(id, clock.instant());
   }
 
-  /** The replica of the keys has all changes that were made before that time. */
+  /**
+   * Drops cancellations recorded before the given time; the replica contains all changes made
+   * before then.
+   */
   public void replicaCaughtUpTo(Instant replicaTime) {
     cancelled.replicaCaughtUpTo(replicaTime);
   }
 
-  /** The ids of jobs whose keys are not among these. */
+  /** Returns the IDs of live jobs whose keys are not in the given set. */
   public List<String> idsWithoutKey(Set<String> keys) {
     List<String> absent = new ArrayList<>();
     for (String id : jobs.keySet()) {
@@ -176,12 +181,15 @@
     return absent;
   }
 
-  /** Jobs with pending tasks: a scheduling pass looks at these alone. A live view. */
+  /**
+   * Returns a live view of the jobs with pending tasks, the only ones that a scheduling pass
+   * considers.
+   */
   public Collection<Job> queued() {
     return queuedView;
   }
 
-  /** Queues the job, or takes it out of the queue, after its pending tasks have changed. */
+  /** Adds the job to the queue, or removes it, after a change to its pending tasks. */
   public void requeue(Job job) {
     if (leadership.isReady() && contains(job) && job.pendingTasks() > 0) {
       queued.add(job);
@@ -191,12 +199,12 @@
     }
   }
 
-  /** Empties the queue, since this controller does not lead any more. */
+  /** Clears the queue when this controller no longer leads. */
   public void clearQueue() {
     queued.clear();
   }
 
-  /** Forgets of all jobs what only a leader knows. */
+  /** Clears the state of all jobs that only a leader maintains. */
   public void clearLeaderState() {
     jobs.values().forEach(Job::clearLeaderState);
   }
--- a/src/main/java/io/pearscale/scheduler/model/LeaderState.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderState.java
@@ -3,13 +3,13 @@
 import java.time.InstantSource;
 
 /**
- * What the components of a leader share. Each of them owns its state, and changes it by its methods
- * alone.
+ * The components that all parts of a leader share. Each component owns its state and changes it
+ * only through its own methods.
  *
  * @param requestPass requests a scheduling pass
- * @param records says what a successor must find stored
- * @param gangs the attempts of gang jobs
- * @param decisions logs what starts and proofs of absence rest on
+ * @param records receives the decisions that a successor must find stored
+ * @param gangs tracks the attempts of gang jobs
+ * @param decisions logs the evidence behind starts and absence proofs
  */
 public record LeaderState(
     Leadership leadership,
--- a/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
+++ b/src/main/java/io/pearscale/scheduler/model/LeaderStatistics.java
@@ -9,12 +9,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Statistics of the leader, which operators find in the log once a minute. */
+/** Statistics of the leader, logged once a minute for operators. */
 public final class LeaderStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderStatistics.class);
   private static final Duration LOG_INTERVAL = Duration.ofSeconds(60);
 
-  /** Longer than that is recorded as that. */
+  /** The maximum value of the histograms; longer durations are recorded as this value. */
   private static final long MAX_RECORDED_MS = 3_600_000;
 
   private final Leadership leadership;
@@ -26,7 +26,7 @@
   private final Histogram passMicros = new Histogram(3);
   private Instant nextLogAt = Instant.MIN;
 
-  /** Creates empty statistics of the given leader. */
+  /** Creates empty statistics for the given leader. */
   public LeaderStatistics(LeaderState state) {
     this.leadership = state.leadership();
     this.jobs = state.jobs();
@@ -35,20 +35,23 @@
     this.gangs = state.gangs();
   }
 
-  /** A task runs, so long after its start was decided. */
+  /**
+   * Records the time between the decision to start a task and the first heartbeat that reported it
+   * running.
+   */
   public void recordStartLatency(Duration sinceDecision) {
     startMillis.recordValue(Math.max(0, Math.min(MAX_RECORDED_MS, sinceDecision.toMillis())));
   }
 
-  /** A scheduling pass took so long. */
+  /** Records the duration of a scheduling pass. */
   public void recordPassDuration(Duration duration) {
     passMicros.recordValue(Math.min(MAX_RECORDED_MS * 1000, duration.toNanos() / 1000));
   }
 
   /**
-   * Logs the statistics, unless that was done within a minute.
+   * Logs the statistics unless they were logged within the last minute.
    *
-   * @param usable which machines may take tasks now
+   * @param usable tests whether a machine can take tasks now
    */
   public void logIfDue(Instant now, Predicate<Machine> usable) {
     if (now.isAfter(nextLogAt)) {
@@ -100,7 +103,7 @@
     return counts;
   }
 
-  /** Machines and the attempts on them, counted. */
+  /** Counts of machines and of the attempts on them. */
   private static final class Counts {
     private final int[] attemptsByStage = new int[Stage.values().length];
     private int usable;
--- a/src/main/java/io/pearscale/scheduler/model/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -5,26 +5,26 @@
 import java.time.InstantSource;
 
 /**
- * The leadership of this controller: its term, and until when it may act in it. Every start of a
- * task, every renewal of an agent's lease and every fencing token rests on this.
+ * The leadership of this controller: its term, and until when it may act in that term. Starts of
+ * tasks, renewals of agent leases and fencing tokens all depend on it.
  *
- * <p><b>Proof of leadership.</b> No other controller led when the proof was made; it counts from
- * when what it rests on was sent. <b>Renewal authority.</b> While the last proof, and the copy of
- * the keys, are younger than the renewal authority timeout, this leader may renew leases of agents.
- * So once a newer leader knows that it has won, earlier ones renew nothing after that timeout, and
- * no machine that only heard from them has a lease after one lease TTL more. <b>Fencing token.</b>
- * Each command carries one: the term, and below it a counter per machine; an agent refuses lower
- * ones than it has seen.
+ * <p><b>Proof of leadership.</b> A proof shows that no other controller led at a given time. It is
+ * dated from when the request behind it was sent. <b>Renewal authority.</b> While both the last
+ * proof and the replica of the keys are younger than the renewal authority timeout, this leader may
+ * renew agent leases. So once a newer leader knows that it was elected, earlier leaders stop
+ * renewing after at most that timeout, and after one further lease TTL no machine that has heard
+ * only from them holds a lease. <b>Fencing token.</b> Each command carries a token composed of the
+ * term and, in the low bits, a counter per machine. An agent refuses a token that is lower than the
+ * highest it has seen.
  */
 public final class Leadership {
-  /**
-   * A fencing token carries the term above a counter of 24 bits, which each machine has of its own.
-   */
+  /** Fencing tokens hold the term above a 24-bit counter, which is separate for each machine. */
   private static final int FENCING_TOKEN_TERM_SHIFT = 24;
 
   /**
-   * A watch that comes back without changes was sent 2 s before, so starts can't ask for a fresher
-   * copy than this, however short the renewal authority timeout.
+   * The minimum start authority timeout. A watch that returns without changes was sent 2 s earlier,
+   * so starts can't require a more recent replica than this, however short the renewal authority
+   * timeout is.
    */
   private static final Duration MIN_START_AUTHORITY_TIMEOUT = Duration.ofSeconds(3);
 
@@ -37,19 +37,19 @@
   private long termRevision;
   private Instant electedAt = Instant.MIN;
 
-  /** Until then a previous leader may have renewed leases. */
+  /** Until this time a previous leader may have renewed leases. */
   private Instant previousLeadersUntil = Instant.MIN;
 
-  /** No other controller led at that time. */
+  /** The latest time at which no other controller is known to have led. */
   private Instant leadershipProvenAt = Instant.MIN;
 
-  /** The copy of the keys has all changes made by then. */
+  /** The replica of the keys contains all changes made up to this time. */
   private Instant replicaUpToDateAt = Instant.MIN;
 
   /**
-   * Leads in no term.
+   * Creates an instance that does not lead.
    *
-   * @param renewalAuthorityTimeout for how long a proof allows to renew leases; positive
+   * @param renewalAuthorityTimeout how long a proof authorizes lease renewals; positive
    */
   public Leadership(InstantSource clock, Duration renewalAuthorityTimeout) {
     this.clock = clock;
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Begins a term; nothing may be decided in it before {@link #becomeReady}.
+   * Begins a term, in which nothing may be decided before {@link #becomeReady}.
    *
    * @param newTermRevision the revision of the term's key that the election wrote
-   * @param provenAt when the election was sent
+   * @param provenAt when the election request was sent
    */
   public void begin(long newTerm, long newTermRevision, Instant provenAt) {
     leading = true;
@@ -81,22 +81,27 @@
     ready = false;
   }
 
-  /** All that previous leaders recorded has been taken over; only while this controller leads. */
+  /**
+   * Records that all state stored by previous leaders was recovered. Only called while this
+   * controller leads.
+   */
   public void becomeReady() {
     ready = true;
   }
 
-  /** Whether this controller leads, ready or not. */
+  /** Returns whether this controller leads, whether or not it is ready. */
   public boolean isLeading() {
     return leading;
   }
 
-  /** Whether this controller leads and has taken over what previous leaders recorded. */
+  /**
+   * Returns whether this controller leads and has recovered the state stored by previous leaders.
+   */
   public boolean isReady() {
     return ready;
   }
 
-  /** Whether this controller leads in that term. */
+  /** Returns whether this controller leads in the given term. */
   public boolean leadsIn(long thatTerm) {
     return leading && term == thatTerm;
   }
@@ -106,30 +111,36 @@
     return term;
   }
 
-  /** The revision of the term's key after this leader's last transaction; guards the next one. */
+  /**
+   * Returns the revision of the term's key after this leader's last transaction; it guards the next
+   * transaction.
+   */
   public long termRevision() {
     return termRevision;
   }
 
-  /** A transaction of this leader, or a read, has shown that the term's key has that revision. */
+  /**
+   * Records the revision of the term's key that a transaction or a read of this leader has
+   * returned.
+   */
   public void recordTermRevision(long revision) {
     termRevision = revision;
   }
 
-  /** Returns when this controller knew that it was elected. */
+  /** Returns when this controller learned that it was elected. */
   public Instant electedAt() {
     return electedAt;
   }
 
-  /** Until then a previous leader may have renewed leases. */
+  /** Returns the time until which a previous leader may have renewed leases. */
   Instant previousLeadersUntil() {
     return previousLeadersUntil;
   }
 
   /**
-   * No previous leader renews leases any more, since all peers know of this term.
+   * Records that no previous leader renews leases any more, because all peers know of this term.
    *
-   * @return whether that is sooner than was known
+   * @return whether this is earlier than the time known before
    */
   public boolean endPreviousLeaders() {
     Instant now = clock.instant();
@@ -140,20 +151,27 @@
     return true;
   }
 
-  /** It is proved that no other controller led at that time; an earlier one changes nothing. */
+  /**
+   * Records that no other controller led at the given time. Has no effect if a later proof is
+   * known.
+   */
   public void recordProof(Instant time) {
     leadershipProvenAt = later(leadershipProvenAt, time);
   }
 
-  /** The copy of the keys has all changes made by that time; an earlier one changes nothing. */
+  /**
+   * Records that the replica of the keys contains all changes made up to the given time. Has no
+   * effect if a later time is known.
+   */
   public void recordReplicaUpToDate(Instant time) {
     replicaUpToDateAt = later(replicaUpToDateAt, time);
   }
 
   /**
-   * All controllers have confirmed that no other led at that time, and named the cancellations of
-   * the last two renewal authority timeouts. That makes up for a copy of the keys that was up to
-   * date within one such timeout; an older one is brought up to date by the key-value store alone.
+   * Records that all controllers confirmed that no other controller led at the given time and
+   * reported the cancellations of the last two renewal authority timeouts. Those cancellations
+   * bring a replica up to date that was current within one renewal authority timeout before. An
+   * older replica needs the key-value store, so this method then has no effect.
    */
   public void recordPeerConfirmation(Instant time) {
     if (time.isBefore(replicaUpToDateAt.plus(renewalAuthorityTimeout))) {
@@ -162,16 +180,16 @@
     }
   }
 
-  /** Whether the last proof is not older than the age. */
+  /** Returns whether the last proof is no older than the given age. */
   public boolean provenWithin(Duration age) {
     return !clock.instant().isAfter(leadershipProvenAt.plus(age));
   }
 
   /**
-   * Whether leases of agents may be renewed and commands sent: only while it is known that no other
-   * controller leads, and which jobs were cancelled, as of a renewal authority timeout ago at most.
-   * A renewal of the leader's own lease shows the former alone: a leader whose watch is stuck would
-   * keep cancelled tasks alive.
+   * Returns whether agent leases may be renewed and commands sent. That requires knowledge no older
+   * than the renewal authority timeout that no other controller leads and which jobs were
+   * cancelled. A renewal of the leader's own lease shows only the first: without the second, a
+   * leader whose watch is stuck would keep cancelled tasks alive.
    */
   public boolean mayRenewLeases() {
     Instant now = clock.instant();
@@ -181,32 +199,33 @@
   }
 
   /**
-   * Whether starts of tasks may be sent. From when a user is told that a job is cancelled none of
-   * its tasks may begin, so a start needs later knowledge than a lease: a leader that stood still,
-   * or is refused by the key-value store, looks again first. Half of the renewal authority timeout
-   * leaves time to a leader that has just taken over and receives everything late.
+   * Returns whether starts of tasks may be sent. Once a user has received confirmation that a job
+   * is cancelled, none of its tasks may begin, so a start requires more recent knowledge than a
+   * lease renewal. A leader that was paused, or whose requests the key-value store refuses, has to
+   * update its replica first. Half of the renewal authority timeout is long enough for a leader
+   * that has just taken over and receives every message late.
    */
   public boolean mayStartTasks() {
     return mayRenewLeases()
         && clock.instant().isBefore(replicaUpToDateAt.plus(startAuthorityTimeout));
   }
 
-  /** The fencing token with which a machine is commanded first in this term. */
+  /** Returns the first fencing token of a machine in this term. */
   public long firstFencingToken() {
     return (term << FENCING_TOKEN_TERM_SHIFT) + 1;
   }
 
-  /** Whether the fencing token was issued in this term. */
+  /** Returns whether the fencing token was issued in this term. */
   public boolean isFromThisTerm(long fencingToken) {
     return termOf(fencingToken) == term;
   }
 
-  /** Whether a leader of a later term issued the fencing token. */
+  /** Returns whether a leader of a later term issued the fencing token. */
   public boolean isFromLaterTerm(long fencingToken) {
     return termOf(fencingToken) > term;
   }
 
-  /** The term of the leader that issued the fencing token. */
+  /** Returns the term of the leader that issued the fencing token. */
   public static long termOf(long fencingToken) {
     return fencingToken >> FENCING_TOKEN_TERM_SHIFT;
   }
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -8,19 +8,21 @@
 import java.util.Optional;
 
 /**
- * A machine, as the leader sees it: who it is, where it is in its lifecycle, and which task
- * attempts may be on it. What is known of its lease, fencing tokens, reachability, records,
- * failures, images and of attempts that it reports beyond the expected ones is kept in a part of
- * its own each.
+ * A machine, as the leader sees it: its identity, its lifecycle state and the task attempts that
+ * may be on it. Separate components hold its lease, fencing tokens, reachability, durable record,
+ * failures, cached images, cloud state, and the ended or unknown attempts that its agent reports.
  */
 public final class Machine {
-  /** Where a machine is between its request and its deletion; only ever moves forward. */
+  /** The lifecycle of a machine from its request to its deletion; it only advances. */
   public enum Lifecycle {
-    /** Requested or listed, but never heard of. */
+    /** The machine was requested or listed, but its agent has not sent a message. */
     BOOTING,
-    /** Its agent has been heard of. */
+    /** The agent has sent a message. */
     UP,
-    /** To be released; never used again, since a late deletion may still reach it. */
+    /**
+     * The machine is to be released. It is never used again, because a delayed deletion may still
+     * reach it.
+     */
     RETIRING
   }
 
@@ -49,12 +51,12 @@
   private boolean drainPlanned;
 
   /**
-   * A machine of which nothing is known yet but what was asked for, or what the cloud or an agent
-   * says.
+   * Creates a machine from a provisioning request, a machine list, a stored record or an agent's
+   * message.
    *
-   * @param spot whether the cloud may take it back after a short notice
-   * @param type as the catalogue has it; without any capacity until the catalogue is known
-   * @param provisionedAt when it was requested, or when it was first heard of
+   * @param spot whether the cloud provider may reclaim the machine at short notice
+   * @param type the type from the catalogue; without capacity until the catalogue is known
+   * @param provisionedAt when the machine was requested or first observed
    */
   public Machine(
       String name,
@@ -72,113 +74,120 @@
     this.attempts = new HostedAttempts(type);
   }
 
-  // ---- What it is ----
+  // ---- Identity ----
 
-  /** The name that the cloud gave it; unique among all machines ever. */
+  /**
+   * Returns the name that the cloud provider assigned; it is unique among all machines that ever
+   * existed.
+   */
   public String name() {
     return name;
   }
 
-  /** The zone that it is in, a failure domain. */
+  /** Returns the machine's zone, which is a failure domain. */
   public String zone() {
     return zone;
   }
 
-  /** Whether the cloud may take it back after a short notice. */
+  /** Returns whether the cloud provider may reclaim the machine at short notice. */
   public boolean spot() {
     return spot;
   }
 
-  /** When it was requested, or when this leader first heard of it. */
+  /** Returns when the machine was requested, or when this leader first observed it. */
   public Instant provisionedAt() {
     return provisionedAt;
   }
 
-  /** Its type, as the catalogue has it; without any capacity until the catalogue is known. */
+  /** Returns the type from the catalogue; without capacity until the catalogue is known. */
   public MachineType type() {
     return type;
   }
 
-  /** The catalogue has changed. */
+  /** Replaces the type after a change of the catalogue. */
   void updateType(MachineType newType) {
     type = newType;
     attempts.updateType(newType);
   }
 
-  /** Where its agent takes commands; empty while that is not known. */
+  /**
+   * Returns the address at which the agent accepts commands, or an empty string while it is
+   * unknown.
+   */
   public String address() {
     return address;
   }
 
-  /** The cloud or the agent says where the agent takes commands. */
+  /** Sets the address at which the agent accepts commands. */
   public void updateAddress(String newAddress) {
     address = newAddress;
   }
 
-  // ---- Its parts ----
+  // ---- Components ----
 
-  /** The incarnations of its agent, and until when anything in them can be alive. */
+  /** Returns the incarnations of the agent and their lease. */
   public IncarnationLease lease() {
     return lease;
   }
 
-  /** Its fencing tokens. */
+  /** Returns the fencing tokens. */
   public FencingTokens fencing() {
     return fencing;
   }
 
-  /** Whether it can be reached, and reaches the leader. */
+  /** Returns whether messages reach the machine and the leader, in each direction. */
   public Reachability reachability() {
     return reachability;
   }
 
-  /** What is durably stored of it. */
+  /** Returns the state of the machine's durable record. */
   public MachineRecordState record() {
     return record;
   }
 
-  /** What failed on it. */
+  /** Returns the failures of tasks on the machine. */
   public MachineFailures failures() {
     return failures;
   }
 
-  /** The images that it is taken to have. */
+  /** Returns the images that the machine is assumed to have cached. */
   public ImageCache images() {
     return images;
   }
 
-  /**
-   * What the cloud lists, what it was asked to delete, and whether the machine could be released.
-   */
+  /** Returns the machine's state at the cloud provider and in the autoscaler. */
   public CloudState cloud() {
     return cloud;
   }
 
-  /** Ended and unknown attempts that its agent reports. */
+  /** Returns the ended and unknown attempts that the agent reports. */
   public ReportedAttempts reportedAttempts() {
     return reportedAttempts;
   }
 
   // ---- Lifecycle ----
 
-  /** Where it is between its request and its deletion. */
+  /** Returns the lifecycle state. */
   public Lifecycle lifecycle() {
     return lifecycle;
   }
 
-  /** It is to be released, and gets nothing to run any more. */
+  /** Marks the machine as retiring; it receives no further tasks. */
   public void beginRetirement() {
     lifecycle = Lifecycle.RETIRING;
   }
 
   // ---- Maintenance ----
 
-  /** Whether it is in maintenance, and in which stage. */
+  /** Returns whether the machine is in maintenance and, if so, in which stage. */
   public Maintenance maintenance() {
     return maintenance;
   }
 
-  /** It enters a stage of maintenance; its disk may have been exchanged before probation. */
+  /**
+   * Changes the maintenance stage. Entering probation clears the known images, because the disk may
+   * have been replaced.
+   */
   public void changeMaintenance(Maintenance newMaintenance) {
     maintenance = newMaintenance;
     if (newMaintenance.stage() == Maintenance.Stage.PROBATION) {
@@ -186,44 +195,53 @@
     }
   }
 
-  /** Whether a drain will come to it: what is placed there would soon be moved again. */
+  /**
+   * Returns whether a drain of the machine is planned. Tasks placed on it would soon be moved
+   * again.
+   */
   public boolean isDrainPlanned() {
     return drainPlanned;
   }
 
-  /** Says whether a drain will come to it. */
+  /** Sets whether a drain of the machine is planned. */
   public void setDrainPlanned(boolean planned) {
     drainPlanned = planned;
   }
 
-  /** When the cloud will take the machine back; empty while no notice was received. */
+  /**
+   * Returns when the cloud provider will reclaim the machine, or empty without a preemption notice.
+   */
   public Optional<Instant> preemptionNoticeAt() {
     return preemptionNoticeAt;
   }
 
-  // ---- What its agent says ----
+  // ---- Messages of the agent ----
 
   /**
-   * Whether a message has shown a token of this term since the last proof that nothing was alive:
-   * from then on, messages tell all that is on the machine.
+   * Returns whether a message has reported a fencing token of this term since every task on the
+   * machine was last proven ended. From then on, messages list every task on the machine.
    */
   public boolean reconciled() {
     return reconciled;
   }
 
-  /** A message has shown a token of this term. */
+  /** Records that a message has reported a fencing token of this term. */
   public void markReconciled() {
     reconciled = true;
   }
 
-  /** Whether its lease ran out and it has shown no sign of life since: nothing is alive there. */
+  /**
+   * Returns whether the lease has expired and no message has arrived since, so that every task on
+   * the machine has ended.
+   */
   public boolean leaseExpired() {
     return leaseExpired;
   }
 
   /**
-   * Its lease has run out. Its agent has gone on to another incarnation and has to show that, with
-   * this term's token: messages of this one that were held back say only what was.
+   * Records that the lease has expired. The agent has moved to another incarnation and has to
+   * report it with a fencing token of this term. A delayed message of the previous incarnation
+   * describes only past state.
    */
   public void expireLease() {
     leaseExpired = true;
@@ -231,7 +249,7 @@
     reportedAttempts.clear();
   }
 
-  /** A message shows the token, and where the agent takes commands. */
+  /** Records the fencing token and the agent's address from a message. */
   public void recordMessage(long token, String newAddress) {
     fencing.observe(token);
     address = newAddress;
@@ -241,51 +259,64 @@
   }
 
   /**
-   * A message of this term shows that it lives.
+   * Records a message of this term, which shows that the machine is alive.
    *
-   * @param newNotice when the cloud will take it back, if it said so
+   * @param newNotice when the cloud provider will reclaim the machine, if the message says so
    */
   public void recordAlive(Optional<Instant> newNotice) {
     leaseExpired = false;
     preemptionNoticeAt = newNotice;
   }
 
-  /** A task runs on it: its agent has the image. */
+  /** Records that a task with the image runs on the machine, so that the agent has the image. */
   public void recordImageUse(String image, double sizeGb) {
     images.recordUse(image, sizeGb, type.imageCacheGb());
   }
 
-  // ---- Attempts on it, and its resources ----
+  // ---- Attempts and resources ----
 
-  /** The attempts that may be on it. */
+  /** Returns the attempts that may be on the machine. */
   public HostedAttempts attempts() {
     return attempts;
   }
 
-  /** How many images beside that one are fetched, or are to be, for attempts on it. */
+  /**
+   * Returns how many images other than the given one are being, or will be, fetched for attempts on
+   * the machine.
+   */
   public int otherImageFetches(String image) {
     return attempts.otherImageFetches(image, images);
   }
 
-  /** What is available once everything decided has come to pass; the caller may change it. */
+  /**
+   * Returns the resources available after all planned starts and requested stops, as a copy that
+   * the caller may change.
+   */
   public Resources available() {
     return availableWithPreemption(Priority.IDLE).copy();
   }
 
   /**
-   * What would be available if all below the priority were preempted. Kept from one question to the
-   * next, since every pass asks every machine and most have not changed. Not to be changed.
+   * Returns the resources that would be available if all attempts of lower priority were preempted.
+   * The result is cached, because every pass queries every machine and most have not changed.
+   * Callers must not change it.
    */
   public Resources availableWithPreemption(Priority priority) {
     return attempts.availableWithPreemption(priority);
   }
 
-  /** What is available now, counting all that may be on the machine; the caller may change it. */
+  /**
+   * Returns the resources available now, counting every attempt that may be on the machine, as a
+   * copy that the caller may change.
+   */
   public Resources physicallyAvailable() {
     return attempts.physicallyAvailable();
   }
 
-  /** How many more tasks of the job it could take, preempting lower ones if need be. */
+  /**
+   * Returns how many more tasks of the job the machine could take, preempting attempts of lower
+   * priority if necessary.
+   */
   public int capacityWithPreemption(JobSpec spec) {
     return availableWithPreemption(spec.priority()).countFitting(spec);
   }
--- a/src/main/java/io/pearscale/scheduler/model/MachineCatalogue.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineCatalogue.java
@@ -10,31 +10,33 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The machine types that the cloud offers, as they were last heard of. */
+/** The machine types that the cloud provider offers, as last reported. */
 public final class MachineCatalogue {
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** All types, as they are known at any time. */
+  /** Returns a live view of all types. */
   public Collection<MachineType> types() {
     return Collections.unmodifiableCollection(types.values());
   }
 
-  /** The names of all types. */
+  /** Returns a live view of the names of all types. */
   public Set<String> names() {
     return Collections.unmodifiableSet(types.keySet());
   }
 
-  /** The type of that name. */
+  /** Returns the type with the given name. */
   public Optional<MachineType> find(String name) {
     return Optional.ofNullable(types.get(name));
   }
 
-  /** The type of that name; one without any room while it is not known. */
+  /**
+   * Returns the type with the given name, or a placeholder without capacity while it is unknown.
+   */
   public MachineType typeOf(String name) {
     return find(name).orElseGet(() -> withoutCapacity(name));
   }
 
-  /** Takes a catalogue in; an empty one changes nothing. */
+  /** Replaces the types with the offered ones; an empty list has no effect. */
   void update(List<MachineType> offered) {
     if (!offered.isEmpty()) {
       types.clear();
--- a/src/main/java/io/pearscale/scheduler/model/MachineFailures.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineFailures.java
@@ -5,51 +5,61 @@
 import java.util.Map;
 
 /**
- * Tasks that failed on one machine, whether they point at the machine, and what follows.
+ * Task failures on one machine, whether they indicate that the machine is faulty, and the resulting
+ * restrictions.
  *
  * <p>Owned by its {@link Machine}; written by fault attribution.
  */
 public final class MachineFailures {
-  /** Of jobs that fail wherever they are tried, so many at once point at the machine. */
+  /**
+   * The number of jobs with failures on the machine that indicates a faulty machine, even if those
+   * jobs fail on every machine.
+   */
   private static final int MIN_FAILING_JOBS_TO_BLAME_MACHINE = 5;
 
-  /** Failures since a task was last done here, by the job's history. */
+  /** Failures since a task last completed on this machine, by the failure history of the job. */
   private final Map<JobFailureHistory, Integer> failuresByJob = new HashMap<>();
 
   private boolean quarantined;
   private Instant avoidUntil = Instant.MIN;
 
-  /** Whether the machine is taken to be faulty: it gets no tasks and is given back. */
+  /** Returns whether the machine is considered faulty: it receives no tasks and is released. */
   public boolean isQuarantined() {
     return quarantined;
   }
 
-  /** The machine gets no tasks before; MIN where nothing stands against them. */
+  /**
+   * Returns the time before which the machine receives no tasks, or {@link Instant#MIN} if there is
+   * no such restriction.
+   */
   public Instant avoidUntil() {
     return avoidUntil;
   }
 
-  /** A task of the job failed here. */
+  /** Records that a task of the job failed on this machine. */
   public void recordFailure(JobFailureHistory job) {
     failuresByJob.merge(job, 1, Integer::sum);
   }
 
-  /** A task was done here: what failed before did not fail for the machine. */
+  /**
+   * Records that a task completed on this machine, which shows that the machine did not cause the
+   * earlier failures.
+   */
   public void recordSuccess() {
     failuresByJob.clear();
   }
 
-  /** The machine is taken to be faulty. */
+  /** Marks the machine as faulty. */
   public void quarantine() {
     quarantined = true;
   }
 
-  /** The machine gets no tasks before that time. */
+  /** Sets the time before which the machine receives no tasks. */
   public void avoidUntil(Instant time) {
     avoidUntil = time;
   }
 
-  /** How often tasks failed here, apart from those of jobs that fail everywhere. */
+  /** Returns the number of task failures, excluding those of jobs that fail on every machine. */
   public int count() {
     int count = 0;
     for (Map.Entry<JobFailureHistory, Integer> failure : failuresByJob.entrySet()) {
@@ -59,8 +69,9 @@
   }
 
   /**
-   * Whether what failed here points at the machine: twice a job that has succeeded, or two jobs of
-   * which it is not known that they fail everywhere. Of those that do, it takes many at once.
+   * Returns whether the failures indicate a faulty machine. That is the case after two failures of
+   * jobs that have succeeded before, after failures of two jobs that are not known to fail on every
+   * machine, or after failures of many jobs of any kind.
    */
   public boolean indicateFaultyMachine() {
     int failuresOfProvenJobs = 0;
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -16,11 +16,11 @@
 import java.util.function.Predicate;
 
 /**
- * The machines that a leader knows, and which tasks may be on each of them.
+ * The machines known to a leader, and the task attempts that may be on each of them.
  *
- * <p>The rule that it serves: a task is taken to be on a machine from before its start command is
- * sent until one of the proofs of {@link AbsenceProof} says that it is gone. Whoever calls {@link
- * #remove} has that proof.
+ * <p>Invariant: an attempt counts as being on a machine from before its start command is sent until
+ * an {@link AbsenceProof} shows that it is not there. Callers of {@link #remove} must hold such a
+ * proof.
  */
 public final class MachineInventory {
   private final MachineCatalogue catalogue;
@@ -38,7 +38,7 @@
   private Consumer<TaskAttempt> removedListener = attempt -> {};
   private final Set<Machine> machinesWithDueCommands = new LinkedHashSet<>();
 
-  /** Makes an empty inventory. */
+  /** Creates an empty inventory. */
   public MachineInventory(
       MachineCatalogue catalogue,
       Map<String, Team> teams,
@@ -58,12 +58,15 @@
     this.decisionLog = decisionLog;
   }
 
-  /** The machine types that are known. */
+  /** Returns the catalogue of known machine types. */
   public MachineCatalogue catalogue() {
     return catalogue;
   }
 
-  /** Takes a catalogue in. A machine may have been heard of before its type was known. */
+  /**
+   * Updates the catalogue and the types of all machines, because a machine may be observed before
+   * its type is known.
+   */
   public void updateCatalogue(List<MachineType> types) {
     catalogue.update(types);
     for (Machine machine : machines.values()) {
@@ -73,46 +76,44 @@
 
   // ---- Machines ----
 
-  /** The machine of that name; null when there is none. */
+  /** Returns the machine with the given name, or null if there is none. */
   public Machine get(String name) {
     return machines.get(name);
   }
 
-  /** Whether it still has this very machine. */
+  /** Returns whether the inventory contains this machine instance. */
   public boolean contains(Machine machine) {
     return machines.get(machine.name()) == machine;
   }
 
-  /** Returns all machines known to the leader. */
-  /** All of them, in the order in which they were added; a live view. */
+  /** Returns a live view of all machines in the order in which they were added. */
   public Collection<Machine> all() {
     return machinesView;
   }
 
-  /** Returns how many machines the leader knows. */
-  /** How many there are. */
+  /** Returns the number of machines. */
   public int size() {
     return machines.size();
   }
 
-  /** Whether a machine of this name is known to be gone. */
+  /** Returns whether the machine with this name is known to be deleted. */
   public boolean isRemoved(String name) {
     return tombstones.contains(name);
   }
 
-  /** Adds a machine that was not there in this term before. */
+  /** Adds a machine that was not in the inventory before in this term. */
   public void add(Machine machine) {
     machine.fencing().initialize(leadership.firstFencingToken());
     machines.put(machine.name(), machine);
   }
 
-  /** Adds a machine that a previous leader may have known, whose lease it may have renewed. */
+  /** Adds a machine that a previous leader may have known and whose lease it may have renewed. */
   public void addFromPreviousLeader(Machine machine) {
     add(machine);
     machine.lease().extendForPreviousLeaders(leadership.previousLeadersUntil());
   }
 
-  /** The cloud says that the machine, and all that was on it, is gone. */
+  /** Records that the cloud provider has deleted the machine, which ends every task on it. */
   public void confirmDeleted(String name) {
     Machine machine = machines.remove(name);
     tombstones.add(name, clock.instant());
@@ -124,15 +125,15 @@
     requestPass.run();
   }
 
-  /** Forgets all, since this controller does not lead any more. */
+  /** Clears the machines when this controller no longer leads. */
   public void clear() {
     machines.clear();
     machinesWithDueCommands.clear();
   }
 
-  // ---- Tasks on machines ----
+  // ---- Attempts on machines ----
 
-  /** From now on the task may be on the machine. */
+  /** Adds an attempt, which counts as being on its machine from now on. */
   public void add(TaskAttempt attempt) {
     attempt.machine().attempts().add(attempt);
     attempt.job().add(attempt);
@@ -142,17 +143,17 @@
     }
   }
 
-  /** The listener receives each attempt that is proven not to be on its machine any more. */
+  /** Sets the listener that receives each attempt proven to be absent from its machine. */
   public void onRemoved(Consumer<TaskAttempt> listener) {
     removedListener = listener;
   }
 
-  /** It is proven that none of the machine's tasks is there any more. */
+  /** Removes all attempts of the machine, which are proven to be absent. */
   public void removeAll(Machine machine, AbsenceProof proof) {
     List.copyOf(machine.attempts().values()).forEach(attempt -> remove(attempt, proof));
   }
 
-  /** It is proven that the task is not on the machine. */
+  /** Removes an attempt that is proven to be absent from its machine. */
   public void remove(TaskAttempt attempt, AbsenceProof proof) {
     Job job = attempt.job();
     decisionLog.recordAbsenceProved(attempt, proof);
@@ -166,7 +167,7 @@
     requestPass.run();
   }
 
-  /** Decides that a task must go from where it is. */
+  /** Decides that an attempt must be stopped. */
   public void stop(TaskAttempt attempt) {
     if (attempt.stage() == Stage.PLANNED) {
       remove(attempt, AbsenceProof.NOT_SENT);
@@ -180,12 +181,16 @@
     if (!attempt.observed()
         && attempt.isIdentified()
         && !attempt.machine().reachability().commandInFlight()) {
-      // The start command may still be on its way; only a higher token can overtake it.
+      // A start command may still be in transit. Only a higher fencing token makes the agent refuse
+      // it.
       attempt.machine().fencing().increment();
     }
   }
 
-  /** Takes back attempts whose start was not sent, from a machine that can't be used any more. */
+  /**
+   * Withdraws planned attempts, whose start was not sent, from a machine that can no longer be
+   * used.
+   */
   public void withdrawPlanned(Machine machine) {
     for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
       if (attempt.stage() == Stage.PLANNED) {
@@ -194,7 +199,7 @@
     }
   }
 
-  /** What each team has in use, counting all that may be on a machine. */
+  /** Returns the quota that each team uses, counting every attempt that may be on a machine. */
   public QuotaUsage quotaUsage() {
     QuotaUsage usage = new QuotaUsage(teams);
     if (teams.values().stream().noneMatch(Team::hasQuota)) {
@@ -208,18 +213,18 @@
     return usage;
   }
 
-  // ---- Commands that wait ----
+  // ---- Due commands ----
 
-  /** A command to the machine may be due. */
+  /** Records that a command to the machine may be due. */
   public void markCommandDue(Machine machine) {
     machinesWithDueCommands.add(machine);
   }
 
   /**
-   * Offers each machine to which a command may be due.
+   * Passes each machine that may have due commands to the sender.
    *
-   * @param send sends what may be sent now
-   * @param stillDue whether a command still waits afterwards
+   * @param send sends the commands that may be sent now
+   * @param stillDue tests whether a command is still due afterwards
    */
   public void forEachWithDueCommands(Consumer<Machine> send, Predicate<Machine> stillDue) {
     for (Iterator<Machine> iterator = machinesWithDueCommands.iterator(); iterator.hasNext(); ) {
--- a/src/main/java/io/pearscale/scheduler/model/MachineRecordMapper.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineRecordMapper.java
@@ -5,15 +5,15 @@
 import io.pearscale.storage.MachineRecordCodec.MachineRecord;
 import java.time.Instant;
 
-/** Maps machines to what is stored of them, and back. */
+/** Converts between machines and their stored records. */
 public final class MachineRecordMapper {
   private MachineRecordMapper() {}
 
   /**
-   * What the machine's record is to say.
+   * Returns the record to store for the machine.
    *
-   * @param number by which placement records name the machine, or its position, by the layout; 0
-   *     where only the size counts
+   * @param number the machine's number or position by which placement records refer to it,
+   *     depending on the layout; 0 if only the size of the record matters
    */
   public static MachineRecord toRecord(Machine machine, int number) {
     return new MachineRecord(
@@ -28,7 +28,10 @@
         machine.maintenance());
   }
 
-  /** A machine that a previous leader recorded; one with an address had been heard of. */
+  /**
+   * Restores a machine from the record of a previous leader. A record with an address means that
+   * the agent has sent a message.
+   */
   public static Machine fromRecord(MachineRecord record, MachineType type, Instant now) {
     boolean observed = !record.address().isEmpty();
     Lifecycle lifecycle =
--- a/src/main/java/io/pearscale/scheduler/model/MachineRecordState.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineRecordState.java
@@ -3,10 +3,11 @@
 import io.pearscale.storage.Maintenance;
 
 /**
- * What is durably stored of a machine, as far as the leader knows: a start is sent only once the
- * machine's record is durable, and a deletion only once the record says that it is retiring.
+ * The state of a machine's durable record, as far as the leader knows it. A start is sent only
+ * after the machine's record is durable, and a deletion only after the record marks the machine as
+ * retiring.
  *
- * <p>Owned by its {@link Machine}; written by the package that keeps the records.
+ * <p>Owned by its {@link Machine}; written by the package that maintains the records.
  */
 public final class MachineRecordState {
   private boolean recorded;
@@ -15,63 +16,63 @@
   private String address = "";
   private Maintenance maintenance = Maintenance.IN_SERVICE;
 
-  /** Whether a durable record names the machine. */
+  /** Returns whether a durable record names the machine. */
   public boolean isRecorded() {
     return recorded;
   }
 
-  /** Whether the durable record says that the machine is retiring. */
+  /** Returns whether the durable record marks the machine as retiring. */
   public boolean isRetiring() {
     return retiring;
   }
 
   /**
-   * The number by which placement records name the machine in the layout by number; 0 until one is
-   * assigned.
+   * Returns the number by which placement records refer to the machine in the numbered layout, or 0
+   * if none is assigned.
    */
   public int number() {
     return number;
   }
 
-  /** The maintenance stage that the durable record has. */
+  /** Returns the maintenance stage in the durable record. */
   public Maintenance maintenance() {
     return maintenance;
   }
 
-  /** Placement records name the machine by this number from now on. */
+  /** Assigns the number by which placement records refer to the machine. */
   public void assignNumber(int newNumber) {
     number = newNumber;
   }
 
-  /** A durable record names the machine. */
+  /** Records that a durable record names the machine. */
   public void markRecorded() {
     recorded = true;
   }
 
-  /** The durable record says that the machine is retiring. */
+  /** Records that the durable record marks the machine as retiring. */
   public void markRetiring() {
     retiring = true;
   }
 
-  /** The machine has to be recorded anew, in another place. */
+  /** Records that the machine's record has to be written again in another slot. */
   public void markUnrecorded() {
     recorded = false;
   }
 
-  /** The record is being removed. */
+  /** Records that the machine's record is being removed. */
   public void markRemoved() {
     recorded = false;
     retiring = false;
   }
 
-  /** A record with this content has become durable. */
+  /** Records that a record with the given content is durable. */
   public void recordWritten(
       boolean recordedRetiring, String recordedAddress, Maintenance recordedMaintenance) {
     recorded = true;
     restore(recordedRetiring, recordedAddress, recordedMaintenance);
   }
 
-  /** A stored record with this content was read. */
+  /** Restores the state from a stored record with the given content. */
   void restore(boolean recordedRetiring, String recordedAddress, Maintenance recordedMaintenance) {
     retiring = recordedRetiring;
     address = recordedAddress;
@@ -79,9 +80,9 @@
   }
 
   /**
-   * Notes the machine's present address.
+   * Updates the recorded address if it differs from the machine's current address.
    *
-   * @return whether a durable record has another one and has to be written again
+   * @return whether a durable record has another address and has to be rewritten
    */
   public boolean isOutdatedBy(String presentAddress) {
     if (!recorded || address.equals(presentAddress)) {
--- a/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /**
- * Names of machines that are known to be gone. Late heartbeats and lists that lag go on to name
- * them for a while, and must not bring them back: not as capacity, nor as a place where tasks may
- * run. How many there are follows from how fast a fleet shrinks, so they are forgotten by age and
- * not by number.
+ * Names of deleted machines. Delayed heartbeats and stale machine lists still name them for a
+ * while. Such a message must not restore a machine, neither as capacity nor as a place where tasks
+ * may be. The number of names depends on how fast the fleet shrinks, so they expire by age rather
+ * than by count.
  */
 final class MachineTombstones {
-  /** Longer than any message was seen to be late, and than any list lags. */
+  /** Longer than the largest observed message delay and the largest lag of a machine list. */
   static final Duration RETENTION = Duration.ofMinutes(15);
 
-  /** The oldest first. */
+  /** Deletion times by machine name, oldest first. */
   private final Map<String, Instant> removedAt = new LinkedHashMap<>();
 
-  /** A machine is gone. */
+  /** Adds a deleted machine and removes expired names. */
   void add(String name, Instant now) {
     removedAt.remove(name);
     removedAt.put(name, now);
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Whether a machine of this name is known to be gone. */
+  /** Returns whether the machine with this name is known to be deleted. */
   boolean contains(String name) {
     return removedAt.containsKey(name);
   }
--- a/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
+++ b/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What teams have in use, against their limits and guarantees. Every attempt that may be on a
- * machine counts as use.
+ * Resources that teams use, compared with their quota limits and guaranteed quotas. Every attempt
+ * that may be on a machine counts as used.
  */
 public final class QuotaUsage {
   private static final double TOLERANCE = 1e-6;
@@ -20,7 +20,7 @@
   private final Map<String, Team> teams;
   private final Map<String, Usage> usageByTeam = new HashMap<>();
 
-  /** Nothing is in use. */
+  /** Creates an instance without any usage. */
   QuotaUsage(Map<String, Team> teams) {
     this.teams = teams;
   }
@@ -29,7 +29,7 @@
     return usageByTeam.computeIfAbsent(team, t -> new Usage());
   }
 
-  /** So many more tasks of the job are in use; fewer if below 0. */
+  /** Adds the usage of the given number of tasks of the job; a negative number subtracts it. */
   public void charge(JobSpec spec, int tasks) {
     Usage usage = usageOf(spec.team());
     usage.cpus += tasks * spec.cpus();
@@ -37,7 +37,7 @@
   }
 
   /**
-   * How many more tasks like these the team's limit allows. A limit of 0 means that there is none.
+   * Returns how many more tasks of the job the team's limit allows. A limit of 0 means unlimited.
    */
   public int tasksLeftWithinLimit(JobSpec spec) {
     Team team = teams.get(spec.team());
@@ -58,12 +58,12 @@
     return perTask <= 0 ? 0 : left / perTask;
   }
 
-  /** Whether the team has a guaranteed quota, and one more task of the job is within it. */
+  /** Returns whether the team has a guaranteed quota and one more task of the job is within it. */
   public boolean isWithinGuarantee(JobSpec spec) {
     return !exceedsGuarantee(spec.team(), spec.cpus(), spec.gpus());
   }
 
-  /** Whether a team of the settings has more in use than its guaranteed quota. */
+  /** Returns whether the team is in the settings and uses more than its guaranteed quota. */
   public boolean exceedsGuarantee(String team) {
     return teams.containsKey(team) && exceedsGuarantee(team, 0, 0);
   }
--- a/src/main/java/io/pearscale/scheduler/model/Reachability.java
+++ b/src/main/java/io/pearscale/scheduler/model/Reachability.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Whether what the leader says reaches a machine, and what the machine says reaches the leader: the
- * two are kept apart, since either path may be down alone.
+ * Whether messages from the leader reach a machine, and whether messages from the machine reach the
+ * leader. The two directions are tracked separately, because either can fail alone.
  *
  * <p>Owned by its {@link Machine}; written by the command dispatcher and while heartbeats are
  * handled.
@@ -18,75 +18,85 @@
   private int missedProbes;
   private Instant directCommandsAfter = Instant.MIN;
 
-  /** When the machine last showed that what the leader says reaches it; MIN if it never did. */
+  /**
+   * Returns when the machine last showed that messages from the leader reach it, or {@link
+   * Instant#MIN} if it never did.
+   */
   public Instant lastReachableAt() {
     return lastReachableAt;
   }
 
   /**
-   * When the machine first answered a command since its last heartbeat; empty if it has not. Only
-   * heartbeats renew its lease, so a machine that answers for long without one will lose its tasks.
+   * Returns when the machine first answered a command after its last heartbeat, or empty if it has
+   * not. Only heartbeats renew the lease, so a machine that answers for long without sending a
+   * heartbeat loses its tasks.
    */
   public Optional<Instant> answersWithoutHeartbeatSince() {
     return answersWithoutHeartbeatSince;
   }
 
-  /** Whether the machine has ever been heard of in this term or, by its record, before. */
+  /**
+   * Returns whether a message from the machine was received in this term or, according to its
+   * record, in an earlier one.
+   */
   public boolean heartbeatEverReceived() {
     return heartbeatEverReceived;
   }
 
-  /** Whether a command or a probe to the machine awaits its answer. */
+  /** Returns whether a command or a probe to the machine awaits its answer. */
   public boolean commandInFlight() {
     return commandInFlight;
   }
 
-  /** Probes without an answer since the machine was last reached. */
+  /** Returns the number of unanswered probes since the machine was last reached. */
   public int missedProbes() {
     return missedProbes;
   }
 
-  /** No direct commands are sent before; MIN where nothing stands against them. */
+  /**
+   * Returns the time before which no direct commands are sent, or {@link Instant#MIN} if there is
+   * no such restriction.
+   */
   public Instant directCommandsAfter() {
     return directCommandsAfter;
   }
 
-  /** A command or a probe is being sent. */
+  /** Records that a command or a probe is being sent. */
   public void commandSent() {
     commandInFlight = true;
   }
 
-  /** The command under way was answered, or was given up. */
+  /** Records that the command in flight was answered or has been abandoned. */
   public void commandEnded() {
     commandInFlight = false;
   }
 
-  /** A probe got no answer. */
+  /** Records an unanswered probe. */
   public void probeMissed() {
     missedProbes++;
   }
 
-  /** No direct commands are sent before that time. */
+  /** Sets the time before which no direct commands are sent. */
   public void pauseDirectCommandsUntil(Instant time) {
     directCommandsAfter = time;
   }
 
-  /** A command was answered: unless a heartbeat comes, that counts from the first such answer. */
+  /** Records an answered command. Until a heartbeat arrives, only the first answer counts. */
   public void commandAnswered(Instant now) {
     if (answersWithoutHeartbeatSince.isEmpty()) {
       answersWithoutHeartbeatSince = Optional.of(now);
     }
   }
 
-  /** A heartbeat was received that renews the lease. */
+  /** Records a heartbeat that renews the lease. */
   public void heartbeatAccepted() {
     answersWithoutHeartbeatSince = Optional.empty();
   }
 
   /**
-   * A message of the machine was received.
+   * Records a message from the machine.
    *
-   * @return whether it is the first
+   * @return whether it is the first message
    */
   public boolean messageReceived() {
     boolean first = !heartbeatEverReceived;
@@ -94,7 +104,7 @@
     return first;
   }
 
-  /** The machine has shown that what the leader says reaches it. */
+  /** Records that the machine has shown that messages from the leader reach it. */
   public void recordReachable(Instant now) {
     lastReachableAt = now;
     if (missedProbes > 0) {
--- a/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * Attempts that an agent reports beside those that the leader takes to be on its machine: ended
- * ones, which the agent lists until it is told to forget them, and unknown ones, which must be
- * stopped. Each message of the agent replaces both.
+ * Attempts that an agent reports in addition to those that the leader expects on its machine: ended
+ * attempts, which the agent lists until it receives the command to forget them, and unknown
+ * attempts, which must be stopped. Each message of the agent replaces both sets.
  *
  * <p>Owned by its {@link Machine}; written while messages of the agent are handled.
  */
 public final class ReportedAttempts {
-  /** What the message before had reported. */
+  /** The attempts that the preceding message reported. */
   public record Previous(Map<AttemptId, Long> ended, Map<AttemptId, Instant> unknown) {}
 
   private final Map<AttemptId, Long> ended = new HashMap<>();
@@ -22,41 +22,49 @@
   private final Map<AttemptId, Instant> unknownView = Collections.unmodifiableMap(unknown);
 
   /**
-   * Ended attempts, each with a fencing token that no start command for it was above; below 0 for
-   * one that is done, and stays done however often it is started.
+   * Returns the ended attempts, each with an upper bound for the fencing tokens of its start
+   * commands. The bound is negative for an attempt that is done, because it stays done however
+   * often it is started.
    */
   public Map<AttemptId, Long> ended() {
     return endedView;
   }
 
-  /** Unknown attempts, each with when a stop was last sent; MIN while none was. */
+  /**
+   * Returns the unknown attempts, each with the time at which a stop was last sent, or {@link
+   * Instant#MIN} if none was.
+   */
   public Map<AttemptId, Instant> unknown() {
     return unknownView;
   }
 
-  /** A message is being taken in, which tells all anew. */
+  /**
+   * Clears the attempts before a message that lists all of them is processed.
+   *
+   * @return the attempts that the preceding message reported
+   */
   public Previous beginMessage() {
     Previous previous = new Previous(new HashMap<>(ended), new HashMap<>(unknown));
     clear();
     return previous;
   }
 
-  /** The message lists an ended attempt; what was noted of it before stands. */
+  /** Adds an ended attempt that the message lists; keeps the token bound recorded for it before. */
   public void addEnded(AttemptId attempt, long startToken, Previous previous) {
     ended.put(attempt, previous.ended.getOrDefault(attempt, startToken));
   }
 
-  /** The message lists an attempt that must not be there. */
+  /** Adds an attempt that the message lists but that must not be on the machine. */
   public void addUnknown(AttemptId attempt, Previous previous) {
     unknown.put(attempt, previous.unknown.getOrDefault(attempt, Instant.MIN));
   }
 
-  /** Stops for all unknown attempts are being sent. */
+  /** Records that stops for all unknown attempts are being sent. */
   public void recordUnknownStopsSent(Instant now) {
     unknown.replaceAll((attempt, sent) -> now);
   }
 
-  /** Nothing can be alive on the machine. */
+  /** Clears the attempts, because every task on the machine has ended. */
   void clear() {
     ended.clear();
     unknown.clear();
--- a/src/main/java/io/pearscale/scheduler/model/Resources.java
+++ b/src/main/java/io/pearscale/scheduler/model/Resources.java
@@ -4,75 +4,78 @@
 import io.pearscale.protocol.MachineType;
 
 /**
- * An amount of processors, GPUs and memory, such as what is available on a machine. Mutable:
- * whoever holds a copy books tasks on it. Amounts may become negative where more is booked than
- * there is.
+ * An amount of CPUs, GPUs and memory, such as the resources available on a machine. Instances are
+ * mutable: the owner of a copy subtracts the tasks that it plans. Amounts become negative if more
+ * is subtracted than is available.
  */
 public final class Resources {
-  /** Amounts are sums of fractions: so much too little still counts as enough. */
+  /**
+   * Rounding tolerance: amounts are sums of fractions, so a shortage up to this value still counts
+   * as sufficient.
+   */
   public static final double TOLERANCE = 1e-6;
 
-  /** An upper bound for the tasks counted where a task needs next to nothing. */
+  /** An upper bound for the task count if a task requests almost no resources. */
   private static final double MAX_COUNT = 100_000;
 
   private double cpus;
   private double gpus;
   private double memoryGb;
 
-  /** Holds so many processors, GPUs and gigabytes of memory. */
+  /** Creates an amount of CPUs, GPUs and gigabytes of memory. */
   public Resources(double cpus, double gpus, double memoryGb) {
     this.cpus = cpus;
     this.gpus = gpus;
     this.memoryGb = memoryGb;
   }
 
-  /** All that a machine of the type has. */
+  /** Returns the total resources of a machine of the type. */
   public static Resources of(MachineType type) {
     return new Resources(type.cpus(), type.gpus(), type.memoryGb());
   }
 
-  /** The same amounts, to be changed independently. */
+  /** Returns an independent copy. */
   public Resources copy() {
     return new Resources(cpus, gpus, memoryGb);
   }
 
-  /** Processors. */
+  /** Returns the number of CPUs. */
   public double cpus() {
     return cpus;
   }
 
-  /** GPUs. */
+  /** Returns the number of GPUs. */
   public double gpus() {
     return gpus;
   }
 
-  /** Memory in gigabytes. */
+  /** Returns the memory in gigabytes. */
   public double memoryGb() {
     return memoryGb;
   }
 
-  /** Books one task of the job. */
+  /** Subtracts the resources of one task of the job. */
   public void subtract(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
-  /** Releases one task of the job. */
+  /** Adds the resources of one task of the job. */
   public void add(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
-  /** Whether one task of the job fits. */
+  /** Returns whether one task of the job fits. */
   public boolean fits(JobSpec spec) {
     return cpus + TOLERANCE >= spec.cpus()
         && gpus + TOLERANCE >= spec.gpus()
         && memoryGb + TOLERANCE >= spec.memoryGb();
   }
 
-  /** How many tasks of the job fit; 0 or more. */
+  /** Returns how many tasks of the job fit; never negative. */
   public int countFitting(JobSpec spec) {
     double count = MAX_COUNT;
     if (spec.cpus() > 0) {
--- a/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
@@ -5,25 +5,27 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** One attempt of a task on one machine, from the decision until it is known to be gone. */
+/** An attempt of a task on a machine, from the decision to start it until it is proven absent. */
 public final class TaskAttempt {
-  /** What is known of an attempt; a later constant is further on. */
+  /** The stage of an attempt, as far as the leader knows it, in order of progress. */
   public enum Stage {
-    /** Decided, no command sent: can be taken back. */
+    /** The start was decided and no command was sent; it can be withdrawn. */
     PLANNED,
-    /** A start command was sent; whether it arrived is open. */
+    /** A start command was sent; it is unknown whether the agent received it. */
     START_SENT,
-    /** Its image is being fetched. */
+    /** The image is being fetched. */
     FETCHING,
-    /** Of a gang: it has its image, and waits for the others. */
+    /** The task belongs to a gang, has its image and waits for the other tasks. */
     WAITING_FOR_GANG,
-    /** Its process runs. */
+    /** The process is running. */
     RUNNING,
-    /** It was stopped and saves what it has done. */
+    /** The process received a stop request and writes a checkpoint. */
     CHECKPOINTING
   }
 
-  /** The number of an attempt that a previous leader gave and no heartbeat has shown yet. */
+  /**
+   * The number of an attempt that a previous leader started and that no heartbeat has reported yet.
+   */
   private static final long UNIDENTIFIED = -1;
 
   private final Job job;
@@ -42,9 +44,9 @@
   private int stopsSent;
 
   /**
-   * An attempt at the given stage.
+   * Creates an attempt at the given stage.
    *
-   * @param number unique over all terms
+   * @param number unique across all terms
    */
   public TaskAttempt(
       Job job, TaskId task, long number, Machine machine, Stage stage, Instant stageSince) {
@@ -57,8 +59,8 @@
   }
 
   /**
-   * The attempt that a placement record of a previous leader names: it is taken to be on the
-   * machine until a heartbeat of that machine, or a proof, tells more.
+   * Creates the attempt that a previous leader's placement record names. It counts as being on the
+   * machine until a heartbeat of that machine or an absence proof says otherwise.
    */
   public static TaskAttempt fromRecord(Job job, TaskId task, Machine machine, Instant now) {
     TaskAttempt attempt = new TaskAttempt(job, task, UNIDENTIFIED, machine, Stage.START_SENT, now);
@@ -67,9 +69,10 @@
   }
 
   /**
-   * The attempt that a heartbeat shows although no decision or record names it.
+   * Creates an attempt that a heartbeat reports although no decision or record names it.
    *
-   * @param token the fencing token that the heartbeat shows: no start command was above it
+   * @param token the fencing token that the heartbeat reports; no start command carried a higher
+   *     one
    */
   public static TaskAttempt fromHeartbeat(
       Job job, AttemptId id, Machine machine, long token, long incarnation) {
@@ -80,160 +83,182 @@
     return attempt;
   }
 
-  /** The job that the task is of. */
+  /** Returns the job of the task. */
   public Job job() {
     return job;
   }
 
-  /** What was submitted as the job. */
+  /** Returns the submitted specification of the job. */
   public JobSpec spec() {
     return job.spec();
   }
 
-  /** The task. */
+  /** Returns the task. */
   public TaskId task() {
     return task;
   }
 
-  /** The machine that it is decided for, or may be on. */
+  /** Returns the machine on which the attempt is planned or may be. */
   public Machine machine() {
     return machine;
   }
 
-  /** Its number, unique over all terms; below 0 while it {@linkplain #isIdentified is unknown}. */
+  /**
+   * Returns the attempt's number, which is unique across all terms, or a negative value while it
+   * {@linkplain #isIdentified is unknown}.
+   */
   public long number() {
     return number;
   }
 
   /**
-   * Whether its number is known: not when a previous leader gave it and no heartbeat has shown it.
+   * Returns whether the attempt's number is known. It is unknown if a previous leader assigned it
+   * and no heartbeat has reported it.
    */
   public boolean isIdentified() {
     return number >= 0;
   }
 
-  /** A heartbeat shows the attempt that a placement record had named, with the agent's token. */
+  /**
+   * Records the number of an attempt that a placement record named, as reported by a heartbeat,
+   * together with the agent's fencing token and incarnation.
+   */
   public void identify(long observedNumber, long token, long incarnation) {
     if (isIdentified()) {
-      throw new IllegalStateException("attempt " + number + " of " + task + " is identified");
+      throw new IllegalStateException(
+          "attempt " + number + " of " + task + " is already identified");
     }
     number = observedNumber;
     startToken = token;
     startIncarnation = incarnation;
   }
 
-  /** How far it is, as far as known. */
+  /** Returns the last known stage. */
   public Stage stage() {
     return stage;
   }
 
-  /** When it was decided; from when it was seen to run, that time. */
+  /**
+   * Returns when the attempt was planned or, once a heartbeat has reported it running, the time of
+   * that heartbeat.
+   */
   public Instant stageSince() {
     return stageSince;
   }
 
-  /** How long it has been running by now; zero if it is not. */
+  /** Returns how long the attempt has been running, or zero if it is not running. */
   public Duration runningTime(Instant now) {
     return stage == Stage.RUNNING || stage == Stage.CHECKPOINTING
         ? Duration.between(stageSince, now)
         : Duration.ZERO;
   }
 
-  /** The highest fencing token of any start command for it. */
+  /** Returns the highest fencing token of any start command for the attempt. */
   public long startToken() {
     return startToken;
   }
 
-  /** The agent's incarnation that the last start command for it named. */
+  /** Returns the agent's incarnation that the last start command named. */
   public long startIncarnation() {
     return startIncarnation;
   }
 
-  /** Whether the placement record that names the machine is durable: no start is sent before. */
+  /**
+   * Returns whether the placement record that names the machine is durable. No start is sent
+   * before.
+   */
   public boolean placementRecorded() {
     return placementRecorded;
   }
 
-  /** The placement record that names the machine has become durable. */
+  /** Records that the placement record that names the machine is durable. */
   public void markPlacementRecorded() {
     placementRecorded = true;
   }
 
-  /** The start command is being sent for the first time. */
+  /** Records that the start command is being sent for the first time. */
   public void recordStartSent(long token, long incarnation) {
     if (stage != Stage.PLANNED || !placementRecorded) {
       throw new IllegalStateException(
-          "start of " + task + " at " + stage + ", recorded: " + placementRecorded);
+          "start of "
+              + task
+              + " requires stage PLANNED and a durable placement record, but stage is "
+              + stage
+              + " and placementRecorded is "
+              + placementRecorded);
     }
     stage = Stage.START_SENT;
     recordStartResent(token, incarnation);
   }
 
-  /** The start command is being sent again; the same attempt can't run twice. */
+  /** Records that the start command is being sent again. The agent never runs an attempt twice. */
   public void recordStartResent(long token, long incarnation) {
     startToken = token;
     startIncarnation = incarnation;
   }
 
-  /** The command with its start was not executed and never will be. */
+  /** Records that the start command was not executed and never will be. */
   public void recordStartNotExecuted() {
     stage = Stage.PLANNED;
   }
 
-  /** Whether a message of the machine has shown it. */
+  /** Returns whether a message from the machine has reported the attempt. */
   public boolean observed() {
     return observed;
   }
 
-  /** A message of the machine shows it at that stage. */
+  /** Records the stage that a message from the machine reports. */
   public void observe(Stage observedStage) {
     observed = true;
     stage = observedStage;
   }
 
-  /** Its running time counts from now. */
+  /** Starts counting the running time from now. */
   public void beginRunning(Instant now) {
     stageSince = now;
   }
 
-  /** Whether it is to be stopped. */
+  /** Returns whether the attempt is to be stopped. */
   public boolean stopping() {
     return stopping;
   }
 
-  /** Whether it is to be stopped without saving: what is to start instead can't wait for that. */
+  /**
+   * Returns whether the attempt is to be stopped without a checkpoint, because the task that
+   * replaces it can't wait for one.
+   */
   public boolean stopsWithoutCheckpoint() {
     return stopsWithoutCheckpoint;
   }
 
-  /** It is to be stopped: what it takes counts as available for others. */
+  /** Requests a stop. The resources of the attempt then count as available to other tasks. */
   public void requestStop() {
     stopping = true;
     machine.attempts().invalidateAvailable();
   }
 
-  /** Its stop must not wait for it to save. */
+  /** Requires that the stop does not wait for a checkpoint. */
   public void forbidCheckpoint() {
     stopsWithoutCheckpoint = true;
   }
 
-  /** A stop command for it is being sent. */
+  /** Records that a stop command is being sent. */
   public void recordStopSent(Instant now) {
     lastStopSentAt = now;
     stopsSent++;
   }
 
-  /** Its stop is to be sent as if none had been sent. */
+  /** Resets the number of sent stop commands, so that the stop is sent as if for the first time. */
   public void resetStopsSent() {
     stopsSent = 0;
   }
 
-  /** When a stop command was last sent; MIN if none was. */
+  /** Returns when a stop command was last sent, or {@link Instant#MIN} if none was. */
   public Instant lastStopSentAt() {
     return lastStopSentAt;
   }
 
-  /** How many stop commands were sent, apart from those that were not executed. */
+  /** Returns the number of stop commands sent, excluding those that were not executed. */
   public int stopsSent() {
     return stopsSent;
   }
--- a/src/test/java/io/pearscale/scheduler/model/AttemptNumbersTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/AttemptNumbersTest.java
@@ -5,7 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptNumbersTest {
-  /** Two hours of 4,000 machines with short tasks. */
+  /**
+   * About as many attempts as 4,000 machines with short tasks start in two hours. More than 24 bits
+   * are needed to count them.
+   */
   private static final int ATTEMPTS_IN_TWO_HOURS = 1 << 25;
 
   @Test
--- a/src/test/java/io/pearscale/scheduler/model/CancelledJobsTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/CancelledJobsTest.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** A cancel is remembered for as long as the copy of the keys may lack it, and no longer. */
+/** A cancellation must be kept exactly as long as the replica of the keys may be missing it. */
 class CancelledJobsTest {
   private static final int JOB_COUNT = 50_000;
   private final CancelledJobs cancelled = new CancelledJobs();
@@ -16,7 +16,8 @@
   void keepsJobWhileReplicaMayBeOlder() {
     cancelled.add("wk-1", recordedAt);
     cancelled.replicaCaughtUpTo(recordedAt);
-    assertTrue(cancelled.contains("wk-1"), "the copy was read before, or at the same moment");
+    assertTrue(
+        cancelled.contains("wk-1"), "the replica may lack a change made at the same instant");
     cancelled.replicaCaughtUpTo(recordedAt.plusNanos(1));
     assertFalse(cancelled.contains("wk-1"));
   }
@@ -35,6 +36,7 @@
     cancelled.add("wk-1", recordedAt);
     cancelled.add("wk-1", recordedAt.plusSeconds(30));
     cancelled.replicaCaughtUpTo(recordedAt.plusSeconds(1));
-    assertFalse(cancelled.contains("wk-1"), "the first word was of a durable end already");
+    assertFalse(
+        cancelled.contains("wk-1"), "the first report was of a durable cancellation already");
   }
 }
--- a/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
@@ -9,7 +9,7 @@
 import java.time.InstantSource;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of gangs, and for how long. */
+/** The tracker must remove gangs whose jobs have ended. */
 class GangTrackerTest {
   private static final InstantSource CLOCK = () -> Instant.EPOCH;
   private static final Duration RENEWAL_AUTHORITY_TIMEOUT = Duration.ofSeconds(14);
--- a/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
@@ -74,7 +74,7 @@
     lease.extendForPreviousLeaders(at(14));
     assertEquals(4, lease.incarnation());
     assertFalse(lease.isNewer(message(3, 9)));
-    // Its own lease counts from now when it is seen after all former leaders are over.
+    // All previous leaders have ended, so the lease counts from the first message.
     assertTrue(lease.observe(message(4, 1), at(20)));
     assertFalse(lease.isExpired(at(37), EXPIRY_BOUND));
     assertTrue(lease.isExpired(at(38), EXPIRY_BOUND));
--- a/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
@@ -9,7 +9,10 @@
 class MachineTombstonesTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
 
-  /** A fleet that is given back goes on to be listed for as long as the list lags. */
+  /**
+   * The machines of a released fleet are still listed for as long as the machine list lags, however
+   * many there are. Tombstones must expire by age, not by count.
+   */
   @Test
   void keepsTombstonesOfLargeFleet() {
     MachineTombstones tombstones = new MachineTombstones();
--- a/src/test/java/io/pearscale/scheduler/model/ModelFixtures.java
+++ b/src/test/java/io/pearscale/scheduler/model/ModelFixtures.java
@@ -1,10 +1,10 @@
 package io.pearscale.scheduler.model;
 
-/** Puts parts of the model together as the {@link MachineInventory} does. */
+/** Test helper that connects model objects as the {@link MachineInventory} does. */
 public final class ModelFixtures {
   private ModelFixtures() {}
 
-  /** From now on the task may be on the attempt's machine. */
+  /** Adds the attempt to its machine and its job. */
   public static void place(TaskAttempt attempt) {
     attempt.machine().attempts().add(attempt);
     attempt.job().add(attempt);
