--- a/src/main/java/io/pearscale/scheduler/CommitEffects.java
+++ b/src/main/java/io/pearscale/scheduler/CommitEffects.java
@@ -15,7 +15,7 @@
     implements CommitListener {
   @Override
   public void onJobFinished(Job job) {
-    gangs.forget(job);
+    gangs.remove(job);
   }
 
   @Override
--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -41,7 +41,7 @@
       return;
     }
     components.records.closeJob(job.get());
-    components.gangs.forget(job.get());
+    components.gangs.remove(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // What a cancelled task has done is of no use to anybody: it saves no checkpoint, and one
       // that
--- a/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
+++ b/src/main/java/io/pearscale/scheduler/StoredKeyUpdates.java
@@ -22,7 +22,7 @@
   /** Takes over all keys, in place of what was known before. */
   void load(Map<String, Entry> entries) {
     components.jobs.idsWithoutKey(entries.keySet()).forEach(jobTermination::endJob);
-    components.jobs.forgetUnreadable();
+    components.jobs.clearUnreadable();
     components.records.storedValues().clear();
     components.levelRaiser.forgetStored();
     components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
@@ -50,7 +50,7 @@
     if (change.entry().isPresent()) {
       components.jobs.add(key, change.entry().get());
     } else {
-      components.jobs.forgetUnreadable(key);
+      components.jobs.clearUnreadable(key);
       jobTermination.endJob(Keys.lastSegment(key));
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -138,7 +138,7 @@
             && !job.spec().checkpointInterval().isZero()
             && GangCheckpointPolicy.mayCheckpoint(
                 members, job.spec().tasks(), remaining, job.spec().checkpointDuration());
-    gangs.noteEnding(job, checkpoints);
+    gangs.recordEnding(job, checkpoints);
     for (TaskAttempt attempt : List.copyOf(job.attempts().values())) {
       if (!checkpoints) {
         attempt.forbidCheckpoint();
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -82,7 +82,7 @@
 
   /** Applies all statuses; returns the attempts that are present on the machine. */
   private Set<TaskAttempt> applyStatuses(Machine machine, Heartbeat heartbeat) {
-    ReportedAttempts.Previous previous = machine.reportedAttempts().beginMessage();
+    ReportedAttempts.PreviousReport previous = machine.reportedAttempts().beginMessage();
     Set<TaskAttempt> present = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.stage() == Heartbeat.Stage.ENDED) {
--- a/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskEndHandler.java
@@ -67,7 +67,7 @@
       case STOPPED -> {
         // As it was commanded.
       }
-      case GANG_BROKEN -> gangs.noteBroken(job, status.attempt());
+      case GANG_BROKEN -> gangs.recordBroken(job, status.attempt());
       case UNKNOWN_TASK, START_REFUSED -> {
         if (known.isPresent()) {
           backOffRefusedStart(machine, job, status, cause);
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -60,7 +60,10 @@
    * Applies the status of an ended attempt, which the agent lists until it is told to forget it.
    */
   void applyEnded(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      ReportedAttempts.PreviousReport previous) {
     Optional<TaskAttempt> known = knownAttempt(machine, heartbeat, status);
     EndCause cause = EndCause.of(status.cause());
     long startToken =
@@ -79,7 +82,10 @@
    * @return the attempt; empty if it is unknown and has to be stopped
    */
   Optional<TaskAttempt> applyPresent(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      ReportedAttempts.PreviousReport previous) {
     Optional<Job> job = jobOf(status);
     Optional<TaskAttempt> attempt = knownAttempt(machine, heartbeat, status);
     if (attempt.isEmpty() && job.isPresent() && !job.get().isDone(status.task().index())) {
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -52,7 +52,7 @@
   }
 
   /** Removes the gang of a job that has ended. */
-  public void forget(Job job) {
+  public void remove(Job job) {
     attempts.remove(job);
     phaseSince.remove(job);
   }
@@ -197,7 +197,7 @@
    *
    * @param checkpoints whether the tasks get time for a checkpoint
    */
-  public void noteEnding(Job job, boolean checkpoints) {
+  public void recordEnding(Job job, boolean checkpoints) {
     Phase previousPhase = phase(job);
     attemptOf(job).noteEnding();
     recordPhaseChange(job, previousPhase, checkpoints);
@@ -206,7 +206,7 @@
   /**
    * Records that a task of the given attempt exited because other tasks were missing or had ended.
    */
-  public void noteBroken(Job job, long attempt) {
+  public void recordBroken(Job job, long attempt) {
     attemptOf(job).noteBroken(attempt);
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -135,12 +135,12 @@
   }
 
   /** Records that a job's key was removed, so that it no longer counts as unreadable. */
-  public void forgetUnreadable(String key) {
+  public void clearUnreadable(String key) {
     unreadableKeys.remove(key);
   }
 
   /** Clears the unreadable keys before all keys are read again. */
-  public void forgetUnreadable() {
+  public void clearUnreadable() {
     unreadableKeys.clear();
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
@@ -14,7 +14,7 @@
  */
 public final class ReportedAttempts {
   /** The attempts that the preceding message reported. */
-  public record Previous(Map<AttemptId, Long> ended, Map<AttemptId, Instant> unknown) {}
+  public record PreviousReport(Map<AttemptId, Long> ended, Map<AttemptId, Instant> unknown) {}
 
   private final Map<AttemptId, Long> ended = new HashMap<>();
   private final Map<AttemptId, Long> endedView = Collections.unmodifiableMap(ended);
@@ -43,19 +43,19 @@
    *
    * @return the attempts that the preceding message reported
    */
-  public Previous beginMessage() {
-    Previous previous = new Previous(new HashMap<>(ended), new HashMap<>(unknown));
+  public PreviousReport beginMessage() {
+    PreviousReport previous = new PreviousReport(new HashMap<>(ended), new HashMap<>(unknown));
     clear();
     return previous;
   }
 
   /** Adds an ended attempt that the message lists; keeps the token bound recorded for it before. */
-  public void addEnded(AttemptId attempt, long startToken, Previous previous) {
+  public void addEnded(AttemptId attempt, long startToken, PreviousReport previous) {
     ended.put(attempt, previous.ended.getOrDefault(attempt, startToken));
   }
 
   /** Adds an attempt that the message lists but that must not be on the machine. */
-  public void addUnknown(AttemptId attempt, Previous previous) {
+  public void addUnknown(AttemptId attempt, PreviousReport previous) {
     unknown.put(attempt, previous.unknown.getOrDefault(attempt, Instant.MIN));
   }
 
--- a/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/DecisionLogTest.java
@@ -26,7 +26,7 @@
           Instant.EPOCH);
 
   @Test
-  void resetsCountersWhenTaken() {
+  void countsStartsAndProofsUntilTaken() {
     log.recordStartsSent(
         machine,
         List.of(
--- a/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/GangTrackerTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void forgetsGangOfFinishedJob() {
+  void removesGangOfFinishedJob() {
     GangTracker gangs =
         new GangTracker(new Leadership(CLOCK, RENEWAL_AUTHORITY_TIMEOUT), CLOCK, FORMING_TIMEOUT);
     Job liveJob = job();
@@ -28,7 +28,7 @@
     gangs.beginAttempt(liveJob, 1);
     gangs.beginAttempt(finishedJob, 2);
     assertTrue(gangs.logFields().contains("gangs_forming=2"), gangs.logFields());
-    gangs.forget(finishedJob);
+    gangs.remove(finishedJob);
     assertTrue(gangs.logFields().contains("gangs_forming=1"), gangs.logFields());
   }
 }
--- a/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/IncarnationLeaseTest.java
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void onlyLaterMessagesAreNewer() {
+  void repeatedAndOlderMessagesAreNotNewer() {
     lease.observe(message(3, 5), at(0));
     assertFalse(lease.isNewer(message(3, 5)));
     assertFalse(lease.isNewer(message(2, 6)));
