--- a/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
+++ b/src/main/java/io/pearscale/scheduler/model/AttemptNumbers.java
@@ -24,7 +24,7 @@
   public long next() {
     if (attemptsInTerm == MAX_ATTEMPTS_PER_TERM) {
       throw new IllegalStateException(
-          "term " + term + " has no attempt numbers left: all 2^40 - 1 are in use");
+          "term " + term + " has no attempt numbers left: all 2^40 - 1 have been used");
     }
     return (term << TERM_SHIFT) + ++attemptsInTerm;
   }
--- a/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
+++ b/src/main/java/io/pearscale/scheduler/model/FencingTokens.java
@@ -4,7 +4,7 @@
  * The fencing tokens of one machine: the token that commands carry, the highest token that the
  * machine has reported, and what follows from the difference. An agent refuses commands whose token
  * is below the highest that it has seen. So after the leader increments the token and the machine
- * reports the new one, no command with a lower token can be executed any more.
+ * reports the new one, no command with a lower token can be executed.
  *
  * <p>Owned by its {@link Machine}; written while the leader handles heartbeats and commands.
  */
--- a/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
+++ b/src/main/java/io/pearscale/scheduler/model/IncarnationLease.java
@@ -101,7 +101,7 @@
    * Returns whether every task started in the current or an earlier incarnation has certainly
    * ended.
    *
-   * @param expiryBound the lease TTL plus the maximum clock drift
+   * @param expiryBound the lease TTL plus an allowance for clock drift
    */
   public boolean isExpired(Instant now, Duration expiryBound) {
     return basis != Basis.NONE && now.isAfter(leaseStart.plus(expiryBound));
--- a/src/main/java/io/pearscale/scheduler/model/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -11,11 +11,11 @@
  * <p><b>Proof of leadership.</b> A proof shows that no other controller led at a given time. It is
  * dated from when the request behind it was sent. <b>Renewal authority.</b> While both the last
  * proof and the replica of the keys are younger than the renewal authority timeout, this leader may
- * renew agent leases. So once a newer leader knows that it was elected, earlier leaders stop
- * renewing after at most that timeout, and after one further lease TTL no machine that has heard
- * only from them holds a lease. <b>Fencing token.</b> Each command carries a token composed of the
- * term and, in the low bits, a counter per machine. An agent refuses a token that is lower than the
- * highest it has seen.
+ * renew agent leases. So once a new leader knows that it was elected, earlier leaders stop renewing
+ * after at most that timeout, and after one further lease TTL no machine that has heard only from
+ * them holds a lease. <b>Fencing token.</b> Each command carries a token composed of the term and,
+ * in the low bits, a counter per machine. An agent refuses a token that is lower than the highest
+ * it has seen.
  */
 public final class Leadership {
   /** Fencing tokens hold the term above a 24-bit counter, which is separate for each machine. */
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Records that no previous leader renews leases any more, because all peers know of this term.
+   * Records that previous leaders no longer renew leases, because all peers know of this term.
    *
    * @return whether this is earlier than the time known before
    */
--- a/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
+++ b/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
@@ -29,7 +29,7 @@
     return usageByTeam.computeIfAbsent(team, t -> new Usage());
   }
 
-  /** Adds the usage of the given number of tasks of the job; a negative number subtracts it. */
+  /** Adds the usage of the given number of tasks of the job; a number below 0 subtracts it. */
   public void charge(JobSpec spec, int tasks) {
     Usage usage = usageOf(spec.team());
     usage.cpus += tasks * spec.cpus();
--- a/src/main/java/io/pearscale/scheduler/model/Resources.java
+++ b/src/main/java/io/pearscale/scheduler/model/Resources.java
@@ -75,7 +75,7 @@
         && memoryGb + TOLERANCE >= spec.memoryGb();
   }
 
-  /** Returns how many tasks of the job fit; never negative. */
+  /** Returns how many tasks of the job fit; 0 or more. */
   public int countFitting(JobSpec spec) {
     double count = MAX_COUNT;
     if (spec.cpus() > 0) {
--- a/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Returns the attempt's number, which is unique across all terms, or a negative value while it
+   * Returns the attempt's number, which is unique across all terms, or a value below 0 while it
    * {@linkplain #isIdentified is unknown}.
    */
   public long number() {
