--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -47,12 +47,12 @@
       return;
     }
     components.records.closeJob(job.get());
-    components.gangs.forget(job.get());
+    components.gangs.remove(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
       // The results of a cancelled task are not needed. It saves no checkpoint, and a task that is
       // already saving one ends, regardless of the reason for its stop.
       attempt.forbidCheckpoint();
-      attempt.forgetStopsSent();
+      attempt.resetStopsSent();
       components.inventory.stop(attempt);
       components.inventory.markCommandDue(attempt.machine());
       components.dispatcher.sendDueCommands(attempt.machine());
--- a/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -21,8 +21,8 @@
 
   /** Replaces the known state with the loaded keys. */
   void load(Map<String, Entry> entries) {
-    components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
-    components.jobs.forgetUnreadable();
+    components.jobs.idsWithoutKey(entries.keySet()).forEach(jobTermination::endJob);
+    components.jobs.clearUnreadable();
     components.records.storedValues().clear();
     components.levelUpgrader.clearAnnouncements();
     components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
@@ -50,7 +50,7 @@
     if (change.entry().isPresent()) {
       components.jobs.add(key, change.entry().get());
     } else {
-      components.jobs.forgetUnreadable(key);
+      components.jobs.clearUnreadable(key);
       jobTermination.endJob(Keys.lastSegment(key));
     }
   }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -167,7 +167,7 @@
     } else if (message instanceof KeysChanged m) {
       keysChanged(m);
     } else if (message instanceof ReplicaCaughtUp m) {
-      leadership.recordReplicaAsOf(m.caughtUpTo);
+      leadership.recordReplicaUpToDate(m.caughtUpTo);
       components.jobs.replicaCaughtUpTo(m.caughtUpTo);
     } else if (message instanceof Loaded m) {
       keyChangeRouter.load(m.entries);
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable action) {
+    public void executeAfter(Duration delay, Runnable action) {
       long term = leadership.term();
       loop.schedule(delay, () -> tell(new DeferredAction(term, action)));
     }
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -45,7 +45,7 @@
     components.gangs.clear();
     components.drainCoordinator.ifPresent(DrainCoordinator::endTerm);
     components.machineProvisioner.endTerm();
-    components.jobs.forgetLeaderState();
+    components.jobs.clearLeaderState();
   }
 
   /** Handles a load of the replica of the stored keys at the given revision. */
--- a/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
+++ b/src/main/java/io/pearscale/scheduler/agents/DueCommands.java
@@ -82,7 +82,7 @@
               && !attempt.stopping()
               && !machine.reachability().commandInFlight();
       if (presumedLost && leadership.mayStartTasks()) {
-        attempt.startResent(machine.fencing().current(), machine.lease().incarnation());
+        attempt.recordStartResent(machine.fencing().current(), machine.lease().incarnation());
         commands.add(AgentCommand.start(attempt.task(), attempt.number()));
       }
     }
@@ -143,7 +143,7 @@
         continue;
       }
       available.subtract(attempt.spec());
-      attempt.startSent(machine.fencing().current(), machine.lease().incarnation());
+      attempt.recordStartSent(machine.fencing().current(), machine.lease().incarnation());
       commands.add(AgentCommand.start(attempt.task(), attempt.number()));
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -145,7 +145,7 @@
             && !job.spec().checkpointInterval().isZero()
             && GangCheckpointPolicy.mayCheckpoint(
                 members, job.spec().tasks(), untilFirstPreemption, job.spec().checkpointDuration());
-    gangs.noteEnding(job, checkpoints);
+    gangs.recordEnding(job, checkpoints);
     for (TaskAttempt attempt : List.copyOf(job.attempts().values())) {
       if (!checkpoints) {
         attempt.forbidCheckpoint();
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -67,7 +67,7 @@
       if (!leadership.isFromThisTerm(heartbeat.fencingToken())) {
         return;
       }
-      machine.reconcile();
+      machine.markReconciled();
       requestPass.run();
     }
     updateLiveness(machine, heartbeat, reachable);
@@ -83,7 +83,7 @@
 
   /** Applies all task statuses and returns the attempts that are present on the machine. */
   private Set<TaskAttempt> applyStatuses(Machine machine, Heartbeat heartbeat) {
-    ReportedAttempts.Previous previous = machine.reportedAttempts().beginMessage();
+    ReportedAttempts.PreviousReport previous = machine.reportedAttempts().beginMessage();
     Set<TaskAttempt> present = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.stage() == Heartbeat.Stage.ENDED) {
@@ -120,7 +120,7 @@
     long previous = machine.lease().incarnation();
     boolean isNew = machine.lease().observe(heartbeat, now);
     if (isNew && (machine.leaseExpired() || (previous > 0 && heartbeat.incarnation() > previous))) {
-      decisions.incarnationBegan(machine, heartbeat, previous);
+      decisions.recordIncarnationBegan(machine, heartbeat, previous);
     }
   }
 
@@ -128,7 +128,7 @@
   private void updateLiveness(Machine machine, Heartbeat heartbeat, boolean reachable) {
     Instant now = clock.instant();
     if (reachable) {
-      machine.reachability().reached(now);
+      machine.reachability().recordReachable(now);
     }
     if (heartbeat.preemptionNotice().isPresent() && machine.preemptionNoticeAt().isEmpty()) {
       LOG.info(
--- a/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
@@ -69,8 +69,9 @@
         && !machine.failures().isQuarantined()
         && machine.preemptionNoticeAt().isEmpty()
         && machine.reachability().answersWithoutHeartbeatSince().isEmpty()
-        && now.isBefore(machine.reachability().lastReachableAt().plus(timings.heartbeatDue()))
-        && machine.lease().isHeld(now, timings.lease());
+        && now.isBefore(
+            machine.reachability().lastReachableAt().plus(timings.heartbeatOverdueAfter()))
+        && machine.lease().isHeld(now, timings.leaseTtl());
   }
 
   /** Returns whether every lease that the machine was granted must have expired. */
@@ -87,7 +88,8 @@
    * @param allRecordedProbed whether the probing after the failover has finished
    */
   boolean needsProbe(Machine machine, boolean allRecordedProbed, Instant now) {
-    boolean heartbeatOverdue = sinceLastContact(machine, now).compareTo(timings.heartbeatDue()) > 0;
+    boolean heartbeatOverdue =
+        sinceLastContact(machine, now).compareTo(timings.heartbeatOverdueAfter()) > 0;
     boolean unreconciled = !machine.reconciled() && allRecordedProbed;
     return machine.lifecycle() == Lifecycle.UP
         && machine.reachability().heartbeatEverReceived()
@@ -168,7 +170,7 @@
             : UNRESPONSIVE_MACHINE_LEASES;
     return machine.leaseExpired()
         && machine.lifecycle() == Lifecycle.UP
-        && now.isAfter(lastContact(machine).plus(timings.lease().multipliedBy(leases)));
+        && now.isAfter(lastContact(machine).plus(timings.leaseTtl().multipliedBy(leases)));
   }
 
   private Duration sinceLastContact(Machine machine, Instant now) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineProber.java
@@ -85,10 +85,12 @@
         MessageFields.seconds(totalProbeTime) / settings.cpuShare()
             < MessageFields.seconds(settings.agents().heartbeatInterval());
     probesAllowedFrom =
-        fasterThanHeartbeats ? clock.instant() : clock.instant().plus(timings.heartbeatDue());
+        fasterThanHeartbeats
+            ? clock.instant()
+            : clock.instant().plus(timings.heartbeatOverdueAfter());
     sendMoreProbes();
     if (!fasterThanHeartbeats) {
-      executor.after(timings.heartbeatDue(), this::sendMoreProbes);
+      executor.executeAfter(timings.heartbeatOverdueAfter(), this::sendMoreProbes);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -89,7 +89,7 @@
           && machine.record().isRetiring()
           && !machine.cloud().isDeletionRequested()
           && names.size() < CloudApi.MAX_DELETED_PER_REQUEST) {
-        machine.cloud().deletionRequested();
+        machine.cloud().recordDeletionRequested();
         names.add(machine.name());
       }
     }
@@ -103,7 +103,7 @@
     for (String name : names) {
       Machine machine = inventory.get(name);
       if (machine != null) {
-        machine.cloud().deletionFailed();
+        machine.cloud().recordDeletionFailed();
       }
     }
   }
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -64,7 +64,10 @@
    * forget it.
    */
   void applyEnded(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      ReportedAttempts.PreviousReport previous) {
     Optional<TaskAttempt> known = knownAttempt(machine, heartbeat, status);
     EndCause cause = EndCause.of(status.cause());
     long startToken =
@@ -83,7 +86,10 @@
    * @return the attempt; empty if it is unknown and must be stopped
    */
   Optional<TaskAttempt> applyPresent(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
+      Machine machine,
+      Heartbeat heartbeat,
+      TaskStatus status,
+      ReportedAttempts.PreviousReport previous) {
     Optional<Job> job = jobOf(status);
     Optional<TaskAttempt> attempt = knownAttempt(machine, heartbeat, status);
     if (attempt.isEmpty() && job.isPresent() && !job.get().isDone(status.task().index())) {
@@ -182,7 +188,7 @@
         sinceStart.toMillis());
     attempt.machine().recordImageUse(attempt.spec().image(), attempt.spec().imageGb());
     if (before.compareTo(Stage.RUNNING) < 0) {
-      statistics.recordStart(sinceStart);
+      statistics.recordStartLatency(sinceStart);
     }
     attempt.beginRunning(now);
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/MaintenanceTransitions.java
@@ -95,7 +95,7 @@
       if (!responsive) {
         probationSince.put(machine, now);
       }
-      Instant probationEndsAt = since.plus(timings.lease().multipliedBy(PROBATION_LEASES));
+      Instant probationEndsAt = since.plus(timings.leaseTtl().multipliedBy(PROBATION_LEASES));
       if (responsive && (!machine.images().isEmpty() || now.isAfter(probationEndsAt))) {
         change(machine.name(), Maintenance.IN_SERVICE);
       }
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -19,12 +19,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tracks the present attempt of each gang job that has, or had, tasks on machines. */
+/** Tracks the current attempt of each gang job that has, or had, tasks on machines. */
 public final class GangTracker {
   private static final Logger LOG = LoggerFactory.getLogger(GangTracker.class);
 
-  /** Machines that are named at most as what a gang waits for. */
-  private static final int MAX_MACHINES_NAMED = 3;
+  /** The maximum number of machines that a wait reason names. */
+  private static final int MAX_MACHINES_IN_WAIT_REASON = 3;
 
   private final Leadership leadership;
   private final InstantSource clock;
@@ -34,7 +34,7 @@
   private Duration lostWork = Duration.ZERO;
 
   /**
-   * Makes a tracker that knows of no gangs.
+   * Creates a tracker without any gangs.
    *
    * @param formingTimeout how long a task of a gang waits for the others
    */
@@ -44,15 +44,15 @@
     this.formingTimeout = formingTimeout;
   }
 
-  /** Forgets all gangs, since the term is over. */
+  /** Removes all gangs when the term ends. */
   public void clear() {
     attempts.clear();
     phaseSince.clear();
     lostWork = Duration.ZERO;
   }
 
-  /** Forgets a gang whose job is over. */
-  public void forget(Job job) {
+  /** Removes the gang of a job that has ended. */
+  public void remove(Job job) {
     attempts.remove(job);
     phaseSince.remove(job);
   }
@@ -62,18 +62,18 @@
     return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formingTimeout));
   }
 
-  /** The phase of the job's present attempt, when it was last looked at. */
+  /** Returns the phase that the last evaluation of the job's current attempt found. */
   public Phase phase(Job job) {
     return attemptOf(job).phase();
   }
 
-  /** Whether tasks of the gang are placed, but do not run. */
-  public boolean isHeldUp(Job job) {
+  /** Returns whether tasks of the gang are placed but the gang is not running. */
+  public boolean isWaiting(Job job) {
     Phase phase = phase(job);
     return phase != Phase.VACANT && phase != Phase.RUNNING;
   }
 
-  /** What a gang that is held up waits for, as a phrase for operators. */
+  /** Returns what a waiting gang waits for, as a phrase for operators. */
   public String waitReason(Job job) {
     return switch (phase(job)) {
       case FORMING ->
@@ -82,10 +82,10 @@
                   countInStage(job, Stage.WAITING_FOR_GANG), job.spec().tasks(), stragglers(job));
       case ENDING ->
           "tasks of the attempt before are not yet proven gone: "
-              + machinesOf(job, attempt -> true);
+              + machineNames(job, attempt -> true);
       case UNKNOWN ->
           "tasks that a former leader placed were not shown yet: "
-              + machinesOf(job, attempt -> !attempt.observed());
+              + machineNames(job, attempt -> !attempt.observed());
       case VACANT, RUNNING -> "it does not wait";
     };
   }
@@ -95,41 +95,48 @@
   }
 
   private static String stragglers(Job job) {
-    return machinesOf(job, attempt -> attempt.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
+    return machineNames(job, attempt -> attempt.stage().compareTo(Stage.WAITING_FOR_GANG) < 0);
   }
 
-  private static String machinesOf(Job job, Predicate<TaskAttempt> which) {
+  private static String machineNames(Job job, Predicate<TaskAttempt> filter) {
     return job.attempts().values().stream()
-        .filter(which)
-        .limit(MAX_MACHINES_NAMED)
+        .filter(filter)
+        .limit(MAX_MACHINES_IN_WAIT_REASON)
         .map(attempt -> attempt.machine().name())
         .distinct()
         .collect(Collectors.joining(", "));
   }
 
-  /** What is to be done for the gang now; looks at what its tasks are at. */
+  /** Evaluates the gang's tasks and returns the next action for the gang. */
   public Action nextAction(Job job) {
     if (job.hasDoneTasks()) {
-      return Action.NONE; // One completed task completes all: what is left exits by itself.
+      return Action
+          .NONE; // One completed task completes the gang: the remaining tasks exit by themselves.
     }
     GangAttempt attempt = attemptOf(job);
-    Phase before = attempt.phase();
+    Phase previousPhase = attempt.phase();
     Action action = attempt.nextAction(membersOf(job), clock.instant());
-    notePhaseChange(job, before, /* checkpointed= */ false);
+    recordPhaseChange(job, previousPhase, /* checkpointed= */ false);
     return action;
   }
 
-  /** Logs a change of phase, and counts the work that is lost if a gang that ran has to end. */
-  private void notePhaseChange(Job job, Phase before, boolean checkpointed) {
+  /**
+   * Logs a phase change, and adds up the run time that is lost when a running gang has to end
+   * without a checkpoint.
+   */
+  private void recordPhaseChange(Job job, Phase previousPhase, boolean checkpointed) {
     GangAttempt attempt = attemptOf(job);
     Phase phase = attempt.phase();
-    if (before == phase) {
+    if (previousPhase == phase) {
       return;
     }
     Instant now = clock.instant();
-    Duration lasted = Duration.between(phaseSince.put(job, now), now);
-    if (before == Phase.RUNNING && phase == Phase.ENDING && !job.hasDoneTasks() && !checkpointed) {
-      lostWork = lostWork.plus(workSinceCheckpoint(job, lasted));
+    Duration previousPhaseDuration = Duration.between(phaseSince.put(job, now), now);
+    if (previousPhase == Phase.RUNNING
+        && phase == Phase.ENDING
+        && !job.hasDoneTasks()
+        && !checkpointed) {
+      lostWork = lostWork.plus(workSinceCheckpoint(job, previousPhaseDuration));
     }
     LOG.info(
         "event=gang term={} job={} phase={} attempt={} tasks={} ended={} before={} lasted_ms={}",
@@ -139,15 +146,18 @@
         attempt.number().orElse(-1L),
         job.attempts().size(),
         attempt.endedAttempts(),
-        before,
-        lasted.toMillis());
+        previousPhase,
+        previousPhaseDuration.toMillis());
   }
 
-  /** Time that all tasks together ran since their last checkpoint, as far as this leader knows. */
-  private static Duration workSinceCheckpoint(Job job, Duration ran) {
+  /**
+   * Returns the run time since the last checkpoint, added up over all tasks. It is derived from the
+   * time that this leader observed the gang running.
+   */
+  private static Duration workSinceCheckpoint(Job job, Duration runDuration) {
     long checkpointMillis = job.spec().checkpointInterval().toMillis();
     long sinceCheckpoint =
-        checkpointMillis == 0 ? ran.toMillis() : ran.toMillis() % checkpointMillis;
+        checkpointMillis == 0 ? runDuration.toMillis() : runDuration.toMillis() % checkpointMillis;
     return Duration.ofMillis(sinceCheckpoint * job.spec().tasks());
   }
 
@@ -170,38 +180,41 @@
     };
   }
 
-  /** An attempt begins under that number. */
+  /** Begins an attempt with the given number. */
   public void beginAttempt(Job job, long number) {
-    Phase before = phase(job);
+    Phase previousPhase = phase(job);
     attemptOf(job).begin(number, clock.instant());
-    notePhaseChange(job, before, /* checkpointed= */ false);
+    recordPhaseChange(job, previousPhase, /* checkpointed= */ false);
   }
 
-  /** The number under which missing tasks of the present attempt are started. */
+  /** Returns the number of the current attempt, under which missing tasks are started. */
   public long attemptNumber(Job job) {
     return attemptOf(job).number().orElseThrow();
   }
 
   /**
-   * All tasks of the gang are being stopped.
+   * Records that all tasks of the gang are being stopped.
    *
-   * @param checkpoints whether they get time for a checkpoint
+   * @param checkpoints whether the tasks get time for a checkpoint
    */
-  public void noteEnding(Job job, boolean checkpoints) {
-    Phase before = phase(job);
+  public void recordEnding(Job job, boolean checkpoints) {
+    Phase previousPhase = phase(job);
     attemptOf(job).markEnding();
-    notePhaseChange(job, before, checkpoints);
+    recordPhaseChange(job, previousPhase, checkpoints);
   }
 
-  /** A task of the attempt of that number has exited since others are missing or gone. */
-  public void noteBroken(Job job, long attempt) {
+  /**
+   * Records that a task of the given attempt exited because other tasks were missing or had ended.
+   */
+  public void recordBroken(Job job, long attempt) {
     attemptOf(job).markBroken(attempt);
   }
 
   /**
-   * Whether starts of the job may be sent: those of a gang only when all its tasks are placed and
-   * all placement records are durable, so that none is started in vain and a successor knows of
-   * each.
+   * Returns whether starts of the job's tasks may be sent. Tasks of a gang are started only when
+   * all its tasks are placed and all their placement and machine records are durable. This avoids
+   * starts of tasks that would wait for tasks that are not placed, and a successor knows of every
+   * started task.
    */
   public static boolean mayStart(Job job) {
     if (!job.spec().isGang()) {
@@ -217,24 +230,24 @@
   }
 
   /**
-   * Fields of a log line: how many gangs are in each phase, how many attempts have ended, and the
-   * work that was lost.
+   * Returns the fields of a log line: the number of gangs in each phase, the number of ended
+   * attempts and the lost run time.
    */
   public String logFields() {
-    int[] phases = new int[Phase.values().length];
-    int ended = 0;
+    int[] gangsByPhase = new int[Phase.values().length];
+    int endedAttempts = 0;
     for (GangAttempt attempt : attempts.values()) {
-      phases[attempt.phase().ordinal()]++;
-      ended += attempt.endedAttempts();
+      gangsByPhase[attempt.phase().ordinal()]++;
+      endedAttempts += attempt.endedAttempts();
     }
     return ("gangs_forming=%d gangs_running=%d gangs_ending=%d gangs_unknown=%d gang_attempts_ended=%d"
             + " gang_work_lost_s=%d")
         .formatted(
-            phases[Phase.FORMING.ordinal()],
-            phases[Phase.RUNNING.ordinal()],
-            phases[Phase.ENDING.ordinal()],
-            phases[Phase.UNKNOWN.ordinal()],
-            ended,
+            gangsByPhase[Phase.FORMING.ordinal()],
+            gangsByPhase[Phase.RUNNING.ordinal()],
+            gangsByPhase[Phase.ENDING.ordinal()],
+            gangsByPhase[Phase.UNKNOWN.ordinal()],
+            endedAttempts,
             lostWork.toSeconds());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/MachineRecords.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineRecordMapper.java
@@ -5,17 +5,17 @@
 import io.pearscale.storage.MachineRecordCodec.MachineRecord;
 import java.time.Instant;
 
-/** Maps machines to what is stored of them, and back. */
-public final class MachineRecords {
-  private MachineRecords() {}
+/** Converts between machines and their stored records. */
+public final class MachineRecordMapper {
+  private MachineRecordMapper() {}
 
   /**
-   * What the machine's record is to say.
+   * Returns the record to store for the machine.
    *
-   * @param number by which placement records name the machine, or its position, by the layout; 0
-   *     where only the size counts
+   * @param number the machine's number or position by which placement records refer to it,
+   *     depending on the layout; 0 if only the size of the record matters
    */
-  public static MachineRecord of(Machine machine, int number) {
+  public static MachineRecord toRecord(Machine machine, int number) {
     return new MachineRecord(
         number,
         machine.name(),
@@ -28,20 +28,23 @@
         machine.maintenance());
   }
 
-  /** A machine that a previous leader recorded; one with an address had been heard of. */
-  public static Machine restore(MachineRecord record, MachineType type, Instant now) {
-    boolean seen = !record.address().isEmpty();
+  /**
+   * Restores a machine from the record of a previous leader. A record with an address means that
+   * the agent has sent a message.
+   */
+  public static Machine fromRecord(MachineRecord record, MachineType type, Instant now) {
+    boolean observed = !record.address().isEmpty();
     Lifecycle lifecycle =
-        record.retiring() ? Lifecycle.RETIRING : seen ? Lifecycle.UP : Lifecycle.BOOTING;
+        record.retiring() ? Lifecycle.RETIRING : observed ? Lifecycle.UP : Lifecycle.BOOTING;
     Machine machine =
         new Machine(record.machine(), record.zone(), record.spot(), type, lifecycle, now);
     machine.updateAddress(record.address());
     machine.changeMaintenance(record.maintenance());
     machine.record().restore(record.retiring(), record.address(), record.maintenance());
-    if (seen) {
+    if (observed) {
       machine.reachability().messageReceived();
     }
-    machine.lease().acceptFromRecorded(record.incarnation());
+    machine.lease().setMinimumIncarnation(record.incarnation());
     return machine;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PreemptionPlanner.java
@@ -157,7 +157,7 @@
     return PlacementConstraints.allowsMachine(spec, machine)
         && allowed.test(machine)
         && (image.isEmpty() || canStartImmediately(machine, image.get()))
-        && (guaranteed || machine.availableAbove(spec.priority()).fits(spec));
+        && (guaranteed || machine.availableWithPreemption(spec.priority()).fits(spec));
   }
 
   /** Returns whether the machine has the image and can execute a stop command immediately. */
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -122,7 +122,7 @@
       // of the scheduling pass.
       executor.execute(this::commit);
     } else {
-      executor.after(wait, this::commit);
+      executor.executeAfter(wait, this::commit);
     }
   }
 
@@ -178,13 +178,13 @@
     } else if (outcome instanceof CommitOutcome.Refused refused) {
       onRefused(transaction, refused);
     } else {
-      executor.after(TERM_READ_DELAY, this::readTerm);
+      executor.executeAfter(TERM_READ_DELAY, this::readTerm);
     }
   }
 
   private void onPreconditionFailed(LeaderTransaction transaction, List<String> failedKeys) {
     if (failedKeys.contains(Keys.TERM)) {
-      executor.after(IMMEDIATE_TERM_READ_DELAY, this::readTerm);
+      executor.executeAfter(IMMEDIATE_TERM_READ_DELAY, this::readTerm);
       return;
     }
     commitInFlight = false;
@@ -213,7 +213,8 @@
 
   private void scheduleRetry() {
     commitScheduled = true;
-    executor.after(RETRY_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::commit);
+    executor.executeAfter(
+        RETRY_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::commit);
   }
 
   private void readTerm() {
@@ -223,7 +224,7 @@
   /** Continues from the current revision of the term's key if this controller still leads. */
   private void onTermRead(Reply reply) {
     if (!reply.ok()) {
-      executor.after(
+      executor.executeAfter(
           TERM_READ_DELAY.plusMillis(random.nextInt(RETRY_JITTER_MILLIS)), this::readTerm);
       return;
     }
--- a/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
+++ b/src/test/java/io/pearscale/scheduler/model/MachineTombstonesTest.java
@@ -9,9 +9,12 @@
 class MachineTombstonesTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(5000);
 
-  /** A fleet that is given back goes on to be listed for as long as the list lags. */
+  /**
+   * The machines of a released fleet are still listed for as long as the machine list lags, however
+   * many there are. Tombstones must expire by age, not by count.
+   */
   @Test
-  void aWholeFleetIsRememberedWhileListsAndReportsMayNameIt() {
+  void keepsTombstonesOfLargeFleet() {
     MachineTombstones tombstones = new MachineTombstones();
     for (int i = 0; i < 6000; i++) {
       tombstones.add("m-" + i, NOW.plusMillis(i));
@@ -22,7 +25,7 @@
   }
 
   @Test
-  void whatIsLongGoneIsForgotten() {
+  void dropsTombstonesAfterRetention() {
     MachineTombstones tombstones = new MachineTombstones();
     tombstones.add("m-1", NOW);
     tombstones.add("m-2", NOW.plusSeconds(1));
