--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 
-/** The command line. Each subcommand is one tool; the daemon is {@code serve}. */
+/** The top-level command. {@code serve} runs a controller; the other subcommands run and exit. */
 @Command(
     name = "pearscale",
     description = "A cluster scheduler.",
@@ -33,12 +33,12 @@
 final class Commands {
   private Commands() {}
 
-  /** Runs what the arguments name, and returns the exit code. */
+  /** Runs the subcommand that the arguments name, and returns its exit code. */
   static int execute(String[] args) {
     return new CommandLine(new Commands()).execute(args);
   }
 
-  /** Options that all commands with settings share. */
+  /** Options for the settings files, shared by all commands that read them. */
   static final class SettingsFiles {
     @Option(
         names = "--config",
@@ -112,7 +112,7 @@
     }
   }
 
-  /** What the sockets of the settings suffice for. */
+  /** Describes the connection limits that follow from the limit on file descriptors. */
   static String describeConnectionLimits(int fdLimit, ConnectionLimits limits) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
         .formatted(fdLimit, limits.keptAlive(), limits.outbound(), limits.parkedHeartbeats());
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -36,7 +36,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Asks for drains, and shows what comes of them. */
+/** Commands that store drain requests, and show their progress. */
 @Command(
     name = "drain",
     description = "Empties machines for maintenance, within the teams' budgets.",
@@ -59,7 +59,7 @@
     return Main.EXIT_INVALID_INPUT;
   }
 
-  /** Which machines are meant; one of these. */
+  /** Options that select machines; exactly one of them is given. */
   static final class Selection {
     @Option(names = "--machines", split = ",", paramLabel = "NAME", description = "these machines")
     Set<String> machines;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Asks for a drain. */
+  /** Stores a new drain request for the machines that are selected now. */
   @Command(
       name = "start",
       description = "Asks for a drain of machines that are known now.",
@@ -178,7 +178,9 @@
       return Optional.empty();
     }
 
-    /** A share of the machines is rounded up, so that it is never none. */
+    /**
+     * Resolves {@code --at-once}. A percentage is rounded up, so that it is at least one machine.
+     */
     private int maxConcurrentMachines(int machineCount) {
       if (!concurrency.endsWith("%")) {
         return Integer.parseInt(concurrency);
@@ -244,7 +246,7 @@
     }
   }
 
-  /** Shows drains. */
+  /** Prints the stored drain requests with the progress that the leader has published. */
   @Command(
       name = "show",
       aliases = "list",
@@ -311,7 +313,7 @@
     }
   }
 
-  /** Changes what is wished of a drain. */
+  /** A command that changes the desired state of a stored drain request. */
   private abstract static class DesiredStateCommand extends OperatorCommand {
     @Parameters(paramLabel = "ID", description = "the drain")
     String id;
@@ -335,7 +337,6 @@
     }
   }
 
-  /** Holds a drain. */
   @Command(
       name = "pause",
       description = "Stops nothing more; what is cordoned stays so.",
@@ -347,7 +348,6 @@
     }
   }
 
-  /** Lets a drain go on. */
   @Command(name = "resume", description = "Goes on with a drain.", mixinStandardHelpOptions = true)
   static final class Resume extends DesiredStateCommand {
     @Override
@@ -356,7 +356,6 @@
     }
   }
 
-  /** Ends a drain. */
   @Command(
       name = "cancel",
       aliases = "end",
@@ -369,7 +368,7 @@
     }
   }
 
-  /** Removes what is stored of a drain. */
+  /** Deletes the records of a finished drain that holds no machines. */
   @Command(
       name = "forget",
       description = "Removes what is stored of a drain that is over.",
--- a/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
+++ b/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
@@ -24,24 +24,25 @@
 import org.xnio.XnioWorker;
 
 /**
- * A command's conversation with the state service, one request after the other. Writes are guarded
- * by the level as this session has read it.
+ * A blocking client of the state service for commands, which sends one request at a time. A write
+ * requires that the schema level has not changed since this session read it; until it has been
+ * read, no write is possible.
  */
 final class KeyValueStoreSession implements AutoCloseable {
   private static final int CONNECTIONS = 2;
   private static final int RESPONSE_TIMEOUT_SECONDS = 5;
   private static final int PAGE_SIZE = 500;
 
-  /** A stored value with the stamp of its latest change. */
+  /** A stored value with the revision of its latest change. */
   record StoredValue(JsonNode value, long revision) {}
 
-  /** What came of a write. */
+  /** The result of a write. */
   enum WriteOutcome {
-    /** It was carried out. */
+    /** The write was applied. */
     APPLIED,
-    /** Something that it was guarded by has changed; nothing was written. */
+    /** A precondition did not hold; nothing was written. */
     CONFLICT,
-    /** There was no clear answer: it may have been carried out, or may yet be. */
+    /** No response was received: the write may have been applied, or may still be applied. */
     UNKNOWN
   }
 
@@ -64,7 +65,7 @@
     address = settings.storeAddress();
   }
 
-  /** The key's value and stamp; empty if there is none. */
+  /** Returns the value and revision of the key; empty if the key does not exist. */
   Optional<StoredValue> read(String key) throws IOException {
     Reply reply = call(callback -> client.get(key, callback));
     if (reply.status() != 404 && !reply.ok()) {
@@ -81,7 +82,7 @@
     return stored;
   }
 
-  /** All keys with the prefix, by key. */
+  /** Returns the values of all keys with the prefix, sorted by key. */
   Map<String, StoredValue> list(String prefix) throws IOException {
     Map<String, StoredValue> values = new TreeMap<>();
     Optional<String> lastKey = Optional.empty();
@@ -102,7 +103,7 @@
     return values;
   }
 
-  /** Writes, if nothing has changed that the guards name, nor the level that was read. */
+  /** Applies the mutations if the preconditions hold and the schema level is unchanged. */
   WriteOutcome write(List<Precondition> preconditions, List<Mutation> mutations)
       throws IOException {
     Reply reply = call(callback -> client.compareAndSwap(preconditions, mutations, callback));
--- a/src/main/java/io/pearscale/cli/Main.java
+++ b/src/main/java/io/pearscale/cli/Main.java
@@ -7,16 +7,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where the program starts. The daemon's own command, {@code serve --config FILE}, is taken as it
- * is; all others go through {@link Commands}. The library that reads those is compiled for so old a
- * JVM that its classes can't be archived: loading, verifying and asking two hundred of them took a
- * third of a start's processor time, and a controller may have but a few hundredths of a core.
+ * The entry point of the program. The usual command of a controller, {@code serve --config FILE},
+ * is recognized here; {@link Commands} parses all others. The command-line library is compiled for
+ * so old a JVM that its classes can't be put into the class data archive: loading, verifying and
+ * querying two hundred of them took a third of the processor time of a start, and a controller may
+ * have only a few hundredths of a core.
  */
 public final class Main {
-  /** Settings or arguments are wrong. */
+  /** Exit code for invalid settings or arguments. */
   static final int EXIT_INVALID_INPUT = 2;
 
-  /** Something failed while running. */
+  /** Exit code for a failure at run time. */
   static final int EXIT_FAILURE = 1;
 
   private static final String SERVE = "serve";
@@ -24,7 +25,7 @@
 
   private Main() {}
 
-  /** Runs a command. */
+  /** Runs the command that the arguments name. A controller keeps running after this returns. */
   public static void main(String[] args) {
     configureLogging();
     DisabledMBeanServerBuilder.install();
@@ -41,7 +42,7 @@
     return args.length == 3 && SERVE.equals(args[0]) && CONFIG.equals(args[1]);
   }
 
-  /** Starts a controller, which goes on after this returns 0. */
+  /** Starts a controller, which keeps running after this returns 0; else returns an exit code. */
   static int serve(Path config, Optional<Path> tuning, Optional<Path> operations) {
     try {
       new Server(
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Logging goes to standard error; the level comes from the environment. */
+  /** Logs to standard error, at the level that the environment variable LOG_LEVEL names. */
   private static void configureLogging() {
     String level = Optional.ofNullable(System.getenv("LOG_LEVEL")).orElse("info");
     boolean validLevel = level.equals("error") || level.equals("info") || level.equals("debug");
--- a/src/main/java/io/pearscale/cli/OperationsReader.java
+++ b/src/main/java/io/pearscale/cli/OperationsReader.java
@@ -22,9 +22,9 @@
 import java.util.Set;
 
 /**
- * Reads what operators have switched on: an optional file of S-expressions such as {@code
- * (announce-support-s 60)}. Unlike the tuning it has no unknown entries: one that is misspelt would
- * switch nothing on, and nobody would know.
+ * Reads the features that operators have enabled from an optional file of S-expressions such as
+ * {@code (announce-support-s 60)}. Unlike in the tuning file, an unknown entry is an error: a
+ * misspelt entry would enable nothing, and nobody would notice.
  */
 final class OperationsReader {
   private static final String ANNOUNCE_SUPPORT = "announce-support-s";
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Days such as {@code mon,tue}, or {@code daily}. */
+  /** Parses a list of days such as {@code mon,tue}, or {@code daily} for all days. */
   private static Set<DayOfWeek> parseDays(String text) {
     if (text.equals("daily")) {
       return EnumSet.allOf(DayOfWeek.class);
--- a/src/main/java/io/pearscale/cli/OperatorCommand.java
+++ b/src/main/java/io/pearscale/cli/OperatorCommand.java
@@ -6,16 +6,16 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that talks to the state service and ends: its files, its output and its exit codes. */
+/** A command that uses the state service and exits. Provides settings, output and exit codes. */
 abstract class OperatorCommand implements Callable<Integer> {
-  /** What was asked for must not be done; nothing was changed. */
+  /** Exit code for a request that is not allowed; nothing was changed. */
   static final int EXIT_REFUSED = 4;
 
   @CommandLine.Mixin Commands.SettingsFiles files;
 
   @Spec CommandSpec spec;
 
-  /** Does its work; what is thrown says that nothing is known. */
+  /** Runs the command and returns its exit code; an exception means that the result is unknown. */
   abstract int run(KeyValueStoreSession session) throws IOException, SettingsException;
 
   @Override
@@ -29,24 +29,24 @@
     }
   }
 
-  /** Says why there is no result. */
+  /** Prints the reason to standard error, and returns the exit code. */
   int printError(String reason, int exitCode) {
     spec.commandLine().getErr().println("pearscale: " + reason);
     return exitCode;
   }
 
-  /** Says that something must not be done. */
+  /** Prints why the request is not allowed, and returns {@link #EXIT_REFUSED}. */
   int refuse(String reason) {
     return printError("refused: " + reason, EXIT_REFUSED);
   }
 
-  /** Says a line of the result. */
+  /** Prints a line to standard output. */
   void print(String text) {
     spec.commandLine().getOut().println(text);
     spec.commandLine().getOut().flush();
   }
 
-  /** The exit code for what came of a write, said where it was not carried out. */
+  /** Prints the outcome of a write, and returns the exit code for it. */
   int reportOutcome(KeyValueStoreSession.WriteOutcome outcome, String successMessage) {
     return switch (outcome) {
       case APPLIED -> {
--- a/src/main/java/io/pearscale/cli/SExpressionReader.java
+++ b/src/main/java/io/pearscale/cli/SExpressionReader.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Just enough of S-expressions for settings: lists, atoms, and comments from ; to line's end. */
+/** Reads flat lists of atoms, with comments from {@code ;} to the end of the line. */
 final class SExpressionReader {
-  /** Thrown with the line where reading failed. */
+  /** A syntax error, with the line where it was found. */
   static final class SExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -29,7 +29,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A controller on real sockets: one XNIO thread does all but renew the leadership. */
+/** A controller on real sockets. One XNIO thread renews the leader lease, another does the rest. */
 final class Server {
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
   private static final Duration SOCKET_LOG_INTERVAL = Duration.ofMinutes(1);
@@ -90,8 +90,9 @@
   }
 
   /**
-   * Most sockets are for workers and users, who may all come to one controller when it is the only
-   * one left. What we open ourselves is closed when others need it.
+   * Limits the connections that this controller opens. Most sockets are for agents and users, which
+   * may all connect to this controller when it is the only one left. Idle connections that it has
+   * opened are closed when other addresses need them.
    */
   private UndertowHttpClient newHttpClient(
       Settings settings, XnioEventLoop loop, ByteBufferPool buffers) {
@@ -127,7 +128,7 @@
         receiver);
   }
 
-  /** A worker of one thread, which is all that a controller or a command needs. */
+  /** Creates a worker with one I/O thread, which suffices for a controller or a command. */
   static XnioWorker newSingleThreadWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
@@ -166,7 +167,7 @@
     System.exit(Main.EXIT_FAILURE);
   }
 
-  /** Waits until users and workers are served. */
+  /** Waits until the client port is open; returns false if the timeout elapses first. */
   boolean awaitListening(Duration timeout) throws InterruptedException {
     return listening.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/io/pearscale/cli/SettingsException.java
+++ b/src/main/java/io/pearscale/cli/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** A settings file is missing something or holds what it must not; one line says what and where. */
+/** A missing or invalid value in a settings file. The message has one line, with file and key. */
 final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -19,9 +19,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the platform's TOML. Keys that it doesn't know are passed over. */
+/** Reads the platform's settings file, which is in TOML. Unknown keys are ignored. */
 final class SettingsReader {
-  /** With fewer there would be none for some of the uses that they are divided among. */
+  /** With fewer file descriptors, some of the uses that share them would get none. */
   private static final int MIN_FD_LIMIT = 32;
 
   private static final int DEFAULT_FD_LIMIT = 1000;
@@ -75,7 +75,7 @@
         optionalLimit(facts, "cpu_share", MIN_CPU_SHARE, DEFAULT_CPU_SHARE));
   }
 
-  /** Both times, or none: a gang can't be served with one of them. */
+  /** Returns both timeouts or none: gangs can't be scheduled with only one of them. */
   private Optional<Settings.GangTimeouts> parseGangTimeouts(JsonNode workers)
       throws SettingsException {
     if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) {
@@ -88,8 +88,8 @@
   }
 
   /**
-   * The limits that hold at any time: those that the state service has, and those that it may have
-   * from some moment on, without notice. What is larger than either would be refused some day.
+   * Returns the smaller of the state service's current limits and those that it may switch to at
+   * any time without notice. A request that exceeds either would be refused at some time.
    */
   private Settings.StoreLimits parseStoreLimits(JsonNode state) throws SettingsException {
     String prefix = "facts.state.";
@@ -101,7 +101,7 @@
     return limits.smallerOf(parseStoreLimitTable(next, state, prefix + "next."));
   }
 
-  /** Limits of a table; what it does not name is as in the other one. */
+  /** Reads the limits of a table; a key that is missing there is read from the fallback. */
   private Settings.StoreLimits parseStoreLimitTable(
       JsonNode table, JsonNode fallback, String prefix) throws SettingsException {
     return new Settings.StoreLimits(
@@ -176,7 +176,7 @@
     return node.doubleValue();
   }
 
-  /** A limit of the machine that may be left out. */
+  /** Reads an optional limit of the machine that the controller runs on. */
   private double optionalLimit(JsonNode facts, String key, double min, double defaultValue)
       throws SettingsException {
     JsonNode limits = facts.path("limits");
@@ -199,7 +199,7 @@
     try {
       String host = text.substring(0, Math.max(0, colon));
       int port = Integer.parseInt(text.substring(colon + 1));
-      // Only numeric addresses: nothing here may wait for a name service.
+      // Only numeric addresses are accepted, because a name lookup could block.
       if (host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}") && port > 0 && port < 65536) {
         return new InetSocketAddress(InetAddress.getByName(host), port);
       }
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -18,14 +18,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands that show what the state service holds, each of which answers one question. */
+/** Commands that print what the state service holds; each answers one question. */
 final class ShowCommands {
-  /** A record of the leader that is older is called stale. */
+  /** A status record that is older than this is reported as stale. */
   private static final Duration STALE_AFTER = Duration.ofSeconds(30);
 
   private ShowCommands() {}
 
-  /** What the leader has published, with its age. */
+  /** A command that shows a part of the leader's status record, and prints the record's age. */
   private abstract static class StatusCommand extends OperatorCommand {
     @Option(names = "--json", description = "print JSON")
     boolean json;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** What budgets have left. */
+  /** Prints how many tasks of each disruption budget are down, and the disrupted tasks. */
   @Command(
       name = "budget",
       description = "Shows what each budget of disruptions has left.",
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Who holds what. */
+  /** Prints the current leader and its term. */
   @Command(
       name = "leases",
       description = "Shows who leads, in which term.",
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Why a job waits, or what becomes of a machine. */
+  /** Prints why a job waits, or the maintenance state of a machine. */
   @Command(
       name = "why",
       description = "Says why a job waits, or whether a machine is in service.",
@@ -149,7 +149,9 @@
       return 0;
     }
 
-    /** How many tasks have a machine, by the newer of two records where both layouts have one. */
+    /**
+     * Counts the tasks that have a machine; the newer record counts where both layouts have one.
+     */
     private int countPlacedTasks(KeyValueStoreSession session)
         throws IOException, MalformedMessageException {
       BitSet recorded = new BitSet();
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -14,15 +14,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The machines that the records name. */
+/** Reads the stored machine records, whichever layout they have. */
 final class StoredMachineRecords {
   private StoredMachineRecords() {}
 
-  /** All entries of the roster, one a machine. */
+  /** Returns one record for each machine. */
   static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
     Map<String, MachineRecordCodec.MachineRecord> byMachine = new LinkedHashMap<>();
-    // What is written now is newer than what the other layout says of the same machine.
+    // The layout that is written now comes first: its records are newer than the other layout's.
     for (RecordLayout layout : layouts(session)) {
       for (StoredValue value : session.list(layout.machinePrefix()).values()) {
         for (MachineRecordCodec.MachineRecord machineRecord :
@@ -34,7 +34,7 @@
     return byMachine.values();
   }
 
-  /** Both layouts, first the one that is written. */
+  /** Returns both layouts, the one that is written now first. */
   static List<RecordLayout> layouts(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
     Optional<StoredValue> storedLevel = session.read(Keys.LEVEL);
--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -10,9 +10,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads operators' own settings: an optional file of S-expressions such as {@code (sample 8)}. */
+/**
+ * Reads the scheduler's tuning from an optional file of S-expressions such as {@code (sample 8)}.
+ * Unknown entries are ignored.
+ */
 final class TuningReader {
-  /** A setting: what it may be. Its default is in {@link Tuning#defaults}. */
+  /** The valid values of a setting. Its default is in {@link Tuning#defaults}. */
   private record Range(double min, double max) {}
 
   private static final Map<String, Range> RANGES = new LinkedHashMap<>();
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What operators ask and do before, while and after they replace controllers. */
+/** Commands for the time before, during and after controllers are replaced by another release. */
 @Command(
     name = "upgrade",
     description = "Answers questions on replacing controllers by another release, and takes steps.",
@@ -30,7 +30,7 @@
       UpgradeCommand.Rollback.class
     })
 final class UpgradeCommand implements Callable<Integer> {
-  /** This build must stay out of what is stored. */
+  /** Exit code when this build does not support the stored state and must not use it. */
   static final int EXIT_INCOMPATIBLE_BUILD = 3;
 
   @Spec CommandSpec spec;
@@ -41,7 +41,7 @@
     return Main.EXIT_INVALID_INPUT;
   }
 
-  /** A command on a cluster that is read first. */
+  /** A command that reads the upgrade state of the cluster before it runs. */
   private abstract static class ClusterCommand extends OperatorCommand {
     abstract int run(KeyValueStoreSession session, UpgradeView view) throws IOException;
 
@@ -52,7 +52,7 @@
       return run(session, UpgradeView.read(session, files.readSettings(), build));
     }
 
-    /** Says what would come of a step, or takes it. */
+    /** Stores the change of the level, or prints why there is none. */
     int applyOutcome(
         KeyValueStoreSession session, UpgradeView view, Outcome outcome, Set<String> absentHosts)
         throws IOException {
@@ -75,9 +75,9 @@
   }
 
   /**
-   * Whether this build may take part in the cluster as it is, who leads it and what comes next. Run
-   * with the build that is to be installed, before it is: an upgrade and a rollback are asked about
-   * alike.
+   * Prints whether this build may take part in the cluster as it is, which controller leads it, and
+   * what the next step is. Operators run it with the build that they are about to install, for an
+   * upgrade and for a rollback alike.
    */
   @Command(
       name = "status",
@@ -95,7 +95,7 @@
     }
   }
 
-  /** What finalising would do, and what holds it up. */
+  /** Prints what {@code finalise} would do, or what blocks it. */
   @Command(
       name = "plan",
       description = "Says what finalise would do now, and changes nothing.",
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Raises the level, once all controllers support it. */
+  /** Raises the level by one, once all controllers support the next one. */
   @Command(
       name = "finalise",
       description = "Raises the level of stored state by one, once all controllers support it.",
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Takes the last step back. */
+  /** Reverts the last raise of the level. */
   @Command(
       name = "rollback",
       description = "Takes the last raise of the level back.",
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -30,14 +30,14 @@
 import java.util.TreeSet;
 
 /**
- * What the state service says of an upgrade, read at one moment, and the guards that hold a step to
- * it.
+ * The upgrade state of the cluster, as read from the state service. It also provides the
+ * preconditions that make a step fail when this state has changed meanwhile.
  *
- * @param storedLevelRecord the stored level as it is, empty if none was ever stored
- * @param incompatibility why this build must stay out, if it must
- * @param members the records of the controllers that run, by host
- * @param valuesToMigrate values that have another form, or stand in another layout, than is written
- * @param plan decides on steps; empty if the level can't be read
+ * @param storedLevelRecord the stored record of the schema level; empty if none was ever stored
+ * @param incompatibility why this build must not take part in the cluster; empty if it may
+ * @param members the support records of the running controllers, by host
+ * @param valuesToMigrate how many values have another encoding or layout than is written now
+ * @param plan decides which steps are allowed; empty if the level can't be read
  */
 record UpgradeView(
     Optional<StoredValue> storedLevelRecord,
@@ -50,7 +50,7 @@
     Optional<String> leader,
     long term) {
 
-  /** Reads all of it. */
+  /** Reads the level, the controllers' support and all records that an upgrade may migrate. */
   static UpgradeView read(KeyValueStoreSession session, Settings settings, SupportedLevels build)
       throws IOException {
     Optional<StoredValue> level = session.read(Keys.LEVEL);
@@ -90,7 +90,7 @@
     }
   }
 
-  /** A record that can't be read says nothing: its controller counts as not seen. */
+  /** Parses the support records. A controller whose record can't be parsed counts as not seen. */
   private static Map<String, MemberSupport> supportByHost(Map<String, StoredValue> members) {
     Map<String, MemberSupport> supports = new TreeMap<>();
     members.forEach(
@@ -123,7 +123,7 @@
         || MachineRecordCodec.levelOf(machineRecords).orElse(writtenLevel) == writtenLevel;
   }
 
-  /** Jobs that an earlier level can't hold: gangs, and such as need larger values. */
+  /** Returns the jobs that an earlier level can't store: gangs, and jobs with too large records. */
   private static Map<Feature, List<String>> jobsRequiringLaterLevels(
       Map<String, StoredValue> jobs, Settings settings) {
     RecordLayout earlierLayout = RecordLayout.POSITIONAL;
@@ -162,7 +162,7 @@
     return List.copyOf(names);
   }
 
-  /** What a step is held to: none of the records of controllers that it rests on has changed. */
+  /** Returns preconditions which require that no controller's support record has changed. */
   List<Precondition> preconditions() {
     List<Precondition> preconditions = new ArrayList<>();
     for (String host : hosts) {
@@ -172,7 +172,7 @@
     return preconditions;
   }
 
-  /** The stored record of the level, with fields that a later release may have added. */
+  /** Returns the stored record of the level, with fields that a later release may have added. */
   JsonNode storedLevel() {
     return storedLevelRecord.map(StoredValue::value).orElse(MessagePack.MISSING);
   }
--- a/src/main/java/io/pearscale/cli/WarmUp.java
+++ b/src/main/java/io/pearscale/cli/WarmUp.java
@@ -23,9 +23,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs the program for a moment on loopback against a stub, so that the build can archive the
- * classes that a start needs. Starting is dear on a part of a core, and most of it is loading
- * classes.
+ * Runs two controllers for a short time on loopback against a stub, so that the build can archive
+ * the classes that a start needs. A start is expensive on a fraction of a core, and most of its
+ * cost is the loading of classes.
  */
 @Command(name = "warm-up", hidden = true, description = "Loads what a start needs, then ends.")
 final class WarmUp implements Callable<Integer> {
@@ -70,7 +70,7 @@
       fd_limit = 1000
       """;
 
-  /** Long enough for an election, a pass, its writes and the commands that follow. */
+  /** Long enough for an election, a scheduling pass, its writes and the commands that follow. */
   private static final Duration ROUND_DURATION = Duration.ofMillis(700);
 
   private static final int ROUNDS = 4;
@@ -99,7 +99,7 @@
     UndertowHttpClient httpClient = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 20);
     String stubAddress = "127.0.0.1:" + ports[4];
     for (int round = 0; round < ROUNDS; round++) {
-      // One of the two leads, the other relays.
+      // Both controllers are called: one is the leader, the other forwards to it.
       for (int port : new int[] {ports[0], ports[1]}) {
         String self = "127.0.0.1:" + port;
         call(loop, httpClient, self, "GET", "/up", MessagePack.MISSING);
@@ -176,7 +176,7 @@
     latch.await(3, TimeUnit.SECONDS);
   }
 
-  /** A well-formed submission. */
+  /** Returns a valid submission of a job. */
   static ObjectNode sampleJob() {
     return MessagePack.map()
         .put("uid", "wk-000001")
@@ -199,12 +199,12 @@
         .put("dueS", 60.0);
   }
 
-  /** A well-formed submission of a gang. */
+  /** Returns a valid submission of a gang. */
   private static ObjectNode sampleGang() {
     return sampleJob().put("uid", "wk-000002").put("shape", "group").put("pieces", 2);
   }
 
-  /** A well-formed report. */
+  /** Returns a valid heartbeat of a machine. */
   static ObjectNode sampleHeartbeat(String address) {
     ObjectNode heartbeat =
         MessagePack.map()
--- a/src/main/java/io/pearscale/cli/WarmUpServices.java
+++ b/src/main/java/io/pearscale/cli/WarmUpServices.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * The state service, the cloud and one worker, as far as {@link WarmUp} needs them: enough for an
- * election, a job and its tasks. Nothing is limited, lost or kept.
+ * A stub of the state service, the cloud and one agent for {@link WarmUp}, which suffices for an
+ * election, a job and its tasks. It enforces no limits, loses nothing and persists nothing.
  */
 final class WarmUpServices {
   private static final String KEYS_PATH = "/keys/";
@@ -26,7 +26,7 @@
   private long sequence;
   private String address = "127.0.0.1:1";
 
-  /** Answers a request to any of them. */
+  /** Handles a request to any of the three. */
   synchronized void handle(String method, String path, Body body, Consumer<Response> respond) {
     JsonNode request = body.tree().orElse(MessagePack.map());
     if (path.startsWith(KEYS_PATH)
@@ -41,7 +41,7 @@
       request.path("orders").forEach(this::execute);
       respond.accept(Response.of(200, heartbeat(address)));
     } else if (path.equals("/keys")) {
-      // An old list: what has changed since comes with the watch.
+      // An empty list at revision 1: the watch returns all later changes.
       respond.accept(Response.of(200, combinedResponse().put("epoch", 1)));
     } else {
       respond.accept(Response.of(200, combinedResponse()));
@@ -82,7 +82,7 @@
     }
   }
 
-  /** The worker's next report; every second one says that its tasks are done. */
+  /** Returns the agent's next heartbeat; every second one reports its tasks as done. */
   synchronized ObjectNode heartbeat(String workerAddress) {
     address = workerAddress;
     ObjectNode heartbeat =
@@ -100,7 +100,7 @@
     return heartbeat;
   }
 
-  /** What the other pages answer, in one: a reader takes what it knows. */
+  /** Returns the fields of all other responses together; a reader ignores those of the others. */
   private ObjectNode combinedResponse() {
     ObjectNode response = MessagePack.map();
     response.put("epoch", revision).put("claim", revision).put("more", false);
--- a/src/main/java/io/pearscale/cli/package-info.java
+++ b/src/main/java/io/pearscale/cli/package-info.java
@@ -1,2 +1,6 @@
-/** Commands of the toolbox, the daemon's start, and the settings that both read. */
+/**
+ * The command line of the program: the start of a controller, the commands for operators, which
+ * read and write the state service, and the readers of the settings files. The controller itself is
+ * in {@code io.pearscale.scheduler}.
+ */
 package io.pearscale.cli;
