--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -22,12 +22,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages point downward, in the sources and in what was compiled. */
+/** Checks that packages depend only on lower layers, in the sources and in the compiled classes. */
 class LayersTest {
   private static final String ROOT = "io.pearscale";
   private static final Path SOURCES = Path.of("src/main/java/io/pearscale");
 
-  /** The lowest first. */
+  /** All packages, the lowest layer first. */
   private static final List<String> LAYERS =
       List.of(
           "transport",
@@ -47,12 +47,12 @@
           "scheduler",
           "cli");
 
-  /** The only package of the scheduler that the users' interface, which stands beside it, knows. */
+  /** The only subpackage of the scheduler that {@code api} may depend on. */
   private static final String API_DEPENDENCY = "scheduler.model";
 
   /**
-   * Arrows that still point upward, each from one class to another; empty in the end. One that is
-   * gone is taken off the list, and none is added.
+   * Dependencies on higher layers that are still allowed, each from one class to another. Entries
+   * are removed when their dependency is removed, and none may be added.
    */
   private static final Set<String> ALLOWED_VIOLATIONS = Set.of();
 
@@ -66,7 +66,7 @@
 
   private static int layerOf(String layer) {
     int index = LAYERS.indexOf(layer);
-    assertTrue(index >= 0, layer + " is no layer");
+    assertTrue(index >= 0, layer + " is not a known layer");
     return index;
   }
 
@@ -95,7 +95,7 @@
     try (Stream<Path> found = Files.walk(SOURCES)) {
       files = found.filter(p -> p.toString().endsWith(".java")).toList();
     }
-    assertTrue(files.size() > LAYERS.size(), "sources are missing");
+    assertTrue(files.size() > LAYERS.size(), "source files are missing");
     for (Path file : files) {
       String sourcePackage = SOURCES.relativize(file.getParent()).toString().replace('/', '.');
       String sourceClass = file.getFileName().toString().replace(".java", "");
@@ -118,7 +118,7 @@
         String.join("\n", new TreeSet<>(violations)));
   }
 
-  /** Without the arrows that remain no circle does. */
+  /** Apart from the allowed violations, packages have no cyclic dependencies. */
   @Test
   void packagesHaveNoCycles() {
     assertTrue(CLASSES.size() > LAYERS.size(), "classes are missing");
@@ -130,7 +130,7 @@
     rule.check(CLASSES);
   }
 
-  /** The class of that name, and what is declared in it. */
+  /** Matches the class of that name and its nested classes. */
   private static DescribedPredicate<JavaClass> isOrIsIn(String name) {
     String fullName = ROOT + "." + name;
     return DescribedPredicate.describe(
--- a/src/test/java/io/pearscale/cli/GoldenTest.java
+++ b/src/test/java/io/pearscale/cli/GoldenTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is read from settings files, and what is said of bad ones, as it must stay. */
+/** Compares parsed settings, errors for invalid ones and command output with golden files. */
 class GoldenTest {
   @TempDir Path folder;
   private final List<String> lines = new ArrayList<>();
 
-  /** Platform settings in which everything is named. */
+  /** Platform settings in which every key is present. */
   private static final String COMPLETE_SETTINGS =
       SettingsTest.settings(1, 2, 3, 4)
           .replace("cancel_s = 40.0", "cancel_s = 40.0\ngang_wait_s = 41.5\ngang_peer_s = 6")
@@ -49,30 +49,36 @@
     settings
         .teams()
         .forEach(
-            tuning ->
+            team ->
                 text.append(
                         " team "
-                            + tuning.name()
+                            + team.name()
                             + ' '
-                            + tuning.guaranteedCpus()
+                            + team.guaranteedCpus()
                             + ' '
-                            + tuning.cpuLimit())
-                    .append(" " + tuning.guaranteedGpus() + ' ' + tuning.gpuLimit()));
+                            + team.cpuLimit())
+                    .append(" " + team.guaranteedGpus() + ' ' + team.gpuLimit()));
     settings
         .serviceLevelObjectives()
         .forEach(
-            operations ->
+            objective ->
                 text.append(
                     " aim "
-                        + operations.kind()
+                        + objective.kind()
                         + ' '
-                        + operations.jobClass()
+                        + objective.jobClass()
                         + ' '
-                        + operations.target()));
-    Settings.AgentSettings w = settings.agents();
+                        + objective.target()));
+    Settings.AgentSettings agents = settings.agents();
     text.append(
-        " workers " + w.heartbeatInterval() + ' ' + w.leaseTtl() + ' ' + w.cancellationTimeout());
-    w.gangs()
+        " workers "
+            + agents.heartbeatInterval()
+            + ' '
+            + agents.leaseTtl()
+            + ' '
+            + agents.cancellationTimeout());
+    agents
+        .gangs()
         .ifPresent(
             gangs ->
                 text.append(" gangs " + gangs.formationTimeout() + ' ' + gangs.peerLossTimeout()));
@@ -134,20 +140,26 @@
               drains
                   .budgets()
                   .forEach(
-                      b ->
-                          text.append(" budget " + b.team() + ' ' + b.jobClass() + ' ')
-                              .append(b.kind().ordinal() + " " + b.amount()));
+                      budget ->
+                          text.append(" budget " + budget.team() + ' ' + budget.jobClass() + ' ')
+                              .append(budget.kind().ordinal() + " " + budget.amount()));
               new TreeMap<>(drains.windows())
                   .values()
                   .forEach(
-                      w ->
-                          text.append(" window " + w.name() + ' ' + w.zone() + ' ' + w.days())
-                              .append(" " + w.startTime() + ' ' + w.endTime()));
+                      window ->
+                          text.append(
+                                  " window "
+                                      + window.name()
+                                      + ' '
+                                      + window.zone()
+                                      + ' '
+                                      + window.days())
+                              .append(" " + window.startTime() + ' ' + window.endTime()));
             });
     return text.toString();
   }
 
-  /** Runs {@code check}, as an operator would, and notes all that it says. */
+  /** Runs the {@code check} command, and records its exit code and output. */
   private void recordCheckCommand(String name, String toml, String tuning, String operations)
       throws IOException {
     Path config = Files.writeString(folder.resolve("s.toml"), toml);
--- a/src/test/java/io/pearscale/cli/LoopbackTest.java
+++ b/src/test/java/io/pearscale/cli/LoopbackTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A controller on real sockets whose state service and cloud refuse every connection. */
+/** Tests a controller on real sockets whose state service and cloud refuse every connection. */
 class LoopbackTest {
   @TempDir static Path folder;
   private static Server server;
@@ -48,7 +48,7 @@
         SettingsTest.settings(
             clientPort, peerPort, SettingsTest.freePort(), SettingsTest.freePort()));
     server = new Server(SettingsReader.read(file), Tuning.defaults(), OperatorSettings.disabled());
-    assertTrue(server.awaitListening(Duration.ofSeconds(10)), "does not listen");
+    assertTrue(server.awaitListening(Duration.ofSeconds(10)), "the client port is not open");
   }
 
   @AfterAll
@@ -127,7 +127,7 @@
     try {
       status = send("POST", "/work", new byte[70_000]).statusCode();
     } catch (IOException e) {
-      // The connection may be closed while the rest is still being sent; nothing hangs.
+      // The server may close the connection before the whole body is sent.
       return;
     }
     assertEquals(400, status);
@@ -147,7 +147,7 @@
               request[1].equals("/work") ? MessagePack.encode(job()) : new byte[0]);
       assertEquals(503, response.statusCode(), request[1]);
       assertTrue(response.headers().firstValue("Retry-After").isPresent(), request[1]);
-      assertTrue(System.nanoTime() - startNanos < 1_500_000_000L, "answered late");
+      assertTrue(System.nanoTime() - startNanos < 1_500_000_000L, "the response took too long");
     }
   }
 
@@ -184,7 +184,9 @@
       sendGreeting(socket, "pearscale/2-9 hive-1");
       socket.setSoTimeout(500);
       assertThrows(
-          SocketTimeoutException.class, () -> socket.getInputStream().read(), "the link is closed");
+          SocketTimeoutException.class,
+          () -> socket.getInputStream().read(),
+          "the connection is closed");
     }
   }
 
--- a/src/test/java/io/pearscale/cli/SettingsTest.java
+++ b/src/test/java/io/pearscale/cli/SettingsTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings files, good and bad. */
+/** Tests the readers of the settings files with valid and invalid files. */
 class SettingsTest {
   @TempDir Path folder;
 
-  /** A port of the loopback interface that nobody listens on. */
+  /** Returns a free port of the loopback interface. */
   static int freePort() throws IOException {
     try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return s.getLocalPort();
--- a/src/test/java/io/pearscale/cli/StartTest.java
+++ b/src/test/java/io/pearscale/cli/StartTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What the daemon's own start loads. On a small part of a core each class that is not in the
- * archive shows, and those of the command line's library can't be in it.
+ * Checks that the start of a controller loads no class of the command-line library. On a small part
+ * of a core each class that is not in the class data archive slows the start noticeably, and the
+ * classes of that library can't be archived.
  */
 class StartTest {
   @TempDir Path folder;
@@ -47,12 +48,13 @@
       for (int i = 0;
           i < 100 && !containsClass(loadedClasses, "io.pearscale.transport.TcpPeerTransport");
           i++) {
-        assertTrue(process.isAlive(), "ended");
+        assertTrue(process.isAlive(), "the controller exited");
         TimeUnit.MILLISECONDS.sleep(100);
         loadedClasses = Files.exists(classLog) ? Files.readAllLines(classLog) : loadedClasses;
       }
       assertTrue(
-          containsClass(loadedClasses, "io.pearscale.transport.TcpPeerTransport"), "did not start");
+          containsClass(loadedClasses, "io.pearscale.transport.TcpPeerTransport"),
+          "the controller did not start in time");
       assertEquals(0, loadedClasses.stream().filter(line -> line.contains(" picocli.")).count());
     } finally {
       process.destroyForcibly().waitFor();
--- a/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
+++ b/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
@@ -26,7 +26,7 @@
 import org.xnio.XnioWorker;
 import picocli.CommandLine;
 
-/** The command that operators run before they install another build, against a state service. */
+/** Tests {@code upgrade status} against a stub of the state service. */
 class UpgradeCommandTest {
   @TempDir Path folder;
   private final WarmUpServices services = new WarmUpServices();
--- a/src/test/java/io/pearscale/golden/GoldenFile.java
+++ b/src/test/java/io/pearscale/golden/GoldenFile.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * A file under {@code src/test/resources/golden} that says what must not change. It is compared
- * byte by byte; one that is missing is a failure. It is written by hand alone, with {@code
- * -Dgolden.write=true}, and the test that writes it fails, so that no build passes while writing.
+ * Compares test output with a file under {@code src/test/resources/golden}, byte by byte; a missing
+ * file is a failure. The files are written only on request, with {@code -Dgolden.write=true}, and
+ * the test that writes one fails, so that no build passes while writing.
  */
 public final class GoldenFile {
   private static final Path FOLDER = Path.of("src/test/resources/golden");
@@ -20,7 +20,7 @@
 
   private GoldenFile() {}
 
-  /** Compares the lines with those of the file. */
+  /** Fails unless the file consists of these lines. */
   public static void check(String name, List<String> lines) {
     Path file = FOLDER.resolve(name);
     String actual = String.join("\n", lines) + "\n";
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -43,12 +43,12 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of single messages and stored values, as they must stay. */
+/** Compares the encoding of messages and stored values with golden files. */
 class GoldenTest {
   private static final TaskId TASK = new TaskId("wk-000412", 4);
   private final List<String> lines = new ArrayList<>();
 
-  /** Reads or writes something that may be malformed. */
+  /** Decodes or encodes a value that may be malformed. */
   private interface Conversion {
     String run() throws MalformedMessageException;
   }
@@ -73,7 +73,7 @@
     }
   }
 
-  /** The tree as text, then its bytes. */
+  /** Returns the tree as JSON, then its MessagePack bytes in hexadecimal. */
   private static String jsonAndHex(JsonNode tree) {
     return tree + " " + hex(MessagePack.encode(tree));
   }
@@ -147,7 +147,7 @@
 
   // ---- Agents and users ----
 
-  /** A body as the agent sends it, then the record in which a controller passes it on. */
+  /** Adds a heartbeat as an agent sends it, then the message in which a controller forwards it. */
   private void addHeartbeat(JsonNode body) {
     byte[] bytes = MessagePack.encode(body);
     lines.add("body: " + jsonAndHex(body));
@@ -462,7 +462,7 @@
 
   // ---- Key-value store ----
 
-  /** Writes down what is asked. */
+  /** Records each request, and answers it with status 200 and an empty body. */
   private final class Recorder implements HttpClient {
     @Override
     public void call(
--- a/src/test/java/io/pearscale/knownred/KnownRedCheck.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedCheck.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 
 /**
- * Runs after the tests: prints each test that is known to be red with its result, and fails the
- * build when a listed one is green or was not among the tests that ran.
+ * Runs after the tests: prints each test that is listed as known to fail with its result, and fails
+ * the build when a listed test passed or was not among the tests that ran.
  */
 public final class KnownRedCheck {
   private KnownRedCheck() {}
 
-  /** Checks the list of this project against what its tests have noted. */
+  /** Checks this project's list against the results that its tests have recorded. */
   public static void main(String[] arguments) throws IOException {
     check(KnownRedList.FILE, KnownRedResults.FILE, System.out);
   }
 
-  /** Prints what became of the listed tests; an exception says why the list is not true. */
+  /** Prints the results of the listed tests; throws an exception if the list is out of date. */
   static void check(Path listFile, Path resultsFile, PrintStream out) throws IOException {
     KnownRedList list = KnownRedList.read(listFile);
     Map<String, Result> results = KnownRedResults.read(resultsFile);
@@ -31,7 +31,7 @@
     }
   }
 
-  /** A line for each listed test. */
+  /** Returns the number of listed tests, and a line for each. */
   private static List<String> report(KnownRedList list, Map<String, Result> results) {
     List<String> lines = new ArrayList<>();
     lines.add("tests known to be red: " + list.entries().size());
@@ -44,7 +44,7 @@
     return lines;
   }
 
-  /** Why the list is not true; empty when it is. */
+  /** Returns what is out of date in the list; empty if nothing is. */
   private static List<String> problems(KnownRedList list, Map<String, Result> results) {
     List<String> problems = new ArrayList<>();
     for (KnownRedList.Entry entry : list.entries()) {
--- a/src/test/java/io/pearscale/knownred/KnownRedExtension.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedExtension.java
@@ -13,15 +13,16 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Runs the tests that are known to be red like all others, and passes over their failure. One that
- * is green fails, since its entry is stale. Registered for all tests by the service loader.
+ * Runs the tests that are listed as known to fail like all others, and reports their failure as
+ * aborted. A listed test that passes is reported as failed, since its entry is stale. The service
+ * loader registers this extension for all tests.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
   static final String LIST = "pearscale.knownRed.list";
   static final String RESULTS = "pearscale.knownRed.results";
 
   static {
-    // Results of an earlier run say nothing of this one.
+    // Results of an earlier run must not be taken for results of this one.
     try {
       Files.deleteIfExists(KnownRedResults.FILE);
     } catch (IOException e) {
--- a/src/test/java/io/pearscale/knownred/KnownRedList.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedList.java
@@ -12,23 +12,23 @@
 import java.util.regex.Pattern;
 
 /**
- * The tests that fail for a known fault which is not repaired yet, as the file at the root names
- * them. An entry is a block of lines {@code key: value}, blocks are separated by empty lines, and
- * lines that begin with {@code #} are comments.
+ * The list of tests that fail because of a known fault which is not repaired yet, read from a file
+ * at the project's root. An entry is a block of lines {@code key: value}, blocks are separated by
+ * empty lines, and lines that begin with {@code #} are comments.
  */
 final class KnownRedList {
-  /** Where the list of this project lies. */
+  /** The path of this project's list. */
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
-  /** The list stays short: what is on it is repaired before anything else. */
+  /** The list is kept short, because a listed fault is repaired before anything else. */
   static final int MAX_ENTRIES = 3;
 
   private static final Set<String> KEYS = Set.of("test", "command", "seen", "issue");
 
-  /** A method of a class, and the name of one of its cases where it has several. */
+  /** A class and a method, and the name of one case in brackets if the method has several. */
   private static final Pattern TEST_ID = Pattern.compile("[\\w.$]+#\\w+(\\[.+])?");
 
-  /** One known failure: the test's id, how to run it, what was seen, and the issue that is open. */
+  /** A known failure: the test's id, the command that runs it, the failure seen, the open issue. */
   record Entry(String test, String command, String seen, String issue) {}
 
   private final List<Entry> entries;
@@ -42,7 +42,7 @@
     return Files.exists(file) ? parse(Files.readString(file)) : new KnownRedList(new ArrayList<>());
   }
 
-  /** Reads the text; an {@link IllegalArgumentException} says which entry is wrong and why. */
+  /** Parses a list; an {@link IllegalArgumentException} names the invalid entry and the reason. */
   static KnownRedList parse(String text) {
     List<Entry> entries = new ArrayList<>();
     Set<String> tests = new HashSet<>();
--- a/src/test/java/io/pearscale/knownred/KnownRedResults.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedResults.java
@@ -7,12 +7,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How the listed tests came out, handed on from the run of the tests to the check after it. */
+/** The results of the listed tests, in a file that the tests write and the later check reads. */
 final class KnownRedResults {
-  /** Where the results of this project's tests lie. */
+  /** The path of the results of this project's tests. */
   static final Path FILE = Path.of("target", "known-red-results.txt");
 
-  /** What became of a listed test. */
+  /** The result of a listed test. */
   enum Result {
     FAILED,
     PASSED
@@ -20,14 +20,14 @@
 
   private KnownRedResults() {}
 
-  /** Notes the result of one test. */
+  /** Appends the result of one test. */
   static void append(Path file, String test, Result result) throws IOException {
     Files.createDirectories(file.toAbsolutePath().getParent());
     Files.writeString(
         file, result + " " + test + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
   }
 
-  /** The results by test; empty when no listed test was run. */
+  /** Returns the results by test; empty if no listed test has run. */
   static Map<String, Result> read(Path file) throws IOException {
     Map<String, Result> results = new HashMap<>();
     if (Files.exists(file)) {
--- a/src/test/java/io/pearscale/knownred/KnownRedTest.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedTest.java
@@ -21,13 +21,13 @@
 import org.junit.platform.testkit.engine.EngineExecutionResults;
 import org.junit.platform.testkit.engine.EngineTestKit;
 
-/** What is listed as known red is run, passed over while it fails, and must not become green. */
+/** Tests that listed tests run, that their failures are ignored, and that a pass is reported. */
 class KnownRedTest {
   private static final String SAMPLE = Samples.class.getName() + "#";
 
   @TempDir Path folder;
 
-  /** Tests that are played by the tests below only. */
+  /** Sample tests, which only the tests below run. */
   static class Samples {
     @Test
     void red() {
