--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -96,8 +96,12 @@
     @Override
     int run(KeyValueStoreSession session) throws IOException {
       String leader =
-          session.read(Keys.LEADER).map(s -> s.value().path("node").asText()).orElse("nobody");
-      long term = session.read(Keys.TERM).map(s -> s.value().path("term").asLong()).orElse(0L);
+          session
+              .read(Keys.LEADER)
+              .map(stored -> stored.value().path("node").asText())
+              .orElse("nobody");
+      long term =
+          session.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L);
       if (json) {
         ObjectNode node = new ObjectMapper().createObjectNode();
         print(node.put("leader", leader).put("term", term).toString());
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -76,8 +76,12 @@
         gate.objection(),
         hosts,
         members,
-        schemaLevel.map(l -> countValuesToMigrate(records, l.writtenLevel())).orElse(0),
-        schemaLevel.map(l -> new UpgradePlan(l, hosts, supportByHost(members), usesByFeature)),
+        schemaLevel
+            .map(currentLevel -> countValuesToMigrate(records, currentLevel.writtenLevel()))
+            .orElse(0),
+        schemaLevel.map(
+            currentLevel ->
+                new UpgradePlan(currentLevel, hosts, supportByHost(members), usesByFeature)),
         session.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
         session.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
   }
@@ -184,20 +188,21 @@
   }
 
   private String writtenLevel() {
-    return plan.map(p -> Integer.toString(p.inForce().writtenLevel())).orElse("unknown");
+    return plan.map(upgradePlan -> Integer.toString(upgradePlan.inForce().writtenLevel()))
+        .orElse("unknown");
   }
 
   private String migrationProgress() {
     return plan.map(
-            p ->
-                p.inForce().migrated()
+            upgradePlan ->
+                upgradePlan.inForce().migrated()
                     ? "complete"
                     : valuesToMigrate + " values are to be rewritten or copied")
         .orElse("unknown");
   }
 
   private String nextStep() {
-    return plan.map(p -> p.nextStep(build)).orElse("repair " + Keys.LEVEL);
+    return plan.map(upgradePlan -> upgradePlan.nextStep(build)).orElse("repair " + Keys.LEVEL);
   }
 
   private Map<String, String> supportTextByHost() {
--- a/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
+++ b/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
@@ -91,12 +91,12 @@
   void statusWithUnsupportedLevel() throws IOException {
     store("c/level", MessagePack.map().put("level", 7));
     assertEquals(UpgradeCommand.EXIT_INCOMPATIBLE_BUILD, runStatus("--json"));
-    JsonNode answer = new ObjectMapper().readTree(out.toString());
-    assertEquals("7", answer.path("levelInForce").asText());
-    assertEquals(false, answer.path("takesPart").asBoolean(true));
+    JsonNode status = new ObjectMapper().readTree(out.toString());
+    assertEquals("7", status.path("levelInForce").asText());
+    assertEquals(false, status.path("takesPart").asBoolean(true));
     assertEquals(
         "the stored state is at level 7, this build supports 0 to 2",
-        answer.path("reason").asText());
+        status.path("reason").asText());
   }
 
   @Test
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -220,8 +220,8 @@
     addJob(text.replace("high", "higher"));
     addJob(text.replace("wk-000412", "000412"));
     addJob(text.replace("\"pieces\":3", "\"pieces\":0"));
-    for (var name = json(text).fieldNames(); name.hasNext(); ) {
-      String field = name.next();
+    for (var fieldNames = json(text).fieldNames(); fieldNames.hasNext(); ) {
+      String field = fieldNames.next();
       addJob(text.replace("\"" + field + "\"", "\"x\""));
       addJob(
           text.replaceFirst(
@@ -471,12 +471,12 @@
         String path,
         JsonNode body,
         Duration timeout,
-        java.util.function.Consumer<Reply> answer) {
+        java.util.function.Consumer<Reply> callback) {
       lines.add(
           String.join(" ", address, method, path, timeout.toString())
               + " "
               + (body.isMissingNode() ? "-" : jsonAndHex(body)));
-      answer.accept(new Reply(200, MessagePack.map()));
+      callback.accept(new Reply(200, MessagePack.map()));
     }
   }
 
