--- a/src/main/java/io/pearscale/cli/SettingsException.java
+++ b/src/main/java/io/pearscale/cli/SettingsException.java
@@ -2,7 +2,10 @@
 
 import java.nio.file.Path;
 
-/** A missing or invalid value in a settings file. The message has one line, with file and key. */
+/**
+ * A missing or invalid value in a settings file. The message is one line that names the file, the
+ * key, the value and what was expected.
+ */
 final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
