--- a/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
+++ b/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
@@ -24,24 +24,25 @@
 import org.xnio.XnioWorker;
 
 /**
- * A command's conversation with the state service, one request after the other. Writes are guarded
- * by the level as this session has read it.
+ * A blocking client of the state service for commands, which sends one request at a time. A write
+ * requires that the schema level has not changed since this session read it; until it has been
+ * read, no write is possible.
  */
 final class KeyValueStoreSession implements AutoCloseable {
   private static final int CONNECTIONS = 2;
-  private static final int LONGEST_WAIT_SECONDS = 5;
-  private static final int PAGE = 500;
+  private static final int RESPONSE_TIMEOUT_SECONDS = 5;
+  private static final int PAGE_SIZE = 500;
 
-  /** A stored value with the stamp of its latest change. */
+  /** A stored value with the revision of its latest change. */
   record StoredValue(JsonNode value, long revision) {}
 
-  /** What came of a write. */
+  /** The result of a write. */
   enum WriteOutcome {
-    /** It was carried out. */
+    /** The write was applied. */
     APPLIED,
-    /** Something that it was guarded by has changed; nothing was written. */
+    /** A precondition did not hold; nothing was written. */
     CONFLICT,
-    /** There was no clear answer: it may have been carried out, or may yet be. */
+    /** No response was received: the write may have been applied, or may still be applied. */
     UNKNOWN
   }
 
@@ -54,19 +55,19 @@
   KeyValueStoreSession(Settings settings) throws IOException {
     worker = Server.newSingleThreadWorker();
     loop = new XnioEventLoop(worker.getIoThread());
-    UndertowHttpClient calls =
+    UndertowHttpClient httpClient =
         new UndertowHttpClient(
             loop,
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
             CONNECTIONS);
-    client = new KeyValueStoreClient(loop, calls, settings, () -> levelRevision);
+    client = new KeyValueStoreClient(loop, httpClient, settings, () -> levelRevision);
     address = settings.storeAddress();
   }
 
-  /** The key's value and stamp; empty if there is none. */
+  /** Returns the value and revision of the key; empty if the key does not exist. */
   Optional<StoredValue> read(String key) throws IOException {
-    Reply reply = ask(answer -> client.get(key, answer));
+    Reply reply = call(callback -> client.get(key, callback));
     if (reply.status() != 404 && !reply.ok()) {
       throw failure(reply);
     }
@@ -81,30 +82,31 @@
     return stored;
   }
 
-  /** All keys with the prefix, by key. */
+  /** Returns the values of all keys with the prefix, sorted by key. */
   Map<String, StoredValue> list(String prefix) throws IOException {
-    Map<String, StoredValue> found = new TreeMap<>();
-    Optional<String> since = Optional.empty();
+    Map<String, StoredValue> values = new TreeMap<>();
+    Optional<String> lastKey = Optional.empty();
     boolean more = true;
     while (more) {
-      Optional<String> after = since;
-      Reply reply = ask(answer -> client.list(prefix, after, PAGE, answer));
+      Optional<String> startAfter = lastKey;
+      Reply reply = call(callback -> client.list(prefix, startAfter, PAGE_SIZE, callback));
       if (!reply.ok()) {
         throw failure(reply);
       }
       for (JsonNode pair : reply.body().path("pairs")) {
         String key = pair.path("key").asText();
-        found.put(key, new StoredValue(pair.path("value"), pair.path("stamp").asLong()));
-        since = Optional.of(key);
+        values.put(key, new StoredValue(pair.path("value"), pair.path("stamp").asLong()));
+        lastKey = Optional.of(key);
       }
-      more = reply.body().path("more").asBoolean() && since.isPresent();
+      more = reply.body().path("more").asBoolean() && lastKey.isPresent();
     }
-    return found;
+    return values;
   }
 
-  /** Writes, if nothing has changed that the guards name, nor the level that was read. */
-  WriteOutcome write(List<Precondition> guards, List<Mutation> changes) throws IOException {
-    Reply reply = ask(answer -> client.compareAndSwap(guards, changes, answer));
+  /** Applies the mutations if the preconditions hold and the schema level is unchanged. */
+  WriteOutcome write(List<Precondition> preconditions, List<Mutation> mutations)
+      throws IOException {
+    Reply reply = call(callback -> client.compareAndSwap(preconditions, mutations, callback));
     if (reply.ok()) {
       return WriteOutcome.APPLIED;
     }
@@ -118,15 +120,15 @@
   }
 
   private IOException failure(Reply reply) {
-    String said = reply.status() == 0 ? "does not answer" : "answers " + reply.status();
-    return new IOException("the state service at " + address + " " + said);
+    String problem = reply.status() == 0 ? "does not answer" : "answers " + reply.status();
+    return new IOException("the state service at " + address + " " + problem);
   }
 
-  private Reply ask(Consumer<Consumer<Reply>> request) throws IOException {
-    CompletableFuture<Reply> answer = new CompletableFuture<>();
-    loop.execute(() -> request.accept(answer::complete));
+  private Reply call(Consumer<Consumer<Reply>> request) throws IOException {
+    CompletableFuture<Reply> response = new CompletableFuture<>();
+    loop.execute(() -> request.accept(response::complete));
     try {
-      return answer.get(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
+      return response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException | ExecutionException e) {
       return Reply.NO_RESPONSE;
     } catch (InterruptedException e) {
--- a/src/main/java/io/pearscale/cli/SettingsException.java
+++ b/src/main/java/io/pearscale/cli/SettingsException.java
@@ -2,7 +2,10 @@
 
 import java.nio.file.Path;
 
-/** A settings file is missing something or holds what it must not; one line says what and where. */
+/**
+ * A missing or invalid value in a settings file. The message is one line that names the file, the
+ * key, the value and what was expected.
+ */
 final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -14,31 +14,32 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The machines that the records name. */
+/** Reads the stored machine records, whichever layout they have. */
 final class StoredMachineRecords {
   private StoredMachineRecords() {}
 
-  /** All entries of the roster, one a machine. */
-  static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession state)
+  /** Returns one record for each machine. */
+  static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
     Map<String, MachineRecordCodec.MachineRecord> byMachine = new LinkedHashMap<>();
-    // What is written now is newer than what the other layout says of the same machine.
-    for (RecordLayout layout : layouts(state)) {
-      for (StoredValue value : state.list(layout.machinePrefix()).values()) {
-        for (MachineRecordCodec.MachineRecord entry : MachineRecordCodec.decode(value.value())) {
-          byMachine.putIfAbsent(entry.machine(), entry);
+    // The layout that is written now comes first: its records are newer than the other layout's.
+    for (RecordLayout layout : layouts(session)) {
+      for (StoredValue value : session.list(layout.machinePrefix()).values()) {
+        for (MachineRecordCodec.MachineRecord machineRecord :
+            MachineRecordCodec.decode(value.value())) {
+          byMachine.putIfAbsent(machineRecord.machine(), machineRecord);
         }
       }
     }
     return byMachine.values();
   }
 
-  /** Both layouts, first the one that is written. */
-  static List<RecordLayout> layouts(KeyValueStoreSession state)
+  /** Returns both layouts, the one that is written now first. */
+  static List<RecordLayout> layouts(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
-    Optional<StoredValue> level = state.read(Keys.LEVEL);
-    SchemaLevel inForce = SchemaLevel.fromStored(level.map(StoredValue::value));
-    RecordLayout written = RecordLayout.ofLevel(inForce.writtenLevel());
+    Optional<StoredValue> storedLevel = session.read(Keys.LEVEL);
+    SchemaLevel schemaLevel = SchemaLevel.fromStored(storedLevel.map(StoredValue::value));
+    RecordLayout written = RecordLayout.ofLevel(schemaLevel.writtenLevel());
     List<RecordLayout> layouts = new ArrayList<>();
     layouts.add(written);
     layouts.add(written.other());
--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -22,12 +22,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages point downward, in the sources and in what was compiled. */
+/** Checks that packages depend only on lower layers, in the sources and in the compiled classes. */
 class LayersTest {
   private static final String ROOT = "io.pearscale";
   private static final Path SOURCES = Path.of("src/main/java/io/pearscale");
 
-  /** The lowest first. */
+  /** All packages, the lowest layer first. */
   private static final List<String> LAYERS =
       List.of(
           "transport",
@@ -47,14 +47,14 @@
           "scheduler",
           "cli");
 
-  /** The only package of the scheduler that the users' interface, which stands beside it, knows. */
-  private static final String API_KNOWS = "scheduler.model";
+  /** The only subpackage of the scheduler that {@code api} may depend on. */
+  private static final String API_DEPENDENCY = "scheduler.model";
 
   /**
-   * Arrows that still point upward, each from one class to another; empty in the end. One that is
-   * gone is taken off the list, and none is added.
+   * Dependencies on higher layers that are still allowed, each from one class to another. Entries
+   * are removed when their dependency is removed, and none may be added.
    */
-  private static final Set<String> REMAINING = Set.of();
+  private static final Set<String> ALLOWED_VIOLATIONS = Set.of();
 
   private static final Pattern REFERENCE =
       Pattern.compile("(?<![\\w.])io\\.pearscale\\.([a-z][\\w]*(?:\\.[a-z]\\w*)*)\\.([A-Z]\\w*)");
@@ -66,7 +66,7 @@
 
   private static int layerOf(String layer) {
     int index = LAYERS.indexOf(layer);
-    assertTrue(index >= 0, layer + " is no layer");
+    assertTrue(index >= 0, layer + " is not a known layer");
     return index;
   }
 
@@ -79,54 +79,58 @@
     return name.replaceAll("[$].*", "");
   }
 
-  private static void note(Set<String> upward, String from, String user, String to, String used) {
-    boolean beside = from.equals("api") && to.startsWith("scheduler.") && !to.equals(API_KNOWS);
-    if (layerOf(to) > layerOf(from) || beside) {
-      upward.add(from + "." + user + " -> " + to + "." + used);
+  private static void addIfViolation(
+      Set<String> violations, String from, String fromClass, String to, String toClass) {
+    boolean siblingDependency =
+        from.equals("api") && to.startsWith("scheduler.") && !to.equals(API_DEPENDENCY);
+    if (layerOf(to) > layerOf(from) || siblingDependency) {
+      violations.add(from + "." + fromClass + " -> " + to + "." + toClass);
     }
   }
 
   @Test
   void dependenciesPointDownward() throws IOException {
-    Set<String> upward = new TreeSet<>();
+    Set<String> violations = new TreeSet<>();
     List<Path> files;
     try (Stream<Path> found = Files.walk(SOURCES)) {
       files = found.filter(p -> p.toString().endsWith(".java")).toList();
     }
-    assertTrue(files.size() > LAYERS.size(), "sources are missing");
+    assertTrue(files.size() > LAYERS.size(), "source files are missing");
     for (Path file : files) {
-      String own = SOURCES.relativize(file.getParent()).toString().replace('/', '.');
-      String user = file.getFileName().toString().replace(".java", "");
+      String sourcePackage = SOURCES.relativize(file.getParent()).toString().replace('/', '.');
+      String sourceClass = file.getFileName().toString().replace(".java", "");
       Matcher reference = REFERENCE.matcher(Files.readString(file));
       while (reference.find()) {
-        note(upward, own, user, reference.group(1), reference.group(2));
+        addIfViolation(
+            violations, sourcePackage, sourceClass, reference.group(1), reference.group(2));
       }
     }
     for (JavaClass type : CLASSES) {
       for (Dependency dependency : type.getDirectDependenciesFromSelf()) {
         JavaClass target = dependency.getTargetClass().getBaseComponentType();
         if (target.getPackageName().startsWith(ROOT + ".")) {
-          note(upward, layerOf(type), nameOf(type), layerOf(target), nameOf(target));
+          addIfViolation(violations, layerOf(type), nameOf(type), layerOf(target), nameOf(target));
         }
       }
     }
     assertEquals(
-        String.join("\n", new TreeSet<>(REMAINING)), String.join("\n", new TreeSet<>(upward)));
+        String.join("\n", new TreeSet<>(ALLOWED_VIOLATIONS)),
+        String.join("\n", new TreeSet<>(violations)));
   }
 
-  /** Without the arrows that remain no circle does. */
+  /** Apart from the allowed violations, packages have no cyclic dependencies. */
   @Test
-  void packagesFormNoCircle() {
+  void packagesHaveNoCycles() {
     assertTrue(CLASSES.size() > LAYERS.size(), "classes are missing");
     SliceRule rule = slices().matching(ROOT + ".(**)").should().beFreeOfCycles();
-    for (String arrow : REMAINING) {
-      String[] ends = arrow.split(" -> ", 2);
+    for (String violation : ALLOWED_VIOLATIONS) {
+      String[] ends = violation.split(" -> ", 2);
       rule = rule.ignoreDependency(isOrIsIn(ends[0]), isOrIsIn(ends[1]));
     }
     rule.check(CLASSES);
   }
 
-  /** The class of that name, and what is declared in it. */
+  /** Matches the class of that name and its nested classes. */
   private static DescribedPredicate<JavaClass> isOrIsIn(String name) {
     String fullName = ROOT + "." + name;
     return DescribedPredicate.describe(
--- a/src/test/java/io/pearscale/knownred/KnownRedList.java
+++ b/src/test/java/io/pearscale/knownred/KnownRedList.java
@@ -12,23 +12,23 @@
 import java.util.regex.Pattern;
 
 /**
- * The tests that fail for a known fault which is not repaired yet, as the file at the root names
- * them. An entry is a block of lines {@code key: value}, blocks are separated by empty lines, and
- * lines that begin with {@code #} are comments.
+ * The list of tests that fail because of a known fault which is not repaired yet, read from a file
+ * at the project's root. An entry is a block of lines {@code key: value}, blocks are separated by
+ * empty lines, and lines that begin with {@code #} are comments.
  */
 final class KnownRedList {
-  /** Where the list of this project lies. */
+  /** The path of this project's list. */
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
-  /** The list stays short: what is on it is repaired before anything else. */
-  static final int MOST_ENTRIES = 3;
+  /** The list is kept short, because a listed fault is repaired before anything else. */
+  static final int MAX_ENTRIES = 3;
 
   private static final Set<String> KEYS = Set.of("test", "command", "seen", "issue");
 
-  /** A method of a class, and the name of one of its cases where it has several. */
-  private static final Pattern SINGLE_TEST = Pattern.compile("[\\w.$]+#\\w+(\\[.+])?");
+  /** A class and a method, and the name of one case in brackets if the method has several. */
+  private static final Pattern TEST_ID = Pattern.compile("[\\w.$]+#\\w+(\\[.+])?");
 
-  /** One known failure: the test's id, how to run it, what was seen, and the issue that is open. */
+  /** A known failure: the test's id, the command that runs it, the failure seen, the open issue. */
   record Entry(String test, String command, String seen, String issue) {}
 
   private final List<Entry> entries;
@@ -42,7 +42,7 @@
     return Files.exists(file) ? parse(Files.readString(file)) : new KnownRedList(new ArrayList<>());
   }
 
-  /** Reads the text; an {@link IllegalArgumentException} says which entry is wrong and why. */
+  /** Parses a list; an {@link IllegalArgumentException} names the invalid entry and the reason. */
   static KnownRedList parse(String text) {
     List<Entry> entries = new ArrayList<>();
     Set<String> tests = new HashSet<>();
@@ -53,7 +53,7 @@
         entries.add(entry);
       }
     }
-    require(entries.size() <= MOST_ENTRIES, entries.size() + " entries, at most " + MOST_ENTRIES);
+    require(entries.size() <= MAX_ENTRIES, entries.size() + " entries, at most " + MAX_ENTRIES);
     return new KnownRedList(entries);
   }
 
@@ -67,13 +67,13 @@
     require(values.keySet().equals(KEYS), "the keys must be " + KEYS + ": " + block);
     require(values.values().stream().noneMatch(String::isEmpty), "an empty value: " + block);
     String test = values.get("test");
-    require(SINGLE_TEST.matcher(test).matches(), "not a single test: " + test);
+    require(TEST_ID.matcher(test).matches(), "not a single test: " + test);
     return new Entry(test, values.get("command"), values.get("seen"), values.get("issue"));
   }
 
-  private static void require(boolean condition, String otherwise) {
+  private static void require(boolean condition, String message) {
     if (!condition) {
-      throw new IllegalArgumentException("KNOWN-RED.txt: " + otherwise);
+      throw new IllegalArgumentException("KNOWN-RED.txt: " + message);
     }
   }
 
