--- a/src/main/java/io/pearscale/protocol/AgentCommand.java
+++ b/src/main/java/io/pearscale/protocol/AgentCommand.java
@@ -7,15 +7,15 @@
 import org.msgpack.core.MessagePacker;
 
 /**
- * A command to an agent, about one task.
+ * A command that a controller sends to an agent about one task.
  *
- * @param verb what the agent is to do
- * @param task the task that it concerns
- * @param attempt the number of the attempt; never used for two attempts of a task
- * @param gracePeriod for how long a task that is stopped may save a checkpoint; zero otherwise
+ * @param verb the action that the agent performs
+ * @param task the task that the command applies to
+ * @param attempt the attempt number, which is never reused for another attempt of the task
+ * @param gracePeriod how long a stopped task may take to save a checkpoint; zero for other verbs
  */
 public record AgentCommand(Verb verb, TaskId task, long attempt, Duration gracePeriod) {
-  /** What an agent is to do; the order is that of records between controllers. */
+  /** The action of a command. Peer records store the ordinals, so the order is fixed. */
   public enum Verb {
     START("run"),
     STOP("kill"),
@@ -28,22 +28,26 @@
     }
   }
 
-  /** Starts an attempt. */
+  /** Returns a command that starts an attempt. */
   public static AgentCommand start(TaskId task, long attempt) {
     return new AgentCommand(Verb.START, task, attempt, Duration.ZERO);
   }
 
-  /** Stops an attempt; it may save a checkpoint within the grace period. */
+  /**
+   * Returns a command that stops an attempt, which may save a checkpoint within the grace period.
+   */
   public static AgentCommand stop(TaskId task, long attempt, Duration gracePeriod) {
     return new AgentCommand(Verb.STOP, task, attempt, gracePeriod);
   }
 
-  /** Has the agent forget an attempt that has ended, so that heartbeats name it no more. */
+  /**
+   * Returns a command that removes an ended attempt from the agent, whose heartbeats then omit it.
+   */
   public static AgentCommand forget(TaskId task, long attempt) {
     return new AgentCommand(Verb.FORGET, task, attempt, Duration.ZERO);
   }
 
-  /** Writes the same as {@link #toNode}, straight to bytes. */
+  /** Packs the same fields as {@link #toNode} without building a tree. */
   void pack(MessagePacker out) throws IOException {
     out.packMapHeader(verb == Verb.STOP ? 4 : 3);
     out.packString("verb");
@@ -58,7 +62,7 @@
     }
   }
 
-  /** The command as an agent reads it. */
+  /** Returns the command in the wire format of agents. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
--- a/src/main/java/io/pearscale/protocol/CloudApi.java
+++ b/src/main/java/io/pearscale/protocol/CloudApi.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The requests and answers of the cloud's interface, with the names that they have on the wire. */
+/** Paths, requests and responses of the cloud's HTTP API, with their names on the wire. */
 public final class CloudApi {
-  /** Where the catalogue of machine types is read. */
+  /** The path that serves the catalogue of machine types. */
   public static final String CATALOGUE_PATH = "/catalog";
 
-  /** Where machines are provisioned. */
+  /** The path that provisions machines. */
   public static final String PROVISION_PATH = "/hosts";
 
-  /** Where machines are deleted. */
+  /** The path that deletes machines. */
   public static final String DELETE_PATH = "/hosts/delete";
 
-  /** The cloud provisions no more machines with one request. */
+  /** The maximum number of machines that the cloud provisions in one request. */
   public static final int MAX_PROVISIONED_PER_REQUEST = 50;
 
-  /** The cloud deletes no more machines with one request. */
+  /** The maximum number of machines that the cloud deletes in one request. */
   public static final int MAX_DELETED_PER_REQUEST = 100;
 
   private static final int PAGE_SIZE = 500;
@@ -30,7 +30,7 @@
   private static final int STATUS_UNAVAILABLE = 503;
 
   /**
-   * A page of the machine list, which is ordered by name.
+   * A page of the machine list, which is ordered by machine name.
    *
    * @param more whether another page follows
    */
@@ -39,15 +39,15 @@
   private CloudApi() {}
 
   /**
-   * Where a page of the machine list is read.
+   * Returns the path of a page of the machine list.
    *
-   * @param lastName the last name of the page before; empty for the first page
+   * @param lastName the last machine name of the previous page; empty for the first page
    */
   public static String listPath(String lastName) {
     return "/hosts?" + (lastName.isEmpty() ? "" : "since=" + lastName + "&") + "limit=" + PAGE_SIZE;
   }
 
-  /** A page of the machine list; empty if the body is none. */
+  /** Parses a page of the machine list; empty if the body contains no list. */
   public static Optional<MachinePage> parsePage(JsonNode body) {
     JsonNode entries = body.path("hives");
     if (!entries.isArray()) {
@@ -69,10 +69,11 @@
   }
 
   /**
-   * A request for machines.
+   * Returns a request that provisions machines.
    *
-   * @param requestName the same name is never carried out twice, so the request can be repeated
-   * @param count at most {@link #MAX_PROVISIONED_PER_REQUEST}
+   * @param requestName an idempotency key: the cloud executes each name once, so the request can be
+   *     retried
+   * @param count the number of machines, at most {@link #MAX_PROVISIONED_PER_REQUEST}
    */
   public static JsonNode provisionRequest(
       String requestName, String type, String zone, boolean spot, int count) {
@@ -84,27 +85,27 @@
         .put("count", count);
   }
 
-  /** The names of the machines that were provisioned. */
+  /** Returns the names of the provisioned machines. */
   public static List<String> parseProvisioned(JsonNode body) {
     List<String> names = new ArrayList<>();
     body.path("hives").forEach(name -> names.add(name.asText()));
     return names;
   }
 
-  /** Whether the cloud has no machine of the requested kind at present. */
+  /** Returns whether the cloud currently has no machine of the requested type. */
   public static boolean isNoCapacity(int status, JsonNode body) {
     return status == STATUS_UNAVAILABLE && body.path("error").asText().equals("no capacity");
   }
 
-  /** Whether the request is wrong, so that it fails each time that it is sent. */
+  /** Returns whether the request is invalid, so that a retry fails as well. */
   public static boolean isBadRequest(int status) {
     return status == STATUS_BAD_REQUEST;
   }
 
   /**
-   * A request to delete machines.
+   * Returns a request that deletes machines.
    *
-   * @param names at most {@link #MAX_DELETED_PER_REQUEST}
+   * @param names the machine names, at most {@link #MAX_DELETED_PER_REQUEST}
    */
   public static JsonNode deleteRequest(List<String> names) {
     ObjectNode body = MessagePack.map();
--- a/src/main/java/io/pearscale/protocol/CommandRequest.java
+++ b/src/main/java/io/pearscale/protocol/CommandRequest.java
@@ -7,28 +7,31 @@
 import java.util.List;
 
 /**
- * Commands that a controller sends straight to an agent. The agent executes all of them or none: it
- * refuses a request whose fencing token is below the highest that it has seen, or that names
- * another incarnation than its own.
+ * A batch of commands that a controller sends directly to an agent. The agent executes all of them
+ * or none. It refuses a request with a fencing token below the highest that it has seen, or for an
+ * incarnation other than its current one.
  *
- * @param fencingToken the token of the machine that the commands are fenced with
- * @param incarnation the agent's incarnation that the commands are meant for
- * @param commands none in a probe, which only asks for the agent's state
+ * @param fencingToken the fencing token of the machine
+ * @param incarnation the incarnation of the agent that the commands are intended for
+ * @param commands the commands; empty for a probe, which only requests the state of the agent
  */
 public record CommandRequest(long fencingToken, long incarnation, List<AgentCommand> commands) {
-  /** The method and path of the request. */
+  /** The HTTP method of the request. */
   public static final String METHOD = "POST";
 
-  /** See {@link #METHOD}. */
+  /** The path of the request. */
   public static final String PATH = "/do";
 
-  /** The commands were executed; the body is the agent's heartbeat after them. */
+  /** The status of executed commands; the body is the agent's heartbeat after their execution. */
   public static final int STATUS_EXECUTED = 200;
 
-  /** Nothing was or will be executed; the body is the agent's heartbeat. */
+  /**
+   * The status of refused commands, none of which is ever executed; the body is the agent's
+   * heartbeat.
+   */
   public static final int STATUS_REFUSED = 409;
 
-  /** As the agent reads it. */
+  /** Returns the request in the wire format of agents. */
   public JsonNode toNode() {
     ObjectNode body = MessagePack.map().put("baton", fencingToken).put("stint", incarnation);
     ArrayNode orders = body.putArray("orders");
--- a/src/main/java/io/pearscale/protocol/ConnectionLimits.java
+++ b/src/main/java/io/pearscale/protocol/ConnectionLimits.java
@@ -1,18 +1,20 @@
 package io.pearscale.protocol;
 
 /**
- * How a controller divides the sockets that its settings give it. Every bound on what is held open
- * for agents and users follows from here, so that a larger fleet needs a larger setting and never
- * another build.
+ * The division of the configured number of sockets of a controller. All limits on open connections
+ * and waiting requests are derived from this number, so a larger fleet needs a larger setting but
+ * no other build.
  *
- * @param inbound connections accepted from agents and users
- * @param maxKeptAlive those of the inbound ones that may stay open between two heartbeats; beyond
- *     them each response to a heartbeat closes its connection
- * @param outbound connections opened to machines, the key-value store and the cloud
- * @param reservedOutbound those of the outbound ones that machines can't take
- * @param maxWaitingHeartbeats heartbeats that may wait for an election at the same time
- * @param maxOpenUserRequests requests of users that may wait for the key-value store at the same
- *     time
+ * @param inbound the maximum number of connections accepted from agents and users
+ * @param maxKeptAlive how many inbound connections may stay open between two heartbeats; above this
+ *     limit each heartbeat response closes its connection
+ * @param outbound the maximum number of connections opened to machines, the key-value store and the
+ *     cloud
+ * @param reservedOutbound how many outbound connections are not available to machines
+ * @param maxWaitingHeartbeats the maximum number of heartbeats that wait for an election at the
+ *     same time
+ * @param maxOpenUserRequests the maximum number of user requests that wait for the key-value store
+ *     at the same time
  */
 public record ConnectionLimits(
     int inbound,
@@ -23,13 +25,17 @@
     int maxOpenUserRequests) {
   private static final int MIN_RESERVED_OUTBOUND = 2;
 
-  /** Divides the sockets; what is left over is for peers, the renewals and the process itself. */
+  /**
+   * Divides the given number of sockets. The remaining 10% serve peer links, lease renewals and the
+   * process itself.
+   */
   public static ConnectionLimits of(int maxConnections) {
     int inbound = maxConnections * 7 / 10;
     int outbound = maxConnections / 5;
     int reservedOutbound = Math.max(MIN_RESERVED_OUTBOUND, outbound / 10);
     int maxKeptAlive = inbound * 17 / 20;
-    // A parked heartbeat keeps its connection: some are left to agents that ask meanwhile.
+    // A waiting heartbeat holds its connection, so the other inbound connections stay available to
+    // agents that connect meanwhile.
     int maxWaitingHeartbeats = maxKeptAlive;
     return new ConnectionLimits(
         inbound,
--- a/src/main/java/io/pearscale/protocol/EndCause.java
+++ b/src/main/java/io/pearscale/protocol/EndCause.java
@@ -1,21 +1,26 @@
 package io.pearscale.protocol;
 
-/** Why a task has ended, or was not started, as its agent reports it. */
+/** The reason that an agent reports for a task that ended or was not started. */
 public enum EndCause {
-  /** It completed; its result is kept, and another start of it ends at once with the same cause. */
+  /**
+   * The task completed. Its result is stored, and starting it again ends immediately with this
+   * cause.
+   */
   COMPLETED,
-  /** Its process failed. */
+  /** The process of the task failed. */
   FAILED,
-  /** A stop command ended it. */
+  /** A stop command ended the task. */
   STOPPED,
-  /** Of a gang: it waited for the other members for too long, or one of them is gone. */
+  /** The task of a gang waited too long for the other members, or another member was lost. */
   GANG_BROKEN,
-  /** Its start was refused: the agent knows of no such job or task. */
+  /** The agent refused the start because it does not know the job or task. */
   UNKNOWN_TASK,
-  /** Its start was refused for what is on the machine: too few resources, or another attempt. */
+  /**
+   * The agent refused the start because the machine has too few resources or runs another attempt.
+   */
   START_REFUSED;
 
-  /** The cause with that name on the wire. Names that are not known count as a refused start. */
+  /** Returns the cause with the given wire name. Unknown names map to {@link #START_REFUSED}. */
   public static EndCause fromWireName(String wireName) {
     return switch (wireName) {
       case "done" -> COMPLETED;
--- a/src/main/java/io/pearscale/protocol/Heartbeat.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -7,18 +7,19 @@
 import java.util.Optional;
 
 /**
- * What an agent reports of its machine and its tasks.
+ * A report of an agent about its machine and tasks.
  *
- * @param machine the machine's id
- * @param address where the agent takes commands
- * @param machineType the name of the machine's type
- * @param zone the machine's zone
- * @param spot whether it is a spot machine, which the cloud may preempt
- * @param incarnation counts the leases of the agent, from 1 on; it increases when one expires
- * @param sequence counts the messages of the agent
+ * @param machine the machine id
+ * @param address the address at which the agent accepts commands
+ * @param machineType the name of the machine type
+ * @param zone the zone of the machine
+ * @param spot whether the machine is a spot machine, which the cloud may preempt
+ * @param incarnation the number of the agent's lease, starting at 1; it increases when a lease
+ *     expires
+ * @param sequence a counter of the agent's messages
  * @param fencingToken the highest fencing token that the agent has seen
- * @param preemptionNotice in how long the cloud takes the machine away, once it has said so
- * @param tasks the tasks on the machine, including those that ended and were not forgotten yet
+ * @param preemptionNotice the time until the cloud preempts the machine; empty without a notice
+ * @param tasks the tasks on the machine, including ended ones until a command removes them
  */
 public record Heartbeat(
     String machine,
@@ -32,13 +33,13 @@
     Optional<Duration> preemptionNotice,
     List<TaskStatus> tasks) {
 
-  /** The stage of a task on a machine; the order is that of records between controllers. */
+  /** The stage of a task on a machine. Peer records store the ordinals, so the order is fixed. */
   public enum Stage {
     FETCHING,
     RUNNING,
     CHECKPOINTING,
     ENDED,
-    /** The task has its image, and waits for the others of its gang. */
+    /** The image is available and the task waits for the other members of its gang. */
     WAITING;
 
     static Stage parse(String wireName) throws MalformedMessageException {
@@ -56,15 +57,15 @@
   /**
    * The status of one task.
    *
-   * @param attempt the number of the attempt
-   * @param cause why the task ended; empty unless it has ended
+   * @param attempt the attempt number
+   * @param cause the wire name of the reason why the task ended; empty unless it has ended
    */
   public record TaskStatus(TaskId task, long attempt, Stage stage, String cause) {}
 
   /**
-   * Reads a heartbeat from a tree.
+   * Parses a heartbeat from a tree.
    *
-   * @throws MalformedMessageException if a field is missing or breaks the protocol
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static Heartbeat parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
@@ -92,7 +93,7 @@
         tasks);
   }
 
-  /** Whether this is newer than a message of the same agent with that incarnation and sequence. */
+  /** Returns whether this heartbeat is newer than one of the same agent with the given numbers. */
   public boolean isNewerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequence > otherSequence);
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -14,15 +14,15 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Decodes heartbeats straight from their bytes. Heartbeats are most of what a controller reads, and
- * right after a start each costs several times as much as later, so no tree of objects is made for
- * them. What is accepted and refused is the same as with {@link Heartbeat#parse}.
+ * Decodes heartbeats directly from bytes. Most messages that a controller receives are heartbeats,
+ * and decoding is several times slower just after a start, so no tree is built for them. The
+ * decoder accepts and rejects the same messages as {@link Heartbeat#parse}.
  */
 public final class HeartbeatDecoder {
   private static final String MISSING_TEXT = "";
   private static final long MISSING_NUMBER = -1;
 
-  /** The library's own buffer for decoding is several times as large as a heartbeat. */
+  /** The default string buffer of the library is several times as large as a heartbeat. */
   private static final MessagePack.UnpackerConfig UNPACKER =
       new MessagePack.UnpackerConfig().withStringDecoderBufferSize(MessageFields.MAX_TEXT_LENGTH);
 
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Decodes the heartbeat that the bytes begin with.
+   * Decodes the heartbeat at the beginning of the bytes.
    *
-   * @throws MalformedMessageException if {@link Heartbeat#parse} would refuse it
+   * @throws MalformedMessageException if {@link Heartbeat#parse} would reject it
    */
   public static Heartbeat decode(byte[] body) throws MalformedMessageException {
     try {
@@ -135,7 +135,9 @@
     return in.unpackMapHeader();
   }
 
-  /** The name of a field; one that is no text names nothing that is known. */
+  /**
+   * Reads a field name. A key that is not a string yields an empty name, which matches no field.
+   */
   private String fieldName() throws IOException {
     if (in.getNextFormat().getValueType() == ValueType.STRING) {
       return in.unpackString();
--- a/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
@@ -10,15 +10,16 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Heartbeats of agents, and the responses to them, in records between controllers. */
+/** Encodes and decodes agent heartbeats and their responses in peer records. */
 final class HeartbeatRecordCodec {
   /**
-   * What the cause of a task reads that fetches no image, but waits for the others of its gang. For
-   * builds that know of no gangs it is one that fetches; a stage of its own they could not read.
+   * The cause that encodes {@link Stage#WAITING}, together with the stage {@link Stage#FETCHING}.
+   * Builds without gang support cannot read another stage; they treat such a task as one that
+   * fetches its image.
    */
   private static final String WAITING_CAUSE = "waiting";
 
-  /** Stands for a machine that has no notice of its preemption. */
+  /** The encoded value of an absent preemption notice. */
   private static final long NO_PREEMPTION_NOTICE = -1;
 
   private HeartbeatRecordCodec() {}
--- a/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatResponse.java
@@ -8,21 +8,22 @@
 /**
  * The response to an agent's heartbeat.
  *
- * @param status the HTTP status: 200 renews the agent's lease, anything else doesn't
- * @param fencingToken carried by all of the commands; the next heartbeat shows that it was received
- * @param commands what the agent is to do, in this order
+ * @param status the HTTP status: 200 renews the agent's lease, any other status does not
+ * @param fencingToken the fencing token of all commands; the agent's next heartbeat confirms its
+ *     receipt
+ * @param commands the commands that the agent executes, in this order
  */
 public record HeartbeatResponse(int status, long fencingToken, List<AgentCommand> commands) {
-  /** The library's own buffer is many times as large as a response. */
+  /** The default buffer of the library is many times as large as a response. */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(128);
 
-  /** No controller that may act as the leader can be reached now. */
+  /** The response while no controller that may act as leader is reachable. */
   public static final HeartbeatResponse UNAVAILABLE = new HeartbeatResponse(503, 0, List.of());
 
   /**
-   * The body for the agent. Most responses carry no command; they are written straight to bytes, as
-   * heartbeats are read from them.
+   * Encodes the response body for the agent. Most responses contain no command, so the body is
+   * packed directly into bytes instead of building a tree.
    */
   public byte[] encode() {
     try (MessageBufferPacker out = PACKER.newBufferPacker()) {
@@ -36,7 +37,7 @@
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("memory does not fail", e);
+      throw new IllegalStateException("failed to pack a heartbeat response in memory", e);
     }
   }
 }
--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -8,27 +8,28 @@
 import java.util.Optional;
 
 /**
- * A job as its user described it. Names of the wire's fields end here.
+ * The specification of a job as submitted by its user. {@link #parse} and {@link #toNode} map the
+ * wire names of the fields.
  *
- * @param id the id that the user chose, see {@link #isValidId}
- * @param jobClass the class that service-level objectives name
- * @param team the team that submitted it
- * @param workloadType how its tasks belong together
- * @param tasks the number of its tasks, 1 to 100,000
- * @param cpus processor cores of each task
- * @param gpus accelerators of each task
- * @param memoryGb memory of each task
+ * @param id the job id chosen by the user, see {@link #isValidId}
+ * @param jobClass the job class that service-level objectives refer to
+ * @param team the team that submitted the job
+ * @param workloadType how the tasks depend on each other
+ * @param tasks the number of tasks, 1 to 100,000
+ * @param cpus processor cores per task
+ * @param gpus accelerators per task
+ * @param memoryGb memory per task in GB
  * @param image the image that each task needs on its machine
- * @param imageGb the size of the image
- * @param machineTypes the types of machine that are allowed; empty if all are
- * @param zone the only zone that is allowed; empty if all are
- * @param singleZone whether all tasks must be in one zone
- * @param spreadAcrossZones whether one zone may hold half of the tasks at most
+ * @param imageGb the size of the image in GB
+ * @param machineTypes the allowed machine types; empty if all are allowed
+ * @param zone the only allowed zone; empty if all are allowed
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether a zone may contain at most half of the tasks
  * @param spotAllowed whether tasks may run on spot machines
- * @param estimatedDuration the user's estimate of a task's run time; zero for services
- * @param checkpointInterval after how much progress a task saves a checkpoint; zero: never
- * @param checkpointDuration how long a task takes to save when it is stopped
- * @param deadline when the job should be complete, from its submission on
+ * @param estimatedDuration the user's estimate of the run time of a task; zero for services
+ * @param checkpointInterval the progress between two checkpoints of a task; zero if it saves none
+ * @param checkpointDuration how long a stopped task takes to save a checkpoint
+ * @param deadline the time after submission by which the job should be complete
  */
 public record JobSpec(
     String id,
@@ -57,8 +58,8 @@
   private static final int MAX_ID_LENGTH = ID_PREFIX.length() + 64;
 
   /**
-   * Whether the text has the form of a job id: the prefix, then 1 to 64 letters and digits. Asked
-   * for each task of each heartbeat, so without a regular expression.
+   * Returns whether the text is a valid job id: the prefix {@code wk-}, then 1 to 64 letters and
+   * digits. This check runs for each task of each heartbeat, so it avoids a regular expression.
    */
   public static boolean isValidId(String id) {
     if (!id.startsWith(ID_PREFIX)
@@ -76,9 +77,9 @@
   }
 
   /**
-   * Reads a submission, or the same out of the key-value store.
+   * Parses a submission, or a job stored in the key-value store.
    *
-   * @throws MalformedMessageException if a field is missing or breaks the protocol
+   * @throws MalformedMessageException if a field is missing or invalid
    */
   public static JobSpec parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
@@ -120,7 +121,7 @@
         deadlineSeconds.map(MessageFields::duration));
   }
 
-  /** The job as it is stored. */
+  /** Returns the job in its stored format, which equals that of a submission. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -151,22 +152,25 @@
     return node;
   }
 
-  /** Whether the tasks are replicas, which run until the job is cancelled. */
+  /** Returns whether the tasks are replicas that run until the job is cancelled. */
   public boolean isService() {
     return workloadType == WorkloadType.SERVICE;
   }
 
-  /** Whether the tasks run all at the same time or not at all. */
+  /** Returns whether the tasks must all run at the same time. */
   public boolean isGang() {
     return workloadType == WorkloadType.GANG;
   }
 
-  /** Whether a stored job, which need not be readable otherwise, is a gang. */
+  /** Returns whether a stored job is a gang. The other fields may be unreadable. */
   public static boolean isStoredGang(JsonNode stored) {
     return stored.path(WORKLOAD_TYPE_FIELD).asText().equals(WorkloadType.GANG.wireName());
   }
 
-  /** Whether a machine of this type, zone and kind may run the job's tasks at all. */
+  /**
+   * Returns whether an empty machine of the given type in the given zone, spot or on demand, may
+   * run a task of the job.
+   */
   public boolean allows(MachineType type, String inZone, boolean onSpot) {
     return (spotAllowed || !onSpot)
         && machineTypes.map(t -> t.contains(type.name())).orElse(true)
@@ -176,13 +180,16 @@
         && memoryGb <= type.memoryGb();
   }
 
-  /** Whether machines of this type may run the job's tasks in some zone, ordinary or spot. */
+  /**
+   * Returns whether machines of the given type may run tasks of the job in at least one zone, spot
+   * or on demand.
+   */
   public boolean allowsInSomeZone(MachineType type) {
     return type.zones().stream()
         .anyMatch(z -> allows(type, z, /* onSpot= */ false) || allows(type, z, /* onSpot= */ true));
   }
 
-  /** How many of the tasks may be in one zone. */
+  /** Returns the maximum number of tasks in one zone. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/io/pearscale/protocol/ListedMachine.java
+++ b/src/main/java/io/pearscale/protocol/ListedMachine.java
@@ -1,12 +1,12 @@
 package io.pearscale.protocol;
 
 /**
- * A line of the cloud's machine list, which is some seconds old.
+ * An entry of the cloud's machine list, which lags a few seconds behind.
  *
- * @param address where the machine's agent takes commands; empty while that is not known
- * @param type the name of its machine type
- * @param spot whether the cloud may take it back after a short notice
- * @param stopped whether the cloud says that the machine has stopped by itself
+ * @param address the address at which the machine's agent accepts commands; empty while unknown
+ * @param type the name of the machine type
+ * @param spot whether the cloud may preempt the machine after a short notice
+ * @param stopped whether the cloud reports that the machine stopped without a request
  */
 public record ListedMachine(
     String name, String address, String type, String zone, boolean spot, boolean stopped) {}
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * A type of machine in the cloud's catalogue.
+ * A machine type of the cloud's catalogue.
  *
  * @param cpus processor cores
  * @param gpus accelerators
- * @param imageCacheGb room for images
- * @param fetchGbPerSecond the rate at which a machine fetches images, all of them together
- * @param onDemandPrice the price of an hour on demand
- * @param spotPrice the price of an hour as a spot machine
- * @param bootTime how long such a machine usually takes to boot
- * @param zones the zones that offer it
+ * @param imageCacheGb the capacity of the image cache in GB
+ * @param fetchGbPerSecond the total rate at which a machine fetches images
+ * @param onDemandPrice the price per hour on demand
+ * @param spotPrice the price per hour as a spot machine
+ * @param bootTime the usual boot time
+ * @param zones the zones that offer the type
  */
 public record MachineType(
     String name,
@@ -31,12 +31,14 @@
     Duration bootTime,
     List<String> zones) {
 
-  /** How long such a machine takes to fetch an image of that size, if it fetches nothing else. */
+  /**
+   * Returns how long a machine takes to fetch an image of the given size while it fetches no other.
+   */
   public Duration fetchTime(double imageGb) {
     return MessageFields.duration(imageGb / Math.max(1e-3, fetchGbPerSecond));
   }
 
-  /** Reads a catalogue; types that break the protocol are left out. */
+  /** Parses a catalogue and skips invalid entries. */
   public static List<MachineType> parseAll(JsonNode body) {
     List<MachineType> result = new ArrayList<>();
     try {
@@ -44,7 +46,7 @@
         try {
           result.add(parse(entry));
         } catch (MalformedMessageException e) {
-          // One bad line must not hide the others.
+          // An invalid entry must not hide the valid ones.
         }
       }
     } catch (MalformedMessageException e) {
@@ -69,7 +71,7 @@
         MessageFields.strings(node, "yards").orElse(List.of()));
   }
 
-  /** The type as the cloud writes it. */
+  /** Returns the type in the format of the cloud's catalogue. */
   public ObjectNode toNode() {
     ObjectNode node =
         MessagePack.map()
@@ -87,7 +89,7 @@
     return node;
   }
 
-  /** The price of an hour, as a spot machine or on demand. */
+  /** Returns the price per hour, as a spot machine or on demand. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
--- a/src/main/java/io/pearscale/protocol/MalformedMessageException.java
+++ b/src/main/java/io/pearscale/protocol/MalformedMessageException.java
@@ -1,10 +1,13 @@
 package io.pearscale.protocol;
 
-/** A message breaks the protocol; it is refused or dropped as a whole. The text names the field. */
+/**
+ * Signals that a message violates the protocol and is rejected as a whole. The message text names
+ * the invalid field.
+ */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says which field is wrong. */
+  /** Creates an exception without a stack trace; the text names the invalid field. */
   public MalformedMessageException(String message) {
     super(message, null, false, false);
   }
--- a/src/main/java/io/pearscale/protocol/MessageFields.java
+++ b/src/main/java/io/pearscale/protocol/MessageFields.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checked access to the fields of a message. Null and absent are the same. */
+/** Validated access to the fields of a message. A null field counts as missing. */
 public final class MessageFields {
   private static final double MAX_SECONDS = 1e9;
 
-  /** The largest amount that a message may name. */
+  /** The largest valid amount. */
   static final double MAX_AMOUNT = 1e9;
 
-  /** The longest text of a message that is kept. */
+  /** The maximum length of a text, in characters. */
   static final int MAX_TEXT_LENGTH = 200;
 
   private MessageFields() {}
@@ -23,7 +23,7 @@
     return node == null || node.isNull() ? Optional.empty() : Optional.of(node);
   }
 
-  /** The message must be a map. */
+  /** Returns the node if it is a map, and throws otherwise. */
   public static JsonNode requireMap(JsonNode node) throws MalformedMessageException {
     if (!node.isObject()) {
       throw new MalformedMessageException("not a map");
@@ -31,7 +31,7 @@
     return node;
   }
 
-  /** A text that may be missing. */
+  /** Returns a text of any length; empty if the field is missing. */
   public static Optional<String> optionalText(JsonNode map, String name)
       throws MalformedMessageException {
     Optional<JsonNode> node = get(map, name);
@@ -41,7 +41,7 @@
     return node.map(JsonNode::textValue);
   }
 
-  /** A text of 1 to 200 characters. */
+  /** Returns a required text of 1 to 200 characters. */
   public static String text(JsonNode map, String name) throws MalformedMessageException {
     String text =
         optionalText(map, name)
@@ -52,7 +52,7 @@
     return text;
   }
 
-  /** A finite amount that is not negative. */
+  /** Returns an amount from 0 to 1e9; empty if the field is missing. */
   public static Optional<Double> optionalAmount(JsonNode map, String name)
       throws MalformedMessageException {
     Optional<JsonNode> node = get(map, name);
@@ -66,28 +66,28 @@
     return Optional.of(value);
   }
 
-  /** A finite amount that is not negative, and must be there. */
+  /** Returns a required amount from 0 to 1e9. */
   public static double amount(JsonNode map, String name) throws MalformedMessageException {
     return optionalAmount(map, name)
         .orElseThrow(() -> new MalformedMessageException(name + ": missing"));
   }
 
-  /** A duration given in seconds. */
+  /** Returns a required duration, which the message specifies in seconds. */
   public static Duration seconds(JsonNode map, String name) throws MalformedMessageException {
     return duration(amount(map, name));
   }
 
-  /** A duration from seconds; absurdly long ones are cut, not overflowed. */
+  /** Converts seconds to a duration of at most 1e9 s, so that large values do not overflow. */
   public static Duration duration(double seconds) {
     return Duration.ofNanos((long) (Math.min(seconds, MAX_SECONDS) * 1e9));
   }
 
-  /** Seconds of a duration. */
+  /** Converts a duration to seconds. */
   public static double seconds(Duration duration) {
     return duration.toNanos() / 1e9;
   }
 
-  /** A whole number within bounds. */
+  /** Returns a required integer from {@code min} to {@code max}. */
   public static long integer(JsonNode map, String name, long min, long max)
       throws MalformedMessageException {
     JsonNode node =
@@ -102,7 +102,7 @@
     return value;
   }
 
-  /** A truth value. */
+  /** Returns a required boolean. */
   public static boolean bool(JsonNode map, String name) throws MalformedMessageException {
     JsonNode node =
         get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
@@ -112,7 +112,7 @@
     return node.booleanValue();
   }
 
-  /** A list of maps or texts; empty when it is missing. */
+  /** Returns the elements of a list, of any type; empty if the field is missing. */
   public static List<JsonNode> list(JsonNode map, String name) throws MalformedMessageException {
     Optional<JsonNode> node = get(map, name);
     if (node.isEmpty()) {
@@ -126,7 +126,7 @@
     return result;
   }
 
-  /** A list of texts; empty when the list itself is missing. */
+  /** Returns a list of texts of 1 to 200 characters; empty if the field is missing. */
   public static Optional<List<String>> strings(JsonNode map, String name)
       throws MalformedMessageException {
     if (get(map, name).isEmpty()) {
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -4,79 +4,83 @@
 import java.util.Optional;
 
 /**
- * A record that one controller sends another one; its bytes are those of {@link PeerMessageCodec}.
+ * A message between controllers. {@link PeerMessageCodec} defines its encoding as a peer record.
  */
 public sealed interface PeerMessage {
-  /** The version of the records, see {@link PeerVersions}. */
+  /** The version of the encoding, see {@link PeerVersions}. */
   int VERSION = 3;
 
   /**
-   * A controller is alive. Sent to all peers periodically.
+   * A periodic heartbeat of a controller to all peers.
    *
-   * @param term the highest term that the sender knows
-   * @param leader the controller that leads in it; an empty text if the sender knows of none
-   * @param storeHealthy whether the key-value store has answered the sender lately
+   * @param term the highest term that the sender has seen
+   * @param leader the leader of that term; empty if the sender does not know it
+   * @param storeHealthy whether the key-value store has answered the sender recently
    */
   record ControllerHeartbeat(long term, String leader, boolean storeHealthy)
       implements PeerMessage {}
 
   /**
-   * An agent's heartbeat, on its way to the leader.
+   * An agent's heartbeat that a controller forwards to the leader.
    *
-   * @param exchangeId names the exchange; chosen by the sender, and never used twice by it
+   * @param exchangeId identifies the exchange; the sender never reuses it
    */
   record ForwardedHeartbeat(long exchangeId, Heartbeat heartbeat) implements PeerMessage {}
 
-  /** The leader's response to a forwarded heartbeat, under the same exchange. */
+  /** The leader's response to the forwarded heartbeat with the same exchange id. */
   record ForwardedHeartbeatResponse(long exchangeId, HeartbeatResponse response)
       implements PeerMessage {}
 
   /**
-   * The leader asks its peers to confirm that there is no later term, and which cancellations they
-   * have acknowledged.
+   * A request of the leader that its peers confirm that they know of no later term and report the
+   * cancellations that they have acknowledged.
    *
-   * @param nonce names the request
-   * @param storeRevision the revision of the leader's copy of the keys
+   * @param nonce identifies the request
+   * @param storeRevision the revision of the leader's replica of the store
    */
   record ConfirmationRequest(long nonce, long storeRevision) implements PeerMessage {}
 
   /**
-   * A peer's answer to a {@link ConfirmationRequest}, as of a time after the request.
+   * A peer's answer to a {@link ConfirmationRequest}, with its state after it received the request.
    *
-   * @param nonce names the request
-   * @param term the highest term that the peer knows
-   * @param cancelledJobs the jobs whose cancellation it acknowledged to users lately
-   * @param liveJobs the jobs that are live as far as it knows, from a peer that loaded its copy of
-   *     the keys later than the leader: what its previous process acknowledged shows in this alone
+   * @param nonce identifies the request
+   * @param term the highest term that the peer has seen
+   * @param cancelledJobs the jobs whose cancellation the peer recently acknowledged to users
+   * @param liveJobs the live jobs that the peer knows; present only if the peer loaded its replica
+   *     of the store later than the leader, because cancellations that a previous process of the
+   *     peer acknowledged are visible only in this list
    */
   record Confirmation(
       long nonce, long term, List<String> cancelledJobs, Optional<LiveJobs> liveJobs)
       implements PeerMessage {}
 
   /**
-   * The jobs that were live at a revision of the key-value store. All others that were submitted by
-   * then are over.
+   * The jobs that were live at a revision of the key-value store. All other jobs submitted before
+   * that revision have ended.
    */
   record LiveJobs(long storeRevision, List<String> jobs) {}
 
-  /** The sender acknowledges to users that the job is cancelled, which is durable by then. */
+  /**
+   * Announces that the sender acknowledges the cancellation of the job to users. The cancellation
+   * is already durable.
+   */
   record JobCancelled(String job) implements PeerMessage {}
 
-  /** Counts of tasks that have changed; the leader sends them for display. */
+  /** Changed task counts, which the leader sends to its peers for display. */
   record TaskCounts(List<JobTaskCount> jobs) implements PeerMessage {}
 
-  /** How many tasks of a job are done, and how many run. */
+  /** The numbers of completed and running tasks of a job. */
   record JobTaskCount(String job, int done, int running) {}
 
-  /** Encodes a record as it is sent. */
+  /** Encodes a message as a peer record. */
   static byte[] encode(PeerMessage message) {
     return PeerMessageCodec.encode(message);
   }
 
   /**
-   * Decodes a record as it was received.
+   * Decodes a peer record.
    *
-   * @throws MalformedMessageException if the bytes are no record of {@link #VERSION}
+   * @throws MalformedMessageException if the bytes are not a valid record of {@link #VERSION}
    */
   static PeerMessage decode(byte[] frame) throws MalformedMessageException {
     return PeerMessageCodec.decode(frame);
--- a/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -19,8 +19,8 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes what controllers send each other: a byte that names the kind, then the fields
- * as {@link DataOutputStream} writes them.
+ * Encodes and decodes messages between controllers as peer records. A record is a byte that
+ * identifies the message type, followed by the fields as written by {@link DataOutputStream}.
  */
 final class PeerMessageCodec {
   private static final int CONTROLLER_HEARTBEAT = 1;
@@ -31,18 +31,18 @@
   private static final int CONFIRMATION = 6;
   private static final int JOB_CANCELLED = 7;
 
-  /** Enough for most records, in bytes. */
+  /** Large enough for most records. */
   private static final int INITIAL_BUFFER_BYTES = 256;
 
   private PeerMessageCodec() {}
 
-  /** Encodes a record. */
+  /** Encodes a message as a record. */
   static byte[] encode(PeerMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       write(out, message);
     } catch (IOException e) {
-      throw new IllegalStateException("memory does not fail", e);
+      throw new IllegalStateException("failed to write a peer record in memory", e);
     }
     return bytes.toByteArray();
   }
@@ -113,8 +113,7 @@
   /**
    * Decodes a record.
    *
-   * @throws MalformedMessageException if the bytes are no record of this version; they change
-   *     nothing then
+   * @throws MalformedMessageException if the bytes are not a valid record of this version
    */
   static PeerMessage decode(byte[] frame) throws MalformedMessageException {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
@@ -174,10 +173,10 @@
     return strings;
   }
 
-  /** The number of entries that follow. */
+  /** Reads the number of entries that follow. */
   static int readCount(DataInputStream in) throws IOException, MalformedMessageException {
     int count = in.readInt();
-    // Each entry takes at least one byte: a larger count is garbage and must not reserve memory.
+    // Each entry takes at least one byte. A larger count is invalid and must not allocate memory.
     if (count < 0 || count > in.available()) {
       throw new MalformedMessageException("peer record with an impossible count");
     }
--- a/src/main/java/io/pearscale/protocol/PeerVersions.java
+++ b/src/main/java/io/pearscale/protocol/PeerVersions.java
@@ -5,19 +5,19 @@
 import java.util.regex.Pattern;
 
 /**
- * The versions of records between controllers that a build understands, both ends included. A
- * controller names them when it connects: {@code pearscale/3}, or {@code pearscale/3-4} for more
- * than one. Two controllers are linked where the ranges overlap; this build sends its one version,
- * and a later release has to send it that one too.
+ * The range of peer record versions that a build supports, both ends included. A controller
+ * announces it in the greeting when it connects: {@code pearscale/3}, or {@code pearscale/3-4} for
+ * more than one version. Two controllers can connect if their ranges overlap. This build always
+ * sends version 3, so a later release must also send version 3 to controllers of this build.
  */
 public record PeerVersions(int lowest, int highest) {
-  /** What this build understands. */
+  /** The versions that this build supports. */
   public static final PeerVersions SUPPORTED =
       new PeerVersions(PeerMessage.VERSION, PeerMessage.VERSION);
 
   private static final Pattern GREETING = Pattern.compile("pearscale/(\\d{1,9})(?:-(\\d{1,9}))?");
 
-  /** Reads a greeting; empty for what is none. */
+  /** Parses a greeting; empty if it is malformed. */
   public static Optional<PeerVersions> parse(String greeting) {
     Matcher matcher = GREETING.matcher(greeting);
     if (!matcher.matches()) {
@@ -28,17 +28,17 @@
     return lowest <= highest ? Optional.of(new PeerVersions(lowest, highest)) : Optional.empty();
   }
 
-  /** How a controller of this build greets another one. */
+  /** Returns the greeting that announces this range. */
   public String greeting() {
     return "pearscale/" + (lowest == highest ? "" + lowest : lowest + "-" + highest);
   }
 
-  /** Whether there is a version that both understand. */
+  /** Returns whether both ranges have a version in common. */
   public boolean overlaps(PeerVersions other) {
     return lowest <= other.highest && other.lowest <= highest;
   }
 
-  /** Whether a controller that greets so can be talked to. */
+  /** Returns whether the greeting is valid and its range overlaps this one. */
   public boolean accepts(String peerGreeting) {
     return parse(peerGreeting).map(this::overlaps).orElse(false);
   }
--- a/src/main/java/io/pearscale/protocol/Priority.java
+++ b/src/main/java/io/pearscale/protocol/Priority.java
@@ -2,19 +2,19 @@
 
 import java.util.Optional;
 
-/** Priorities, lowest first, with their names on the wire. */
+/** The priorities of jobs, in ascending order. */
 public enum Priority {
   IDLE,
   NORMAL,
   HIGH,
   CRITICAL;
 
-  /** The name on the wire. */
+  /** Returns the name on the wire. */
   public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** Finds a priority by its name on the wire. */
+  /** Returns the priority with the given wire name; empty if there is none. */
   public static Optional<Priority> parse(String name) {
     for (Priority priority : values()) {
       if (priority.wireName().equals(name)) {
--- a/src/main/java/io/pearscale/protocol/Settings.java
+++ b/src/main/java/io/pearscale/protocol/Settings.java
@@ -9,22 +9,23 @@
 import java.util.TreeSet;
 
 /**
- * The platform's settings of one controller.
+ * The platform settings of a controller.
  *
- * @param controllerName the name of this controller, unique among the controllers
- * @param zone the zone that it runs in
- * @param clientListen where users, agents and the load balancer connect
- * @param peerListen where the other controllers connect
- * @param peers the other controllers, and where they listen for this one
- * @param cloudAddress the cloud's address, as host and port
- * @param storeAddress the key-value store's address, as host and port
+ * @param controllerName the name of this controller, unique among all controllers
+ * @param zone the zone in which this controller runs
+ * @param clientListen the listen address for users, agents and the load balancer
+ * @param peerListen the listen address for the other controllers
+ * @param peers the names and listen addresses of the other controllers
+ * @param cloudAddress the host and port of the cloud's API
+ * @param storeAddress the host and port of the key-value store
  * @param teams the teams and their quotas
- * @param serviceLevelObjectives what is expected of classes of jobs
+ * @param serviceLevelObjectives the objectives of the job classes
  * @param agents the timing of agents
- * @param storeLimits the limits of the key-value store, for all controllers together
+ * @param storeLimits the limits of the key-value store, shared by all controllers
  * @param cloudLimits the limits of the cloud
- * @param maxConnections how many sockets this controller may have open
- * @param cpuShare the part of a processor's core that this controller has; 1 is a whole core
+ * @param maxConnections the maximum number of open sockets of this controller
+ * @param cpuShare the share of a processor core that is available to this controller; 1 is a whole
+ *     core
  */
 public record Settings(
     String controllerName,
@@ -42,60 +43,61 @@
     int maxConnections,
     double cpuShare) {
 
-  /** The TTL of the lease of a leader that has at least half a core. */
+  /** The TTL of the leader lease with at least half a core. */
   private static final Duration MIN_LEADER_LEASE_TTL = Duration.ofMillis(2200);
 
   private static final Duration MAX_LEADER_LEASE_TTL = Duration.ofSeconds(6);
   private static final Duration MAX_RELAY_TIMEOUT = Duration.ofMillis(3200);
   private static final double HALF_CORE = 0.5;
 
-  /** A smaller share of a core is taken for this one. */
+  /** The lower bound of the share of a core in calculations. */
   private static final double MIN_CPU_SHARE = 1e-3;
 
-  /** What is left of the cancellation timeout for delays between the parts of the system. */
+  /** The part of the cancellation timeout that is reserved for delays between components. */
   private static final Duration CANCELLATION_MARGIN = Duration.ofSeconds(6);
 
   private static final Duration MIN_RENEWAL_AUTHORITY_TIMEOUT = Duration.ofSeconds(1);
 
   /**
-   * A team's quota. An amount of 0 means that there is no guarantee, or no limit.
+   * The quota of a team. An amount of 0 means no guarantee or no limit.
    *
-   * @param guaranteedCpus processor cores that the team gets before others
-   * @param cpuLimit processor cores that its tasks may use at any time
-   * @param guaranteedGpus accelerators that the team gets before others
-   * @param gpuLimit accelerators that its tasks may use at any time
+   * @param guaranteedCpus processor cores that are guaranteed to the team
+   * @param cpuLimit the maximum number of processor cores that its running tasks may use
+   * @param guaranteedGpus accelerators that are guaranteed to the team
+   * @param gpuLimit the maximum number of accelerators that its running tasks may use
    */
   public record Team(
       String name, double guaranteedCpus, double cpuLimit, double guaranteedGpus, double gpuLimit) {
-    /** Whether there is any guarantee or limit, so that the team's usage must be counted. */
+    /** Returns whether the team has a guarantee or a limit, so that its usage must be counted. */
     public boolean hasQuota() {
       return guaranteedCpus > 0 || guaranteedGpus > 0 || hasQuotaLimit();
     }
 
-    /** Whether its tasks may use only so much at any time. */
+    /** Returns whether the resources of its running tasks are limited. */
     public boolean hasQuotaLimit() {
       return cpuLimit > 0 || gpuLimit > 0;
     }
   }
 
   /**
-   * What is expected of a class of jobs.
+   * A service-level objective of a job class.
    *
-   * @param kind what is measured, in the words of the settings
-   * @param jobClass the class of jobs
-   * @param target the time within which it is expected
+   * @param kind the measured quantity, as named in the settings
+   * @param jobClass the job class
+   * @param target the time limit
    */
   public record ServiceLevelObjective(String kind, String jobClass, Duration target) {}
 
   /**
    * The timing of agents.
    *
-   * @param heartbeatInterval how often an agent sends a heartbeat
-   * @param leaseTtl how long after the sending of the last answered heartbeat an agent's lease
-   *     ends, and with it all of its tasks
-   * @param cancellationTimeout within this time of the acknowledgement no task of a cancelled job
-   *     may run
-   * @param gangs the timing of gang jobs; empty if the platform names none, and serves no gangs
+   * @param heartbeatInterval the interval between heartbeats of an agent
+   * @param leaseTtl the time from sending the last answered heartbeat until the lease of the agent
+   *     expires, which ends all of its tasks
+   * @param cancellationTimeout the time after the acknowledgement of a cancellation within which
+   *     all tasks of the job must have stopped
+   * @param gangs the timing of gang jobs; empty if the settings contain none, which disables gang
+   *     jobs
    */
   public record AgentSettings(
       Duration heartbeatInterval,
@@ -106,25 +108,25 @@
   /**
    * The timing of gang jobs.
    *
-   * @param formationTimeout how long a task waits for the others of its attempt
-   * @param peerLossTimeout within this time of the loss of one all others have to be stopped
+   * @param formationTimeout how long a task waits for the other tasks of its attempt
+   * @param peerLossTimeout the time within which the other tasks must be stopped after one is lost
    */
   public record GangTimeouts(Duration formationTimeout, Duration peerLossTimeout) {}
 
   /**
    * The limits of the key-value store.
    *
-   * @param requestsPerSecond requests of any kind
-   * @param writesPerSecond keys written or deleted
-   * @param maxValueBytes the largest value
-   * @param maxTransactionOperations keys that a transaction may write and delete
+   * @param requestsPerSecond the maximum rate of all requests
+   * @param writesPerSecond the maximum rate of keys written or deleted
+   * @param maxValueBytes the maximum size of a value
+   * @param maxTransactionOperations the maximum number of keys that a transaction writes or deletes
    */
   public record StoreLimits(
       double requestsPerSecond,
       double writesPerSecond,
       int maxValueBytes,
       int maxTransactionOperations) {
-    /** The smaller of both in each respect. */
+    /** Returns the element-wise minimum of both. */
     public StoreLimits min(StoreLimits other) {
       return new StoreLimits(
           Math.min(requestsPerSecond, other.requestsPerSecond),
@@ -137,15 +139,15 @@
   /**
    * The limits of the cloud.
    *
-   * @param requestsPerSecond requests of any kind
-   * @param listLag by how much the list of machines usually is out of date
+   * @param requestsPerSecond the maximum rate of all requests
+   * @param listLag the usual lag of the machine list
    */
   public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 
   /**
-   * For how long after its last proof of leadership a leader may go on renewing leases of agents.
-   * After that, and one lease TTL more, every machine that it could have kept alive is empty; both
-   * together stay below the cancellation timeout, less a margin for delays.
+   * Returns how long a leader may renew agent leases after its last proof of leadership. One lease
+   * TTL later, every lease that it could have renewed has expired and the machine of the agent runs
+   * no tasks. The sum of both times stays below the cancellation timeout by a margin for delays.
    */
   public Duration renewalAuthorityTimeout() {
     Duration timeout =
@@ -156,12 +158,12 @@
   }
 
   /**
-   * The TTL of the leader's lease of the key-value store. On a small part of a core a start, a
-   * takeover or a large scheduling pass keeps a healthy leader from renewing for seconds, and
-   * deposing it costs another takeover, on a processor that is as slow. What takes a process by
-   * surprise grows with its slowness, though not all of it: the square root is between a TTL that
-   * is always short and one that lets a leader which is cut off keep others waiting for tens of
-   * seconds.
+   * Returns the TTL of the leader lease in the key-value store. On a small share of a core, a
+   * start, a takeover or a large scheduling pass prevents a healthy leader from renewing for
+   * seconds, and replacing it costs another takeover on an equally slow processor. Pauses increase
+   * with the slowdown, but less than proportionally. The TTL therefore scales with the square root
+   * of the slowdown: a constant TTL is too short on a slow processor, and a proportional one lets
+   * an isolated leader block the others for tens of seconds.
    */
   public Duration leaderLeaseTtl() {
     double slowdown = Math.sqrt(HALF_CORE / Math.max(MIN_CPU_SHARE, cpuShare));
@@ -172,22 +174,23 @@
     return ttl.compareTo(MAX_LEADER_LEASE_TTL) > 0 ? MAX_LEADER_LEASE_TTL : ttl;
   }
 
-  /** The names of all controllers, this one included, in alphabetical order. */
+  /** Returns the names of all controllers, including this one, in alphabetical order. */
   public Set<String> controllerNames() {
     Set<String> names = new TreeSet<>(peers.keySet());
     names.add(controllerName);
     return names;
   }
 
-  /** How this controller divides its sockets. */
+  /** Returns the division of the sockets of this controller. */
   public ConnectionLimits connectionLimits() {
     return ConnectionLimits.of(maxConnections);
   }
 
   /**
-   * For how long a relay waits for the leader's response to a heartbeat. Agents drop responses
-   * after 4 s, so a leader that is slow for a while is waited for almost as long; with a quick one,
-   * the sooner an agent learns that there is no response, the sooner it asks elsewhere.
+   * Returns how long a relay waits for the leader's response to a heartbeat. Agents drop responses
+   * after 4 s, so the timeout for a slow leader is almost as long. With a fast leader it is
+   * shorter, because an agent that learns sooner that there is no response tries another controller
+   * sooner.
    */
   public Duration relayTimeout() {
     Duration timeout = leaderLeaseTtl().multipliedBy(2).dividedBy(3);
--- a/src/main/java/io/pearscale/protocol/TaskId.java
+++ b/src/main/java/io/pearscale/protocol/TaskId.java
@@ -1,8 +1,12 @@
 package io.pearscale.protocol;
 
-/** Names a task: a job and an index. */
+/** The id of a task: a job id and the index of the task in the job. */
 public record TaskId(String job, int index) {
-  /** Reads {@code wk-000412/3}. */
+  /**
+   * Parses an id such as {@code wk-000412/3}.
+   *
+   * @throws MalformedMessageException if the text is not a valid task id
+   */
   public static TaskId parse(String text) throws MalformedMessageException {
     int slash = text.lastIndexOf('/');
     try {
@@ -18,8 +22,8 @@
     throw new MalformedMessageException("piece: " + text);
   }
 
-  // Written out: this is the key of most maps, and what a record gets by itself is linked at run
-  // time and far slower without the JVM's second compiler.
+  // Explicit implementations: this class is the key of most maps, and the implementations that a
+  // record generates are linked at run time and are much slower without the second JIT compiler.
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskId o && index == o.index && job.equals(o.job);
--- a/src/main/java/io/pearscale/protocol/WorkloadType.java
+++ b/src/main/java/io/pearscale/protocol/WorkloadType.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job depend on each other. */
 public enum WorkloadType {
-  /** Independent tasks, each of which runs to completion. */
+  /** Independent tasks that run to completion. */
   BATCH("batch"),
 
   /** Replicas that run until the job is cancelled. */
   SERVICE("service"),
 
-  /** Tasks that run all at the same time, or none does, and complete together. */
+  /** Tasks that all run at the same time and complete together. */
   GANG("group");
 
   private final String wireName;
@@ -20,12 +20,12 @@
     this.wireName = wireName;
   }
 
-  /** Its name in messages and in stored jobs. */
+  /** Returns the name in messages and in stored jobs. */
   public String wireName() {
     return wireName;
   }
 
-  /** The shape of that name; empty if there is none. */
+  /** Returns the type with the given wire name; empty if there is none. */
   public static Optional<WorkloadType> parse(String wireName) {
     return Arrays.stream(values()).filter(type -> type.wireName.equals(wireName)).findFirst();
   }
