--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -35,54 +35,57 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users. That a job is accepted, cancelled or done is acknowledged only once it is durable;
- * anything that could still change is answered only as fresh as the request, by a linearizable read
- * of the key-value store that began after it. What can't be answered so is refused with 503 at
- * once.
+ * Handles requests of users. The actor acknowledges that a job is accepted, cancelled or completed
+ * only after that state is durable. Any state that may still change is answered from a linearizable
+ * read of the key-value store that began after the request. A request that cannot be answered this
+ * way is immediately refused with 503.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
-  /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
+  /** The number of finished jobs whose outcome is cached, in LRU order. */
   private static final int MAX_CACHED_OUTCOMES = 20_000;
 
-  /** Beyond so many counts of tasks those of jobs that are over are dropped. */
+  /** Above this number, task counts of finished jobs are removed. */
   private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
 
-  /** The most that the value of a job holds beside its specification, in bytes. */
+  /** An upper bound for the size of a stored job value without its specification. */
   private static final int VALUE_OVERHEAD_BYTES = 100;
 
-  /** How often a cancellation that meets a change of the job is tried again. */
+  /** How often a cancellation is retried after a concurrent change of the job. */
   private static final int MAX_CANCELLATION_RETRIES = 3;
 
-  /** What the actor understands. */
+  /** The messages that the actor handles. */
   public sealed interface Message {}
 
-  /** A user submits a job; the body is empty if it is no MessagePack. */
+  /** A submission of a job by a user; the body is empty if it is not valid MessagePack. */
   public record Submit(Optional<JsonNode> body, Consumer<Response> respond) implements Message {}
 
-  /** A user asks for the status of a job. */
+  /** A request of a user for the status of a job. */
   public record Query(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** A user cancels a job. */
+  /** A request of a user to cancel a job. */
   public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** The copy of the keys was loaded. */
+  /** The replica of the store has been loaded. */
   public record ReplicaLoaded(Map<String, Entry> entries) implements Message {}
 
-  /** Keys changed. */
+  /** Keys of the replica have changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
 
   /**
-   * Asks for the cancellations that this controller has acknowledged lately.
+   * A request for the cancellations that this controller has recently acknowledged.
    *
-   * @param respond takes the ids of those jobs, and of all that are live
+   * @param respond receives the ids of those jobs and the ids of all live jobs
    */
   public record RecentCancellations(BiConsumer<List<String>, List<String>> respond)
       implements Message {}
 
-  /** A peer acknowledges that a job is cancelled, which is durable; so it may be done here too. */
+  /**
+   * A peer acknowledges the cancellation of a job. The cancellation is durable, so this controller
+   * may acknowledge it as well.
+   */
   public record JobCancelled(String job) implements Message {}
 
-  /** The leader's counts of tasks, for display. */
+  /** Task counts from the leader, for display. */
   public record TaskCountsChanged(List<JobTaskCount> jobs) implements Message {}
 
   private record SubmissionCommitted(JobSpec spec, Consumer<Response> respond, Reply reply)
@@ -99,7 +102,7 @@
   private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> callback)
       implements Message {}
 
-  /** What is known of a job, as fresh as the request. */
+  /** The state of a job at a time after the request. */
   private sealed interface Lookup {}
 
   private record LiveJob(Entry entry) implements Lookup {}
@@ -118,19 +121,22 @@
   private final Consumer<String> cancellationListener;
   private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
 
-  /** All jobs that are not over, as far as the copy of the keys shows. */
+  /** The live jobs in the replica of the store. */
   private final Set<String> liveJobs = new HashSet<>();
 
   private List<MachineType> machineTypes = List.of();
   private boolean replicaLoaded;
 
-  /** Requests of users that are not responded to yet. */
+  /** The number of user requests without a response. */
   private int openRequests;
 
-  /** When each cancelled job was last acknowledged to be, or was by a peer; the oldest first. */
+  /**
+   * The time at which this controller or a peer last acknowledged each cancellation, in insertion
+   * order.
+   */
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
 
-  /** How jobs ended, by id. */
+  /** The outcomes of finished jobs by job id. */
   private final Map<String, JobOutcome> cachedOutcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -142,11 +148,11 @@
       };
 
   /**
-   * Answers from the key-value store and the copy of it.
+   * Creates an actor that answers from the key-value store and its replica.
    *
-   * @param wallClock the time of day, with which submissions are stored
-   * @param levelGate says whether gang jobs can be stored yet
-   * @param cancellationListener takes each job whose cancellation is about to be acknowledged
+   * @param wallClock the clock for the stored submission times
+   * @param levelGate determines whether gang jobs can be stored
+   * @param cancellationListener receives each job before its cancellation is acknowledged to a user
    */
   public ApiActor(
       EventLoop loop,
@@ -202,7 +208,7 @@
     }
   }
 
-  /** Counts open requests, so that a flood is refused while it can still be refused quickly. */
+  /** Counts open requests, so that requests in excess of the limit can be refused quickly. */
   private Consumer<Response> trackOpenRequest(Consumer<Response> respond) {
     openRequests++;
     return r -> {
@@ -225,7 +231,7 @@
     }
   }
 
-  // ---- Submitting ----
+  // ---- Submission ----
 
   private void submit(Optional<JsonNode> body, Consumer<Response> respond) {
     JobSpec spec;
@@ -252,7 +258,7 @@
     }
     Optional<Response> refusal = validator.refusal(spec, machineTypes, liveJobs.size());
     if (refusal.isPresent()) {
-      // An id that is known already is not validated again.
+      // A retry with the id of a known job is not validated again.
       lookup(spec.id(), lookup -> respond.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
@@ -296,7 +302,8 @@
           jobId,
           lookup -> message.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
-      // Whether it was applied is open. The user asks again with the same id, which settles it.
+      // The transaction may have been applied. The user retries with the same id, which resolves
+      // this.
       log.info("event=job_refused job={} status={}", jobId, message.reply.status());
       message.respond.accept(JobResponses.storeUnavailable());
     }
@@ -314,7 +321,7 @@
     return JobResponses.storeUnavailable();
   }
 
-  // ---- Asking ----
+  // ---- Status lookup ----
 
   private void lookup(String jobId, Consumer<Lookup> callback) {
     JobOutcome outcome = cachedOutcomes.get(jobId);
@@ -335,14 +342,15 @@
   private void liveRecordRead(LiveRecordRead message) {
     JobOutcome outcome = cachedOutcomes.get(message.jobId);
     if (outcome != null) {
-      // It ended while the read was under way, and this controller has acknowledged that.
+      // The job finished during the read, and this controller has acknowledged that.
       message.callback.accept(new FinishedJob(outcome));
     } else if (message.entry.isEmpty()) {
       message.callback.accept(new UnknownStatus());
     } else if (message.entry.get().isPresent()) {
       message.callback.accept(new LiveJob(message.entry.get().get()));
     } else {
-      // Not live at a time after the request: over by then, or never accepted by then.
+      // The job was not live at a time after the request, so it has either finished or was never
+      // accepted.
       store.get(
           Keys.finishedJob(message.jobId),
           r -> tell(new FinishedRecordRead(message.jobId, r, message.callback)));
@@ -363,8 +371,9 @@
   }
 
   /**
-   * A cancellation is about to be acknowledged to users. All controllers are told first: the leader
-   * may not learn of it from the key-value store, and should this process end, another still knows.
+   * Announces a cancellation to all controllers before it is acknowledged to users. The leader may
+   * not learn of it from the key-value store, and another controller still knows it if this process
+   * ends.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
     if (outcome.isCancelled()
@@ -374,8 +383,9 @@
   }
 
   /**
-   * The cancellations that a leader may not know of although its proof of leadership holds; that is
-   * never older than the renewal authority timeout.
+   * Returns the cancellations that a leader with a valid proof of leadership may not know. Such a
+   * proof is never older than the renewal authority timeout; entries older than twice that timeout
+   * are removed.
    */
   private List<String> recentCancellations() {
     Instant limit =
@@ -401,7 +411,7 @@
     return JobResponses.storeUnavailable();
   }
 
-  // ---- Cancelling ----
+  // ---- Cancellation ----
 
   private void cancel(String jobId, Consumer<Response> respond, int retries) {
     lookup(
@@ -440,7 +450,7 @@
       message.respond.accept(JobResponses.stage(message.jobId, JobOutcome.CANCELLED));
     } else if (StoreReplies.isConflict(message.reply)
         && message.retries < MAX_CANCELLATION_RETRIES) {
-      // Done or cancelled meanwhile: look again.
+      // The job was completed or cancelled concurrently, so its state is read again.
       cancel(message.jobId, message.respond, message.retries + 1);
     } else {
       message.respond.accept(JobResponses.storeUnavailable());
--- a/src/main/java/io/pearscale/api/JobResponses.java
+++ b/src/main/java/io/pearscale/api/JobResponses.java
@@ -6,35 +6,35 @@
 import io.pearscale.transport.MessagePack;
 import java.time.Duration;
 
-/** The responses to users' requests about one job. */
+/** Responses to user requests about a job. */
 final class JobResponses {
-  /** No task of the job runs. */
+  /** The stage of a live job without running tasks. */
   static final String PENDING = "pending";
 
-  /** A task of the job runs. */
+  /** The stage of a live job with at least one running task. */
   static final String RUNNING = "running";
 
-  /** When users are to ask again whom this controller can't answer now. */
+  /** The delay before a retry if this controller cannot answer a request. */
   private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private JobResponses() {}
 
-  /** The submission is durable. */
+  /** Returns the response to a submission that is durable. */
   static Response accepted(String jobId) {
     return Response.of(201, stageBody(jobId, PENDING));
   }
 
-  /** The job is known, and in that stage. */
+  /** Returns the response for a known job in the given stage. */
   static Response stage(String jobId, String stage) {
     return Response.of(200, stageBody(jobId, stage));
   }
 
-  /** The status of a job that is live. */
+  /** Returns the status of a live job. */
   static Response status(String jobId, String stage, int done, int running) {
     return Response.of(200, stageBody(jobId, stage).put("done", done).put("running", running));
   }
 
-  /** The status of a job that is over. */
+  /** Returns the status of a finished job. */
   static Response status(String jobId, JobOutcome outcome) {
     return status(jobId, outcome.stage(), outcome.completedTasks(), 0);
   }
@@ -43,22 +43,25 @@
     return MessagePack.map().put("uid", jobId).put("stage", stage);
   }
 
-  /** The submission breaks the protocol. */
+  /** Returns the response to a submission that violates the protocol. */
   static Response malformed(String reason) {
     return Response.of(400, MessagePack.map().put("error", reason));
   }
 
-  /** There never was such a job. */
+  /** Returns the response for an unknown job. */
   static Response notFound() {
     return Response.of(404, MessagePack.map().put("error", "no such job"));
   }
 
-  /** The answer is not known now. */
+  /** Returns a 503 response if this controller cannot answer at present. */
   static Response unavailable(String reason) {
     return Response.unavailable(RETRY_AFTER, reason);
   }
 
-  /** The key-value store does not answer, or not as fresh as the request. */
+  /**
+   * Returns the response if the key-value store does not answer, or if no read that began after the
+   * request is available.
+   */
   static Response storeUnavailable() {
     return unavailable("state service");
   }
--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -16,21 +16,24 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Decides whether a job that users submit can be accepted, or why not. */
+/** Validates submitted jobs against the settings, the machine types and the schema level. */
 final class SubmissionValidator {
-  /** How many jobs may be live at the same time. */
+  /** The maximum number of live jobs. */
   static final int MAX_LIVE_JOBS = 20_000;
 
-  /** When users are to ask again while the catalogue of machine types is unknown. */
+  /** The delay before a retry while the machine types are unknown. */
   private static final Duration CATALOGUE_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** When users are to ask again while too many jobs are live. */
+  /** The delay before a retry while too many jobs are live. */
   private static final Duration TOO_MANY_JOBS_RETRY_AFTER = Duration.ofSeconds(30);
 
-  /** The level rises within about a second of when the last controller says what it supports. */
+  /**
+   * The delay before a retry while the schema level is too low. The level rises within about a
+   * second after the last controller announces that it supports the next level.
+   */
   private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** By so much sums of processors may exceed a limit, as they are rounded. */
+  /** The tolerance for rounding errors in sums of processor cores. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Settings settings;
@@ -38,9 +41,9 @@
   private final Map<String, Team> teams = new HashMap<>();
 
   /**
-   * Validates by the teams and limits of the settings.
+   * Creates a validator with the teams and limits of the settings.
    *
-   * @param levelGate says what can be stored under the schema level in force
+   * @param levelGate determines what can be stored at the active schema level
    */
   SubmissionValidator(Settings settings, LevelGate levelGate) {
     this.settings = settings;
@@ -49,10 +52,10 @@
   }
 
   /**
-   * Why a new job is refused; empty if it can be accepted.
+   * Returns the response that refuses a new job; empty if the job can be accepted.
    *
-   * @param machineTypes the catalogue of the cloud; empty while it is unknown
-   * @param liveJobs how many jobs are live
+   * @param machineTypes the machine types of the cloud; empty while they are unknown
+   * @param liveJobs the number of live jobs
    */
   Optional<Response> refusal(JobSpec spec, List<MachineType> machineTypes, int liveJobs) {
     if (machineTypes.isEmpty()) {
@@ -81,7 +84,7 @@
         : Optional.empty();
   }
 
-  /** A limit of 0 is none. */
+  /** Returns whether the amount exceeds the limit. A limit of 0 means no limit. */
   private static boolean exceeds(double amount, double limit) {
     return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
   }
@@ -102,8 +105,9 @@
   }
 
   /**
-   * A job whose placement records exceed a value of the key-value store could never start a task.
-   * Where a later schema level takes smaller partitions of jobs, it is only a matter of time.
+   * Refuses a job whose placement records exceed the maximum value size of the key-value store,
+   * because none of its tasks could ever start. The refusal is temporary if a later schema level
+   * stores the job in smaller partitions.
    */
   private Optional<Response> recordSizeRefusal(JobSpec spec, Team team) {
     int maxValueBytes = settings.storeLimits().maxValueBytes();
--- a/src/main/java/io/pearscale/api/TaskCountPublisher.java
+++ b/src/main/java/io/pearscale/api/TaskCountPublisher.java
@@ -9,27 +9,30 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Publishes how many tasks of each job are done and run, for users of all controllers. */
+/**
+ * Publishes the numbers of completed and running tasks of each job, so that all controllers can
+ * show them to users.
+ */
 public final class TaskCountPublisher {
-  /** Of how many jobs that are over counts may be kept beside those of live ones. */
+  /** The number of finished jobs whose counts may be kept in addition to those of live jobs. */
   private static final int MAX_FINISHED_JOB_COUNTS = 1000;
 
   private final JobTable jobs;
   private final Consumer<List<JobTaskCount>> listener;
   private final Map<String, JobTaskCount> lastPublished = new HashMap<>();
 
-  /** Publishes to the listener. */
+  /** Creates a publisher that passes changed counts to the listener. */
   public TaskCountPublisher(JobTable jobs, Consumer<List<JobTaskCount>> listener) {
     this.jobs = jobs;
     this.listener = listener;
   }
 
-  /** Forgets what was published. */
+  /** Clears the published counts, so that all counts are published again. */
   public void clear() {
     lastPublished.clear();
   }
 
-  /** Publishes the counts that have changed since the last time. */
+  /** Publishes the counts that have changed since the previous call. */
   public void publishChanges() {
     List<JobTaskCount> changed = new ArrayList<>();
     for (Job job : jobs.all()) {
--- a/src/main/java/io/pearscale/api/package-info.java
+++ b/src/main/java/io/pearscale/api/package-info.java
@@ -1,2 +1,6 @@
-/** The users' interface: submissions, queries, cancellations and task counts. */
+/**
+ * The API for users: submission, status and cancellation of jobs, and the publication of task
+ * counts. HTTP handling belongs to {@code transport} and the routing of requests to {@code
+ * scheduler}.
+ */
 package io.pearscale.api;
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -55,7 +55,7 @@
       implements PeerMessage {}
 
   /**
-   * The jobs that were live at a revision of the key-value store. All other jobs submitted before
+   * The jobs that were live at a revision of the key-value store. All other jobs submitted up to
    * that revision have ended.
    */
   record LiveJobs(long storeRevision, List<String> jobs) {}
--- a/src/main/java/io/pearscale/transport/Actor.java
+++ b/src/main/java/io/pearscale/transport/Actor.java
@@ -5,18 +5,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns its state and is spoken to by messages only.
+ * Owns its state, which changes only while the actor handles a message.
  *
- * <p>Requests from outside are offered and refused while many messages wait, so that overload shows
- * at the edge as a 503 and never as memory. All else is told and never dropped: an actor that
- * missed a change of the keys, and took a later one in, would take its knowledge for complete. What
- * is told needs no bound of its own, since its number follows from calls and timers that are under
- * way.
+ * <p>{@link #offer} is for external requests. It refuses them while the mailbox is full, so that
+ * overload results in a 503 response instead of memory growth. {@link #tell} is for all other
+ * messages and never drops one: an actor that missed a key change and then received a later one
+ * would treat its incomplete state as complete. These messages need no limit, because their number
+ * is bounded by the calls and timers in progress.
  *
- * @param <M> the messages that the actor understands
+ * @param <M> the type of the messages that the actor handles
  */
 public abstract class Actor<M> {
-  /** Requests are refused while so many messages wait. */
+  /** The number of queued messages at which requests are refused. */
   static final int MAILBOX_CAPACITY = 8192;
 
   private static final int MESSAGES_PER_TURN = 64;
@@ -27,12 +27,12 @@
   private int queuedMessages;
   private boolean drainScheduled;
 
-  /** Makes an actor whose messages are handled on the loop, one after the other. */
+  /** Creates an actor that handles its messages sequentially on the event loop. */
   protected Actor(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Leaves a request; false when too much waits already and it was not taken. */
+  /** Enqueues a request, or returns false if the mailbox is full. */
   public final boolean offer(M request) {
     if (queuedMessages >= MAILBOX_CAPACITY) {
       log.warn("event=mailbox_full actor={}", getClass().getSimpleName());
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /** Leaves a message; it is handled after those that were left before. */
+  /** Enqueues a message, which is handled after all messages enqueued earlier. */
   public final void tell(M message) {
     mailbox.offer(message);
     queuedMessages++;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Handles one message; the only place where the actor's state changes. */
+  /** Handles one message. Only this method changes the state of the actor. */
   protected abstract void receive(M message);
 
   private void drain() {
@@ -63,7 +63,7 @@
       try {
         receive(message);
       } catch (RuntimeException e) {
-        // One bad message must not silence the actor: it is dropped, and the next one is handled.
+        // A failed message is dropped, so that the actor still handles the following ones.
         log.error(
             "event=message_failed actor={} message={}",
             getClass().getSimpleName(),
--- a/src/main/java/io/pearscale/transport/Body.java
+++ b/src/main/java/io/pearscale/transport/Body.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * The body of a request or an answer. Whoever needs it decodes it, and only as far: what comes most
- * often is read from and written to bytes, all else as a tree.
+ * The body of a request or response, which is decoded only on demand. The most frequent messages
+ * are decoded from and encoded to bytes directly; all others use a tree.
  */
 public interface Body {
-  /** The body as it came; no bytes if there is none. */
+  /** Returns the encoded body; an empty array if there is none. */
   byte[] bytes();
 
-  /** The body as a tree; empty when it is absent or no MessagePack. */
+  /** Returns the body as a tree; empty if the body is absent or not valid MessagePack. */
   Optional<JsonNode> tree();
 
-  /** A body as it comes over the wire. */
+  /** Returns a body with the given encoded bytes. */
   static Body of(byte[] bytes) {
     return new Body() {
       @Override
@@ -29,7 +29,7 @@
     };
   }
 
-  /** A body that is a tree already; a missing node stands for none. */
+  /** Returns a body with the given tree; a missing node represents an absent body. */
   static Body of(JsonNode node) {
     return new Body() {
       @Override
--- a/src/main/java/io/pearscale/transport/BodyReader.java
+++ b/src/main/java/io/pearscale/transport/BodyReader.java
@@ -8,11 +8,11 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Reads the body of a request as a whole. Undertow's own receiver copies it byte by byte, which
- * took a sixth of the time of a controller whose code was not compiled yet.
+ * Reads the entire body of a request. Undertow's own receiver copies it byte by byte, which took a
+ * sixth of the time of a controller whose code was not yet JIT-compiled.
  */
 final class BodyReader {
-  /** For a body whose length was not said. */
+  /** The initial buffer size if the request does not declare the length of its body. */
   private static final int INITIAL_CAPACITY = 1024;
 
   private final Consumer<byte[]> onComplete;
@@ -24,14 +24,15 @@
       long contentLength, Consumer<byte[]> onComplete, Consumer<IOException> onFailure) {
     this.onComplete = onComplete;
     this.onFailure = onFailure;
-    // One more than was said, so that the end is met without another buffer.
+    // One byte more than declared, so that the end of the stream is detected without growing the
+    // buffer.
     this.bytes = new byte[contentLength >= 0 ? (int) contentLength + 1 : INITIAL_CAPACITY];
   }
 
   /**
-   * Reads to the end, now or when more has come.
+   * Reads the body up to its end, immediately or as more bytes arrive.
    *
-   * @param maxLength the longest body; a longer one fails
+   * @param maxLength the maximum length of the body in bytes; a longer body fails
    */
   static void read(
       HttpServerExchange exchange,
@@ -44,7 +45,9 @@
     }
     long contentLength = exchange.getRequestContentLength();
     if (contentLength > maxLength) {
-      onFailure.accept(new IOException("body of " + contentLength + " bytes"));
+      onFailure.accept(
+          new IOException(
+              "request body of " + contentLength + " bytes exceeds the maximum length"));
       return;
     }
     new BodyReader(contentLength, onComplete, onFailure).readMore(exchange.getRequestChannel());
--- a/src/main/java/io/pearscale/transport/DisabledMBeanServerBuilder.java
+++ b/src/main/java/io/pearscale/transport/DisabledMBeanServerBuilder.java
@@ -5,16 +5,16 @@
 import javax.management.MBeanServerDelegate;
 
 /**
- * Keeps the JVM's management interface (JMX) from being set up. Nobody can reach it in a
- * controller, while XNIO registers beans of its own as it starts, for which the JVM first describes
- * all of its beans: a tenth of a second of processor time, a quarter of what the main thread takes
- * for a start. XNIO does without when registering fails.
+ * Prevents the JVM from setting up its management interface (JMX). A controller exposes no JMX
+ * access. XNIO, however, registers beans during its startup, for which the JVM first describes all
+ * of its own beans. That takes a tenth of a second of processor time, a quarter of the startup time
+ * of the main thread. XNIO continues without its beans if the registration fails.
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
-  /** Names the builder of management servers to the JVM. */
+  /** The system property that names the MBean server builder of the JVM. */
   private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
-  /** Is to be called before XNIO is touched. */
+  /** Disables JMX. Must be called before any XNIO class is loaded. */
   public static void install() {
     System.setProperty(BUILDER_PROPERTY, DisabledMBeanServerBuilder.class.getName());
   }
@@ -22,6 +22,6 @@
   @Override
   public MBeanServer newMBeanServer(
       String defaultDomain, MBeanServer outer, MBeanServerDelegate delegate) {
-    throw new UnsupportedOperationException("no management interface");
+    throw new UnsupportedOperationException("JMX is disabled in this process");
   }
 }
--- a/src/main/java/io/pearscale/transport/EventLoop.java
+++ b/src/main/java/io/pearscale/transport/EventLoop.java
@@ -4,16 +4,16 @@
 import java.time.InstantSource;
 
 /**
- * Runs everything of one process on one thread, one task after the other. Because there is only one
- * such thread, an actor's state needs no locks; tests put a simulated loop in its place.
+ * Runs all tasks of a process sequentially on one thread, so that the state of an actor needs no
+ * locks. Tests use a simulated event loop.
  */
 public interface EventLoop {
-  /** Runs the task after the one that is running now. */
+  /** Runs the task after the current one. */
   void execute(Runnable task);
 
-  /** Runs the task once, after the delay. */
+  /** Runs the task once after the delay. */
   void schedule(Duration delay, Runnable task);
 
-  /** The steady clock: never set back, with an arbitrary origin. */
+  /** Returns the monotonic clock, which has an arbitrary origin and never goes back. */
   InstantSource clock();
 }
--- a/src/main/java/io/pearscale/transport/HttpClient.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -4,13 +4,16 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Outgoing HTTP requests. Nothing is ever sent twice by this layer: repeats are the caller's. */
+/**
+ * Sends HTTP requests. The client never sends a request twice; retries are the responsibility of
+ * the caller.
+ */
 public interface HttpClient {
   /**
-   * Sends one request.
+   * Sends a request.
    *
-   * @param body what to send, or a missing node for no body
-   * @param onReply gets exactly one reply, at the latest when the timeout has passed
+   * @param body the body to send; a missing node for no body
+   * @param onReply receives exactly one reply, at the latest when the timeout expires
    */
   void call(
       String address,
@@ -21,25 +24,28 @@
       Consumer<Reply> onReply);
 
   /**
-   * An answer, or the lack of one.
+   * A response, or the absence of one.
    *
-   * @param status the HTTP status, or 0 when there was no answer: then the request may have been
-   *     carried out, or may be carried out later
+   * @param status the HTTP status, or 0 without a response, in which case the request may have been
+   *     executed or may still be executed
    */
   record Reply(int status, JsonNode body) {
-    /** No answer came. */
+    /** No response was received. */
     public static final Reply NO_RESPONSE = new Reply(0, MessagePack.MISSING);
 
-    /** There was no socket for it. It was not sent, and will not be carried out. */
+    /** The request was not sent and will not be executed, because no socket was available. */
     public static final Reply NOT_SENT = new Reply(0, MessagePack.map());
 
-    /** Whether the request never left this process: no answer of a host is equal to this one. */
+    /**
+     * Returns whether the request was not sent. Identity distinguishes this reply from a response
+     * with equal content.
+     */
     @SuppressWarnings("ReferenceEquality")
     public boolean notSent() {
       return this == NOT_SENT;
     }
 
-    /** Whether the request was carried out. */
+    /** Returns whether the request succeeded with status 200. */
     public boolean ok() {
       return status == 200;
     }
--- a/src/main/java/io/pearscale/transport/HttpServer.java
+++ b/src/main/java/io/pearscale/transport/HttpServer.java
@@ -21,33 +21,40 @@
 import org.xnio.XnioWorker;
 
 /**
- * The listener for users, workers and health checks.
+ * Serves the HTTP requests of users, agents and health checks.
  *
- * <p>With more workers than sockets, as when two of three controllers are out of their reach, open
- * connections would keep all others out for good: a worker without one waits for seconds at each
- * controller in turn while its lease runs out. So when most sockets are taken, those who speak only
- * now and then are asked to come anew each time: their connection is closed with the answer.
+ * <p>If there are more agents than sockets, for example while two of three controllers are
+ * unreachable, persistent connections would permanently exclude all other agents: an agent without
+ * a connection waits for seconds at each controller in turn while its lease expires. Above the
+ * keep-alive limit, the server therefore closes connections to the configured paths, which are
+ * requested only occasionally, after each response.
  */
 public final class HttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private static final long MAX_BODY_BYTES = 64 * 1024;
 
-  /** A fleet whose controller comes back connects all at once, and a full queue drops attempts. */
+  /**
+   * The minimum length of the accept queue. All agents reconnect at once when a controller returns,
+   * and a full queue drops connection attempts.
+   */
   private static final int MIN_BACKLOG = 256;
 
-  /** What a request is answered with. */
+  /** The response to a request. */
   public record Response(int status, Body body, Optional<Duration> retryAfter, boolean close) {
-    /** A plain answer. */
+    /** Returns a response with a tree as its body. */
     public static Response of(int status, JsonNode body) {
       return new Response(status, Body.of(body), Optional.empty(), false);
     }
 
-    /** A plain answer whose body is encoded already. */
+    /** Returns a response with an encoded body. */
     public static Response of(int status, byte[] body) {
       return new Response(status, Body.of(body), Optional.empty(), false);
     }
 
-    /** A refusal that tells the client when to come back; given at once, never held. */
+    /**
+     * Returns a 503 response that tells the client when to retry. It is sent immediately and closes
+     * the connection.
+     */
     public static Response unavailable(Duration retryAfter, String reason) {
       return new Response(
           503,
@@ -57,9 +64,9 @@
     }
   }
 
-  /** Handles a request; the consumer must be given exactly one response, now or later. */
+  /** Handles requests. Each request must receive exactly one response, immediately or later. */
   public interface Handler {
-    /** Called with the whole body. */
+    /** Handles a request after its entire body has been received. */
     void handle(String method, String path, Body body, Consumer<Response> respond);
   }
 
@@ -78,10 +85,10 @@
   private int openConnections;
 
   /**
-   * Prepares a server on the address, run by the worker.
+   * Creates a server that listens on the address and runs on the worker's threads.
    *
-   * @param keepAliveLimit how many may be open before connections are closed with their answers
-   * @param closedOverKeepAliveLimit paths of those whose connections are closed then
+   * @param keepAliveLimit the number of open connections above which connections are closed
+   * @param closedOverKeepAliveLimit selects the paths whose connections are closed above the limit
    */
   public HttpServer(
       InetSocketAddress address,
@@ -111,17 +118,17 @@
             .build();
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   public void start() {
     undertow.start();
   }
 
-  /** Stops to listen. */
+  /** Stops listening. */
   public void stop() {
     undertow.stop();
   }
 
-  /** Connections on which anything was asked. */
+  /** Returns the number of open connections that have received at least one request. */
   public int openConnections() {
     return openConnections;
   }
@@ -151,7 +158,7 @@
           Body.of(bytes),
           response -> respond(exchange, response));
     } catch (RuntimeException e) {
-      // A user must never see a trace, whatever the request did to us.
+      // A user must never receive a stack trace.
       LOG.error("event=request_failed path={}", exchange.getRequestPath(), e);
       respond(exchange, Response.unavailable(Duration.ofSeconds(1), "internal"));
     }
@@ -173,7 +180,8 @@
         || (openConnections > keepAliveLimit
             && closedOverKeepAliveLimit.test(exchange.getRequestPath()))) {
       exchange.setPersistent(false);
-      // At once, not when the client closes its side, which one that is cut off never does.
+      // Closes the connection immediately instead of waiting for the client, because an unreachable
+      // client never closes it.
       exchange.addExchangeCompleteListener(
           (ex, next) -> {
             next.proceed();
--- a/src/main/java/io/pearscale/transport/MessagePack.java
+++ b/src/main/java/io/pearscale/transport/MessagePack.java
@@ -9,36 +9,36 @@
 import java.util.Optional;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Bodies on the wire: MessagePack maps as trees. */
+/** Converts between MessagePack bodies and trees. */
 public final class MessagePack {
-  /** Stands for no body at all. */
+  /** The tree of an absent body. */
   public static final JsonNode MISSING = MissingNode.getInstance();
 
   private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
 
   private MessagePack() {}
 
-  /** An empty map to be filled. */
+  /** Returns a new empty map. */
   public static ObjectNode map() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** Encodes a tree. */
+  /** Encodes a tree as MessagePack. */
   public static byte[] encode(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (IOException e) {
-      throw new IllegalStateException("a tree always encodes", e);
+      throw new IllegalStateException("failed to encode a tree as MessagePack", e);
     }
   }
 
-  /** Decodes a body; empty when it is no MessagePack. */
+  /** Decodes a body; empty if it is not valid MessagePack. */
   public static Optional<JsonNode> decode(byte[] bytes) {
     try {
       JsonNode node = MAPPER.readTree(bytes);
       return node == null || node.isMissingNode() ? Optional.empty() : Optional.of(node);
     } catch (IOException | RuntimeException e) {
-      // Garbage makes the parser throw more than IOException; all of it means the same here.
+      // For invalid input the parser throws not only IOException but also runtime exceptions.
       return Optional.empty();
     }
   }
--- a/src/main/java/io/pearscale/transport/MonotonicClock.java
+++ b/src/main/java/io/pearscale/transport/MonotonicClock.java
@@ -4,8 +4,8 @@
 import java.time.InstantSource;
 
 /**
- * The machine's steady clock as an {@link InstantSource}. Its origin is the start of the process:
- * leases must not depend on the time of day, which may be wrong and may be set.
+ * The monotonic clock of the machine as an {@link InstantSource}. Its origin is the creation of the
+ * instance. Leases must not depend on the time of day, which may be wrong or may be changed.
  */
 public final class MonotonicClock implements InstantSource {
   private final long originNanos = System.nanoTime();
--- a/src/main/java/io/pearscale/transport/PeerTransport.java
+++ b/src/main/java/io/pearscale/transport/PeerTransport.java
@@ -2,25 +2,33 @@
 
 import java.util.Set;
 
-/** Records to and from the other controllers. A record may get lost with its connection. */
+/**
+ * Exchanges records with the other controllers. A record may be lost when its connection breaks.
+ */
 public interface PeerTransport {
-  /** Sends a record; false when there is no link to that peer, or its queue is full. */
+  /**
+   * Sends a record, or returns false if there is no connection to the peer or its send queue is
+   * full.
+   */
   boolean send(String peer, byte[] frame);
 
-  /** The peers that something was heard of lately. */
+  /** Returns the peers that have recently sent a record. */
   Set<String> connected();
 
-  /** Whether something was heard lately of that peer. */
+  /** Returns whether the peer has recently sent a record. */
   default boolean isConnected(String peer) {
     return connected().contains(peer);
   }
 
-  /** Takes what the peers send. */
+  /** Receives records and connection events from peers. */
   interface Receiver {
-    /** A whole record came in from the named peer. */
+    /** Handles a complete record from the named peer. */
     void received(String peer, byte[] frame);
 
-    /** The peer closed its link and refuses new ones: its process may have ended. */
+    /**
+     * Handles a peer that closed its connection and refuses new ones, so that its process may have
+     * ended.
+     */
     void processEnded(String peer);
   }
 }
--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -26,12 +26,14 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Length-prefixed records over XNIO connections. Each controller dials every other and sends on the
- * connection that it dialled; what it accepted it only reads. So a broken direction shows on its
- * own, and a record from before a reconnect can't follow one from after it.
+ * Transfers length-prefixed records over XNIO connections. Each controller opens a connection to
+ * every other controller and sends only on it; it only reads from accepted connections. A failure
+ * in one direction is therefore detected independently of the other, and a record sent before a
+ * reconnect cannot arrive after one sent later.
  *
- * <p>The first frame names versions and sender; a frame that is too long, or a sender that is not a
- * configured peer, closes the connection: foreign or garbled bytes change nothing.
+ * <p>The first frame contains the supported versions and the name of the sender. A frame that is
+ * too long, an unsupported version or a sender that is not a configured peer closes the connection,
+ * so that unknown or corrupted data changes no state.
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
@@ -68,11 +70,11 @@
   }
 
   /**
-   * Prepares links.
+   * Creates a transport without connections.
    *
-   * @param greeting names the versions of records that this side understands
-   * @param acceptsGreeting which greetings of the other side name a version that this one
-   *     understands
+   * @param greeting announces the record versions that this controller supports
+   * @param acceptsGreeting returns whether the greeting of a peer contains a version that this
+   *     controller supports
    */
   public TcpPeerTransport(
       EventLoop loop,
@@ -91,7 +93,7 @@
     addresses.forEach((name, address) -> peers.put(name, new Peer(name, address)));
   }
 
-  /** Listens and begins to dial. */
+  /** Starts listening and connects to all peers. */
   public void start(InetSocketAddress listen) throws IOException {
     ChannelListener<org.xnio.channels.AcceptingChannel<StreamConnection>> acceptor =
         channel -> {
@@ -149,7 +151,8 @@
     }
     enqueue(p, frame);
     if (!p.flushScheduled) {
-      // Records come in crowds; each write costs as much as many records.
+      // Records arrive in bursts, and a write costs as much as many records, so records are sent in
+      // batches.
       p.flushScheduled = true;
       loop.schedule(
           BATCH_DELAY,
@@ -209,7 +212,7 @@
     peer.queue.clear();
     peer.queuedBytes = 0;
     connection.getCloseSetter().set(x -> loop.execute(() -> disconnect(peer, connection)));
-    // Nothing is sent back on this connection: readable means closed.
+    // The peer sends nothing on this connection, so a readable channel means that it was closed.
     connection
         .getSourceChannel()
         .setReadListener(
@@ -232,7 +235,8 @@
     if (peer.outbound == connection) {
       peer.outbound = null;
       LOG.info("event=peer_link_down peer={}", peer.name);
-      // At once: a refusal tells an ended process from a broken link.
+      // Reconnects with a short delay, because a refused connection distinguishes an ended process
+      // from a network failure.
       loop.schedule(Duration.ofMillis(20), () -> dial(peer));
     }
     IoUtils.safeClose(connection);
@@ -265,7 +269,7 @@
     }
   }
 
-  /** Cuts an accepted connection into frames. */
+  /** Splits the data of an accepted connection into frames. */
   private final class FrameReader {
     private final StreamConnection connection;
     private final ByteBuffer chunk = ByteBuffer.allocate(32768);
@@ -307,8 +311,8 @@
     }
 
     private void consumeBytes() throws IOException {
-      // As a whole: byte by byte it took a tenth of the time of a leader whose code was not
-      // compiled.
+      // Copies a block at a time. Copying byte by byte took a tenth of the time of a leader whose
+      // code was not yet JIT-compiled.
       int end = chunk.limit();
       chunk.limit(Math.min(end, chunk.position() + frame.remaining()));
       frame.put(chunk);
@@ -320,7 +324,7 @@
       if (!inBody) {
         int length = frame.getInt();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
-          throw new IOException("frame of " + length + " bytes");
+          throw new IOException("frame of " + length + " bytes, expected 1 byte to 4 MiB");
         }
         frame = ByteBuffer.allocate(length);
         inBody = true;
@@ -335,7 +339,7 @@
             || !acceptsGreeting.test(greetingParts[0])
             || !peers.containsKey(greetingParts[1])) {
           LOG.warn("event=foreign_peer action=closed");
-          throw new IOException("foreign peer");
+          throw new IOException("greeting of an unknown peer or with unsupported versions");
         }
         sender = peers.get(greetingParts[1]);
       } else {
--- a/src/main/java/io/pearscale/transport/Timeouts.java
+++ b/src/main/java/io/pearscale/transport/Timeouts.java
@@ -8,19 +8,19 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * Timeouts of requests, nearly all of which are cancelled by an answer. A timer of the loop can't
- * be cancelled: each would fire for nothing, and a controller makes hundreds of requests a second.
- * Here one timer of the loop serves all that are running; they fire up to {@link #TICK_INTERVAL}
- * late.
+ * Manages request timeouts, most of which are cancelled by a response. A timer of the event loop
+ * cannot be cancelled and would fire without effect, and a controller sends hundreds of requests
+ * per second. All active timeouts therefore share one timer of the loop and fire up to {@link
+ * #TICK_INTERVAL} late.
  */
 final class Timeouts {
-  /** The wheel takes powers of two. */
+  /** The tick resolution of the wheel, which must be a power of two. */
   private static final Duration RESOLUTION = Duration.ofMillis(32);
 
   private static final Duration TICK_INTERVAL = RESOLUTION.plusMillis(1);
   private static final int TICKS_PER_WHEEL = 256;
 
-  /** A timeout that was started. The wheel gives its number to another once it is over. */
+  /** A started timeout. The wheel reuses its timer id after it has finished. */
   static final class Timeout {
     private final Runnable task;
     private long timerId;
@@ -48,10 +48,10 @@
     return loop.clock().millis();
   }
 
-  /** Runs the task after the time, unless it is cancelled before. */
+  /** Runs the task after the given time unless the timeout is cancelled first. */
   Timeout start(Duration time, Runnable task) {
     if (!ticking) {
-      // Nobody turned the wheel while nothing was running.
+      // The wheel does not advance while no timeout is active.
       wheel.currentTickTime(now());
       ticking = true;
       loop.schedule(TICK_INTERVAL, this::tick);
@@ -62,7 +62,7 @@
     return timeout;
   }
 
-  /** Cancels a timeout; one that is over already is passed over. */
+  /** Cancels a timeout; has no effect if the timeout has fired or was cancelled. */
   void cancel(Timeout timeout) {
     if (!timeout.finished) {
       timeout.finished = true;
@@ -76,7 +76,7 @@
     while (wheel.timerCount() > 0 && wheel.currentTickTime() <= now) {
       wheel.poll(now, this::expire, Integer.MAX_VALUE);
     }
-    // Not while the wheel turns: a task may start or cancel others.
+    // Tasks run only after the wheel has been polled, because they may start or cancel timeouts.
     List<Timeout> due = List.copyOf(expired);
     expired.clear();
     due.forEach(timeout -> timeout.task.run());
--- a/src/main/java/io/pearscale/transport/UndertowHttpClient.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -36,9 +36,10 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Outgoing requests over Undertow's client, one at a time on a connection. A connection whose
- * request timed out is closed, so that a late answer can never be taken for the answer to a later
- * request. The number of connections is bounded, so that hanging hosts cannot eat up the sockets.
+ * Sends requests with Undertow's client, one at a time per connection. A connection whose request
+ * timed out is closed, so that a late response cannot be mistaken for the response to a later
+ * request. The number of connections is limited, so that unresponsive hosts cannot exhaust the
+ * sockets.
  */
 public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_RESPONSE_BYTES = 64 << 20;
@@ -54,26 +55,27 @@
   private final Set<String> priorityAddresses;
   private final Map<String, Host> hosts = new HashMap<>();
 
-  /** Idle connections, the one that was used longest ago first. */
+  /** Idle connections, least recently used first. */
   private final LinkedHashMap<ClientConnection, Host> idle = new LinkedHashMap<>();
 
-  /** Open connections, without those that are being closed. */
+  /** Open connections, excluding those that are being closed. */
   private final Set<ClientConnection> connected = new HashSet<>();
 
   private int connecting;
   private long refusedRequests;
 
-  /** Uses at most {@code maxOpen} sockets. */
+  /** Creates a client that uses at most {@code maxConnections} sockets. */
   public UndertowHttpClient(
       EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxConnections) {
     this(loop, thread, buffers, maxConnections, 0, Set.of());
   }
 
   /**
-   * Uses at most {@code maxOpen} sockets.
+   * Creates a client that uses at most {@code maxConnections} sockets.
    *
-   * @param reservedConnections how many of them are for the preferred addresses alone: with more
-   *     machines than sockets, a burst of commands must not keep the leader from the state service
+   * @param reservedConnections how many of these sockets only the priority addresses may use: with
+   *     more machines than sockets, a burst of commands must not prevent the leader from reaching
+   *     the key-value store
    */
   public UndertowHttpClient(
       EventLoop loop,
@@ -94,7 +96,7 @@
   private static final class Host {
     final String address;
 
-    /** Empty for what is no address. */
+    /** Empty if the address is invalid. */
     final Optional<URI> uri;
 
     final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
@@ -107,7 +109,7 @@
     }
   }
 
-  /** One request, which is answered exactly once, whatever happens to its connection. */
+  /** A request that receives exactly one reply, even if its connection fails. */
   private final class PendingRequest implements ClientCallback<ClientExchange> {
     final Host host;
     final ClientRequest request;
@@ -149,7 +151,7 @@
       callback.accept(reply);
     }
 
-    /** The attempt to connect is over, or given up. */
+    /** Marks the connection attempt as completed or cancelled. */
     void connectAttemptEnded() {
       connectInProgress = false;
       host.connecting--;
@@ -297,26 +299,30 @@
     connect(pending);
   }
 
-  /** How many requests found no socket so far. */
+  /** Returns how many requests have not been sent because no socket was available. */
   public long refusedRequests() {
     return refusedRequests;
   }
 
-  /** Machines come and go, and their addresses with them: only those in use are kept. */
+  /**
+   * Removes a host without requests and connections, because machines and their addresses change
+   * over time.
+   */
   private void removeIfUnused(Host host) {
     if (host.pending == 0 && host.idle.isEmpty()) {
       hosts.remove(host.address, host);
     }
   }
 
-  /** How many hosts are known. */
+  /** Returns the number of hosts in use. */
   int hostCount() {
     return hosts.size();
   }
 
   /**
-   * Where an address leads. Machines name their own: one that is no address counts as one that does
-   * not answer, since an exception would end whatever the caller was about to do for others.
+   * Returns the URI of an address. Agents report their own addresses, so an invalid one is treated
+   * as an unresponsive host: an exception would abort the remaining work of the caller for other
+   * machines.
    */
   private static Optional<URI> parseAddress(String address) {
     try {
@@ -327,7 +333,10 @@
     }
   }
 
-  /** With more hosts than sockets, the connection that was not needed for longest makes room. */
+  /**
+   * Closes the least recently used idle connection, which frees a socket for another host.
+   * Connections to priority addresses are not closed.
+   */
   private void evictLongestIdle() {
     Optional<ClientConnection> longestIdle =
         idle.entrySet().stream()
@@ -342,7 +351,7 @@
         });
   }
 
-  /** Connections that are open or being opened. */
+  /** Returns the number of connections that are open or being opened. */
   public int openConnections() {
     return connecting + connected.size();
   }
@@ -397,9 +406,10 @@
   }
 
   /**
-   * Dials on the loop's thread and keeps hold of the attempt. A connection to a machine that is cut
-   * off neither opens nor fails for minutes, and Undertow's client has no way to give it up: some
-   * hundred of them would take all sockets, also those for the state service.
+   * Opens connections on the event loop thread and keeps the connection attempt so that it can be
+   * cancelled. A connection to an unreachable machine neither opens nor fails for minutes, and
+   * Undertow's client cannot cancel it. A few hundred such attempts would use all sockets,
+   * including those for the key-value store.
    */
   private static final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
--- a/src/main/java/io/pearscale/transport/XnioEventLoop.java
+++ b/src/main/java/io/pearscale/transport/XnioEventLoop.java
@@ -7,18 +7,20 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** The loop of a real process: the one XNIO thread that also moves the bytes. */
+/**
+ * The event loop of a real process, which uses the XNIO thread that also performs the network I/O.
+ */
 public final class XnioEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
   private final XnioIoThread thread;
   private final InstantSource clock;
 
-  /** Runs tasks on the given thread. */
+  /** Creates an event loop on the given thread with a new clock. */
   public XnioEventLoop(XnioIoThread thread) {
     this(thread, new MonotonicClock());
   }
 
-  /** Runs tasks on the given thread; loops of one process share their clock. */
+  /** Creates an event loop on the given thread with a clock that is shared in the process. */
   public XnioEventLoop(XnioIoThread thread, InstantSource clock) {
     this.thread = thread;
     this.clock = clock;
