--- a/src/main/java/io/pearscale/scheduler/PeerChannel.java
+++ b/src/main/java/io/pearscale/scheduler/PeerChannel.java
@@ -28,6 +28,6 @@
 
   /** Whether some peer can't be reached. */
   boolean isIncomplete() {
-    return transport.connected().size() < peers.size();
+    return transport.connectedPeers().size() < peers.size();
   }
 }
--- a/src/main/java/io/pearscale/transport/PeerTransport.java
+++ b/src/main/java/io/pearscale/transport/PeerTransport.java
@@ -13,11 +13,11 @@
   boolean send(String peer, byte[] frame);
 
   /** Returns the peers that have recently sent a record. */
-  Set<String> connected();
+  Set<String> connectedPeers();
 
   /** Returns whether the peer has recently sent a record. */
   default boolean isConnected(String peer) {
-    return connected().contains(peer);
+    return connectedPeers().contains(peer);
   }
 
   /** Receives records and connection events from peers. */
--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -40,7 +40,7 @@
   private static final int MAX_FRAME_BYTES = 4 << 20;
   private static final int MAX_QUEUED_BYTES = 8 << 20;
   private static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(3);
-  private static final Duration REDIAL_DELAY = Duration.ofMillis(400);
+  private static final Duration RECONNECT_DELAY = Duration.ofMillis(400);
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration BATCH_DELAY = Duration.ofMillis(15);
   private static final int MAX_FRAMES_PER_WRITE = 64;
@@ -112,11 +112,11 @@
             acceptor,
             OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.BACKLOG, 16).getMap())
         .resumeAccepts();
-    peers.values().forEach(this::dial);
+    peers.values().forEach(this::connect);
   }
 
   @Override
-  public Set<String> connected() {
+  public Set<String> connectedPeers() {
     Instant limit = loop.clock().instant().minus(LIVENESS_TIMEOUT);
     Set<String> result = new LinkedHashSet<>();
     for (Peer peer : peers.values()) {
@@ -171,7 +171,7 @@
     peer.queuedBytes += buffer.remaining();
   }
 
-  private void dial(Peer peer) {
+  private void connect(Peer peer) {
     IoFuture<StreamConnection> future =
         worker.openStreamConnection(
             peer.address, c -> {}, OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
@@ -201,7 +201,7 @@
                     LOG.debug(
                         "event=peer_dial_failed peer={} reason={}", peer.name, e.getMessage());
                   }
-                  loop.schedule(REDIAL_DELAY, () -> dial(peer));
+                  loop.schedule(RECONNECT_DELAY, () -> connect(peer));
                 }),
         null);
   }
@@ -237,7 +237,7 @@
       LOG.info("event=peer_link_down peer={}", peer.name);
       // Reconnects with a short delay, because a refused connection distinguishes an ended process
       // from a network failure.
-      loop.schedule(Duration.ofMillis(20), () -> dial(peer));
+      loop.schedule(Duration.ofMillis(20), () -> connect(peer));
     }
     IoUtils.safeClose(connection);
   }
--- a/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -48,7 +48,7 @@
             }
 
             @Override
-            public Set<String> connected() {
+            public Set<String> connectedPeers() {
               return Set.of("hive-1");
             }
           },
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public Set<String> connected() {
+    public Set<String> connectedPeers() {
       Set<String> up = new LinkedHashSet<>();
       lastReceived.forEach(
           (peer, at) -> {
