--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -35,54 +35,57 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users. That a job is accepted, cancelled or done is acknowledged only once it is durable;
- * anything that could still change is answered only as fresh as the request, by a linearizable read
- * of the key-value store that began after it. What can't be answered so is refused with 503 at
- * once.
+ * Handles requests of users. The actor acknowledges that a job is accepted, cancelled or completed
+ * only after that state is durable. Any state that may still change is answered from a linearizable
+ * read of the key-value store that began after the request. A request that cannot be answered this
+ * way is immediately refused with 503.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
-  /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
-  private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
+  /** The number of finished jobs whose outcome is cached, in LRU order. */
+  private static final int MAX_CACHED_OUTCOMES = 20_000;
 
-  /** Beyond so many counts of tasks those of jobs that are over are dropped. */
+  /** Above this number, task counts of finished jobs are removed. */
   private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
 
-  /** The most that the value of a job holds beside its specification, in bytes. */
-  private static final int VALUE_OVERHEAD = 100;
+  /** An upper bound for the size of a stored job value without its specification. */
+  private static final int VALUE_OVERHEAD_BYTES = 100;
 
-  /** How often a cancellation that meets a change of the job is tried again. */
+  /** How often a cancellation is retried after a concurrent change of the job. */
   private static final int MAX_CANCELLATION_RETRIES = 3;
 
-  /** What the actor understands. */
+  /** The messages that the actor handles. */
   public sealed interface Message {}
 
-  /** A user submits a job; the body is empty if it is no MessagePack. */
+  /** A submission of a job by a user; the body is empty if it is not valid MessagePack. */
   public record Submit(Optional<JsonNode> body, Consumer<Response> respond) implements Message {}
 
-  /** A user asks for the status of a job. */
+  /** A request of a user for the status of a job. */
   public record Query(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** A user cancels a job. */
+  /** A request of a user to cancel a job. */
   public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
-  /** The copy of the keys was loaded. */
-  public record Loaded(Map<String, Entry> entries) implements Message {}
+  /** The replica of the store has been loaded. */
+  public record ReplicaLoaded(Map<String, Entry> entries) implements Message {}
 
-  /** Keys changed. */
+  /** Keys of the replica have changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
 
   /**
-   * Asks for the cancellations that this controller has acknowledged lately.
+   * A request for the cancellations that this controller has recently acknowledged.
    *
-   * @param respond takes the ids of those jobs, and of all that are live
+   * @param respond receives the ids of those jobs and the ids of all live jobs
    */
   public record RecentCancellations(BiConsumer<List<String>, List<String>> respond)
       implements Message {}
 
-  /** A peer acknowledges that a job is cancelled, which is durable; so it may be done here too. */
+  /**
+   * A peer acknowledges the cancellation of a job. The cancellation is durable, so this controller
+   * may acknowledge it as well.
+   */
   public record JobCancelled(String job) implements Message {}
 
-  /** The leader's counts of tasks, for display. */
+  /** Task counts from the leader, for display. */
   public record TaskCountsChanged(List<JobTaskCount> jobs) implements Message {}
 
   private record SubmissionCommitted(JobSpec spec, Consumer<Response> respond, Reply reply)
@@ -93,12 +96,13 @@
       implements Message {}
 
   private record LiveRecordRead(
-      String jobId, Optional<Optional<Entry>> entry, Consumer<Lookup> then) implements Message {}
+      String jobId, Optional<Optional<Entry>> entry, Consumer<Lookup> callback)
+      implements Message {}
 
-  private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> then)
+  private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> callback)
       implements Message {}
 
-  /** What is known of a job, as fresh as the request. */
+  /** The state of a job at a time after the request. */
   private sealed interface Lookup {}
 
   private record LiveJob(Entry entry) implements Lookup {}
@@ -107,7 +111,7 @@
 
   private record NoSuchJob() implements Lookup {}
 
-  private record Undetermined() implements Lookup {}
+  private record UnknownStatus() implements Lookup {}
 
   private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
@@ -117,35 +121,38 @@
   private final Consumer<String> cancellationListener;
   private final Map<String, JobTaskCount> taskCounts = new HashMap<>();
 
-  /** All jobs that are not over, as far as the copy of the keys shows. */
+  /** The live jobs in the replica of the store. */
   private final Set<String> liveJobs = new HashSet<>();
 
   private List<MachineType> machineTypes = List.of();
-  private boolean loaded;
+  private boolean replicaLoaded;
 
-  /** Requests of users that are not responded to yet. */
+  /** The number of user requests without a response. */
   private int openRequests;
 
-  /** When each cancelled job was last acknowledged to be, or was by a peer; the oldest first. */
+  /**
+   * The time at which this controller or a peer last acknowledged each cancellation, in insertion
+   * order.
+   */
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
 
-  /** How jobs ended, by id. */
-  private final Map<String, JobOutcome> outcomes =
+  /** The outcomes of finished jobs by job id. */
+  private final Map<String, JobOutcome> cachedOutcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobOutcome> eldest) {
-          return size() > MAX_REMEMBERED_OUTCOMES;
+          return size() > MAX_CACHED_OUTCOMES;
         }
       };
 
   /**
-   * Answers from the key-value store and the copy of it.
+   * Creates an actor that answers from the key-value store and its replica.
    *
-   * @param wallClock the time of day, with which submissions are stored
-   * @param levelGate says whether gang jobs can be stored yet
-   * @param cancellationListener takes each job whose cancellation is about to be acknowledged
+   * @param wallClock the clock for the stored submission times
+   * @param levelGate determines whether gang jobs can be stored
+   * @param cancellationListener receives each job before its cancellation is acknowledged to a user
    */
   public ApiActor(
       EventLoop loop,
@@ -167,14 +174,14 @@
   @Override
   protected void receive(Message message) {
     if (message instanceof Submit m) {
-      submit(m.body, countOpen(m.respond));
+      submit(m.body, trackOpenRequest(m.respond));
     } else if (message instanceof Query m) {
-      Consumer<Response> answer = countOpen(m.respond);
-      lookup(m.jobId, lookup -> answer.accept(statusResponse(m.jobId, lookup)));
+      Consumer<Response> respond = trackOpenRequest(m.respond);
+      lookup(m.jobId, lookup -> respond.accept(statusResponse(m.jobId, lookup)));
     } else if (message instanceof Cancel m) {
-      cancel(m.jobId, countOpen(m.respond), 0);
-    } else if (message instanceof Loaded m) {
-      loaded = true;
+      cancel(m.jobId, trackOpenRequest(m.respond), 0);
+    } else if (message instanceof ReplicaLoaded m) {
+      replicaLoaded = true;
       liveJobs.clear();
       m.entries.forEach((k, e) -> applyChange(new KeyChange(k, Optional.of(e))));
     } else if (message instanceof KeysChanged m) {
@@ -187,7 +194,7 @@
     } else if (message instanceof RecentCancellations m) {
       m.respond.accept(recentCancellations(), List.copyOf(liveJobs));
     } else if (message instanceof JobCancelled m) {
-      outcomes.put(m.job, JobOutcome.cancelled(0));
+      cachedOutcomes.put(m.job, JobOutcome.cancelled(0));
       liveJobs.remove(m.job);
       acknowledgedCancellations.put(m.job, loop.clock().instant());
     } else if (message instanceof SubmissionCommitted m) {
@@ -201,12 +208,12 @@
     }
   }
 
-  /** Counts open requests, so that a flood is refused while it can still be refused quickly. */
-  private Consumer<Response> countOpen(Consumer<Response> answer) {
+  /** Counts open requests, so that requests in excess of the limit can be refused quickly. */
+  private Consumer<Response> trackOpenRequest(Consumer<Response> respond) {
     openRequests++;
     return r -> {
       openRequests--;
-      answer.accept(r);
+      respond.accept(r);
     };
   }
 
@@ -224,52 +231,52 @@
     }
   }
 
-  // ---- Submitting ----
+  // ---- Submission ----
 
-  private void submit(Optional<JsonNode> body, Consumer<Response> answer) {
+  private void submit(Optional<JsonNode> body, Consumer<Response> respond) {
     JobSpec spec;
     try {
       spec = parse(body);
     } catch (MalformedMessageException e) {
-      answer.accept(JobResponses.malformed(e.getMessage()));
+      respond.accept(JobResponses.malformed(e.getMessage()));
       return;
     }
-    JobOutcome outcome = outcomes.get(spec.id());
+    JobOutcome outcome = cachedOutcomes.get(spec.id());
     if (outcome != null) {
-      answer.accept(JobResponses.stage(spec.id(), outcome.stage()));
+      respond.accept(JobResponses.stage(spec.id(), outcome.stage()));
       return;
     }
-    if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
-      answer.accept(JobResponses.unavailable(loaded ? "busy" : "starting"));
+    if (!replicaLoaded || openRequests > settings.connectionLimits().maxOpenUserRequests()) {
+      respond.accept(JobResponses.unavailable(replicaLoaded ? "busy" : "starting"));
       return;
     }
     if (liveJobs.contains(spec.id())) {
       lookup(
           spec.id(),
-          lookup -> answer.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
+          lookup -> respond.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
       return;
     }
     Optional<Response> refusal = validator.refusal(spec, machineTypes, liveJobs.size());
     if (refusal.isPresent()) {
-      // An id that is known already is not validated again.
-      lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
+      // A retry with the id of a known job is not validated again.
+      lookup(spec.id(), lookup -> respond.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
-    commitSubmission(spec, answer);
+    commitSubmission(spec, respond);
   }
 
   private JobSpec parse(Optional<JsonNode> body) throws MalformedMessageException {
     JobSpec spec =
         JobSpec.parse(
             body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-    if (spec.toNode().toString().length() + VALUE_OVERHEAD
+    if (spec.toNode().toString().length() + VALUE_OVERHEAD_BYTES
         > settings.storeLimits().maxValueBytes()) {
       throw new MalformedMessageException("too long");
     }
     return spec;
   }
 
-  private void commitSubmission(JobSpec spec, Consumer<Response> answer) {
+  private void commitSubmission(JobSpec spec, Consumer<Response> respond) {
     ObjectNode value = MessagePack.map().put("at", wallClock.instant().toEpochMilli());
     value.set("spec", spec.toNode());
     store.compareAndSwap(
@@ -277,7 +284,7 @@
             new Precondition(Keys.liveJob(spec.id()), 0),
             new Precondition(Keys.finishedJob(spec.id()), 0)),
         List.of(Mutation.put(Keys.liveJob(spec.id()), value)),
-        reply -> tell(new SubmissionCommitted(spec, answer, reply)));
+        reply -> tell(new SubmissionCommitted(spec, respond, reply)));
   }
 
   private void submissionCommitted(SubmissionCommitted message) {
@@ -295,73 +302,78 @@
           jobId,
           lookup -> message.respond.accept(knownJobResponse(jobId, lookup, Optional.empty())));
     } else {
-      // Whether it was applied is open. The user asks again with the same id, which settles it.
+      // The transaction may have been applied. The user retries with the same id, which resolves
+      // this.
       log.info("event=job_refused job={} status={}", jobId, message.reply.status());
       message.respond.accept(JobResponses.storeUnavailable());
     }
   }
 
-  private Response knownJobResponse(String jobId, Lookup lookup, Optional<Response> otherwise) {
+  private Response knownJobResponse(
+      String jobId, Lookup lookup, Optional<Response> responseIfNotFound) {
     if (lookup instanceof LiveJob) {
       return JobResponses.stage(jobId, liveStage(jobId));
-    } else if (lookup instanceof FinishedJob o) {
-      return JobResponses.stage(jobId, o.outcome.stage());
-    } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
-      return otherwise.get();
+    } else if (lookup instanceof FinishedJob finished) {
+      return JobResponses.stage(jobId, finished.outcome.stage());
+    } else if (lookup instanceof NoSuchJob && responseIfNotFound.isPresent()) {
+      return responseIfNotFound.get();
     }
     return JobResponses.storeUnavailable();
   }
 
-  // ---- Asking ----
+  // ---- Status lookup ----
 
-  private void lookup(String jobId, Consumer<Lookup> then) {
-    JobOutcome outcome = outcomes.get(jobId);
+  private void lookup(String jobId, Consumer<Lookup> callback) {
+    JobOutcome outcome = cachedOutcomes.get(jobId);
     if (outcome != null) {
-      then.accept(new FinishedJob(outcome));
+      callback.accept(new FinishedJob(outcome));
       return;
     }
-    if (openRequests > settings.connectionLimits().openUserRequests() || !JobSpec.isId(jobId)) {
-      then.accept(JobSpec.isId(jobId) ? new Undetermined() : new NoSuchJob());
+    if (openRequests > settings.connectionLimits().maxOpenUserRequests()
+        || !JobSpec.isValidId(jobId)) {
+      callback.accept(JobSpec.isValidId(jobId) ? new UnknownStatus() : new NoSuchJob());
       return;
     }
     replica.tell(
         new StoreReplicaActor.LinearizableRead(
-            Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, then))));
+            Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, callback))));
   }
 
   private void liveRecordRead(LiveRecordRead message) {
-    JobOutcome outcome = outcomes.get(message.jobId);
+    JobOutcome outcome = cachedOutcomes.get(message.jobId);
     if (outcome != null) {
-      // It ended while the read was under way, and this controller has acknowledged that.
-      message.then.accept(new FinishedJob(outcome));
+      // The job finished during the read, and this controller has acknowledged that.
+      message.callback.accept(new FinishedJob(outcome));
     } else if (message.entry.isEmpty()) {
-      message.then.accept(new Undetermined());
+      message.callback.accept(new UnknownStatus());
     } else if (message.entry.get().isPresent()) {
-      message.then.accept(new LiveJob(message.entry.get().get()));
+      message.callback.accept(new LiveJob(message.entry.get().get()));
     } else {
-      // Not live at a time after the request: over by then, or never accepted by then.
+      // The job was not live at a time after the request, so it has either finished or was never
+      // accepted.
       store.get(
           Keys.finishedJob(message.jobId),
-          r -> tell(new FinishedRecordRead(message.jobId, r, message.then)));
+          r -> tell(new FinishedRecordRead(message.jobId, r, message.callback)));
     }
   }
 
   private void finishedRecordRead(FinishedRecordRead message) {
     if (message.reply.ok()) {
       JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(message.reply));
-      outcomes.put(message.jobId, outcome);
+      cachedOutcomes.put(message.jobId, outcome);
       acknowledgeCancellation(message.jobId, outcome);
-      message.then.accept(new FinishedJob(outcome));
+      message.callback.accept(new FinishedJob(outcome));
     } else if (StoreReplies.isNotFound(message.reply)) {
-      message.then.accept(new NoSuchJob());
+      message.callback.accept(new NoSuchJob());
     } else {
-      message.then.accept(new Undetermined());
+      message.callback.accept(new UnknownStatus());
     }
   }
 
   /**
-   * A cancellation is about to be acknowledged to users. All controllers are told first: the leader
-   * may not learn of it from the key-value store, and should this process end, another still knows.
+   * Announces a cancellation to all controllers before it is acknowledged to users. The leader may
+   * not learn of it from the key-value store, and another controller still knows it if this process
+   * ends.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
     if (outcome.isCancelled()
@@ -371,8 +383,9 @@
   }
 
   /**
-   * The cancellations that a leader may not know of although its proof of leadership holds; that is
-   * never older than the renewal authority timeout.
+   * Returns the cancellations that a leader with a valid proof of leadership may not know. Such a
+   * proof is never older than the renewal authority timeout; entries older than twice that timeout
+   * are removed.
    */
   private List<String> recentCancellations() {
     Instant limit =
@@ -390,32 +403,32 @@
     if (lookup instanceof LiveJob) {
       JobTaskCount count = taskCounts.getOrDefault(jobId, new JobTaskCount(jobId, 0, 0));
       return JobResponses.status(jobId, liveStage(jobId), count.done(), count.running());
-    } else if (lookup instanceof FinishedJob o) {
-      return JobResponses.status(jobId, o.outcome);
+    } else if (lookup instanceof FinishedJob finished) {
+      return JobResponses.status(jobId, finished.outcome);
     } else if (lookup instanceof NoSuchJob) {
       return JobResponses.notFound();
     }
     return JobResponses.storeUnavailable();
   }
 
-  // ---- Cancelling ----
+  // ---- Cancellation ----
 
-  private void cancel(String jobId, Consumer<Response> answer, int retries) {
+  private void cancel(String jobId, Consumer<Response> respond, int retries) {
     lookup(
         jobId,
         lookup -> {
           if (lookup instanceof LiveJob live) {
-            commitCancellation(jobId, live.entry, answer, retries);
+            commitCancellation(jobId, live.entry, respond, retries);
           } else if (lookup instanceof FinishedJob finished) {
-            answer.accept(JobResponses.stage(jobId, finished.outcome.stage()));
+            respond.accept(JobResponses.stage(jobId, finished.outcome.stage()));
           } else {
-            answer.accept(statusResponse(jobId, lookup));
+            respond.accept(statusResponse(jobId, lookup));
           }
         });
   }
 
   private void commitCancellation(
-      String jobId, Entry live, Consumer<Response> answer, int retries) {
+      String jobId, Entry live, Consumer<Response> respond, int retries) {
     int tasks = live.value().path("spec").path("pieces").asInt();
     store.compareAndSwap(
         List.of(
@@ -424,20 +437,20 @@
         List.of(
             Mutation.delete(Keys.liveJob(jobId)),
             Mutation.put(Keys.finishedJob(jobId), JobOutcome.cancelled(tasks).encode())),
-        reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
+        reply -> tell(new CancellationCommitted(jobId, tasks, retries, respond, reply)));
   }
 
   private void cancellationCommitted(CancellationCommitted message) {
     if (message.reply.ok()) {
       JobOutcome outcome = JobOutcome.cancelled(message.tasks);
-      outcomes.put(message.jobId, outcome);
+      cachedOutcomes.put(message.jobId, outcome);
       acknowledgeCancellation(message.jobId, outcome);
       liveJobs.remove(message.jobId);
       log.info("event=job_cancelled job={}", message.jobId);
       message.respond.accept(JobResponses.stage(message.jobId, JobOutcome.CANCELLED));
     } else if (StoreReplies.isConflict(message.reply)
         && message.retries < MAX_CANCELLATION_RETRIES) {
-      // Done or cancelled meanwhile: look again.
+      // The job was completed or cancelled concurrently, so its state is read again.
       cancel(message.jobId, message.respond, message.retries + 1);
     } else {
       message.respond.accept(JobResponses.storeUnavailable());
--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -16,21 +16,24 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Decides whether a job that users submit can be accepted, or why not. */
+/** Validates submitted jobs against the settings, the machine types and the schema level. */
 final class SubmissionValidator {
-  /** How many jobs may be live at the same time. */
+  /** The maximum number of live jobs. */
   static final int MAX_LIVE_JOBS = 20_000;
 
-  /** When users are to ask again while the catalogue of machine types is unknown. */
+  /** The delay before a retry while the machine types are unknown. */
   private static final Duration CATALOGUE_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** When users are to ask again while too many jobs are live. */
-  private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(30);
+  /** The delay before a retry while too many jobs are live. */
+  private static final Duration TOO_MANY_JOBS_RETRY_AFTER = Duration.ofSeconds(30);
 
-  /** The level rises within about a second of when the last controller says what it supports. */
+  /**
+   * The delay before a retry while the schema level is too low. The level rises within about a
+   * second after the last controller announces that it supports the next level.
+   */
   private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** By so much sums of processors may exceed a limit, as they are rounded. */
+  /** The tolerance for rounding errors in sums of processor cores. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Settings settings;
@@ -38,9 +41,9 @@
   private final Map<String, Team> teams = new HashMap<>();
 
   /**
-   * Validates by the teams and limits of the settings.
+   * Creates a validator with the teams and limits of the settings.
    *
-   * @param levelGate says what can be stored under the schema level in force
+   * @param levelGate determines what can be stored at the active schema level
    */
   SubmissionValidator(Settings settings, LevelGate levelGate) {
     this.settings = settings;
@@ -49,10 +52,10 @@
   }
 
   /**
-   * Why a new job is refused; empty if it can be accepted.
+   * Returns the response that refuses a new job; empty if the job can be accepted.
    *
-   * @param machineTypes the catalogue of the cloud; empty while it is unknown
-   * @param liveJobs how many jobs are live
+   * @param machineTypes the machine types of the cloud; empty while they are unknown
+   * @param liveJobs the number of live jobs
    */
   Optional<Response> refusal(JobSpec spec, List<MachineType> machineTypes, int liveJobs) {
     if (machineTypes.isEmpty()) {
@@ -60,7 +63,7 @@
           Response.unavailable(CATALOGUE_RETRY_AFTER, "machine types unknown as yet"));
     }
     if (liveJobs >= MAX_LIVE_JOBS) {
-      return Optional.of(Response.unavailable(FULL_RETRY_AFTER, "too many jobs"));
+      return Optional.of(Response.unavailable(TOO_MANY_JOBS_RETRY_AFTER, "too many jobs"));
     }
     Team team = teams.get(spec.team());
     if (team == null) {
@@ -81,7 +84,7 @@
         : Optional.empty();
   }
 
-  /** A limit of 0 is none. */
+  /** Returns whether the amount exceeds the limit. A limit of 0 means no limit. */
   private static boolean exceeds(double amount, double limit) {
     return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
   }
@@ -102,24 +105,25 @@
   }
 
   /**
-   * A job whose placement records exceed a value of the key-value store could never start a task.
-   * Where a later schema level takes smaller partitions of jobs, it is only a matter of time.
+   * Refuses a job whose placement records exceed the maximum value size of the key-value store,
+   * because none of its tasks could ever start. The refusal is temporary if a later schema level
+   * stores the job in smaller partitions.
    */
   private Optional<Response> recordSizeRefusal(JobSpec spec, Team team) {
-    int longest = settings.storeLimits().maxValueBytes();
+    int maxValueBytes = settings.storeLimits().maxValueBytes();
     if (maxRecordSize(spec, team, RecordLayout.ofLevel(levelGate.currentLevel().writtenLevel()))
-        <= longest) {
+        <= maxValueBytes) {
       return Optional.empty();
     }
-    return maxRecordSize(spec, team, RecordLayout.NUMBERED) <= longest
+    return maxRecordSize(spec, team, RecordLayout.NUMBERED) <= maxValueBytes
             && levelGate.supports(Feature.SMALL_VALUES)
         ? Optional.of(
             Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
-        : reject("its tasks can't be recorded in values of " + longest + " bytes");
+        : reject("its tasks can't be recorded in values of " + maxValueBytes + " bytes");
   }
 
   private static int maxRecordSize(JobSpec spec, Team team, RecordLayout layout) {
-    int claim =
+    int quotaClaimBytes =
         team.hasQuotaLimit()
             ? new PlacementRecordCodec.QuotaClaim(
                     spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
@@ -127,7 +131,7 @@
             : 0;
     return PlacementRecordCodec.maximumSize(
             spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
-        + claim;
+        + quotaClaimBytes;
   }
 
   private Optional<Response> gangRefusal(JobSpec spec) {
--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -101,7 +101,7 @@
         Settings settings = files.readSettings();
         files.readTuning();
         files.readOperations();
-        System.out.println("settings of " + settings.host() + " are good");
+        System.out.println("settings of " + settings.controllerName() + " are good");
         System.out.println(
             describeConnectionLimits(settings.maxConnections(), settings.connectionLimits()));
         return 0;
@@ -115,7 +115,8 @@
   /** Describes the connection limits that follow from the limit on file descriptors. */
   static String describeConnectionLimits(int fdLimit, ConnectionLimits limits) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
-        .formatted(fdLimit, limits.keptAlive(), limits.outbound(), limits.parkedHeartbeats());
+        .formatted(
+            fdLimit, limits.maxKeptAlive(), limits.outbound(), limits.maxWaitingHeartbeats());
   }
 
   static final class Version implements IVersionProvider {
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -98,7 +98,7 @@
       return limits;
     }
     JsonNode next = table(state, "next", prefix);
-    return limits.smallerOf(parseStoreLimitTable(next, state, prefix + "next."));
+    return limits.min(parseStoreLimitTable(next, state, prefix + "next."));
   }
 
   /** Reads the limits of a table; a key that is missing there is read from the fallback. */
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -14,15 +14,15 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Decodes heartbeats straight from their bytes. Heartbeats are most of what a controller reads, and
- * right after a start each costs several times as much as later, so no tree of objects is made for
- * them. What is accepted and refused is the same as with {@link Heartbeat#parse}.
+ * Decodes heartbeats directly from bytes. Most messages that a controller receives are heartbeats,
+ * and decoding is several times slower just after a start, so no tree is built for them. The
+ * decoder accepts and rejects the same messages as {@link Heartbeat#parse}.
  */
 public final class HeartbeatDecoder {
   private static final String MISSING_TEXT = "";
   private static final long MISSING_NUMBER = -1;
 
-  /** The library's own buffer for decoding is several times as large as a heartbeat. */
+  /** The default string buffer of the library is several times as large as a heartbeat. */
   private static final MessagePack.UnpackerConfig UNPACKER =
       new MessagePack.UnpackerConfig().withStringDecoderBufferSize(MessageFields.MAX_TEXT_LENGTH);
 
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Decodes the heartbeat that the bytes begin with.
+   * Decodes the heartbeat at the beginning of the bytes.
    *
-   * @throws MalformedMessageException if {@link Heartbeat#parse} would refuse it
+   * @throws MalformedMessageException if {@link Heartbeat#parse} would reject it
    */
   public static Heartbeat decode(byte[] body) throws MalformedMessageException {
     try {
@@ -85,9 +85,9 @@
       case "breed" -> machineType = text(name);
       case "yard" -> zone = text(name);
       case "windfall" -> spot = Optional.of(in.unpackBoolean());
-      case "stint" -> incarnation = wholeNumber(name);
-      case "tally" -> sequence = wholeNumber(name);
-      case "baton" -> fencingToken = wholeNumber(name);
+      case "stint" -> incarnation = nonNegativeInteger(name);
+      case "tally" -> sequence = nonNegativeInteger(name);
+      case "baton" -> fencingToken = nonNegativeInteger(name);
       case "warningS" -> preemptionNotice = Optional.of(MessageFields.duration(amount(name)));
       case "pieces" -> tasks = decodeTasks();
       default -> in.skipValue();
@@ -117,15 +117,15 @@
       }
       switch (name) {
         case "piece" -> task = text(name);
-        case "try" -> attempt = wholeNumber(name);
+        case "try" -> attempt = nonNegativeInteger(name);
         case "stage" -> stage = text(name);
         case "cause" -> cause = in.unpackString();
         default -> in.skipValue();
       }
     }
-    Stage parsed = Stage.parse(required("stage", stage));
+    Stage parsedStage = Stage.parse(required("stage", stage));
     return new TaskStatus(
-        TaskId.parse(required("piece", task)), required("try", attempt), parsed, cause);
+        TaskId.parse(required("piece", task)), required("try", attempt), parsedStage, cause);
   }
 
   private int mapHeader() throws IOException, MalformedMessageException {
@@ -135,7 +135,9 @@
     return in.unpackMapHeader();
   }
 
-  /** The name of a field; one that is no text names nothing that is known. */
+  /**
+   * Reads a field name. A key that is not a string yields an empty name, which matches no field.
+   */
   private String fieldName() throws IOException {
     if (in.getNextFormat().getValueType() == ValueType.STRING) {
       return in.unpackString();
@@ -152,7 +154,7 @@
     return text;
   }
 
-  private long wholeNumber(String name) throws IOException, MalformedMessageException {
+  private long nonNegativeInteger(String name) throws IOException, MalformedMessageException {
     long value = in.unpackLong();
     if (value < 0) {
       throw new MalformedMessageException(name + ": a whole number of at least 0 expected");
--- a/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
@@ -10,16 +10,17 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Heartbeats of agents, and the responses to them, in records between controllers. */
+/** Encodes and decodes agent heartbeats and their responses in peer records. */
 final class HeartbeatRecordCodec {
   /**
-   * What the cause of a task reads that fetches no image, but waits for the others of its gang. For
-   * builds that know of no gangs it is one that fetches; a stage of its own they could not read.
+   * The cause that encodes {@link Stage#WAITING}, together with the stage {@link Stage#FETCHING}.
+   * Builds without gang support cannot read another stage; they treat such a task as one that
+   * fetches its image.
    */
   private static final String WAITING_CAUSE = "waiting";
 
-  /** Stands for a machine that has no notice of its preemption. */
-  private static final long NO_NOTICE = -1;
+  /** The encoded value of an absent preemption notice. */
+  private static final long NO_PREEMPTION_NOTICE = -1;
 
   private HeartbeatRecordCodec() {}
 
@@ -32,7 +33,7 @@
     out.writeLong(heartbeat.incarnation());
     out.writeLong(heartbeat.sequence());
     out.writeLong(heartbeat.fencingToken());
-    out.writeLong(heartbeat.preemptionNotice().map(Duration::toNanos).orElse(NO_NOTICE));
+    out.writeLong(heartbeat.preemptionNotice().map(Duration::toNanos).orElse(NO_PREEMPTION_NOTICE));
     out.writeInt(heartbeat.tasks().size());
     for (TaskStatus status : heartbeat.tasks()) {
       write(out, status);
@@ -73,7 +74,7 @@
     long incarnation = in.readLong();
     long sequence = in.readLong();
     long fencingToken = in.readLong();
-    long notice = in.readLong();
+    long preemptionNoticeNanos = in.readLong();
     return new Heartbeat(
         machine,
         address,
@@ -83,14 +84,16 @@
         incarnation,
         sequence,
         fencingToken,
-        notice < 0 ? Optional.empty() : Optional.of(Duration.ofNanos(notice)),
+        preemptionNoticeNanos < 0
+            ? Optional.empty()
+            : Optional.of(Duration.ofNanos(preemptionNoticeNanos)),
         readTasks(in));
   }
 
   private static List<TaskStatus> readTasks(DataInputStream in)
       throws IOException, MalformedMessageException {
     List<TaskStatus> tasks = new ArrayList<>();
-    for (int left = PeerMessageCodec.readCount(in); left > 0; left--) {
+    for (int remaining = PeerMessageCodec.readCount(in); remaining > 0; remaining--) {
       tasks.add(readTaskStatus(in));
     }
     return tasks;
@@ -100,7 +103,7 @@
       throws IOException, MalformedMessageException {
     TaskId task = readTask(in);
     long attempt = in.readLong();
-    Stage stage = readConstant(in, Stage.values());
+    Stage stage = readEnum(in, Stage.values());
     String cause = in.readUTF();
     return stage == Stage.FETCHING && cause.equals(WAITING_CAUSE)
         ? new TaskStatus(task, attempt, Stage.WAITING, "")
@@ -112,7 +115,7 @@
     int status = in.readShort();
     long fencingToken = in.readLong();
     List<AgentCommand> commands = new ArrayList<>();
-    for (int left = PeerMessageCodec.readCount(in); left > 0; left--) {
+    for (int remaining = PeerMessageCodec.readCount(in); remaining > 0; remaining--) {
       commands.add(readCommand(in));
     }
     return new HeartbeatResponse(status, fencingToken, commands);
@@ -120,7 +123,7 @@
 
   private static AgentCommand readCommand(DataInputStream in)
       throws IOException, MalformedMessageException {
-    AgentCommand.Verb verb = readConstant(in, AgentCommand.Verb.values());
+    AgentCommand.Verb verb = readEnum(in, AgentCommand.Verb.values());
     return new AgentCommand(verb, readTask(in), in.readLong(), Duration.ofNanos(in.readLong()));
   }
 
@@ -128,7 +131,7 @@
     return new TaskId(in.readUTF(), in.readInt());
   }
 
-  private static <T> T readConstant(DataInputStream in, T[] values)
+  private static <T> T readEnum(DataInputStream in, T[] values)
       throws IOException, MalformedMessageException {
     int ordinal = in.readByte();
     if (ordinal < 0 || ordinal >= values.length) {
--- a/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -19,8 +19,8 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes what controllers send each other: a byte that names the kind, then the fields
- * as {@link DataOutputStream} writes them.
+ * Encodes and decodes messages between controllers as peer records. A record is a byte that
+ * identifies the message type, followed by the fields as written by {@link DataOutputStream}.
  */
 final class PeerMessageCodec {
   private static final int CONTROLLER_HEARTBEAT = 1;
@@ -31,18 +31,18 @@
   private static final int CONFIRMATION = 6;
   private static final int JOB_CANCELLED = 7;
 
-  /** Enough for most records, in bytes. */
-  private static final int INITIAL_SIZE = 256;
+  /** Large enough for most records. */
+  private static final int INITIAL_BUFFER_BYTES = 256;
 
   private PeerMessageCodec() {}
 
-  /** Encodes a record. */
+  /** Encodes a message as a record. */
   static byte[] encode(PeerMessage message) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_SIZE);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       write(out, message);
     } catch (IOException e) {
-      throw new IllegalStateException("memory does not fail", e);
+      throw new IllegalStateException("failed to write a peer record in memory", e);
     }
     return bytes.toByteArray();
   }
@@ -52,11 +52,11 @@
       writeControllerHeartbeat(out, m);
     } else if (message instanceof ForwardedHeartbeat m) {
       out.writeByte(FORWARDED_HEARTBEAT);
-      out.writeLong(m.exchange());
+      out.writeLong(m.exchangeId());
       HeartbeatRecordCodec.write(out, m.heartbeat());
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       out.writeByte(FORWARDED_HEARTBEAT_RESPONSE);
-      out.writeLong(m.exchange());
+      out.writeLong(m.exchangeId());
       HeartbeatRecordCodec.write(out, m.response());
     } else if (message instanceof TaskCounts m) {
       writeTaskCounts(out, m);
@@ -95,26 +95,25 @@
     out.writeByte(CONFIRMATION);
     out.writeLong(message.nonce());
     out.writeLong(message.term());
-    writeTexts(out, message.cancelledJobs());
+    writeStrings(out, message.cancelledJobs());
     out.writeBoolean(message.liveJobs().isPresent());
     if (message.liveJobs().isPresent()) {
       out.writeLong(message.liveJobs().get().storeRevision());
-      writeTexts(out, message.liveJobs().get().jobs());
+      writeStrings(out, message.liveJobs().get().jobs());
     }
   }
 
-  private static void writeTexts(DataOutputStream out, List<String> texts) throws IOException {
-    out.writeInt(texts.size());
-    for (String text : texts) {
-      out.writeUTF(text);
+  private static void writeStrings(DataOutputStream out, List<String> strings) throws IOException {
+    out.writeInt(strings.size());
+    for (String string : strings) {
+      out.writeUTF(string);
     }
   }
 
   /**
    * Decodes a record.
    *
-   * @throws MalformedMessageException if the bytes are no record of this version; they change
-   *     nothing then
+   * @throws MalformedMessageException if the bytes are not a valid record of this version
    */
   static PeerMessage decode(byte[] frame) throws MalformedMessageException {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
@@ -148,7 +147,7 @@
   private static TaskCounts readTaskCounts(DataInputStream in)
       throws IOException, MalformedMessageException {
     List<JobTaskCount> jobs = new ArrayList<>();
-    for (int left = readCount(in); left > 0; left--) {
+    for (int remaining = readCount(in); remaining > 0; remaining--) {
       jobs.add(new JobTaskCount(in.readUTF(), in.readInt(), in.readInt()));
     }
     return new TaskCounts(jobs);
@@ -159,25 +158,25 @@
     return new Confirmation(
         in.readLong(),
         in.readLong(),
-        readTexts(in),
+        readStrings(in),
         in.readBoolean()
-            ? Optional.of(new LiveJobs(in.readLong(), readTexts(in)))
+            ? Optional.of(new LiveJobs(in.readLong(), readStrings(in)))
             : Optional.empty());
   }
 
-  private static List<String> readTexts(DataInputStream in)
+  private static List<String> readStrings(DataInputStream in)
       throws IOException, MalformedMessageException {
-    List<String> texts = new ArrayList<>();
-    for (int left = readCount(in); left > 0; left--) {
-      texts.add(in.readUTF());
+    List<String> strings = new ArrayList<>();
+    for (int remaining = readCount(in); remaining > 0; remaining--) {
+      strings.add(in.readUTF());
     }
-    return texts;
+    return strings;
   }
 
-  /** The number of entries that follow. */
+  /** Reads the number of entries that follow. */
   static int readCount(DataInputStream in) throws IOException, MalformedMessageException {
     int count = in.readInt();
-    // Each entry takes at least one byte: a larger count is garbage and must not reserve memory.
+    // Each entry takes at least one byte. A larger count is invalid and must not allocate memory.
     if (count < 0 || count > in.available()) {
       throw new MalformedMessageException("peer record with an impossible count");
     }
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -104,7 +104,8 @@
         createMachineProvisioner(
             environment, leaderState, cloud, retirement, jobClasses, queueOrder);
     levelUpgrader =
-        new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
+        new SchemaLevelUpgrader(
+            environment.levelGate(), settings.controllerNames(), leaderState.clock());
     recordWriter = createRecordWriter(environment, leaderState, executor, retirement);
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
--- a/src/main/java/io/pearscale/scheduler/PeerChannel.java
+++ b/src/main/java/io/pearscale/scheduler/PeerChannel.java
@@ -26,6 +26,6 @@
 
   /** Returns whether at least one peer is unreachable. */
   boolean hasUnreachablePeer() {
-    return transport.connected().size() < peers.size();
+    return transport.connectedPeers().size() < peers.size();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -69,7 +69,7 @@
       TaskStatus status,
       ReportedAttempts.PreviousReport previous) {
     Optional<TaskAttempt> known = knownAttempt(machine, heartbeat, status);
-    EndCause cause = EndCause.of(status.cause());
+    EndCause cause = EndCause.fromWireName(status.cause());
     long startToken =
         cause == EndCause.COMPLETED
             ? NO_START_TOKEN
--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -26,26 +26,28 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Length-prefixed records over XNIO connections. Each controller dials every other and sends on the
- * connection that it dialled; what it accepted it only reads. So a broken direction shows on its
- * own, and a record from before a reconnect can't follow one from after it.
+ * Transfers length-prefixed records over XNIO connections. Each controller opens a connection to
+ * every other controller and sends only on it; it only reads from accepted connections. A failure
+ * in one direction is therefore detected independently of the other, and a record sent before a
+ * reconnect cannot arrive after one sent later.
  *
- * <p>The first frame names versions and sender; a frame that is too long, or a sender that is not a
- * configured peer, closes the connection: foreign or garbled bytes change nothing.
+ * <p>The first frame contains the supported versions and the name of the sender. A frame that is
+ * too long, an unsupported version or a sender that is not a configured peer closes the connection,
+ * so that unknown or corrupted data changes no state.
  */
 public final class TcpPeerTransport implements PeerTransport {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerTransport.class);
   private static final int MAX_FRAME_BYTES = 4 << 20;
   private static final int MAX_QUEUED_BYTES = 8 << 20;
   private static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(3);
-  private static final Duration REDIAL_DELAY = Duration.ofMillis(400);
+  private static final Duration RECONNECT_DELAY = Duration.ofMillis(400);
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration BATCH_DELAY = Duration.ofMillis(15);
   private static final int MAX_FRAMES_PER_WRITE = 64;
 
   private final EventLoop loop;
   private final XnioWorker worker;
-  private final String self;
+  private final String localName;
   private final String greeting;
   private final Predicate<String> acceptsGreeting;
   private final Receiver receiver;
@@ -68,30 +70,30 @@
   }
 
   /**
-   * Prepares links.
+   * Creates a transport without connections.
    *
-   * @param greeting names the versions of records that this side understands
-   * @param acceptsGreeting which greetings of the other side name a version that this one
-   *     understands
+   * @param greeting announces the record versions that this controller supports
+   * @param acceptsGreeting returns whether the greeting of a peer contains a version that this
+   *     controller supports
    */
   public TcpPeerTransport(
       EventLoop loop,
       XnioWorker worker,
-      String self,
+      String localName,
       String greeting,
       Predicate<String> acceptsGreeting,
       Map<String, InetSocketAddress> addresses,
       Receiver receiver) {
     this.loop = loop;
     this.worker = worker;
-    this.self = self;
+    this.localName = localName;
     this.greeting = greeting;
     this.acceptsGreeting = acceptsGreeting;
     this.receiver = receiver;
     addresses.forEach((name, address) -> peers.put(name, new Peer(name, address)));
   }
 
-  /** Listens and begins to dial. */
+  /** Starts listening and connects to all peers. */
   public void start(InetSocketAddress listen) throws IOException {
     ChannelListener<org.xnio.channels.AcceptingChannel<StreamConnection>> acceptor =
         channel -> {
@@ -110,11 +112,11 @@
             acceptor,
             OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.BACKLOG, 16).getMap())
         .resumeAccepts();
-    peers.values().forEach(this::dial);
+    peers.values().forEach(this::connect);
   }
 
   @Override
-  public Set<String> connected() {
+  public Set<String> connectedPeers() {
     Instant limit = loop.clock().instant().minus(LIVENESS_TIMEOUT);
     Set<String> result = new LinkedHashSet<>();
     for (Peer peer : peers.values()) {
@@ -149,7 +151,8 @@
     }
     enqueue(p, frame);
     if (!p.flushScheduled) {
-      // Records come in crowds; each write costs as much as many records.
+      // Records arrive in bursts, and a write costs as much as many records, so records are sent in
+      // batches.
       p.flushScheduled = true;
       loop.schedule(
           BATCH_DELAY,
@@ -168,7 +171,7 @@
     peer.queuedBytes += buffer.remaining();
   }
 
-  private void dial(Peer peer) {
+  private void connect(Peer peer) {
     IoFuture<StreamConnection> future =
         worker.openStreamConnection(
             peer.address, c -> {}, OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
@@ -198,7 +201,7 @@
                     LOG.debug(
                         "event=peer_dial_failed peer={} reason={}", peer.name, e.getMessage());
                   }
-                  loop.schedule(REDIAL_DELAY, () -> dial(peer));
+                  loop.schedule(RECONNECT_DELAY, () -> connect(peer));
                 }),
         null);
   }
@@ -209,7 +212,7 @@
     peer.queue.clear();
     peer.queuedBytes = 0;
     connection.getCloseSetter().set(x -> loop.execute(() -> disconnect(peer, connection)));
-    // Nothing is sent back on this connection: readable means closed.
+    // The peer sends nothing on this connection, so a readable channel means that it was closed.
     connection
         .getSourceChannel()
         .setReadListener(
@@ -224,7 +227,7 @@
             });
     connection.getSourceChannel().resumeReads();
     LOG.info("event=peer_link_up peer={}", peer.name);
-    enqueue(peer, (greeting + " " + self).getBytes(StandardCharsets.UTF_8));
+    enqueue(peer, (greeting + " " + localName).getBytes(StandardCharsets.UTF_8));
     flush(peer);
   }
 
@@ -232,8 +235,9 @@
     if (peer.outbound == connection) {
       peer.outbound = null;
       LOG.info("event=peer_link_down peer={}", peer.name);
-      // At once: a refusal tells an ended process from a broken link.
-      loop.schedule(Duration.ofMillis(20), () -> dial(peer));
+      // Reconnects with a short delay, because a refused connection distinguishes an ended process
+      // from a network failure.
+      loop.schedule(Duration.ofMillis(20), () -> connect(peer));
     }
     IoUtils.safeClose(connection);
   }
@@ -246,13 +250,13 @@
     ConduitStreamSinkChannel sink = connection.getSinkChannel();
     try {
       while (!peer.queue.isEmpty()) {
-        ByteBuffer[] heads =
+        ByteBuffer[] batch =
             peer.queue.stream().limit(MAX_FRAMES_PER_WRITE).toArray(ByteBuffer[]::new);
-        peer.queuedBytes -= (int) sink.write(heads, 0, heads.length);
+        peer.queuedBytes -= (int) sink.write(batch, 0, batch.length);
         while (!peer.queue.isEmpty() && !peer.queue.peek().hasRemaining()) {
           peer.queue.poll();
         }
-        if (heads[heads.length - 1].hasRemaining()) {
+        if (batch[batch.length - 1].hasRemaining()) {
           sink.setWriteListener(ch -> flush(peer));
           sink.resumeWrites();
           return;
@@ -265,7 +269,7 @@
     }
   }
 
-  /** Cuts an accepted connection into frames. */
+  /** Splits the data of an accepted connection into frames. */
   private final class FrameReader {
     private final StreamConnection connection;
     private final ByteBuffer chunk = ByteBuffer.allocate(32768);
@@ -298,7 +302,7 @@
           }
           chunk.flip();
           while (chunk.hasRemaining()) {
-            takeBytes();
+            consumeBytes();
           }
         }
       } catch (IOException e) {
@@ -306,9 +310,9 @@
       }
     }
 
-    private void takeBytes() throws IOException {
-      // As a whole: byte by byte it took a tenth of the time of a leader whose code was not
-      // compiled.
+    private void consumeBytes() throws IOException {
+      // Copies a block at a time. Copying byte by byte took a tenth of the time of a leader whose
+      // code was not yet JIT-compiled.
       int end = chunk.limit();
       chunk.limit(Math.min(end, chunk.position() + frame.remaining()));
       frame.put(chunk);
@@ -320,7 +324,7 @@
       if (!inBody) {
         int length = frame.getInt();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
-          throw new IOException("frame of " + length + " bytes");
+          throw new IOException("frame of " + length + " bytes, expected 1 byte to 4 MiB");
         }
         frame = ByteBuffer.allocate(length);
         inBody = true;
@@ -330,12 +334,14 @@
       frame = ByteBuffer.allocate(4);
       inBody = false;
       if (sender == null) {
-        String[] hello = new String(bytes, StandardCharsets.UTF_8).split(" ", 2);
-        if (hello.length != 2 || !acceptsGreeting.test(hello[0]) || !peers.containsKey(hello[1])) {
+        String[] greetingParts = new String(bytes, StandardCharsets.UTF_8).split(" ", 2);
+        if (greetingParts.length != 2
+            || !acceptsGreeting.test(greetingParts[0])
+            || !peers.containsKey(greetingParts[1])) {
           LOG.warn("event=foreign_peer action=closed");
-          throw new IOException("foreign peer");
+          throw new IOException("greeting of an unknown peer or with unsupported versions");
         }
-        sender = peers.get(hello[1]);
+        sender = peers.get(greetingParts[1]);
       } else {
         sender.lastReceived = loop.clock().instant();
         receiver.received(sender.name, bytes);
--- a/src/main/java/io/pearscale/transport/UndertowHttpClient.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -36,9 +36,10 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Outgoing requests over Undertow's client, one at a time on a connection. A connection whose
- * request timed out is closed, so that a late answer can never be taken for the answer to a later
- * request. The number of connections is bounded, so that hanging hosts cannot eat up the sockets.
+ * Sends requests with Undertow's client, one at a time per connection. A connection whose request
+ * timed out is closed, so that a late response cannot be mistaken for the response to a later
+ * request. The number of connections is limited, so that unresponsive hosts cannot exhaust the
+ * sockets.
  */
 public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_RESPONSE_BYTES = 64 << 20;
@@ -54,26 +55,27 @@
   private final Set<String> priorityAddresses;
   private final Map<String, Host> hosts = new HashMap<>();
 
-  /** Idle connections, the one that was used longest ago first. */
+  /** Idle connections, least recently used first. */
   private final LinkedHashMap<ClientConnection, Host> idle = new LinkedHashMap<>();
 
-  /** Open connections, without those that are being closed. */
+  /** Open connections, excluding those that are being closed. */
   private final Set<ClientConnection> connected = new HashSet<>();
 
   private int connecting;
   private long refusedRequests;
 
-  /** Uses at most {@code maxOpen} sockets. */
+  /** Creates a client that uses at most {@code maxConnections} sockets. */
   public UndertowHttpClient(
       EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxConnections) {
     this(loop, thread, buffers, maxConnections, 0, Set.of());
   }
 
   /**
-   * Uses at most {@code maxOpen} sockets.
+   * Creates a client that uses at most {@code maxConnections} sockets.
    *
-   * @param reservedConnections how many of them are for the preferred addresses alone: with more
-   *     machines than sockets, a burst of commands must not keep the leader from the state service
+   * @param reservedConnections how many of these sockets only the priority addresses may use: with
+   *     more machines than sockets, a burst of commands must not prevent the leader from reaching
+   *     the key-value store
    */
   public UndertowHttpClient(
       EventLoop loop,
@@ -94,8 +96,8 @@
   private static final class Host {
     final String address;
 
-    /** Empty for what is no address. */
-    final Optional<URI> target;
+    /** Empty if the address is invalid. */
+    final Optional<URI> uri;
 
     final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
     int connecting;
@@ -103,39 +105,39 @@
 
     Host(String address) {
       this.address = address;
-      this.target = target(address);
+      this.uri = parseAddress(address);
     }
   }
 
-  /** One request, which is answered exactly once, whatever happens to its connection. */
+  /** A request that receives exactly one reply, even if its connection fails. */
   private final class PendingRequest implements ClientCallback<ClientExchange> {
     final Host host;
     final ClientRequest request;
     final byte[] body;
-    Consumer<Reply> answer;
+    Consumer<Reply> onReply;
     ClientConnection connection;
-    IoFuture<StreamConnection> attempt;
+    IoFuture<StreamConnection> connectAttempt;
     boolean connectInProgress;
     Timeouts.Timeout timeout;
 
-    PendingRequest(Host host, ClientRequest request, byte[] body, Consumer<Reply> answer) {
+    PendingRequest(Host host, ClientRequest request, byte[] body, Consumer<Reply> onReply) {
       this.host = host;
       this.request = request;
       this.body = body;
-      this.answer = answer;
+      this.onReply = onReply;
     }
 
     void finish(Reply reply, boolean reusable) {
-      if (answer == null) {
+      if (onReply == null) {
         return;
       }
-      Consumer<Reply> to = answer;
-      answer = null;
+      Consumer<Reply> callback = onReply;
+      onReply = null;
       host.pending--;
       timeouts.cancel(timeout);
       if (connectInProgress) {
         connectAttemptEnded();
-        attempt.cancel();
+        connectAttempt.cancel();
       }
       if (connection != null) {
         if (reusable && connection.isOpen() && host.idle.size() < MAX_IDLE_PER_HOST) {
@@ -146,19 +148,19 @@
         }
       }
       removeIfUnused(host);
-      to.accept(reply);
+      callback.accept(reply);
     }
 
-    /** The attempt to connect is over, or given up. */
+    /** Marks the connection attempt as completed or cancelled. */
     void connectAttemptEnded() {
       connectInProgress = false;
       host.connecting--;
       connecting--;
     }
 
-    void send(ClientConnection on) {
-      connection = on;
-      on.sendRequest(request, this);
+    void send(ClientConnection openConnection) {
+      connection = openConnection;
+      openConnection.sendRequest(request, this);
     }
 
     @Override
@@ -256,11 +258,11 @@
       String path,
       JsonNode body,
       Duration timeout,
-      Consumer<Reply> answer) {
+      Consumer<Reply> onReply) {
     Host host = hosts.computeIfAbsent(address, Host::new);
-    if (host.target.isEmpty()) {
+    if (host.uri.isEmpty()) {
       removeIfUnused(host);
-      loop.execute(() -> answer.accept(Reply.NO_RESPONSE));
+      loop.execute(() -> onReply.accept(Reply.NO_RESPONSE));
       return;
     }
     byte[] bytes = body.isMissingNode() ? new byte[0] : MessagePack.encode(body);
@@ -273,23 +275,23 @@
     } else if (!"GET".equals(method)) {
       request.getRequestHeaders().put(Headers.CONTENT_LENGTH, "0");
     }
-    PendingRequest pending = new PendingRequest(host, request, bytes, answer);
+    PendingRequest pending = new PendingRequest(host, request, bytes, onReply);
     host.pending++;
     pending.timeout = timeouts.start(timeout, () -> pending.finish(Reply.NO_RESPONSE, false));
-    ClientConnection kept;
-    while ((kept = host.idle.poll()) != null) {
-      idle.remove(kept);
-      if (kept.isOpen()) {
-        pending.send(kept);
+    ClientConnection idleConnection;
+    while ((idleConnection = host.idle.poll()) != null) {
+      idle.remove(idleConnection);
+      if (idleConnection.isOpen()) {
+        pending.send(idleConnection);
         return;
       }
     }
-    int most =
+    int connectionLimit =
         priorityAddresses.contains(address) ? maxConnections : maxConnections - reservedConnections;
-    if (openConnections() >= most) {
+    if (openConnections() >= connectionLimit) {
       evictLongestIdle();
     }
-    if (host.connecting >= MAX_CONNECTING_PER_HOST || openConnections() >= most) {
+    if (host.connecting >= MAX_CONNECTING_PER_HOST || openConnections() >= connectionLimit) {
       refusedRequests++;
       loop.execute(() -> pending.finish(Reply.NOT_SENT, false));
       return;
@@ -297,28 +299,32 @@
     connect(pending);
   }
 
-  /** How many requests found no socket so far. */
+  /** Returns how many requests have not been sent because no socket was available. */
   public long refusedRequests() {
     return refusedRequests;
   }
 
-  /** Machines come and go, and their addresses with them: only those in use are kept. */
+  /**
+   * Removes a host without requests and connections, because machines and their addresses change
+   * over time.
+   */
   private void removeIfUnused(Host host) {
     if (host.pending == 0 && host.idle.isEmpty()) {
       hosts.remove(host.address, host);
     }
   }
 
-  /** How many hosts are known. */
-  int knownHosts() {
+  /** Returns the number of hosts in use. */
+  int hostCount() {
     return hosts.size();
   }
 
   /**
-   * Where an address leads. Machines name their own: one that is no address counts as one that does
-   * not answer, since an exception would end whatever the caller was about to do for others.
+   * Returns the URI of an address. Agents report their own addresses, so an invalid one is treated
+   * as an unresponsive host: an exception would abort the remaining work of the caller for other
+   * machines.
    */
-  private static Optional<URI> target(String address) {
+  private static Optional<URI> parseAddress(String address) {
     try {
       URI uri = new URI("http://" + address);
       return uri.getHost() != null && uri.getPort() > 0 ? Optional.of(uri) : Optional.empty();
@@ -327,14 +333,17 @@
     }
   }
 
-  /** With more hosts than sockets, the connection that was not needed for longest makes room. */
+  /**
+   * Closes the least recently used idle connection, which frees a socket for another host.
+   * Connections to priority addresses are not closed.
+   */
   private void evictLongestIdle() {
-    Optional<ClientConnection> oldest =
+    Optional<ClientConnection> longestIdle =
         idle.entrySet().stream()
             .filter(entry -> !priorityAddresses.contains(entry.getValue().address))
             .map(Map.Entry::getKey)
             .findFirst();
-    oldest.ifPresent(
+    longestIdle.ifPresent(
         c -> {
           removeIdle(c);
           connected.remove(c);
@@ -342,7 +351,7 @@
         });
   }
 
-  /** Connections that are open or being opened. */
+  /** Returns the number of connections that are open or being opened. */
   public int openConnections() {
     return connecting + connected.size();
   }
@@ -389,17 +398,18 @@
                 }
               }
             },
-            host.target.orElseThrow(),
+            host.uri.orElseThrow(),
             connector,
             buffers,
             OptionMap.EMPTY);
-    pending.attempt = connector.lastAttempt;
+    pending.connectAttempt = connector.lastAttempt;
   }
 
   /**
-   * Dials on the loop's thread and keeps hold of the attempt. A connection to a machine that is cut
-   * off neither opens nor fails for minutes, and Undertow's client has no way to give it up: some
-   * hundred of them would take all sockets, also those for the state service.
+   * Opens connections on the event loop thread and keeps the connection attempt so that it can be
+   * cancelled. A connection to an unreachable machine neither opens nor fails for minutes, and
+   * Undertow's client cannot cancel it. A few hundred such attempts would use all sockets,
+   * including those for the key-value store.
    */
   private static final class CancellableConnector extends XnioIoThread {
     private final XnioIoThread thread;
--- a/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
+++ b/src/test/java/io/pearscale/coordination/HeartbeatRelayActorTest.java
@@ -51,12 +51,12 @@
             }
 
             @Override
-            public Set<String> connected() {
+            public Set<String> connectedPeers() {
               return Set.of("hive-1");
             }
           },
           Duration.ofMillis(1500),
-          ConnectionLimits.of(SOCKETS).parkedHeartbeats(),
+          ConnectionLimits.of(SOCKETS).maxWaitingHeartbeats(),
           (heartbeat, response) -> {});
 
   HeartbeatRelayActorTest() {
@@ -71,15 +71,15 @@
   @Test
   void refusesAHeartbeatAfterTheRelayTimeout() {
     sendHeartbeat();
-    loop.pass(Duration.ofMillis(1499));
+    loop.advance(Duration.ofMillis(1499));
     assertEquals(List.of(), statuses);
-    loop.pass(Duration.ofMillis(300));
+    loop.advance(Duration.ofMillis(300));
     assertEquals(List.of(503), statuses);
     relay.tell(
         new HeartbeatRelayActor.LeaderResponded(
             new ForwardedHeartbeatResponse(
-                sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
-    loop.pass(Duration.ofSeconds(1));
+                sent.get(0).exchangeId(), new HeartbeatResponse(200, 1, List.of()))));
+    loop.advance(Duration.ofSeconds(1));
     assertEquals(List.of(503), statuses);
   }
 
@@ -91,15 +91,15 @@
   void forwardsAParkedHeartbeatToTheNextLeader() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
-    loop.pass(Duration.ofMillis(900));
+    loop.advance(Duration.ofMillis(900));
     assertEquals(List.of(), statuses);
     relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
-    loop.pass(Duration.ofMillis(10));
+    loop.advance(Duration.ofMillis(10));
     relay.tell(
         new HeartbeatRelayActor.LeaderResponded(
             new ForwardedHeartbeatResponse(
-                sent.get(0).exchange(), new HeartbeatResponse(200, 1, List.of()))));
-    loop.pass(Duration.ofMillis(10));
+                sent.get(0).exchangeId(), new HeartbeatResponse(200, 1, List.of()))));
+    loop.advance(Duration.ofMillis(10));
     assertEquals(List.of(200), statuses);
   }
 
@@ -113,23 +113,23 @@
     for (int i = 0; i < 4000; i++) {
       sendHeartbeat();
     }
-    loop.pass(Duration.ofMillis(900));
+    loop.advance(Duration.ofMillis(900));
     assertEquals(0, statuses.size());
     relay.tell(new LeaderChanged(3, Optional.of("hive-1")));
-    loop.pass(Duration.ofMillis(10));
+    loop.advance(Duration.ofMillis(10));
     assertEquals(4000, sent.size());
   }
 
   /** Parked heartbeats occupy connections, and other agents need some of these in the meantime. */
   @Test
   void refusesHeartbeatsBeyondTheParkingLimitAtOnce() {
-    int limit = ConnectionLimits.of(SOCKETS).parkedHeartbeats();
+    int limit = ConnectionLimits.of(SOCKETS).maxWaitingHeartbeats();
     assertTrue(limit < ConnectionLimits.of(SOCKETS).inbound());
     relay.tell(new LeaderChanged(2, Optional.empty()));
     for (int i = 0; i < limit + 3; i++) {
       sendHeartbeat();
     }
-    loop.pass(Duration.ofMillis(10));
+    loop.advance(Duration.ofMillis(10));
     assertEquals(3, statuses.size());
     assertTrue(statuses.stream().allMatch(status -> status == 503));
   }
@@ -138,7 +138,7 @@
   void refusesAParkedHeartbeatAfterTheElectionWait() {
     relay.tell(new LeaderChanged(2, Optional.empty()));
     sendHeartbeat();
-    loop.pass(Duration.ofMillis(1800));
+    loop.advance(Duration.ofMillis(1800));
     assertEquals(List.of(503), statuses);
     assertEquals(0, sent.size());
   }
@@ -147,14 +147,14 @@
   void heartbeatsShareOneTimer() {
     for (int i = 0; i < 1000; i++) {
       sendHeartbeat();
-      loop.pass(Duration.ofMillis(2));
+      loop.advance(Duration.ofMillis(2));
       relay.tell(
           new HeartbeatRelayActor.LeaderResponded(
               new ForwardedHeartbeatResponse(
-                  sent.get(i).exchange(), new HeartbeatResponse(200, 1, List.of()))));
-      loop.pass(Duration.ofMillis(2));
+                  sent.get(i).exchangeId(), new HeartbeatResponse(200, 1, List.of()))));
+      loop.advance(Duration.ofMillis(2));
     }
     assertEquals(1000, statuses.stream().filter(status -> status == 200).count());
-    assertTrue(loop.asked() <= 20, "scheduled timers: " + loop.asked());
+    assertTrue(loop.scheduledTimers() <= 20, "scheduled timers: " + loop.scheduledTimers());
   }
 }
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -96,7 +96,7 @@
   @Test
   void renewsWhileTheMainLoopIsBusyAndReportsTheSendTime() {
     renewer.start(7, (sent, reply) -> reportedSendTimes.add(sent));
-    renewalLoop.pass(Duration.ofSeconds(3));
+    renewalLoop.advance(Duration.ofSeconds(3));
     assertTrue(renewalPaths.size() >= 5, "renewals: " + renewalPaths.size());
     assertEquals("/grants/7/extend", renewalPaths.get(0));
     assertEquals(List.of(), reportedSendTimes);
@@ -107,12 +107,12 @@
   @Test
   void renewsNothingForAStalledMainLoop() {
     renewer.start(7, (sent, reply) -> {});
-    renewalLoop.pass(STALL_TIMEOUT);
+    renewalLoop.advance(STALL_TIMEOUT);
     int renewals = renewalPaths.size();
-    renewalLoop.pass(Duration.ofSeconds(20));
+    renewalLoop.advance(Duration.ofSeconds(20));
     assertEquals(renewals, renewalPaths.size());
     renewer.noteProgress();
-    renewalLoop.pass(Duration.ofSeconds(1));
+    renewalLoop.advance(Duration.ofSeconds(1));
     assertTrue(renewalPaths.size() > renewals);
   }
 
@@ -120,10 +120,10 @@
   void renewsOnlyTheLastStartedLeaseAndNoneAfterStop() {
     renewer.start(7, (sent, reply) -> {});
     renewer.start(8, (sent, reply) -> {});
-    renewalLoop.pass(Duration.ofSeconds(1));
+    renewalLoop.advance(Duration.ofSeconds(1));
     assertEquals(List.of("/grants/8/extend"), renewalPaths);
     renewer.stop();
-    renewalLoop.pass(Duration.ofSeconds(3));
+    renewalLoop.advance(Duration.ofSeconds(3));
     assertEquals(1, renewalPaths.size());
   }
 }
--- a/src/test/java/io/pearscale/transport/CountingEventLoop.java
+++ b/src/test/java/io/pearscale/transport/CountingEventLoop.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A loop under a simulated clock that counts the timers that it is asked for. */
+/** An event loop with a simulated clock that counts the scheduled timers. */
 public final class CountingEventLoop implements EventLoop {
   private record Timer(Instant at, long order, Runnable task) {}
 
@@ -14,7 +14,7 @@
       new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::order));
   private Instant now = Instant.EPOCH;
   private long order;
-  private int asked;
+  private int scheduledTimers;
 
   @Override
   public void execute(Runnable task) {
@@ -23,7 +23,7 @@
 
   @Override
   public void schedule(Duration delay, Runnable task) {
-    asked++;
+    scheduledTimers++;
     timers.add(new Timer(now.plus(delay), order++, task));
   }
 
@@ -32,13 +32,13 @@
     return () -> now;
   }
 
-  /** How many timers were asked for. */
-  public int asked() {
-    return asked;
+  /** Returns the number of timers that were scheduled. */
+  public int scheduledTimers() {
+    return scheduledTimers;
   }
 
-  /** Lets so much time pass. */
-  public void pass(Duration time) {
+  /** Advances the clock and runs all tasks that become due. */
+  public void advance(Duration time) {
     Instant end = now.plus(time);
     while (!timers.isEmpty() && !timers.peek().at.isAfter(end)) {
       Timer timer = timers.poll();
