--- a/src/test/java/io/pearscale/sim/CancelRunsTest.java
+++ b/src/test/java/io/pearscale/sim/CancelRunsTest.java
@@ -51,7 +51,7 @@
         machines small a ordinary 1
         team t
         at 2 submit wk-1 service tasks=1
-        at 10 ignore-kills m-000000
+        at 10 ignore-stops m-000000
         at 12 cancel wk-1
         until 60
         """;
--- a/src/test/java/io/pearscale/sim/CancellationScenarioGenerator.java
+++ b/src/test/java/io/pearscale/sim/CancellationScenarioGenerator.java
@@ -78,22 +78,25 @@
     String node = random.nextBoolean() ? "leader-if-any" : "hive-" + random.nextInt(3);
     String hold = random.nextBoolean() ? " hold" : "";
     switch (random.nextInt(14)) {
-      case 0 -> spell(at, "lose-answers %.2f".formatted(random.nextDouble() * 0.7), end);
+      case 0 ->
+          spell(at, "lose-heartbeat-responses %.2f".formatted(random.nextDouble() * 0.7), end);
       case 1 -> spell(at, "lose-commands %.2f".formatted(0.3 + random.nextDouble() * 0.7), end);
-      case 2 -> spell(at, "slow all %.4f".formatted(random.nextDouble() * 0.06 / machines), end);
-      case 3 -> spell(at, "slow-links %.2f".formatted(random.nextDouble() * 2.2), end);
-      case 4 -> spell(at, "slow-state %.2f".formatted(random.nextDouble() * 1.4), end);
-      case 5 -> line(at, "late-commands %d %.2f", machines, 2 + random.nextDouble() * 14);
-      case 6 -> line(at, "freeze %s %.2f midway", node, 1 + random.nextDouble() * 20);
+      case 2 ->
+          spell(
+              at, "processing-time all %.4f".formatted(random.nextDouble() * 0.06 / machines), end);
+      case 3 -> spell(at, "network-latency %.2f".formatted(random.nextDouble() * 2.2), end);
+      case 4 -> spell(at, "store-latency %.2f".formatted(random.nextDouble() * 1.4), end);
+      case 5 -> line(at, "delay-commands %d %.2f", machines, 2 + random.nextDouble() * 14);
+      case 6 -> line(at, "freeze %s %.2f before-send", node, 1 + random.nextDouble() * 20);
       case 7 -> restart(node, at, end);
       case 8 -> pair(at, end, "cut", "heal", node + " state" + hold, node + " state");
       case 9 -> pair(at, end, "cut", "heal", node + " workers" + hold, node + " workers");
-      case 10 -> pair(at, end, "refuse", "serve", node, node);
+      case 10 -> pair(at, end, "refuse-store-client", "accept-store-client", node, node);
       case 11 -> pair(at, end, "down", "up", "state", "state");
       case 12 -> machines(at, end, "hang-within-lease", "resume", "");
       default -> {
         machines(at, end, "cut", "heal", " all" + hold);
-        machines(at, end, "deafen", "undeafen", "");
+        machines(at, end, "cut-controller-to-agent", "heal-controller-to-agent", "");
       }
     }
   }
@@ -109,7 +112,7 @@
   }
 
   private void restart(String node, double at, double end) {
-    line(at, "call %s restarted%.0f", node, at);
+    line(at, "alias %s restarted%.0f", node, at);
     line(at, "crash restarted%.0f", at);
     line(random.nextBoolean() ? at + 0.3 : end, "start restarted%.0f", at);
   }
@@ -120,7 +123,7 @@
     String called = "host%.0f".formatted(at * 100);
     boolean leader = host.equals("leader-if-any");
     if (leader) {
-      line(at, "call leader-if-any %s", called);
+      line(at, "alias leader-if-any %s", called);
     }
     line(at, "%s %s", begins, leader ? what.replace(host, called) : what);
     line(end, "%s %s", ends, leader ? afterwards.replace(host, called) : afterwards);
--- a/src/test/java/io/pearscale/sim/DrainRunsTest.java
+++ b/src/test/java/io/pearscale/sim/DrainRunsTest.java
@@ -72,11 +72,11 @@
       switch (r.nextInt(5)) {
         case 0 ->
             s.append("at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, at + 4, node));
-        case 1 -> s.append("at %.2f freeze %s 12 midway\n".formatted(at, node));
+        case 1 -> s.append("at %.2f freeze %s 12 before-send\n".formatted(at, node));
         case 2 -> s.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 20));
         case 3 ->
             s.append(
-                "at %.2f deafen %s\nat %.2f undeafen %s\n"
+                "at %.2f cut-controller-to-agent %s\nat %.2f heal-controller-to-agent %s\n"
                     .formatted(at, machine, at + 30, machine));
         default ->
             s.append(
--- a/src/test/java/io/pearscale/sim/LargeFleetTest.java
+++ b/src/test/java/io/pearscale/sim/LargeFleetTest.java
@@ -36,7 +36,7 @@
             .add("at 25 crash leader")
             .add("at 29 start all")
             .cutOff(0, PER_ZONE - 1, 40, 75)
-            .add("at 45 forget-history")
+            .add("at 45 discard-store-history")
             .services(300, 2, 0.04)
             .arrays(500, 2, 0.05)
             .until(130));
@@ -48,7 +48,7 @@
     play(
         day()
             .cancelled(150, 2, 20)
-            .add("at 24 call leader leader-then")
+            .add("at 24 alias leader leader-then")
             .add("at 24.1 cut leader-then workers")
             .add("at 30 heal leader-then workers")
             .add("at 34 down state")
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -47,12 +47,12 @@
  * it must answer. For what can't be met by chance in a whole simulated world.
  */
 final class LeaderScript extends SimulatedEventLoop implements HttpClient, SchedulerActor.Listener {
-  private record Pending(String path, JsonNode body, Consumer<Reply> answer) {}
+  private record PendingRequest(String path, JsonNode body, Consumer<Reply> answer) {}
 
   private final SchedulerActor scheduler;
   private final KeyValueStoreClient client;
-  private final Map<String, Pending> sentCommands = new TreeMap<>();
-  private final List<Pending> heldCommits = new ArrayList<>();
+  private final Map<String, PendingRequest> sentCommands = new TreeMap<>();
+  private final List<PendingRequest> heldCommits = new ArrayList<>();
   private final Map<String, Long> attempts = new HashMap<>();
   private final List<String> startedAttempts = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
@@ -150,9 +150,9 @@
       case "type" ->
           cluster.cloud.types.put(words.get(1), Scenario.type(words.get(1), cluster.zones, words));
       case "job" -> writeJob(words);
-      case "drop" -> applyChange("c/live/" + words.get(1), Optional.empty());
-      case "marks" -> writePlacementRecords(words.get(1), words.subList(2, words.size()));
-      case "host" -> {
+      case "delete-job" -> applyChange("c/live/" + words.get(1), Optional.empty());
+      case "placements" -> writePlacementRecords(words.get(1), words.subList(2, words.size()));
+      case "machine" -> {
         String m = words.get(1);
         machineRecords.add(
             new MachineRecordCodec.MachineRecord(
@@ -167,21 +167,21 @@
                 Maintenance.IN_SERVICE));
         applyChange("c/roster/0", Optional.of(MachineRecordCodec.encode(machineRecords, 0)));
       }
-      case "damaged" ->
+      case "corrupt-record" ->
           applyChange(words.get(1), Optional.of(SimulatedCluster.map().put("wk-1/0", "?")));
-      case "damaged-job" ->
+      case "corrupt-job" ->
           applyChange(
               "c/live/" + words.get(1), Optional.of(SimulatedCluster.map().put("spec", "?")));
-      case "won" -> elect(Long.parseLong(words.get(1)), words.contains("on-old-copy"));
-      case "caught-up" -> {
+      case "elected" -> elect(Long.parseLong(words.get(1)), words.contains("stale-replica"));
+      case "replica-caught-up" -> {
         scheduler.tell(new SchedulerActor.KeysChanged(List.of(), storeRevision));
         advance(Duration.ofMillis(100));
       }
-      case "vouch" -> receiveConfirmation(List.of(), words.subList(1, words.size()));
-      case "vouch-live" ->
+      case "peers-confirm" -> receiveConfirmation(List.of(), words.subList(1, words.size()));
+      case "peers-confirm-live" ->
           receiveConfirmation(
               List.of(new LiveJobs(storeRevision, words.subList(1, words.size()))), List.of());
-      case "acknowledged" -> scheduler.tell(new SchedulerActor.ElectionAcknowledged(term));
+      case "election-acknowledged" -> scheduler.tell(new SchedulerActor.ElectionAcknowledged(term));
       case "confirm" -> proveLeadership();
       case "wait" -> {
         for (int i = 0; i < 20 * Double.parseDouble(words.get(1)); i++) {
@@ -194,13 +194,13 @@
           advance(Duration.ofMillis(50));
         }
       }
-      case "raise-term" -> {
+      case "raise-stored-term" -> {
         ObjectNode body = SimulatedCluster.map();
         ObjectNode change = body.putArray("then").addObject().put("write", "c/term");
         change.set("value", SimulatedCluster.map().put("term", Long.parseLong(words.get(1))));
         cluster.store.serve("x", "POST", "/commit", body, r -> {});
       }
-      case "cancelled-unseen" -> {
+      case "delete-job-unobserved" -> {
         ObjectNode body = SimulatedCluster.map();
         body.putArray("then").addObject().put("drop", "c/live/" + words.get(1));
         cluster.store.serve("x", "POST", "/commit", body, r -> {});
@@ -208,7 +208,7 @@
       case "hold-commits" -> holdCommits = true;
       case "release-commits" -> {
         holdCommits = false;
-        List<Pending> delayed = List.copyOf(heldCommits);
+        List<PendingRequest> delayed = List.copyOf(heldCommits);
         heldCommits.clear();
         delayed.forEach(p -> cluster.store.serve("x", "POST", p.path, p.body, p.answer));
         advance(Duration.ofMillis(200));
@@ -218,12 +218,12 @@
         heldCommits.replaceAll(
             p -> {
               p.answer.accept(Reply.NO_RESPONSE);
-              return new Pending(p.path, p.body, r -> {});
+              return new PendingRequest(p.path, p.body, r -> {});
             });
         holdCommits = false;
         advance(Duration.ofSeconds(2));
       }
-      case "report" -> {
+      case "heartbeat" -> {
         response = Optional.empty();
         scheduler.tell(
             new SchedulerActor.HeartbeatReceived(
@@ -233,7 +233,7 @@
       }
       case "via" -> heartbeatReceiver = words.get(1);
       case "reply" -> {
-        Pending p = sentCommands.remove(words.get(1));
+        PendingRequest p = sentCommands.remove(words.get(1));
         if (p == null) {
           return Optional.of("nothing was sent to " + words.get(1));
         }
@@ -451,7 +451,7 @@
 
   private Optional<String> checkExpectation(List<String> words) throws MalformedMessageException {
     switch (words.get(0)) {
-      case "answer" -> {
+      case "response" -> {
         if (response.isEmpty() || response.get().status() != Integer.parseInt(words.get(1))) {
           return Optional.of("answered " + response);
         }
@@ -466,14 +466,14 @@
         SortedSet<String> expected = new TreeSet<>(words.subList(2, words.size()));
         return actual.equals(expected) ? Optional.empty() : Optional.of("orders " + actual);
       }
-      case "do" -> {
-        Pending p = sentCommands.get(words.get(1));
+      case "commands" -> {
+        PendingRequest p = sentCommands.get(words.get(1));
         SortedSet<String> actual =
             p == null ? new TreeSet<>() : commandNames(p.body.path("orders"));
         SortedSet<String> expected = new TreeSet<>(words.subList(2, words.size()));
         return actual.equals(expected) ? Optional.empty() : Optional.of("sent " + actual);
       }
-      case "leeway" -> {
+      case "grace-period" -> {
         JsonNode orders = sentCommands.get(words.get(1)).body.path("orders");
         double actual = orders.path(0).path("leewayS").asDouble(-1);
         return actual == Double.parseDouble(words.get(2))
@@ -510,15 +510,15 @@
             ? Optional.empty()
             : Optional.of("attempts " + startedAttempts);
       }
-      case "mark" -> {
+      case "placement" -> {
         String actual = placementOf(words.get(1));
         return actual.equals(words.get(2)) ? Optional.empty() : Optional.of("marked " + actual);
       }
-      case "roster" -> {
+      case "machine-record" -> {
         String actual = machineRecordOf(words.get(1));
         return actual.equals(words.get(2)) ? Optional.empty() : Optional.of("roster " + actual);
       }
-      case "unfit" -> {
+      case "unreadable-record" -> {
         return unreadableReason.contains(words.get(1))
             ? Optional.empty()
             : Optional.of("unfit: " + unreadableReason);
@@ -547,7 +547,7 @@
     log.add(cluster.elapsed() + " " + address + " " + path + " " + body);
     if (address.equals("state")) {
       if (path.equals("/commit") && holdCommits) {
-        heldCommits.add(new Pending(path, body, onReply));
+        heldCommits.add(new PendingRequest(path, body, onReply));
       } else {
         cluster.store.serve("x", method, path, body, onReply);
       }
@@ -558,7 +558,7 @@
       cluster.cloud.serve(method, path, body, onReply);
     } else {
       body.path("orders").forEach(this::recordStart);
-      sentCommands.put(address, new Pending(path, body, onReply));
+      sentCommands.put(address, new PendingRequest(path, body, onReply));
     }
   }
 }
--- a/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
+++ b/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
@@ -81,8 +81,8 @@
     String hold = random.nextInt(4) > 0 ? " hold" : "";
     switch (random.nextInt(6)) {
       case 0 -> group(at, end, "hang-within-lease", "resume", "");
-      case 1 -> group(at, end, "deafen", "undeafen", "");
-      case 2 -> group(at, end, "mute", "unmute", "");
+      case 1 -> group(at, end, "cut-controller-to-agent", "heal-controller-to-agent", "");
+      case 2 -> group(at, end, "cut-agent-to-controller", "heal-agent-to-controller", "");
       default -> group(at, end, "cut", "heal", " all" + hold);
     }
   }
@@ -91,19 +91,20 @@
     String node = random.nextInt(3) > 0 ? "leader-if-any" : "hive-" + random.nextInt(3);
     switch (random.nextInt(8)) {
       case 0 ->
-          line(at, "late-commands %d %.2f", 1 + random.nextInt(machines), random.nextDouble() * 18);
-      case 1 -> line(at, "freeze %s %.2f midway", node, 1 + random.nextDouble() * 20);
+          line(
+              at, "delay-commands %d %.2f", 1 + random.nextInt(machines), random.nextDouble() * 18);
+      case 1 -> line(at, "freeze %s %.2f before-send", node, 1 + random.nextDouble() * 20);
       case 2 -> {
-        line(at, "call %s ended%.0f", node, at);
+        line(at, "alias %s ended%.0f", node, at);
         line(at, "crash ended%.0f", at);
         line(at + random.nextDouble() * 6, "start ended%.0f", at);
       }
       case 3 -> group(at, at, "reboot", "", "");
-      case 4 -> spell(at, "slow-links %.2f".formatted(random.nextDouble()));
-      case 5 -> spell(at, "lose-answers %.2f".formatted(random.nextDouble() * 0.7));
+      case 4 -> spell(at, "network-latency %.2f".formatted(random.nextDouble()));
+      case 5 -> spell(at, "lose-heartbeat-responses %.2f".formatted(random.nextDouble() * 0.7));
       case 6 -> spell(at, "lose-commands %.2f".formatted(random.nextDouble()));
       default -> {
-        line(at, "call %s apart%.0f", node, at);
+        line(at, "alias %s apart%.0f", node, at);
         line(at, "cut apart%.0f workers%s", at, random.nextBoolean() ? " hold" : "");
         line(at + 2 + random.nextDouble() * 20, "heal apart%.0f workers", at);
       }
--- a/src/test/java/io/pearscale/sim/RandomRunsTest.java
+++ b/src/test/java/io/pearscale/sim/RandomRunsTest.java
@@ -69,9 +69,10 @@
           "at %.2f drain d%d machines=m-00000%d,m-00000%d at-once=2 for=150%s\n"
               .formatted(at, i, machine, (machine + 1) % 4, r.nextBoolean() ? " hold" : ""));
       if (r.nextInt(3) == 0) {
-        drains.append("at %.2f drain-wish d%d PAUSE\n".formatted(at + 2, i));
+        drains.append("at %.2f drain-desired-state d%d PAUSE\n".formatted(at + 2, i));
       }
-      drains.append("at %.2f drain-wish d%d CANCEL\n".formatted(at + 20 + r.nextDouble() * 90, i));
+      drains.append(
+          "at %.2f drain-desired-state d%d CANCEL\n".formatted(at + 20 + r.nextDouble() * 90, i));
     }
     return day.replaceFirst("nodes 3\n", drains.toString());
   }
@@ -87,7 +88,7 @@
       at += r.nextDouble() * 25;
       steps.append("at %.2f level 1\n".formatted(at));
       at += r.nextDouble() * 25;
-      steps.append("at %.2f level-back\n".formatted(at));
+      steps.append("at %.2f roll-back-level\n".formatted(at));
     }
     return day.replaceFirst("nodes 3\n", steps.toString()) + "expect level 0\n";
   }
@@ -167,7 +168,9 @@
    */
   private static void refusedThenOut(RandomGenerator random, StringBuilder text) {
     double at = 72 + random.nextDouble();
-    text.append("at %.2f call leader-if-any refused\nat %.2f refuse refused\n".formatted(at, at));
+    text.append(
+        "at %.2f alias leader-if-any refused\nat %.2f refuse-store-client refused\n"
+            .formatted(at, at));
     if (random.nextBoolean()) {
       String node = "hive-" + random.nextInt(3);
       double ends = at + random.nextDouble() * 2;
@@ -178,7 +181,8 @@
     text.append(
             "at %.2f down state\nat %.2f up state\n"
                 .formatted(out, out + 30 + random.nextDouble() * 25))
-        .append("at %.2f serve refused\n".formatted(at + 5 + random.nextDouble() * 60));
+        .append(
+            "at %.2f accept-store-client refused\n".formatted(at + 5 + random.nextDouble() * 60));
   }
 
   /**
@@ -198,7 +202,7 @@
     }
     if (random.nextInt(3) == 0) {
       text.append(
-          "at %.2f late-commands %d %.2f\n"
+          "at %.2f delay-commands %d %.2f\n"
               .formatted(
                   5 + random.nextDouble() * 70,
                   1 + random.nextInt(12),
@@ -207,8 +211,11 @@
     if (random.nextInt(4) == 0) {
       double at = random.nextDouble() * 60;
       String who = random.nextBoolean() ? "all" : "hive-" + random.nextInt(3);
-      text.append("at %.2f slow %s %.4f\n".formatted(at, who, 0.001 + random.nextDouble() * 0.006))
-          .append("at %.2f slow %s 0\n".formatted(at + 10 + random.nextDouble() * 60, who));
+      text.append(
+              "at %.2f processing-time %s %.4f\n"
+                  .formatted(at, who, 0.001 + random.nextDouble() * 0.006))
+          .append(
+              "at %.2f processing-time %s 0\n".formatted(at + 10 + random.nextDouble() * 60, who));
     }
   }
 
@@ -239,16 +246,20 @@
       case 6 -> text.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 15));
       case 7 ->
           text.append(
-              "at %.2f late-commits %d %.2f\n"
+              "at %.2f delay-commits %d %.2f\n"
                   .formatted(at, 1 + random.nextInt(4), 1 + random.nextDouble() * 20));
       case 9 ->
           text.append(
-              "at %.2f deafen %s\nat %.2f undeafen %s\n".formatted(at, machine, end, machine));
+              "at %.2f cut-controller-to-agent %s\nat %.2f heal-controller-to-agent %s\n"
+                  .formatted(at, machine, end, machine));
       case 10 ->
           text.append(
-              "at %.2f copies %s %d %.2f\n"
+              "at %.2f duplicate-heartbeats %s %d %.2f\n"
                   .formatted(at, machine, 1 + random.nextInt(8), 1 + random.nextDouble() * 50));
-      case 11 -> text.append("at %.2f links refused\nat %.2f links up\n".formatted(at, end));
+      case 11 ->
+          text.append(
+              "at %.2f peer-connections refused\nat %.2f peer-connections accepted\n"
+                  .formatted(at, end));
       case 12 -> {
         for (String other : new String[] {"state", "hive-0", "hive-1", "hive-2"}) {
           if (!other.equals(node)) {
@@ -273,28 +284,33 @@
                       at,
                       node,
                       1 + random.nextDouble() * 35,
-                      random.nextBoolean() ? " midway" : ""));
+                      random.nextBoolean() ? " before-send" : ""));
       case 18, 19 ->
-          text.append("at %.2f mute %s\nat %.2f unmute %s\n".formatted(at, machine, end, machine));
+          text.append(
+              "at %.2f cut-agent-to-controller %s\nat %.2f heal-agent-to-controller %s\n"
+                  .formatted(at, machine, end, machine));
       case 20 ->
           text.append(
-              "at %.2f slow-state %.2f\nat %.2f slow-state 0\n"
+              "at %.2f store-latency %.2f\nat %.2f store-latency 0\n"
                   .formatted(at, random.nextDouble(), end));
       case 21 ->
           text.append(
-              "at %.2f slow-links %.2f\nat %.2f slow-links 0\n"
+              "at %.2f network-latency %.2f\nat %.2f network-latency 0\n"
                   .formatted(at, random.nextDouble() * 0.4, end));
       case 22 -> {
         // Two controllers are gone, the third has lost the state service.
-        text.append("at %.2f refuse %s\n".formatted(at, node));
+        text.append("at %.2f refuse-store-client %s\n".formatted(at, node));
         for (int k = 0; k < 3; k++) {
           if (!node.equals("hive-" + k)) {
             text.append("at %.2f crash hive-%d\nat %.2f start hive-%d\n".formatted(at, k, end, k));
           }
         }
-        text.append("at %.2f serve %s\n".formatted(end, node));
+        text.append("at %.2f accept-store-client %s\n".formatted(end, node));
       }
-      case 8 -> text.append("at %.2f refuse %s\nat %.2f serve %s\n".formatted(at, node, end, node));
+      case 8 ->
+          text.append(
+              "at %.2f refuse-store-client %s\nat %.2f accept-store-client %s\n"
+                  .formatted(at, node, end, node));
       default ->
           text.append(
               "at %.2f crash %s\nat %.2f start %s\n"
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -160,7 +160,7 @@
         Instant when = cluster.now.plus(parseSeconds(w.get(1)));
         cluster.at(when, () -> performAction(rest));
         boolean isFault =
-            !List.of("submit", "resubmit", "cancel", "cancel-at-end", "call", "check")
+            !List.of("submit", "resubmit", "cancel", "cancel-at-end", "alias", "check")
                 .contains(rest.get(0));
         if (isFault && when.isAfter(cluster.lastFaultAt)) {
           cluster.lastFaultAt = when;
@@ -217,7 +217,7 @@
         parseSeconds(options.getOrDefault("run", "5")),
         parseSeconds(options.getOrDefault("checkpoint", "0")),
         parseSeconds(options.getOrDefault("save", "0")),
-        Optional.ofNullable(options.get("due")).map(Scenario::parseSeconds));
+        Optional.ofNullable(options.get("deadline")).map(Scenario::parseSeconds));
   }
 
   /** The current leader, as the state service has it. */
@@ -255,14 +255,14 @@
     String verb = words.get(0);
     cluster.trace("do " + String.join(" ", words));
     switch (verb) {
-      case "call" -> aliases.put(words.get(2), resolveName(words.get(1)));
+      case "alias" -> aliases.put(words.get(2), resolveName(words.get(1)));
       case "submit" -> submit(cluster, words);
       case "resubmit" -> cluster.users.get(words.get(1)).submit();
       case "cancel" -> cluster.users.get(words.get(1)).cancel();
       case "crash" -> resolveControllers(words.get(1)).forEach(SimController::crash);
       case "freeze" ->
           resolveControllers(words.get(1))
-              .forEach(n -> n.freeze(parseSeconds(words.get(2)), words.contains("midway")));
+              .forEach(n -> n.freeze(parseSeconds(words.get(2)), words.contains("before-send")));
       case "start" -> resolveControllers(words.get(1)).forEach(SimController::start);
       case "cut" ->
           cluster.partition(
@@ -282,27 +282,32 @@
           cluster.cloud.down = false;
         }
       }
-      case "links" -> {
+      case "peer-connections" -> {
         cluster.peerConnectionsRefused = words.get(1).equals("refused");
         if (cluster.peerConnectionsRefused) {
           cluster.controllers.values().forEach(SimController::refuseLinks);
         }
       }
       case "reboot" -> findAgent(words.get(1)).ifPresent(SimAgent::reboot);
-      case "mute" -> cluster.agentToControllerPathDown.add(resolveName(words.get(1)));
-      case "unmute" -> cluster.agentToControllerPathDown.remove(resolveName(words.get(1)));
-      case "deafen" -> cluster.controllerToAgentPathDown.add(resolveName(words.get(1)));
-      case "undeafen" -> cluster.controllerToAgentPathDown.remove(resolveName(words.get(1)));
-      case "copies" -> {
+      case "cut-agent-to-controller" ->
+          cluster.agentToControllerPathDown.add(resolveName(words.get(1)));
+      case "heal-agent-to-controller" ->
+          cluster.agentToControllerPathDown.remove(resolveName(words.get(1)));
+      case "cut-controller-to-agent" ->
+          cluster.controllerToAgentPathDown.add(resolveName(words.get(1)));
+      case "heal-controller-to-agent" ->
+          cluster.controllerToAgentPathDown.remove(resolveName(words.get(1)));
+      case "duplicate-heartbeats" -> {
         cluster.duplicatedHeartbeats.put(resolveName(words.get(1)), Integer.parseInt(words.get(2)));
         cluster.duplicateDelay = parseSeconds(words.get(3));
       }
-      case "refuse" -> cluster.store.refusedClients.add(resolveName(words.get(1)));
-      case "serve" -> cluster.store.refusedClients.remove(resolveName(words.get(1)));
-      case "storm" -> scheduleQueries(Integer.parseInt(words.get(1)), parseSeconds(words.get(2)));
-      case "slow-state" -> cluster.store.extraLatency = parseSeconds(words.get(1));
-      case "slow-links" -> cluster.extraLatency = parseSeconds(words.get(1));
-      case "slow" ->
+      case "refuse-store-client" -> cluster.store.refusedClients.add(resolveName(words.get(1)));
+      case "accept-store-client" -> cluster.store.refusedClients.remove(resolveName(words.get(1)));
+      case "query-burst" ->
+          scheduleQueries(Integer.parseInt(words.get(1)), parseSeconds(words.get(2)));
+      case "store-latency" -> cluster.store.extraLatency = parseSeconds(words.get(1));
+      case "network-latency" -> cluster.extraLatency = parseSeconds(words.get(1));
+      case "processing-time" ->
           resolveControllers(words.get(1))
               .forEach(n -> n.processingTime = parseSeconds(words.get(2)));
       case "build" -> installBuild(words);
@@ -310,7 +315,7 @@
           cluster.store.set(
               "c/level", SimulatedCluster.map().put("level", Integer.parseInt(words.get(1))));
       case "drain" -> requestDrain(words);
-      case "disrupted" -> {
+      case "record-disruption" -> {
         TaskId task = SimUser.task(words.get(1));
         JobSpec spec = cluster.submitted.get(task.job());
         cluster.store.set(
@@ -318,13 +323,13 @@
             Disruption.encode(
                 List.of(new Disruption(task, spec.team(), spec.jobClass(), true, Duration.ZERO))));
       }
-      case "drain-wish" ->
+      case "drain-desired-state" ->
           cluster.store.set(
               "c/drain/" + words.get(1),
               DrainRequest.withDesiredState(
                   cluster.store.under("c/drain/" + words.get(1)).get("c/drain/" + words.get(1)),
                   DrainRequest.DesiredState.valueOf(words.get(2))));
-      case "level-back" -> {
+      case "roll-back-level" -> {
         int level = cluster.store.level().level();
         cluster.store.set(
             "c/level", cluster.store.level().rollingBack().toNode(SimulatedCluster.map()));
@@ -337,25 +342,26 @@
         cluster.store.writeRate = Optional.of(limits.writesPerSecond());
       }
       case "at-commit" -> cluster.store.faultAtCommit(Integer.parseInt(words.get(1)), words.get(2));
-      case "damage" -> cluster.store.damage(words.get(1));
-      case "repair" -> cluster.store.repair(words.get(1));
-      case "forget-history" -> cluster.store.forgetHistory();
-      case "lose-answers" -> cluster.lostResponseShare = Double.parseDouble(words.get(1));
+      case "corrupt-record" -> cluster.store.damage(words.get(1));
+      case "repair-record" -> cluster.store.repair(words.get(1));
+      case "discard-store-history" -> cluster.store.forgetHistory();
+      case "lose-heartbeat-responses" ->
+          cluster.lostResponseShare = Double.parseDouble(words.get(1));
       case "lose-commands" -> cluster.lostCommandShare = Double.parseDouble(words.get(1));
-      case "ignore-kills" -> cluster.agents.get(resolveName(words.get(1))).ignoresStops = true;
+      case "ignore-stops" -> cluster.agents.get(resolveName(words.get(1))).ignoresStops = true;
       case "cancel-at-end" -> cluster.cancelledAtEnd.add(words.get(1));
-      case "no-sockets" -> cluster.unsentCommands = Integer.parseInt(words.get(1));
-      case "late-commands" -> {
+      case "leave-commands-unsent" -> cluster.unsentCommands = Integer.parseInt(words.get(1));
+      case "delay-commands" -> {
         cluster.delayedCommands = Integer.parseInt(words.get(1));
         cluster.commandDelay = parseSeconds(words.get(2));
       }
-      case "late-commits" -> {
+      case "delay-commits" -> {
         cluster.store.lateCommits = Integer.parseInt(words.get(1));
         cluster.store.lateCommitDelay = parseSeconds(words.get(2));
       }
       case "kill-machine" -> cluster.agents.get(resolveName(words.get(1))).die();
-      case "take" -> cluster.cloud.terminate(resolveName(words.get(1)));
-      case "notice" -> {
+      case "terminate-machine" -> cluster.cloud.terminate(resolveName(words.get(1)));
+      case "preemption-notice" -> {
         String machine = resolveName(words.get(1));
         cluster.agents.get(machine).receivePreemptionNotice(parseSeconds(words.get(2)));
         cluster.after(parseSeconds(words.get(2)), () -> cluster.cloud.terminate(machine));
@@ -435,8 +441,8 @@
             cluster,
             spec,
             spec.estimatedDuration(),
-            parseSeconds(o.getOrDefault("apart", "0")),
-            o.containsKey("mistake"));
+            parseSeconds(o.getOrDefault("run-increment", "0")),
+            o.containsKey("always-fails"));
     cluster.submitted.put(spec.id(), spec);
     cluster.users.put(spec.id(), user);
     user.submit();
@@ -491,9 +497,9 @@
           default -> null;
         };
     boolean met;
-    if (words.get(0).equals("rentals")) {
+    if (words.get(0).equals("machines-provisioned")) {
       met = cluster.cloud.machinesProvisioned <= Integer.parseInt(words.get(2));
-    } else if (words.get(0).equals("told")) {
+    } else if (words.get(0).equals("queries-answered")) {
       met =
           cluster.burstQueries > 0
               && cluster.answeredBurstQueries
@@ -502,7 +508,7 @@
       met = cluster.store.requests <= Long.parseLong(words.get(2));
     } else if (words.get(0).equals("commands")) {
       met = cluster.directCommands <= Long.parseLong(words.get(2));
-    } else if (words.get(0).equals("repeats")) {
+    } else if (words.get(0).equals("done-task-restarts")) {
       met = cluster.startsOfDoneTasks <= Integer.parseInt(words.get(2));
     } else if (words.get(0).equals("level")) {
       met =
@@ -523,19 +529,19 @@
           };
       int bound = Integer.parseInt(words.get(3));
       met = words.get(2).equals("<=") ? count <= bound : count >= bound;
-    } else if (words.get(0).equals("announced")) {
+    } else if (words.get(0).equals("support-records")) {
       met = cluster.store.under("c/member/").size() == Integer.parseInt(words.get(2));
     } else if (words.get(0).equals("leader")) {
       met = cluster.store.leader().isPresent();
     } else if (words.get(0).equals("leader-not")) {
       met = !cluster.store.leader().equals(Optional.of(words.get(1)));
-    } else if (words.get(0).equals("nobody")) {
+    } else if (words.get(0).equals("no-leader")) {
       met = cluster.store.leader().isEmpty();
     } else if (words.get(0).equals("terms")) {
       met =
           cluster.store.under("c/term").get("c/term").path("term").asLong()
               <= Long.parseLong(words.get(2));
-    } else if (words.get(0).equals("gone")) {
+    } else if (words.get(0).equals("machine-dead")) {
       met = cluster.agents.get(resolveName(words.get(1))).isDead();
     } else if (words.get(0).equals("starts")) {
       int starts = cluster.starts.getOrDefault(words.get(1), 0);
--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -98,7 +98,7 @@
       return 0;
     }
     double used = 0;
-    for (SimulatedCluster.Presence p : world.runningTasks) {
+    for (SimulatedCluster.RunningTask p : world.runningTasks) {
       used += p.agent() == this ? world.submitted.get(p.task().job()).cpus() : 0;
     }
     return (int) ((type.cpus() - used + 1e-6) / spec.cpus());
--- a/src/test/java/io/pearscale/sim/SimulatedCluster.java
+++ b/src/test/java/io/pearscale/sim/SimulatedCluster.java
@@ -367,9 +367,9 @@
   // ---- Rules about tasks ----
 
   /** A task's run on a machine, as the rules count it. */
-  record Presence(SimAgent agent, TaskId task, long attempt) {}
+  record RunningTask(SimAgent agent, TaskId task, long attempt) {}
 
-  final List<Presence> runningTasks = new ArrayList<>();
+  final List<RunningTask> runningTasks = new ArrayList<>();
 
   /** What tasks that were stopped had run by then and saved. */
   final Map<TaskId, Duration> savedProgress = new HashMap<>();
@@ -383,7 +383,7 @@
 
   void taskStarted(SimAgent agent, TaskId task, long attempt) {
     JobSpec spec = submitted.get(task.job());
-    for (Presence running : runningTasks) {
+    for (RunningTask running : runningTasks) {
       if (running.task.equals(task)) {
         reportViolation(
             "ran_twice", task + " on " + agent.name + " while on " + running.agent.name);
@@ -394,7 +394,7 @@
     }
     int inZone = 0;
     double cpus = spec.cpus();
-    for (Presence running : runningTasks) {
+    for (RunningTask running : runningTasks) {
       JobSpec other = submitted.get(running.task.job());
       if (running.task.job().equals(task.job())) {
         if (running.agent.zone.equals(agent.zone)) {
@@ -433,7 +433,7 @@
     } else {
       firstStarts.putIfAbsent(task.job(), now);
     }
-    runningTasks.add(new Presence(agent, task, attempt));
+    runningTasks.add(new RunningTask(agent, task, attempt));
     disruptionChecker.started(task);
   }
 
@@ -545,7 +545,7 @@
 
   private boolean underTeamLimit(JobSpec spec) {
     double runningCpus = spec.cpus();
-    for (Presence running : runningTasks) {
+    for (RunningTask running : runningTasks) {
       JobSpec other = submitted.get(running.task.job());
       runningCpus += other.team().equals(spec.team()) ? other.cpus() : 0;
     }
@@ -561,7 +561,7 @@
   /** Called every second. */
   void checkInvariants() {
     checkStarvation();
-    for (Presence running : runningTasks) {
+    for (RunningTask running : runningTasks) {
       SimUser user = users.get(running.task.job());
       if (user != null
           && user.cancelledAt != null
--- a/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
@@ -32,7 +32,7 @@
       %s
       at 60 check level 1
       at 61 submit wk-3 batch tasks=8 cpus=1 run=20
-      at 70 level-back
+      at 70 roll-back-level
       %s
       at 110 check level 0
       at 111 submit wk-4 batch tasks=4 cpus=1 run=5
@@ -66,7 +66,7 @@
       at 20.5 submit wk-5 batch tasks=30 cpus=1 run=20
       at 22 cancel wk-3
       at 65 check level 2
-      at 70 level-back
+      at 70 roll-back-level
       %s
       at 70.5 submit wk-6 batch tasks=30 cpus=1 run=20
       at 115 check level 1
