--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -137,7 +137,7 @@
       }
       SimController to = world.controllers.get(peer);
       world.peerRecords++;
-      world.wireRecorder.ifPresent(recorder -> recorder.peerRecord(name, peer, frame));
+      world.wireRecorder.ifPresent(recorder -> recorder.record(name, peer, frame));
       sending(() -> world.deliver(name, peer, () -> to.fromPeer(name, frame)));
       return true;
     }
--- a/src/test/java/io/pearscale/sim/WireRecorder.java
+++ b/src/test/java/io/pearscale/sim/WireRecorder.java
@@ -58,7 +58,7 @@
     addExample(role(from) + " < " + endpoint + " " + reply.status(), reply.body());
   }
 
-  void peerRecord(String from, String to, byte[] frame) {
+  void record(String from, String to, byte[] frame) {
     String hex = HexFormat.of().formatHex(frame);
     append(from + " > " + to + " record " + hex);
     examples.putIfAbsent("record of kind " + frame[0] + "\n ", hex);
