--- a/src/test/java/io/pearscale/sim/CommitFaultScenarios.java
+++ b/src/test/java/io/pearscale/sim/CommitFaultScenarios.java
@@ -8,14 +8,19 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 
-/** Makes a test of each trouble that a leader can meet at each of its next transactions. */
+/** Creates a test for each injected fault at each of a leader's next transactions. */
 final class CommitFaultScenarios {
   private static final List<String> FAULTS =
       List.of("crash-before", "crash-after", "crash-late", "freeze");
 
   private CommitFaultScenarios() {}
 
-  /** A test for each trouble and number of a transaction; the day is written for both. */
+  /**
+   * Creates a test for each combination of fault and transaction.
+   *
+   * @param transactions how many transactions, counted from 1, get a fault
+   * @param scenarioFor returns the scenario text for a fault and the number of a transaction
+   */
   static Stream<DynamicTest> testPerFault(
       int transactions, BiFunction<String, Integer, String> scenarioFor) {
     return FAULTS.stream()
--- a/src/test/java/io/pearscale/sim/GoldenTest.java
+++ b/src/test/java/io/pearscale/sim/GoldenTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that goes over the wire in each scenario, as it must stay while nothing is to change: by a
- * digest, and an example of each form of message and stored value. Where a digest differs, {@code
- * -Dgolden.transcripts=true} writes what was sent to {@code target/golden}, to be compared with the
- * same from the sources before.
+ * Detects unintended changes of wire messages and stored values. For each scenario it compares a
+ * digest of all messages with a golden file, and it compares one example of each message and value
+ * format. If a digest differs, run with {@code -Dgolden.transcripts=true} before and after the
+ * change, and compare the transcripts in {@code target/golden}.
  */
 class GoldenTest {
   private static final long SEED = 1;
 
   /**
-   * Jobs of thousands of tasks, whose commands that forget ended tasks come in an order that
-   * differs from run to run. Of these the number of messages is compared alone.
+   * Scenarios with jobs of thousands of tasks, for which the order of the commands that clear ended
+   * tasks differs between runs. Only their number of messages is compared.
    */
   private static final Set<String> UNORDERED_SCENARIOS =
       Set.of("job-too-large-for-its-record.txt", "rollout-then-smaller-limits.txt");
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -43,8 +43,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Plays a script against the leader's core alone: each message to it is written out, and so is what
- * it must answer. For what can't be met by chance in a whole simulated world.
+ * Runs a script against the scheduler actor of a leader alone. The script lists each message to the
+ * actor and the expected responses and commands. It covers interleavings that a simulation of the
+ * whole cluster is unlikely to reach.
  */
 final class LeaderScript extends SimulatedEventLoop implements HttpClient, SchedulerActor.Listener {
   private record PendingRequest(String path, JsonNode body, Consumer<Reply> answer) {}
@@ -58,7 +59,7 @@
   private final List<String> log = new ArrayList<>();
   private final List<String> provisionRequests = new ArrayList<>();
 
-  /** Places in a value of the roster, as the leader counts them. */
+  /** Machine records per stored value; must match the number that the leader uses. */
   private static final int MACHINES_PER_RECORD = 64;
 
   private final List<MachineRecordCodec.MachineRecord> machineRecords = new ArrayList<>();
@@ -106,7 +107,7 @@
   @Override
   public void taskCountsChanged(List<JobTaskCount> counts) {}
 
-  /** Plays the script; empty when all came as written. */
+  /** Runs a script; returns the first failed expectation with a log, or empty. */
   static Optional<String> play(String text) throws MalformedMessageException {
     LeaderScript s =
         new LeaderScript(
@@ -145,7 +146,7 @@
   private Optional<String> executeLine(List<String> words) throws MalformedMessageException {
     switch (words.get(0)) {
       case "drains" -> {
-        // Read before the first line is played.
+        // Evaluated before the first line runs.
       }
       case "type" ->
           cluster.cloud.types.put(words.get(1), Scenario.type(words.get(1), cluster.zones, words));
@@ -214,7 +215,7 @@
         advance(Duration.ofMillis(200));
       }
       case "lose-commits" -> {
-        // No answer; the transactions come later, with release-commits.
+        // The sender gets no response; release-commits applies the transactions later.
         heldCommits.replaceAll(
             p -> {
               p.answer.accept(Reply.NO_RESPONSE);
@@ -235,7 +236,7 @@
       case "reply" -> {
         PendingRequest p = sentCommands.remove(words.get(1));
         if (p == null) {
-          return Optional.of("nothing was sent to " + words.get(1));
+          return Optional.of("no command was sent to " + words.get(1));
         }
         p.answer.accept(
             words.get(2).equals("none")
@@ -248,12 +249,12 @@
       case "expect" -> {
         return checkExpectation(words.subList(1, words.size()));
       }
-      default -> throw new IllegalArgumentException("script: " + words);
+      default -> throw new IllegalArgumentException("unknown script statement: " + words);
     }
     return Optional.empty();
   }
 
-  /** Words like 0@m-1 for a task that may be on a machine, and 0=done. */
+  /** Writes placement records; words are 0@m-1 for a task on a machine, or 0=done. */
   private void writePlacementRecords(String job, List<String> words) {
     BitSet doneTasks = new BitSet();
     int[] machineReferences = new int[words.size()];
@@ -282,7 +283,7 @@
                 RecordLayout.POSITIONAL)));
   }
 
-  /** As a leader writes it: what the tasks of a job take of their team's limit. */
+  /** Returns the share of the team's limit that a job takes, as a leader records it. */
   private Optional<PlacementRecordCodec.QuotaClaim> quotaClaim(String job) {
     JsonNode spec = keys.get("c/live/" + job).value().path("spec");
     String team = spec.path("crew").asText();
@@ -301,7 +302,7 @@
     advance(Duration.ofMillis(10));
   }
 
-  /** What the state service holds of a task: done, the name of a machine, or none. */
+  /** Returns the stored placement of a task: {@code done}, a machine, or {@code none}. */
   private String placementOf(String task) throws MalformedMessageException {
     String job = task.split("/")[0];
     int index = Integer.parseInt(task.split("/")[1]);
@@ -326,7 +327,7 @@
     return "none";
   }
 
-  /** What the roster says of a machine. */
+  /** Returns the stored state of a machine: usable, retiring or none. */
   private String machineRecordOf(String machine) throws MalformedMessageException {
     for (JsonNode value : cluster.store.under("c/roster/").values()) {
       for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value)) {
@@ -407,7 +408,10 @@
     return Heartbeat.parse(heartbeatBody(words.get(1), words.subList(2, words.size())));
   }
 
-  /** Words: session sequence token, then tasks like wk-1/0:running or wk-1/0:ended:done. */
+  /**
+   * Builds a heartbeat. Words: incarnation, sequence number, fencing token, then tasks such as
+   * wk-1/0:running or wk-1/0:ended:done.
+   */
   private ObjectNode heartbeatBody(String machine, List<String> words) {
     long firstTokenOfTerm = (term << 24) + 1;
     long token =
@@ -453,7 +457,7 @@
     switch (words.get(0)) {
       case "response" -> {
         if (response.isEmpty() || response.get().status() != Integer.parseInt(words.get(1))) {
-          return Optional.of("answered " + response);
+          return Optional.of("response was " + response);
         }
         TreeSet<String> actual = new TreeSet<>();
         response
@@ -464,69 +468,77 @@
                     actual.addAll(
                         commandNames(SimulatedCluster.map().putArray("x").add(command.toNode()))));
         SortedSet<String> expected = new TreeSet<>(words.subList(2, words.size()));
-        return actual.equals(expected) ? Optional.empty() : Optional.of("orders " + actual);
+        return actual.equals(expected) ? Optional.empty() : Optional.of("commands were " + actual);
       }
       case "commands" -> {
         PendingRequest p = sentCommands.get(words.get(1));
         SortedSet<String> actual =
             p == null ? new TreeSet<>() : commandNames(p.body.path("orders"));
         SortedSet<String> expected = new TreeSet<>(words.subList(2, words.size()));
-        return actual.equals(expected) ? Optional.empty() : Optional.of("sent " + actual);
+        return actual.equals(expected)
+            ? Optional.empty()
+            : Optional.of("sent commands were " + actual);
       }
       case "grace-period" -> {
         JsonNode orders = sentCommands.get(words.get(1)).body.path("orders");
         double actual = orders.path(0).path("leewayS").asDouble(-1);
         return actual == Double.parseDouble(words.get(2))
             ? Optional.empty()
-            : Optional.of("leeway " + actual);
+            : Optional.of("grace period was " + actual);
       }
       case "token" -> {
         long actual = response.map(HeartbeatResponse::fencingToken).orElse(-1L) - (term << 24) - 1;
         return actual == Long.parseLong(words.get(1))
             ? Optional.empty()
-            : Optional.of("token +" + actual);
+            : Optional.of("token offset was " + actual);
       }
       case "stored" -> {
         boolean stored = cluster.store.holds(words.get(1), words.size() > 2 ? words.get(2) : "");
         return stored
             ? Optional.empty()
-            : Optional.of("stored " + cluster.store.show(words.get(1)));
+            : Optional.of("stored value was " + cluster.store.show(words.get(1)));
       }
       case "not-stored" -> {
-        return cluster.store.holds(words.get(1), "") ? Optional.of("is stored") : Optional.empty();
+        return cluster.store.holds(words.get(1), "")
+            ? Optional.of("the key is stored")
+            : Optional.empty();
       }
       case "started" -> {
         return startedAttempts.stream().anyMatch(g -> g.startsWith(words.get(1) + ":"))
             ? Optional.empty()
-            : Optional.of("never started");
+            : Optional.of("the task was not started");
       }
       case "not-started" -> {
         return startedAttempts.stream().noneMatch(g -> g.startsWith(words.get(1) + ":"))
             ? Optional.empty()
-            : Optional.of("started");
+            : Optional.of("the task was started");
       }
       case "attempts-unique" -> {
         return startedAttempts.size() == new TreeSet<>(startedAttempts).size()
             ? Optional.empty()
-            : Optional.of("attempts " + startedAttempts);
+            : Optional.of("attempts are not unique: " + startedAttempts);
       }
       case "placement" -> {
         String actual = placementOf(words.get(1));
-        return actual.equals(words.get(2)) ? Optional.empty() : Optional.of("marked " + actual);
+        return actual.equals(words.get(2))
+            ? Optional.empty()
+            : Optional.of("placement was " + actual);
       }
       case "machine-record" -> {
         String actual = machineRecordOf(words.get(1));
-        return actual.equals(words.get(2)) ? Optional.empty() : Optional.of("roster " + actual);
+        return actual.equals(words.get(2))
+            ? Optional.empty()
+            : Optional.of("machine record was " + actual);
       }
       case "unreadable-record" -> {
         return unreadableReason.contains(words.get(1))
             ? Optional.empty()
-            : Optional.of("unfit: " + unreadableReason);
+            : Optional.of("unreadable record: " + unreadableReason);
       }
       case "higher-term" -> {
-        return higherTermSeen ? Optional.empty() : Optional.of("not noticed");
+        return higherTermSeen ? Optional.empty() : Optional.of("the higher term was not detected");
       }
-      default -> throw new IllegalArgumentException("script: " + words);
+      default -> throw new IllegalArgumentException("unknown script statement: " + words);
     }
   }
 
@@ -534,7 +546,7 @@
     cluster.runUntil(cluster.elapsed().plus(time));
   }
 
-  // ---- The seams ----
+  // ---- Simulated HTTP client ----
 
   @Override
   public void call(
--- a/src/test/java/io/pearscale/sim/LeaderScriptTest.java
+++ b/src/test/java/io/pearscale/sim/LeaderScriptTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays each script under {@code src/test/resources/leader}. */
+/** Runs each script under {@code src/test/resources/leader}. */
 class LeaderScriptTest {
   @TestFactory
   Stream<DynamicTest> scripts() throws IOException {
@@ -20,7 +20,7 @@
     try (Stream<Path> found = Files.list(Path.of("src/test/resources/leader"))) {
       files = found.sorted().toList();
     }
-    assertTrue(files.size() > 5, "scripts are missing");
+    assertTrue(files.size() > 5, "expected more than 5 leader scripts");
     return files.stream()
         .map(
             p ->
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -24,26 +24,26 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** Reads a scenario's text, plays it, and says what did not come out as expected. */
+/** Parses the text of a scenario, runs it in a simulated cluster and reports what failed. */
 final class Scenario {
   private final SimulatedCluster cluster;
   private final List<Runnable> expectations = new ArrayList<>();
   private final List<String> failures = new ArrayList<>();
   private Duration runTime = Duration.ofSeconds(60);
 
-  /** In so long a replica that is moved runs elsewhere. */
+  /** Time in which a replica that is being moved runs on another machine. */
   private static final Duration RESCHEDULING_TIME = Duration.ofSeconds(3);
 
   Scenario(long seed) {
     cluster = new SimulatedCluster(seed);
   }
 
-  /** Plays the text; returns what went wrong, with the log of what happened. */
+  /** Runs a scenario; returns its failures and the log of the run, or an empty list. */
   static List<String> play(String text, long seed) {
     return of(text, seed).run();
   }
 
-  /** The world in which the text is played. */
+  /** Parses a scenario without running it. */
   static Scenario of(String text, long seed) {
     Scenario s = new Scenario(seed);
     for (String line : text.split("\n")) {
@@ -66,7 +66,7 @@
     int before = failures.size();
     expectations.forEach(Runnable::run);
     if (failures.size() > before) {
-      // A replica that is moved as the day ends is away for a moment: what lasts is a failure.
+      // A replica may be in transition between machines: only a lasting failure counts.
       failures.subList(before, failures.size()).clear();
       cluster.runUntil(runTime.plus(RESCHEDULING_TIME));
       expectations.forEach(Runnable::run);
@@ -167,7 +167,7 @@
         }
       }
       case "expect" -> expectations.add(() -> checkExpectation(w.subList(1, w.size()), line));
-      default -> throw new IllegalArgumentException("scenario: " + line);
+      default -> throw new IllegalArgumentException("unknown scenario statement: " + line);
     }
   }
 
@@ -220,7 +220,10 @@
         Optional.ofNullable(options.get("deadline")).map(Scenario::parseSeconds));
   }
 
-  /** The current leader, as the state service has it. */
+  /**
+   * Resolves a name of the script: a role such as {@code leader} (as recorded in the state service)
+   * or {@code follower}, {@code host:TASK} for the machine of a task, an alias, or a plain name.
+   */
   private String resolveName(String word) {
     if (word.equals("leader-if-any")) {
       return cluster.store.leader().orElse("hive-0");
@@ -230,7 +233,8 @@
           cluster
               .store
               .leader()
-              .orElseThrow(() -> new IllegalStateException("scenario: nobody leads"));
+              .orElseThrow(
+                  () -> new IllegalStateException("scenario: the state service records no leader"));
       return word.equals("leader")
           ? leader
           : cluster.controllers.keySet().stream()
@@ -244,7 +248,7 @@
           .filter(p -> p.task().toString().equals(word.substring(5)))
           .map(p -> p.agent().name)
           .findFirst()
-          .orElseThrow(() -> new IllegalStateException("scenario: not running: " + word));
+          .orElseThrow(() -> new IllegalStateException("scenario: task has no machine: " + word));
     }
     return aliases.getOrDefault(word, word);
   }
@@ -253,7 +257,7 @@
 
   private void performAction(List<String> words) {
     String verb = words.get(0);
-    cluster.trace("do " + String.join(" ", words));
+    cluster.trace("action " + String.join(" ", words));
     switch (verb) {
       case "alias" -> aliases.put(words.get(2), resolveName(words.get(1)));
       case "submit" -> submit(cluster, words);
@@ -333,7 +337,7 @@
         int level = cluster.store.level().level();
         cluster.store.set(
             "c/level", cluster.store.level().rollingBack().toNode(SimulatedCluster.map()));
-        cluster.trace("level " + level + " is taken back");
+        cluster.trace("level " + level + " is rolled back");
       }
       case "limits" -> {
         Settings.StoreLimits limits = storeLimits(options(words.subList(1, words.size())));
@@ -375,11 +379,11 @@
               .get(resolveName(words.get(1)))
               .inject(HexFormat.of().parseHex(words.get(2)));
       case "check" -> checkExpectation(words.subList(1, words.size()), String.join(" ", words));
-      default -> throw new IllegalArgumentException("scenario: " + words);
+      default -> throw new IllegalArgumentException("unknown scenario action: " + words);
     }
   }
 
-  /** Switches drains on, with one more budget. */
+  /** Enables drains and adds a disruption budget to the operator settings. */
   private DisruptionBudget addBudget(List<String> words) {
     DisruptionBudget budget =
         new DisruptionBudget(
@@ -399,7 +403,7 @@
     return budget;
   }
 
-  /** Asks for a drain, as an operator's command does. */
+  /** Writes a drain request to the state service, as the operator command does. */
   private void requestDrain(List<String> words) {
     Map<String, String> o = options(words.subList(2, words.size()));
     List<String> machines = new ArrayList<>();
@@ -431,7 +435,7 @@
         .forEach(change -> cluster.store.set(change.key(), change.value().orElseThrow()));
   }
 
-  /** A user submits a job, as the words of a scenario's line say. */
+  /** Submits a job as a user; {@code words} are the words of the script's statement. */
   static void submit(SimulatedCluster cluster, List<String> words) {
     Map<String, String> o = options(words.subList(3, words.size()));
     JobSpec spec =
@@ -448,20 +452,18 @@
     user.submit();
   }
 
-  /**
-   * Installs a build that supports those levels of stored forms; it runs from the next start on.
-   */
+  /** Installs a build that supports a range of schema levels; it runs from the next start. */
   private void installBuild(List<String> words) {
     cluster.controllers.get(words.get(1)).installedLevels =
         new SupportedLevels(Integer.parseInt(words.get(2)), Integer.parseInt(words.get(3)));
   }
 
-  /** The machine of that name; none if it was given back. */
+  /** Returns the agent of a machine; empty if the machine was deleted. */
   private Optional<SimAgent> findAgent(String name) {
     return Optional.ofNullable(cluster.agents.get(resolveName(name)));
   }
 
-  /** So many questions a second about any of the jobs. */
+  /** Schedules {@code rate} queries per second about random accepted jobs. */
   private void scheduleQueries(int rate, Duration duration) {
     List<SimUser> users = cluster.users.values().stream().filter(u -> u.accepted).toList();
     for (long i = 0; i < rate * duration.toSeconds(); i++) {
@@ -552,7 +554,7 @@
       met = u != null && jobCondition.test(u);
     }
     if (!met) {
-      failures.add("at " + cluster.elapsed() + " not met: " + line);
+      failures.add("at " + cluster.elapsed() + " expectation not met: " + line);
     }
   }
 }
--- a/src/test/java/io/pearscale/sim/ScenarioTest.java
+++ b/src/test/java/io/pearscale/sim/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays each scenario under {@code src/test/resources/scenarios} with a few seeds. */
+/** Runs each scenario under {@code src/test/resources/scenarios} with several seeds. */
 class ScenarioTest {
   private static final Path FOLDER = Path.of("src/test/resources/scenarios");
   private static final int SEEDS = 3;
@@ -23,7 +23,7 @@
     try (Stream<Path> found = Files.list(FOLDER)) {
       files = found.filter(p -> p.toString().endsWith(".txt")).sorted().toList();
     }
-    assertFalse(files.isEmpty(), "no scenarios found");
+    assertFalse(files.isEmpty(), "no scenario files found");
     return files.stream()
         .flatMap(
             file ->
@@ -36,7 +36,7 @@
 
   private static void play(Path file, long seed) throws IOException {
     String text = Files.readString(file);
-    assertTrue(text.contains("expect "), "a scenario without expectations");
+    assertTrue(text.contains("expect "), "the scenario contains no expectations");
     List<String> failures = Scenario.play(text, seed);
     assertTrue(failures.isEmpty(), "seed " + seed + ":\n" + String.join("\n", failures));
   }
--- a/src/test/java/io/pearscale/sim/SeededScenarios.java
+++ b/src/test/java/io/pearscale/sim/SeededScenarios.java
@@ -10,20 +10,20 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 
-/** Makes a test of each seeded day, so that one that fails can be named and run by itself. */
+/** Creates one test per seed, so that a failing seed can be identified and run alone. */
 final class SeededScenarios {
-  /** What the world's checker calls the rules that hold on any day. */
+  /** Matches the violations of invariants that hold in every scenario, whatever faults occur. */
   private static final String INVARIANT_VIOLATION =
       "(ran_\\w+|gang_twice|started_cancelled|quota|wrong_place|forgotten|went_back|not_done) at .*";
 
   private SeededScenarios() {}
 
-  /** So many seeds from the first one on. */
+  /** Returns {@code count} consecutive seeds that start with {@code first}. */
   static List<Long> seeds(long first, int count) {
     return LongStream.range(first, first + count).boxed().toList();
   }
 
-  /** Days on which nothing at all may go wrong. */
+  /** Creates tests that require a run without any failure. */
   static Stream<DynamicTest> expectNoFailures(
       Collection<Long> seeds, LongFunction<String> scenarioFor) {
     return testPerSeed(
@@ -34,14 +34,14 @@
         });
   }
 
-  /** Days on which no rule may be broken, whatever becomes of the work. */
+  /** Creates tests that require all invariants to hold; unmet expectations are ignored. */
   static Stream<DynamicTest> expectNoViolations(
       Collection<Long> seeds, LongFunction<String> scenarioFor) {
     return testPerSeed(
         seeds, seed -> assertEquals(List.of(), invariantViolations(scenarioFor.apply(seed), seed)));
   }
 
-  /** The first rules that are broken on a day. */
+  /** Runs a scenario and returns its first three invariant violations. */
   static List<String> invariantViolations(String scenario, long seed) {
     return Scenario.play(scenario, seed).stream()
         .filter(SeededScenarios::isInvariantViolation)
@@ -54,13 +54,13 @@
     return failure.matches(INVARIANT_VIOLATION);
   }
 
-  /** A test for each seed, named after it. */
+  /** Creates a test for each seed, named after the seed. */
   static Stream<DynamicTest> testPerSeed(Collection<Long> seeds, SeededTest test) {
     return seeds.stream()
         .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> test.run(seed)));
   }
 
-  /** What is played for a seed. */
+  /** Runs the test of one seed. */
   interface SeededTest {
     void run(long seed) throws Exception;
   }
--- a/src/test/java/io/pearscale/sim/SimulatedCluster.java
+++ b/src/test/java/io/pearscale/sim/SimulatedCluster.java
@@ -29,9 +29,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * A simulated world: clock, network, state service, cloud, workers, users and controllers, all in
- * one thread and repeatable from a seed. It checks the rules after every event that could break
- * one.
+ * Simulates a deployment in one thread, reproducible from a seed: clock, network, state service,
+ * cloud provider, agents, users and controllers. It checks the invariants after every event that
+ * could violate one.
  */
 final class SimulatedCluster {
   private record Event(Instant at, long order, Runnable task) {}
@@ -47,28 +47,30 @@
   final RandomGenerator random;
   final List<String> violations = new ArrayList<>();
 
-  /** Records between controllers, and commands straight to workers. */
+  /** Records sent between controllers. */
   long peerRecords;
 
+  /** Command requests that controllers sent directly to agents. */
   long directCommands;
 
-  /** Questions of a storm, and how many of them were answered. */
+  /** Job queries sent by {@code query-burst}. */
   int burstQueries;
 
+  /** Queries of {@code burstQueries} that returned status 200. */
   int answeredBurstQueries;
 
-  /** Starts of tasks that were done before. */
+  /** Starts of tasks that had already completed. */
   int startsOfDoneTasks;
 
-  /** From then on users expect answers, and jobs to begin. */
+  /** Time of the last injected fault; users expect responses and started jobs only after it. */
   Instant lastFaultAt = START;
 
-  /** When a task of a job was first started. */
+  /** Time of the first task start of each job. */
   final Map<String, Instant> firstStarts = new HashMap<>();
 
   final List<String> log = new ArrayList<>();
 
-  /** Is told of all that goes over the wire. */
+  /** Records all messages if present. */
   Optional<WireRecorder> wireRecorder = Optional.empty();
 
   final SimKeyValueStore store = new SimKeyValueStore(this);
@@ -79,7 +81,7 @@
   final Map<String, SimUser> users = new LinkedHashMap<>();
   final Map<String, JobSpec> submitted = new HashMap<>();
 
-  /** The address under which controllers reach a machine. */
+  /** Maps a machine to the address under which controllers reach it. */
   UnaryOperator<String> machineAddress = name -> name;
 
   // Settings of the simulated deployment.
@@ -90,21 +92,21 @@
   Duration gangForming = Duration.ofSeconds(40);
   Duration gangPeerLoss = Duration.ofSeconds(6);
 
-  /** How long a value of the state service may be. */
+  /** Maximum size of a value in the state service, in bytes. */
   int valueBytes = 8192;
 
-  /** The limits that the settings say the state service will have some day. */
+  /** Limits of the state service that the settings announce for a later time. */
   Optional<Settings.StoreLimits> nextLimits = Optional.empty();
 
-  /** The part of a core that the settings give each controller. */
+  /** Fraction of a core that the settings assign to each controller. */
   double cpuShare = 1;
 
-  /** What the workers' history shows of disruptions. */
+  /** Checks the disruption budgets against the history of task starts and ends. */
   final DisruptionBudgetChecker disruptionChecker = new DisruptionBudgetChecker(this);
 
   private Optional<GangInvariantChecker> gangChecker = Optional.empty();
 
-  /** What the workers' history shows of gangs. */
+  /** Returns the checker of gang invariants; the first call creates it. */
   GangInvariantChecker gangChecker() {
     if (gangChecker.isEmpty()) {
       gangChecker =
@@ -115,44 +117,48 @@
     return gangChecker.get();
   }
 
-  /** What operators have switched on. */
+  /** Settings that operators can change at run time. */
   OperatorSettings operatorSettings = OperatorSettings.disabled();
 
   final List<Settings.Team> teams = new ArrayList<>();
   final List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
 
-  // Faults of the network.
+  // Injected network faults.
   boolean peerConnectionsRefused;
 
-  /** How much longer every message takes than by itself. */
+  /** Added to the latency of every message. */
   Duration extraLatency = Duration.ZERO;
 
-  /** Machines whose messages arrive, while nothing reaches them. */
+  /** Machines with a controller-to-agent partition: only their own messages are delivered. */
   final Set<String> controllerToAgentPathDown = new HashSet<>();
 
-  /** Machines that reach no controller by themselves, while they answer what they are asked. */
+  /** Machines with an agent-to-controller partition: they can only respond to requests. */
   final Set<String> agentToControllerPathDown = new HashSet<>();
 
-  /** How many of a machine's next reports are delivered once more, and how much later. */
+  /** How many of a machine's next heartbeats are delivered twice. */
   final Map<String, Integer> duplicatedHeartbeats = new HashMap<>();
 
+  /** Delay of the second delivery of a duplicated heartbeat. */
   Duration duplicateDelay = Duration.ZERO;
 
-  /** The next so many commands straight to workers find no socket. */
+  /** How many of the next direct command requests fail before they are sent. */
   int unsentCommands;
 
-  /** The next so many commands straight to workers are held up, and their answers are lost. */
+  /** How many of the next direct command requests are delayed and lose their responses. */
   int delayedCommands;
 
   Duration commandDelay = Duration.ZERO;
 
-  /** The share of answers to reports that are lost on their way to the machine. */
+  /** Probability that the response to a heartbeat is lost on its way to the machine. */
   double lostResponseShare;
 
-  /** The share of commands straight to workers that are lost, or else carried out unanswered. */
+  /**
+   * Probability that a direct command request fails: for one half of it the request is lost, for
+   * the other half the agent executes the commands and the response is lost.
+   */
   double lostCommandShare;
 
-  /** Jobs whose users cancel them at the very moment at which the last task ends. */
+  /** Jobs that their users cancel at the moment at which the last task ends. */
   final Set<String> cancelledAtEnd = new HashSet<>();
 
   private final Set<String> partitions = new HashSet<>();
@@ -171,7 +177,7 @@
     at(now.plus(delay), task);
   }
 
-  /** Plays until so long after the start. */
+  /** Runs all events up to {@code sinceStart} after the start of the simulation. */
   void runUntil(Duration sinceStart) {
     Instant end = START.plus(sinceStart);
     while (!events.isEmpty() && !events.peek().at.isAfter(end)) {
@@ -195,7 +201,7 @@
 
   void reportViolation(String rule, String detail) {
     violations.add("%s at %.3f: %s".formatted(rule, elapsed().toMillis() / 1000.0, detail));
-    trace("RULE " + rule + " " + detail);
+    trace("VIOLATION " + rule + " " + detail);
   }
 
   // ---- Network ----
@@ -216,7 +222,11 @@
     return agents.containsKey(name) ? "worker" : "other";
   }
 
-  /** Cuts the network between two names, or a name and {@code all} or {@code workers}. */
+  /**
+   * Partitions the network between two hosts, or between a host and {@code all} or {@code workers}.
+   *
+   * @param buffer whether messages are delivered when the partition heals, rather than lost
+   */
   void partition(String one, String other, boolean buffer) {
     partitions.add(pair(one, other));
     if (buffer) {
@@ -224,7 +234,7 @@
     }
   }
 
-  /** Heals a cut; what was held is delivered now, in order. */
+  /** Heals a partition and delivers its buffered messages, in order. */
   void heal(String one, String other) {
     partitions.remove(pair(one, other));
     bufferingPartitions.remove(pair(one, other));
@@ -240,7 +250,7 @@
     return Duration.ofMillis(1 + random.nextInt(4)).plus(extraLatency);
   }
 
-  /** Carries a message; it may be lost or held when there is a cut. */
+  /** Delivers a message; a partition loses or buffers it. */
   void deliver(String from, String to, Runnable deliver) {
     if (controllerToAgentPathDown.contains(to)) {
       return;
@@ -254,7 +264,7 @@
     after(latency(), deliver);
   }
 
-  /** A request and its answer, both over the network. */
+  /** Sends a request and its response over the network, with the injected faults. */
   void request(
       String from,
       String to,
@@ -306,12 +316,12 @@
     deliver(from, to, () -> serve(from, to, method, path, copy, onReply));
   }
 
-  /** Draws only where something may happen, so that other days stay as they were. */
+  /** Draws a random number only if the fault is enabled, so that other scenarios do not change. */
   private boolean drawFault(double probability) {
     return probability > 0 && random.nextDouble() < probability;
   }
 
-  /** What a host of the world answers to a request. */
+  /** Passes a request to the simulated host that it is addressed to. */
   void serve(
       String from, String to, String method, String path, JsonNode body, Consumer<Reply> answer) {
     if (to.equals("state")) {
@@ -355,7 +365,7 @@
         cpuShare);
   }
 
-  /** Builds from before level 2 know nothing of what the limits will be. */
+  /** Returns the limits of the state service; builds before level 2 ignore the next limits. */
   private Settings.StoreLimits storeLimits(String host) {
     Settings.StoreLimits now =
         new Settings.StoreLimits(100, 60, valueBytes, MAX_TRANSACTION_OPERATIONS);
@@ -364,21 +374,21 @@
     return supportsNextLimits ? nextLimits.map(now::smallerOf).orElse(now) : now;
   }
 
-  // ---- Rules about tasks ----
+  // ---- Task invariants ----
 
-  /** A task's run on a machine, as the rules count it. */
+  /** An attempt of a task that is present on a machine, as the invariants count it. */
   record RunningTask(SimAgent agent, TaskId task, long attempt) {}
 
   final List<RunningTask> runningTasks = new ArrayList<>();
 
-  /** What tasks that were stopped had run by then and saved. */
+  /** Run time that stopped tasks have saved in a checkpoint. */
   final Map<TaskId, Duration> savedProgress = new HashMap<>();
 
   Duration progressOf(TaskId task) {
     return savedProgress.getOrDefault(task, Duration.ZERO);
   }
 
-  /** How often tasks of a job were started. */
+  /** Number of task starts of each job. */
   final Map<String, Integer> starts = new HashMap<>();
 
   void taskStarted(SimAgent agent, TaskId task, long attempt) {
@@ -401,7 +411,7 @@
           inZone++;
         } else if (spec.singleZone()) {
           reportViolation(
-              "wrong_place", task + " in " + agent.zone + ", mates in " + running.agent.zone);
+              "wrong_place", task + " in " + agent.zone + ", other tasks in " + running.agent.zone);
         }
       }
       if (other.team().equals(spec.team())) {
@@ -409,7 +419,8 @@
       }
     }
     if (spec.spreadAcrossZones() && inZone + 1 > (spec.tasks() + 1) / 2) {
-      reportViolation("wrong_place", task + " crowds zone " + agent.zone);
+      reportViolation(
+          "wrong_place", task + " puts more than half of the tasks in zone " + agent.zone);
     }
     for (Settings.Team team : teams) {
       if (team.name().equals(spec.team()) && team.cpuLimit() > 0 && cpus > team.cpuLimit() + 1e-6) {
@@ -420,7 +431,7 @@
     if (user != null
         && user.cancelledAt != null
         && now.isAfter(user.cancelledAt.plus(cancelTimeout))) {
-      reportViolation("ran_cancelled", task + " starts");
+      reportViolation("ran_cancelled", task + " started");
     }
     if (user != null
         && user.cancelledAt != null
@@ -438,9 +449,9 @@
   }
 
   /**
-   * For how long after a confirmed cancel a start that was under way may still take effect: a
-   * leader starts nothing on knowledge older than half of its hold, and a machine learns within an
-   * answer or a command that what is held up on its way counts no more.
+   * Returns how long after a confirmed cancellation a start in flight may still take effect. A
+   * leader starts nothing based on a replica that is older than half of its renewal authority, and
+   * the next response or command invalidates delayed commands to a machine.
    */
   private Duration cancelledStartTolerance() {
     return settings("hive-0").renewalAuthorityTimeout().dividedBy(2).plusSeconds(5);
@@ -454,7 +465,7 @@
     disruptionChecker.gone(task);
   }
 
-  /** What users check at the end of a day, beside the rules. */
+  /** Checks the invariants that only hold at the end of a run. */
   void checkEndOfRun() {
     gangChecker().check(now);
     Duration maxStartDelay = Duration.ofMinutes(4);
@@ -481,7 +492,7 @@
             2 * user.spec.tasks() > largest.get(user.spec.jobClass()) ? user.spec.jobClass() : "");
   }
 
-  /** Of the accepted jobs of each group, half at least are over or run with all their tasks. */
+  /** Checks that at least half of the accepted jobs of each group ended or run all their tasks. */
   private void checkServedShare(String kind, Function<SimUser, String> groupOf) {
     Map<String, int[]> groups = new HashMap<>();
     for (SimUser user : users.values()) {
@@ -501,10 +512,10 @@
         });
   }
 
-  /** Jobs that wait although there is room for them, and since when. */
+  /** Jobs that wait although capacity for them is available, with the start of their wait. */
   private final Map<SimUser, Instant> waitingSince = new HashMap<>();
 
-  /** Whether a task of the job could run, or all of them at once if they are a gang. */
+  /** Returns whether a task of the job, or all tasks of a gang at once, fit on the machines. */
   private boolean hasCapacity(JobSpec spec) {
     if (!spec.isGang()) {
       return agents.values().stream().anyMatch(w -> w.placesFor(spec) > 0);
@@ -519,8 +530,8 @@
   }
 
   /**
-   * Once the troubles are over no job may wait for long while machines that fit have room for it
-   * and its team is under its limit.
+   * Checks that after the last fault no job waits longer than {@code MAX_WAIT} while suitable
+   * machines have capacity for it and its team is under its limit.
    */
   private void checkStarvation() {
     for (SimUser user : users.values()) {
@@ -558,7 +569,7 @@
                     && requiredCpus > t.cpuLimit() + 1e-6);
   }
 
-  /** Called every second. */
+  /** Checks the time-dependent invariants, and schedules itself again in one second. */
   void checkInvariants() {
     checkStarvation();
     for (RunningTask running : runningTasks) {
--- a/src/test/java/io/pearscale/sim/SimulatedEventLoop.java
+++ b/src/test/java/io/pearscale/sim/SimulatedEventLoop.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.time.InstantSource;
 
-/** The loop of a part that a test plays alone, on the clock of a simulated world. */
+/** Runs the tasks of one component under test on the clock of a simulated cluster. */
 abstract class SimulatedEventLoop implements EventLoop {
   final SimulatedCluster cluster = new SimulatedCluster(1);
 
--- a/src/test/java/io/pearscale/sim/WireRecorder.java
+++ b/src/test/java/io/pearscale/sim/WireRecorder.java
@@ -14,12 +14,12 @@
 import java.util.TreeSet;
 
 /**
- * Writes down what goes over the wire of a simulated world: requests, answers and records between
- * controllers, each with its time. It keeps a digest of all of it, and the first example of each
- * form of message.
+ * Records the messages of a simulated cluster: requests, responses and records between controllers,
+ * each with its time. It keeps a digest of all messages, and the first example of each message
+ * format.
  */
 final class WireRecorder {
-  /** So many messages of each kind are looked at for other forms. */
+  /** How many messages of each kind are inspected for new formats. */
   private static final int SAMPLES_PER_KIND = 100;
 
   private final SimulatedCluster cluster;
@@ -29,7 +29,7 @@
   private final Map<String, Integer> sampleCounts = new HashMap<>();
   private long messageCount;
 
-  /** Listens to a world; new forms of messages are added to the examples. */
+  /** Creates a recorder that adds an example of each new message format to {@code examples}. */
   WireRecorder(SimulatedCluster cluster, Map<String, String> examples) {
     this.cluster = cluster;
     this.examples = examples;
@@ -64,7 +64,7 @@
     examples.putIfAbsent("record of kind " + frame[0] + "\n ", hex);
   }
 
-  /** The order of guards means nothing, and that of members differs from run to run. */
+  /** Sorts guards: their order has no meaning, and that of member guards differs between runs. */
   private static JsonNode sortGuards(JsonNode body) {
     if (!body.path("guards").isArray()) {
       return body;
@@ -93,7 +93,7 @@
     return role(to) + path.replaceAll("[?].*", "?").replaceAll("/[^/?]*[0-9][^/?]*", "/*");
   }
 
-  /** What all controllers, machines or users are called in examples. */
+  /** Removes the number from a name, so that all controllers, machines or users share a name. */
   private static String role(String name) {
     return name.replaceAll("-?[0-9]+", "");
   }
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Names and types of the fields; of a list each form once. */
+  /** Returns the names and types of the fields; for a list, each distinct element format once. */
   private static String shapeOf(JsonNode node) {
     if (node.isObject()) {
       Map<String, String> fields = new LinkedHashMap<>();
@@ -121,22 +121,22 @@
     return node.getNodeType().name().charAt(0) + (node.isFloatingPointNumber() ? "." : "");
   }
 
-  /** Names of jobs and machines are all the same here. */
+  /** Replaces a field name that contains a digit, such as a job or machine, by {@code *}. */
   private static String fieldNamePattern(String field) {
     return field.chars().anyMatch(Character::isDigit) ? "*" : field;
   }
 
-  /** How many messages there were. */
+  /** Returns the number of recorded messages. */
   long messageCount() {
     return messageCount;
   }
 
-  /** The digest of all of them. */
+  /** Returns the digest of all recorded messages as hexadecimal text. */
   String digest() {
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** All that was written down, if that was asked for. */
+  /** Returns all recorded messages; empty unless {@code golden.transcripts} is set. */
   String transcript() {
     return transcript.toString();
   }
