--- a/src/test/java/io/pearscale/sim/CancelRunsTest.java
+++ b/src/test/java/io/pearscale/sim/CancelRunsTest.java
@@ -23,20 +23,20 @@
 
   @TestFactory
   Stream<DynamicTest> cancelledTasksAreGoneInTime() {
-    return SeededScenarios.rulesHold(
+    return SeededScenarios.expectNoViolations(
         SeededScenarios.seeds(FIRST, RUNS),
         seed -> CancellationScenarioGenerator.day(seed, MACHINES));
   }
 
   @TestFactory
   Stream<DynamicTest> daysThatFailedOnce() {
-    return SeededScenarios.rulesHold(
+    return SeededScenarios.expectNoViolations(
         FAILED_ONCE, seed -> CancellationScenarioGenerator.day(seed, SMALL));
   }
 
   @TestFactory
   Stream<DynamicTest> daysThatFailedOnceAtSize() {
-    return SeededScenarios.rulesHold(
+    return SeededScenarios.expectNoViolations(
         FAILED_ONCE_AT_SIZE, seed -> CancellationScenarioGenerator.day(seed, SIZE));
   }
 
@@ -51,7 +51,7 @@
         machines small a ordinary 1
         team t
         at 2 submit wk-1 service tasks=1
-        at 10 ignore-kills m-000000
+        at 10 ignore-stops m-000000
         at 12 cancel wk-1
         until 60
         """;
--- a/src/test/java/io/pearscale/sim/GoldenTest.java
+++ b/src/test/java/io/pearscale/sim/GoldenTest.java
@@ -17,25 +17,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that goes over the wire in each scenario, as it must stay while nothing is to change: by a
- * digest, and an example of each form of message and stored value. Where a digest differs, {@code
- * -Dgolden.transcripts=true} writes what was sent to {@code target/golden}, to be compared with the
- * same from the sources before.
+ * Detects unintended changes of wire messages and stored values. For each scenario it compares a
+ * digest of all messages with a golden file, and it compares one example of each message and value
+ * format. If a digest differs, run with {@code -Dgolden.transcripts=true} before and after the
+ * change, and compare the transcripts in {@code target/golden}.
  */
 class GoldenTest {
   private static final long SEED = 1;
 
   /**
-   * Jobs of thousands of tasks, whose commands that forget ended tasks come in an order that
-   * differs from run to run. Of these the number of messages is compared alone.
+   * Scenarios with jobs of thousands of tasks, for which the order of the commands that clear ended
+   * tasks differs between runs. Only their number of messages is compared.
    */
-  private static final Set<String> IN_ANY_ORDER =
+  private static final Set<String> UNORDERED_SCENARIOS =
       Set.of("job-too-large-for-its-record.txt", "rollout-then-smaller-limits.txt");
 
   private static final Path TRANSCRIPTS = Path.of("target/golden");
 
   @Test
-  void whatScenariosSend() throws IOException {
+  void wireMessagesMatchGoldenFiles() throws IOException {
     List<Path> files;
     try (Stream<Path> found = Files.list(Path.of("src/test/resources/scenarios"))) {
       files = found.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
@@ -44,18 +44,18 @@
     List<String> digests = new ArrayList<>();
     for (Path file : files) {
       Scenario scenario = Scenario.of(Files.readString(file), SEED);
-      WireRecorder recorder = new WireRecorder(scenario.world(), examples);
-      scenario.world().wireRecorder = Optional.of(recorder);
+      WireRecorder recorder = new WireRecorder(scenario.cluster(), examples);
+      scenario.cluster().wireRecorder = Optional.of(recorder);
       scenario.run();
       String name = file.getFileName().toString();
       digests.add(
           name
               + " "
-              + recorder.messages()
-              + (IN_ANY_ORDER.contains(name) ? "" : " " + recorder.digest()));
-      if (!recorder.text().isEmpty()) {
+              + recorder.messageCount()
+              + (UNORDERED_SCENARIOS.contains(name) ? "" : " " + recorder.digest()));
+      if (!recorder.transcript().isEmpty()) {
         Files.createDirectories(TRANSCRIPTS);
-        Files.writeString(TRANSCRIPTS.resolve(file.getFileName()), recorder.text());
+        Files.writeString(TRANSCRIPTS.resolve(file.getFileName()), recorder.transcript());
       }
     }
     List<String> lines = new ArrayList<>();
--- a/src/test/java/io/pearscale/sim/LargeFleetTest.java
+++ b/src/test/java/io/pearscale/sim/LargeFleetTest.java
@@ -24,7 +24,7 @@
     Scenario scenario = Scenario.of(day, 1);
     List<String> failures = scenario.run();
     assertEquals(List.of(), failures.stream().limit(20).toList());
-    int tasks = scenario.world().starts.values().stream().mapToInt(n -> n).sum();
+    int tasks = scenario.cluster().starts.values().stream().mapToInt(n -> n).sum();
     assertTrue(tasks > 20_000, "tasks: " + tasks);
   }
 
@@ -36,7 +36,7 @@
             .add("at 25 crash leader")
             .add("at 29 start all")
             .cutOff(0, PER_ZONE - 1, 40, 75)
-            .add("at 45 forget-history")
+            .add("at 45 discard-store-history")
             .services(300, 2, 0.04)
             .arrays(500, 2, 0.05)
             .until(130));
@@ -48,7 +48,7 @@
     play(
         day()
             .cancelled(150, 2, 20)
-            .add("at 24 call leader leader-then")
+            .add("at 24 alias leader leader-then")
             .add("at 24.1 cut leader-then workers")
             .add("at 30 heal leader-then workers")
             .add("at 34 down state")
--- a/src/test/java/io/pearscale/sim/SeededScenarios.java
+++ b/src/test/java/io/pearscale/sim/SeededScenarios.java
@@ -10,55 +10,58 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 
-/** Makes a test of each seeded day, so that one that fails can be named and run by itself. */
+/** Creates one test per seed, so that a failing seed can be identified and run alone. */
 final class SeededScenarios {
-  /** What the world's checker calls the rules that hold on any day. */
-  private static final String RULES =
+  /** Matches the violations of invariants that hold in every scenario, whatever faults occur. */
+  private static final String INVARIANT_VIOLATION =
       "(ran_\\w+|gang_twice|started_cancelled|quota|wrong_place|forgotten|went_back|not_done) at .*";
 
   private SeededScenarios() {}
 
-  /** So many seeds from the first one on. */
+  /** Returns {@code count} consecutive seeds that start with {@code first}. */
   static List<Long> seeds(long first, int count) {
     return LongStream.range(first, first + count).boxed().toList();
   }
 
-  /** Days on which nothing at all may go wrong. */
-  static Stream<DynamicTest> nothingFails(Collection<Long> seeds, LongFunction<String> dayOf) {
-    return each(
+  /** Creates tests that require a run without any failure. */
+  static Stream<DynamicTest> expectNoFailures(
+      Collection<Long> seeds, LongFunction<String> scenarioFor) {
+    return testPerSeed(
         seeds,
         seed -> {
-          List<String> failures = Scenario.play(dayOf.apply(seed), seed);
+          List<String> failures = Scenario.play(scenarioFor.apply(seed), seed);
           assertTrue(failures.isEmpty(), "seed " + seed + ":\n" + String.join("\n", failures));
         });
   }
 
-  /** Days on which no rule may be broken, whatever becomes of the work. */
-  static Stream<DynamicTest> rulesHold(Collection<Long> seeds, LongFunction<String> dayOf) {
-    return each(seeds, seed -> assertEquals(List.of(), brokenRules(dayOf.apply(seed), seed)));
+  /** Creates tests that require all invariants to hold; unmet expectations are ignored. */
+  static Stream<DynamicTest> expectNoViolations(
+      Collection<Long> seeds, LongFunction<String> scenarioFor) {
+    return testPerSeed(
+        seeds, seed -> assertEquals(List.of(), invariantViolations(scenarioFor.apply(seed), seed)));
   }
 
-  /** The first rules that are broken on a day. */
-  static List<String> brokenRules(String day, long seed) {
-    return Scenario.play(day, seed).stream()
-        .filter(SeededScenarios::isRule)
+  /** Runs a scenario and returns its first three invariant violations. */
+  static List<String> invariantViolations(String scenario, long seed) {
+    return Scenario.play(scenario, seed).stream()
+        .filter(SeededScenarios::isInvariantViolation)
         .limit(3)
-        .map(rule -> "seed " + seed + ": " + rule)
+        .map(violation -> "seed " + seed + ": " + violation)
         .toList();
   }
 
-  private static boolean isRule(String failure) {
-    return failure.matches(RULES);
+  private static boolean isInvariantViolation(String failure) {
+    return failure.matches(INVARIANT_VIOLATION);
   }
 
-  /** A test for each seed, named after it. */
-  static Stream<DynamicTest> each(Collection<Long> seeds, SeededTest test) {
+  /** Creates a test for each seed, named after the seed. */
+  static Stream<DynamicTest> testPerSeed(Collection<Long> seeds, SeededTest test) {
     return seeds.stream()
-        .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> test.play(seed)));
+        .map(seed -> DynamicTest.dynamicTest("seed " + seed, () -> test.run(seed)));
   }
 
-  /** What is played for a seed. */
+  /** Runs the test of one seed. */
   interface SeededTest {
-    void play(long seed) throws Exception;
+    void run(long seed) throws Exception;
   }
 }
--- a/src/test/java/io/pearscale/sim/SimulatedEventLoop.java
+++ b/src/test/java/io/pearscale/sim/SimulatedEventLoop.java
@@ -4,22 +4,22 @@
 import java.time.Duration;
 import java.time.InstantSource;
 
-/** The loop of a part that a test plays alone, on the clock of a simulated world. */
+/** Runs the tasks of one component under test on the clock of a simulated cluster. */
 abstract class SimulatedEventLoop implements EventLoop {
-  final SimulatedCluster world = new SimulatedCluster(1);
+  final SimulatedCluster cluster = new SimulatedCluster(1);
 
   @Override
   public void execute(Runnable task) {
-    world.after(Duration.ZERO, task);
+    cluster.after(Duration.ZERO, task);
   }
 
   @Override
   public void schedule(Duration delay, Runnable task) {
-    world.after(delay, task);
+    cluster.after(delay, task);
   }
 
   @Override
   public InstantSource clock() {
-    return () -> world.now;
+    return () -> cluster.now;
   }
 }
