--- a/src/test/java/io/pearscale/sim/CancelRunsTest.java
+++ b/src/test/java/io/pearscale/sim/CancelRunsTest.java
@@ -10,40 +10,41 @@
 
 /** Days on which many jobs are cancelled amid troubles: their tasks must be gone in time. */
 class CancelRunsTest {
-  private static final int SMALL = 24;
+  private static final int SMALL_FLEET = 24;
   private static final int RUNS = Integer.getInteger("pearscale.cancelRuns", 60);
-  private static final int MACHINES = Integer.getInteger("pearscale.cancelMachines", SMALL);
-  private static final long FIRST = Long.getLong("pearscale.firstSeed", 1);
+  private static final int MACHINES = Integer.getInteger("pearscale.cancelMachines", SMALL_FLEET);
+  private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
 
   /** Seeds of days on which cancelled tasks went on while a stop counted as sent once. */
-  private static final List<Long> FAILED_ONCE = List.of(1847L, 10590L, 12187L);
+  private static final List<Long> REGRESSION_SEEDS = List.of(1847L, 10590L, 12187L);
 
-  private static final List<Long> FAILED_ONCE_AT_SIZE = List.of(3016L);
-  private static final int SIZE = 300;
+  private static final List<Long> LARGE_FLEET_REGRESSION_SEEDS = List.of(3016L);
+  private static final int LARGE_FLEET = 300;
 
   @TestFactory
-  Stream<DynamicTest> cancelledTasksAreGoneInTime() {
+  Stream<DynamicTest> cancelledTasksStopInTime() {
     return SeededScenarios.rulesHold(
-        SeededScenarios.seeds(FIRST, RUNS),
-        seed -> CancellationScenarioGenerator.day(seed, MACHINES));
+        SeededScenarios.seeds(FIRST_SEED, RUNS),
+        seed -> CancellationScenarioGenerator.generate(seed, MACHINES));
   }
 
   @TestFactory
-  Stream<DynamicTest> daysThatFailedOnce() {
+  Stream<DynamicTest> regressionScenarios() {
     return SeededScenarios.rulesHold(
-        FAILED_ONCE, seed -> CancellationScenarioGenerator.day(seed, SMALL));
+        REGRESSION_SEEDS, seed -> CancellationScenarioGenerator.generate(seed, SMALL_FLEET));
   }
 
   @TestFactory
-  Stream<DynamicTest> daysThatFailedOnceAtSize() {
+  Stream<DynamicTest> largeFleetRegressionScenarios() {
     return SeededScenarios.rulesHold(
-        FAILED_ONCE_AT_SIZE, seed -> CancellationScenarioGenerator.day(seed, SIZE));
+        LARGE_FLEET_REGRESSION_SEEDS,
+        seed -> CancellationScenarioGenerator.generate(seed, LARGE_FLEET));
   }
 
   /** The checker itself: a worker that ignores one stop command is found out. */
   @Test
-  void aCancelledTaskThatIsNotStoppedIsFound() {
-    String day =
+  void checkerDetectsUnstoppedCancelledTask() {
+    String scenario =
         """
         nodes 3
         zones a
@@ -55,7 +56,7 @@
         at 12 cancel wk-1
         until 60
         """;
-    List<String> failures = Scenario.play(day, 1);
+    List<String> failures = Scenario.play(scenario, 1);
     assertTrue(failures.stream().anyMatch(f -> f.startsWith("ran_cancelled")), "" + failures);
   }
 }
--- a/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
+++ b/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
@@ -20,17 +20,17 @@
  */
 final class DisruptionBudgetChecker {
   /** What was lost for so long must be known to whoever stops more, silent as it is since. */
-  private static final Duration GRACE = Duration.ofSeconds(6);
+  private static final Duration DETECTION_GRACE = Duration.ofSeconds(6);
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<DisruptionBudget> budgets = new ArrayList<>();
-  private final Set<TaskId> stopped = new LinkedHashSet<>();
+  private final Set<TaskId> stoppedTasks = new LinkedHashSet<>();
   private final Map<TaskId, Instant> downSince = new HashMap<>();
-  private int stops;
-  private int mostDown;
+  private int voluntaryStops;
+  private int maxConcurrentlyStopped;
 
   DisruptionBudgetChecker(SimulatedCluster cluster) {
-    this.world = cluster;
+    this.cluster = cluster;
   }
 
   void add(DisruptionBudget budget) {
@@ -38,82 +38,88 @@
   }
 
   /** How many tasks were stopped by choice. */
-  int stops() {
-    return stops;
+  int voluntaryStops() {
+    return voluntaryStops;
   }
 
   /** How many were down at once by choice, at the most. */
-  int mostDown() {
-    return mostDown;
+  int maxConcurrentlyStopped() {
+    return maxConcurrentlyStopped;
   }
 
-  void started(TaskId task) {
-    stopped.remove(task);
+  void taskStarted(TaskId task) {
+    stoppedTasks.remove(task);
     downSince.remove(task);
   }
 
-  void gone(TaskId task) {
-    downSince.putIfAbsent(task, world.now);
+  void taskGone(TaskId task) {
+    downSince.putIfAbsent(task, cluster.now);
   }
 
   /** A command has told a worker to stop the task, which runs there. */
-  void stopped(TaskId task) {
-    if (budgets.isEmpty() || isOver(task)) {
+  void taskStopped(TaskId task) {
+    if (budgets.isEmpty() || isFinished(task)) {
       return;
     }
-    stops++;
-    stopped.add(task);
-    mostDown = Math.max(mostDown, (int) stopped.stream().filter(t -> !isOver(t)).count());
+    voluntaryStops++;
+    stoppedTasks.add(task);
+    maxConcurrentlyStopped =
+        Math.max(
+            maxConcurrentlyStopped,
+            (int) stoppedTasks.stream().filter(t -> !isFinished(t)).count());
     for (DisruptionBudget budget : budgets) {
       if (covers(budget, task)) {
-        check(budget, task);
+        checkBudget(budget, task);
       }
     }
   }
 
-  private void check(DisruptionBudget budget, TaskId last) {
+  private void checkBudget(DisruptionBudget budget, TaskId stoppedTask) {
     int voluntary = 0;
     int total = 0;
-    for (TaskId task : stopped) {
-      voluntary += covers(budget, task) && !isOver(task) ? 1 : 0;
+    for (TaskId task : stoppedTasks) {
+      voluntary += covers(budget, task) && !isFinished(task) ? 1 : 0;
     }
     int lost = 0;
     for (Map.Entry<TaskId, Instant> down : downSince.entrySet()) {
       TaskId task = down.getKey();
-      boolean old = down.getValue().plus(GRACE).isBefore(world.now);
-      lost += old && !stopped.contains(task) && covers(budget, task) && !isOver(task) ? 1 : 0;
+      boolean detectable = down.getValue().plus(DETECTION_GRACE).isBefore(cluster.now);
+      lost +=
+          detectable && !stoppedTasks.contains(task) && covers(budget, task) && !isFinished(task)
+              ? 1
+              : 0;
     }
-    for (SimUser user : world.users.values()) {
-      boolean counts = user.spec.isService() && user.accepted && user.cancelledAt == null;
-      total += counts && covers(budget, user.spec) ? user.spec.tasks() : 0;
+    for (SimUser user : cluster.users.values()) {
+      boolean active = user.spec.isService() && user.accepted && user.cancelledAt == null;
+      total += active && covers(budget, user.spec) ? user.spec.tasks() : 0;
     }
     int down = voluntary + lost;
-    boolean kept =
+    boolean withinBudget =
         switch (budget.kind()) {
           case MAX_UNAVAILABLE -> down <= budget.amount();
           case MAX_UNAVAILABLE_SHARE -> down <= budget.amount() * total;
           case MIN_AVAILABLE -> total - down >= budget.amount();
           case MAX_LOST_WORK_SECONDS -> true;
         };
-    if (!kept) {
-      world.reportViolation(
+    if (!withinBudget) {
+      cluster.reportViolation(
           "over_budget",
-          "%s: %s stopped, %d by choice, %d lost".formatted(budget, last, voluntary, lost));
+          "%s: %s stopped, %d by choice, %d lost".formatted(budget, stoppedTask, voluntary, lost));
     }
   }
 
   private boolean covers(DisruptionBudget budget, TaskId task) {
-    return covers(budget, world.submitted.get(task.job()));
+    return covers(budget, cluster.submitted.get(task.job()));
   }
 
   private static boolean covers(DisruptionBudget budget, JobSpec spec) {
-    boolean team =
+    boolean coversTeam =
         budget.team().equals(DisruptionBudget.ANY_TEAM) || budget.team().equals(spec.team());
-    return team && budget.jobClass().map(spec.jobClass()::equals).orElse(true);
+    return coversTeam && budget.jobClass().map(spec.jobClass()::equals).orElse(true);
   }
 
-  private boolean isOver(TaskId task) {
-    SimUser user = world.users.get(task.job());
-    return user == null || user.cancelAsked() || SimAgent.completed(world).contains(task);
+  private boolean isFinished(TaskId task) {
+    SimUser user = cluster.users.get(task.job());
+    return user == null || user.cancelRequested() || SimAgent.completed(cluster).contains(task);
   }
 }
--- a/src/test/java/io/pearscale/sim/DrainDrillTest.java
+++ b/src/test/java/io/pearscale/sim/DrainDrillTest.java
@@ -42,69 +42,73 @@
   @TempDir Path folder;
   private ProcessDrill drill;
 
-  private CommandResult expect(int code, String text, String... words) throws Exception {
-    CommandResult said = drill.run(words);
-    assertEquals(code, said.code(), said.text() + drill.logs());
-    assertTrue(said.text().contains(text), said.text());
-    return said;
+  private CommandResult runExpecting(int exitCode, String text, String... arguments)
+      throws Exception {
+    CommandResult result = drill.runCommand(arguments);
+    assertEquals(exitCode, result.code(), result.text() + drill.logs());
+    assertTrue(result.text().contains(text), result.text());
+    return result;
   }
 
-  private boolean drainIs(String id, String state) {
-    return drill.world.store.holds("c/drain-status/" + id, "\"state\":\"" + state + "\"");
+  private boolean drainHasState(String id, String state) {
+    return drill.cluster.store.valueContains("c/drain-status/" + id, "\"state\":\"" + state + "\"");
   }
 
-  private boolean present(String job, int tasks) {
-    return drill.world.present.stream().filter(p -> p.task().job().equals(job)).count() == tasks;
+  private boolean hasRunningTasks(String job, int tasks) {
+    return drill.cluster.present.stream().filter(p -> p.task().job().equals(job)).count() == tasks;
   }
 
   @Test
-  void drainsAreAskedForShownAndEndedAcrossATakeover() throws Exception {
+  void drainsCompleteAcrossLeaderTakeover() throws Exception {
     try (ProcessDrill started = new ProcessDrill(SCENARIO, PORT, folder)) {
       drill = started;
       for (int i = 0; i < LoopbackCluster.NODES; i++) {
         drill.start(i, OPERATIONS);
       }
-      drill.loopback.play();
+      drill.loopback.startClock();
       String job = drill.submit("service", "tasks=6", "cpus=2");
-      drill.until("the replicas run", () -> present(job, 6));
-      expect(EXIT_REFUSED, "level 1", "drain", "start", "d1", "--zone", "a");
-      drill.until("all announce", () -> drill.world.store.under("c/member/").size() == 3);
-      expect(0, "done:", "upgrade", "finalise");
-      refusals();
+      drill.waitUntil("the replicas run", () -> hasRunningTasks(job, 6));
+      runExpecting(EXIT_REFUSED, "level 1", "drain", "start", "d1", "--zone", "a");
+      drill.waitUntil(
+          "all announce", () -> drill.cluster.store.entriesWithPrefix("c/member/").size() == 3);
+      runExpecting(0, "done:", "upgrade", "finalise");
+      checkRefusals();
 
-      expect(0, "would drain", "drain", "start", "d1", "--zone", "a", "--dry-run");
-      expect(0, "asked for drain d1", "drain", "start", "d1", "--zone", "a", "--at-once", "50%");
-      expect(EXIT_REFUSED, "it is not over", "drain", "forget", "d1");
-      expect(
+      runExpecting(0, "would drain", "drain", "start", "d1", "--zone", "a", "--dry-run");
+      runExpecting(
+          0, "asked for drain d1", "drain", "start", "d1", "--zone", "a", "--at-once", "50%");
+      runExpecting(EXIT_REFUSED, "it is not over", "drain", "forget", "d1");
+      runExpecting(
           0, "asked for drain d2", "drain", "start", "d2", "--hold", "--network", "127.1.0.4/32");
-      expect(0, "leading", "leases");
-      String leader = drill.loopback.ask(() -> drill.world.store.leader().orElseThrow());
+      runExpecting(0, "leading", "leases");
+      String leader = drill.loopback.call(() -> drill.cluster.store.leader().orElseThrow());
       drill.loopback.kill(Integer.parseInt(leader.substring(leader.length() - 1)));
-      drill.until("d1 ends", () -> drainIs("d1", "drained"));
-      drill.until("d2 ends", () -> drainIs("d2", "drained"));
-      drill.until("the replicas run again", () -> present(job, 6));
+      drill.waitUntil("d1 ends", () -> drainHasState("d1", "drained"));
+      drill.waitUntil("d2 ends", () -> drainHasState("d2", "drained"));
+      drill.waitUntil("the replicas run again", () -> hasRunningTasks(job, 6));
 
-      expect(0, "out of service for drain d2", "why", "m-000003");
-      expect(0, "budget * * most-down 1", "budget");
-      expect(0, "6 tasks, 6 of them have a machine", "why", job);
-      expect(0, "CANCEL", "drain", "cancel", "d2");
-      drill.until("d2 is taken back", () -> drainIs("d2", "cancelled"));
-      expect(0, "cancelled", "drain", "show", "d2");
-      expect(0, "forgot drain d2", "drain", "forget", "d2");
-      expect(EXIT_ARGUMENTS, "no drain is called d2", "drain", "show", "d2");
-      assertEquals(List.of(), drill.loopback.ask(() -> List.copyOf(drill.world.violations)));
+      runExpecting(0, "out of service for drain d2", "why", "m-000003");
+      runExpecting(0, "budget * * most-down 1", "budget");
+      runExpecting(0, "6 tasks, 6 of them have a machine", "why", job);
+      runExpecting(0, "CANCEL", "drain", "cancel", "d2");
+      drill.waitUntil("d2 is taken back", () -> drainHasState("d2", "cancelled"));
+      runExpecting(0, "cancelled", "drain", "show", "d2");
+      runExpecting(0, "forgot drain d2", "drain", "forget", "d2");
+      runExpecting(EXIT_ARGUMENTS, "no drain is called d2", "drain", "show", "d2");
+      assertEquals(List.of(), drill.loopback.call(() -> List.copyOf(drill.cluster.violations)));
     }
   }
 
-  private void refusals() throws Exception {
-    expect(EXIT_REFUSED, "no machine is known", "drain", "start", "d1", "--zone", "x");
-    expect(
+  private void checkRefusals() throws Exception {
+    runExpecting(EXIT_REFUSED, "no machine is known", "drain", "start", "d1", "--zone", "x");
+    runExpecting(
         EXIT_REFUSED, "no such machine: m-9", "drain", "start", "d1", "--machines", "m-000001,m-9");
-    expect(EXIT_ARGUMENTS, "10.1.4.7/22", "drain", "start", "d1", "--network", "10.1.4.7/22");
-    expect(EXIT_ARGUMENTS, "no such window", "drain", "start", "d1", "--all", "--window", "x");
-    expect(EXIT_ARGUMENTS, "expected", "drain", "start", "D 1", "--all");
-    expect(EXIT_ARGUMENTS, "1% to 100%", "drain", "start", "d1", "--all", "--at-once", "0%");
-    expect(EXIT_ARGUMENTS, "no drain is called d9", "drain", "pause", "d9");
-    expect(EXIT_ARGUMENTS, "no job is called wk-99", "why", "wk-99");
+    runExpecting(EXIT_ARGUMENTS, "10.1.4.7/22", "drain", "start", "d1", "--network", "10.1.4.7/22");
+    runExpecting(
+        EXIT_ARGUMENTS, "no such window", "drain", "start", "d1", "--all", "--window", "x");
+    runExpecting(EXIT_ARGUMENTS, "expected", "drain", "start", "D 1", "--all");
+    runExpecting(EXIT_ARGUMENTS, "1% to 100%", "drain", "start", "d1", "--all", "--at-once", "0%");
+    runExpecting(EXIT_ARGUMENTS, "no drain is called d9", "drain", "pause", "d9");
+    runExpecting(EXIT_ARGUMENTS, "no job is called wk-99", "why", "wk-99");
   }
 }
--- a/src/test/java/io/pearscale/sim/DrainRunsTest.java
+++ b/src/test/java/io/pearscale/sim/DrainRunsTest.java
@@ -19,11 +19,11 @@
  */
 class DrainRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.drainRuns", 12);
-  private static final long FIRST = Long.getLong("pearscale.firstSeed", 1);
+  private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
   private static final int TRANSACTIONS = Integer.getInteger("pearscale.drainSteps", 10);
 
   /** Of one priority, so that nothing is evicted and each stop is a choice. */
-  private static final String SMALL =
+  private static final String SMALL_SCENARIO =
       """
       nodes 3
       zones a b
@@ -40,9 +40,9 @@
       """;
 
   /** Half of a fleet of 200 machines is replaced in steps while machines and controllers fail. */
-  private static String replacement(long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 6151);
-    StringBuilder s =
+  private static String replacementScenario(long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 6151);
+    StringBuilder text =
         new StringBuilder(
             """
             nodes 3
@@ -60,78 +60,82 @@
             at 25 drain d1 zone=a at-once=12
             """);
     for (int i = 0; i < 30; i++) {
-      s.append("at %.2f submit wk-%d service tasks=6 cpus=2\n".formatted(2 + i * 0.1, i));
+      text.append("at %.2f submit wk-%d service tasks=6 cpus=2\n".formatted(2 + i * 0.1, i));
     }
     for (int i = 30; i < 50; i++) {
-      s.append("at %.2f submit wk-%d service tasks=4 cpus=3 team=u\n".formatted(6 + i * 0.1, i));
+      text.append("at %.2f submit wk-%d service tasks=4 cpus=3 team=u\n".formatted(6 + i * 0.1, i));
     }
     for (int i = 0; i < 6; i++) {
-      double at = 30 + r.nextDouble() * 200;
-      String node = "hive-" + r.nextInt(3);
-      String machine = "m-%06d".formatted(r.nextInt(200));
-      switch (r.nextInt(5)) {
+      double at = 30 + random.nextDouble() * 200;
+      String node = "hive-" + random.nextInt(3);
+      String machine = "m-%06d".formatted(random.nextInt(200));
+      switch (random.nextInt(5)) {
         case 0 ->
-            s.append("at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, at + 4, node));
-        case 1 -> s.append("at %.2f freeze %s 12 midway\n".formatted(at, node));
-        case 2 -> s.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 20));
+            text.append("at %.2f crash %s\nat %.2f start %s\n".formatted(at, node, at + 4, node));
+        case 1 -> text.append("at %.2f freeze %s 12 midway\n".formatted(at, node));
+        case 2 -> text.append("at %.2f down state\nat %.2f up state\n".formatted(at, at + 20));
         case 3 ->
-            s.append(
+            text.append(
                 "at %.2f deafen %s\nat %.2f undeafen %s\n"
                     .formatted(at, machine, at + 30, machine));
         default ->
-            s.append(
+            text.append(
                 "at %.2f cut %s all\nat %.2f heal %s all\n"
                     .formatted(at, machine, at + 25, machine));
       }
     }
-    s.append("until 900\nexpect drain d1 drained\n");
+    text.append("until 900\nexpect drain d1 drained\n");
     for (int i = 0; i < 50; i++) {
-      s.append("expect wk-%d present %d\n".formatted(i, i < 30 ? 6 : 4));
+      text.append("expect wk-%d present %d\n".formatted(i, i < 30 ? 6 : 4));
     }
-    return s.toString();
+    return text.toString();
   }
 
   @TestFactory
-  Stream<DynamicTest> aSteppedReplacementKeepsTheBudgets() {
+  Stream<DynamicTest> steppedReplacementKeepsBudgets() {
     return SeededScenarios.each(
-        SeededScenarios.seeds(FIRST, RUNS),
+        SeededScenarios.seeds(FIRST_SEED, RUNS),
         seed -> {
-          Scenario scenario = Scenario.of(replacement(seed), seed);
+          Scenario scenario = Scenario.of(replacementScenario(seed), seed);
           List<String> failures = scenario.run();
           assertTrue(failures.isEmpty(), "seed " + seed + ":\n" + String.join("\n", failures));
-          assertTrue(scenario.world().disruptions.stops() >= 50, "hardly anything was stopped");
+          assertTrue(
+              scenario.world().disruptions.voluntaryStops() >= 50, "hardly anything was stopped");
         });
   }
 
   @TestFactory
-  Stream<DynamicTest> theLeaderMeetsATroubleAtEachStep() {
+  Stream<DynamicTest> leaderFaultAtEachTransaction() {
     return CommitFaultScenarios.each(
         TRANSACTIONS,
-        (trouble, number) ->
-            SMALL
+        (fault, number) ->
+            SMALL_SCENARIO
                 + "at 20 drain d1 zone=a at-once=2\n"
-                + "at 20.001 at-commit %d %s\n".formatted(number, trouble)
+                + "at 20.001 at-commit %d %s\n".formatted(number, fault)
                 + "until 300\nexpect drain d1 drained\nexpect wk-1 present 10\n"
                 + "expect wk-2 stage done\n");
   }
 
   /** The checker is told of a smaller budget than the controllers, and must find them over it. */
   @Test
-  void theCheckerFindsAnOverspend() {
-    String day =
-        SMALL.replace("most-down 1", "most-down 3")
+  void checkerDetectsExceededBudget() {
+    String text =
+        SMALL_SCENARIO.replace("most-down 1", "most-down 3")
             + "at 20 drain d1 zone=a at-once=4\nuntil 120\n";
-    Scenario scenario = Scenario.of(day, 1);
+    Scenario scenario = Scenario.of(text, 1);
     scenario
         .world()
         .disruptions
         .add(new DisruptionBudget("t", Optional.empty(), DisruptionBudget.Kind.MAX_UNAVAILABLE, 1));
     scenario.run();
     assertTrue(
-        scenario.world().violations.stream().anyMatch(b -> b.startsWith("over_budget")),
+        scenario.world().violations.stream()
+            .anyMatch(violation -> violation.startsWith("over_budget")),
         () -> String.join("\n", scenario.world().log));
     assertEquals(
         List.of(),
-        scenario.world().violations.stream().filter(b -> !b.startsWith("over_budget")).toList());
+        scenario.world().violations.stream()
+            .filter(violation -> !violation.startsWith("over_budget"))
+            .toList());
   }
 }
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -141,10 +141,10 @@
     if (out) {
       schedule(timeout, () -> answer.accept(Reply.NO_RESPONSE));
     } else if (path.equals("/commit") && holdCommits) {
-      world.store.serve(
+      world.store.handleRequest(
           "hive-0", method, path, body, r -> heldReply = () -> execute(() -> answer.accept(r)));
     } else {
-      world.store.serve("hive-0", method, path, body, r -> execute(() -> answer.accept(r)));
+      world.store.handleRequest("hive-0", method, path, body, r -> execute(() -> answer.accept(r)));
     }
   }
 
--- a/src/test/java/io/pearscale/sim/GangInvariantChecker.java
+++ b/src/test/java/io/pearscale/sim/GangInvariantChecker.java
@@ -18,119 +18,127 @@
  */
 final class GangInvariantChecker {
   /** What a worker may take beyond the times of the protocol to notice and to exit. */
-  static final Duration SLACK = Duration.ofSeconds(2);
+  static final Duration REACTION_ALLOWANCE = Duration.ofSeconds(2);
 
   private record TaskRun(
       long attempt, String machine, String zone, Instant since, boolean running) {
-    TaskRun from(Instant now) {
+    TaskRun withSince(Instant now) {
       return new TaskRun(attempt, machine, zone, now, running);
     }
   }
 
-  private final Duration forming;
-  private final Duration peerLoss;
-  private final Duration cancel;
-  private final BiConsumer<String, String> breaks;
-  private final Map<TaskId, TaskRun> present = new LinkedHashMap<>();
+  private final Duration formingTimeout;
+  private final Duration peerLossTimeout;
+  private final Duration cancelTimeout;
+  private final BiConsumer<String, String> violationHandler;
+  private final Map<TaskId, TaskRun> presentTasks = new LinkedHashMap<>();
   private final Map<String, JobSpec> jobs = new HashMap<>();
   private final Map<String, Instant> incompleteSince = new HashMap<>();
-  private final Map<String, Instant> cancelled = new HashMap<>();
-  private final Map<TaskId, Long> doneUnder = new HashMap<>();
-  private final Set<String> still = new HashSet<>();
-  private final Set<String> found = new HashSet<>();
+  private final Map<String, Instant> cancelledAt = new HashMap<>();
+  private final Map<TaskId, Long> completedAttempts = new HashMap<>();
+  private final Set<String> unresponsiveMachines = new HashSet<>();
+  private final Set<String> reportedViolations = new HashSet<>();
 
   /**
    * Knows of nothing yet.
    *
-   * @param breaks is told the rule and what broke it, once for each job and rule
+   * @param violationHandler is told the rule and what broke it, once for each job and rule
    */
   GangInvariantChecker(
-      Duration forming, Duration peerLoss, Duration cancel, BiConsumer<String, String> breaks) {
-    this.forming = forming;
-    this.peerLoss = peerLoss;
-    this.cancel = cancel;
-    this.breaks = breaks;
+      Duration formingTimeout,
+      Duration peerLossTimeout,
+      Duration cancelTimeout,
+      BiConsumer<String, String> violationHandler) {
+    this.formingTimeout = formingTimeout;
+    this.peerLossTimeout = peerLossTimeout;
+    this.cancelTimeout = cancelTimeout;
+    this.violationHandler = violationHandler;
   }
 
-  private void breaks(String rule, String job, String what) {
-    if (found.add(rule + " " + job)) {
-      breaks.accept(rule, job + " " + what);
+  private void reportViolation(String rule, String job, String details) {
+    if (reportedViolations.add(rule + " " + job)) {
+      violationHandler.accept(rule, job + " " + details);
     }
   }
 
   /** A task has its image, and is on its machine from now on. */
-  void arrives(JobSpec spec, TaskId task, long attempt, String machine, String zone, Instant now) {
+  void taskArrived(
+      JobSpec spec, TaskId task, long attempt, String machine, String zone, Instant now) {
     check(now);
     String job = spec.id();
     jobs.put(job, spec);
-    TaskRun before =
-        present.put(task, new TaskRun(attempt, machine, zone, now, /* running= */ false));
-    if (before != null) {
-      breaks("gang_task_twice", job, task + " on " + before.machine + " and " + machine);
+    TaskRun previous =
+        presentTasks.put(task, new TaskRun(attempt, machine, zone, now, /* running= */ false));
+    if (previous != null) {
+      reportViolation("gang_task_twice", job, task + " on " + previous.machine + " and " + machine);
     }
-    present.forEach(
-        (other, run) -> {
-          if (spec.singleZone() && other.job().equals(job) && !run.zone.equals(zone)) {
-            breaks(
-                "gang_in_two_zones", job, other + " in " + run.zone + ", " + task + " in " + zone);
+    presentTasks.forEach(
+        (other, otherRun) -> {
+          if (spec.singleZone() && other.job().equals(job) && !otherRun.zone.equals(zone)) {
+            reportViolation(
+                "gang_in_two_zones",
+                job,
+                other + " in " + otherRun.zone + ", " + task + " in " + zone);
           }
         });
-    note(job, now);
+    updateIncomplete(job, now);
   }
 
   /** A task makes progress from now on. */
-  void runs(TaskId task, Instant now) {
+  void taskRunning(TaskId task, Instant now) {
     check(now);
-    TaskRun run = present.get(task);
-    present.put(
+    TaskRun run = presentTasks.get(task);
+    presentTasks.put(
         task, new TaskRun(run.attempt, run.machine, run.zone, run.since, /* running= */ true));
-    present.forEach(
-        (other, its) -> {
-          boolean otherAttempt = its.running && its.attempt != run.attempt;
+    presentTasks.forEach(
+        (other, otherRun) -> {
+          boolean otherAttempt = otherRun.running && otherRun.attempt != run.attempt;
           if (otherAttempt && other.job().equals(task.job())) {
-            breaks("gang_under_two_attempts", task.job(), its.attempt + " and " + run.attempt);
+            reportViolation(
+                "gang_under_two_attempts", task.job(), otherRun.attempt + " and " + run.attempt);
           }
         });
-    note(task.job(), now);
+    updateIncomplete(task.job(), now);
   }
 
   /** A machine executes nothing: nobody expects its tasks to exit. */
-  void standsStill(String machine, Instant now) {
+  void machineUnresponsive(String machine, Instant now) {
     check(now);
-    still.add(machine);
-    jobs.keySet().forEach(job -> note(job, now));
+    unresponsiveMachines.add(machine);
+    jobs.keySet().forEach(job -> updateIncomplete(job, now));
   }
 
   /** A machine executes its tasks again. */
-  void goesOn(String machine, Instant now) {
-    still.remove(machine);
-    present.replaceAll((task, run) -> run.machine.equals(machine) ? run.from(now) : run);
-    jobs.keySet().forEach(job -> note(job, now));
+  void machineResumed(String machine, Instant now) {
+    unresponsiveMachines.remove(machine);
+    presentTasks.replaceAll((task, run) -> run.machine.equals(machine) ? run.withSince(now) : run);
+    jobs.keySet().forEach(job -> updateIncomplete(job, now));
   }
 
   /** A task is gone from that machine. */
-  void leaves(TaskId task, String machine, Instant now) {
+  void taskLeft(TaskId task, String machine, Instant now) {
     check(now);
-    present.computeIfPresent(task, (t, run) -> run.machine.equals(machine) ? null : run);
-    note(task.job(), now);
+    presentTasks.computeIfPresent(task, (t, run) -> run.machine.equals(machine) ? null : run);
+    updateIncomplete(task.job(), now);
   }
 
   /** A task has completed. */
-  void completes(TaskId task, long attempt) {
-    Long before = doneUnder.putIfAbsent(task, attempt);
-    if (before != null && before != attempt) {
-      breaks("gang_done_twice", task.job(), task + " under " + before + " and " + attempt);
+  void taskCompleted(TaskId task, long attempt) {
+    Long previousAttempt = completedAttempts.putIfAbsent(task, attempt);
+    if (previousAttempt != null && previousAttempt != attempt) {
+      reportViolation(
+          "gang_done_twice", task.job(), task + " under " + previousAttempt + " and " + attempt);
     }
   }
 
   /** The user was told that the job is cancelled. */
-  void cancelIsConfirmed(String job, Instant now) {
-    cancelled.putIfAbsent(job, now);
+  void cancelConfirmed(String job, Instant now) {
+    cancelledAt.putIfAbsent(job, now);
   }
 
   /** From when on a gang, some tasks of which run, lacks others. */
-  private void note(String job, Instant now) {
-    long running = present.entrySet().stream().filter(e -> isRunning(e, job)).count();
+  private void updateIncomplete(String job, Instant now) {
+    long running = presentTasks.entrySet().stream().filter(e -> isRunning(e, job)).count();
     boolean incomplete = running > 0 && running < jobs.get(job).tasks();
     if (!incomplete) {
       incompleteSince.remove(job);
@@ -141,27 +149,30 @@
 
   private boolean isRunning(Map.Entry<TaskId, TaskRun> entry, String job) {
     TaskRun run = entry.getValue();
-    return run.running && !still.contains(run.machine) && entry.getKey().job().equals(job);
+    return run.running
+        && !unresponsiveMachines.contains(run.machine)
+        && entry.getKey().job().equals(job);
   }
 
   /** Looks for what has stayed for too long. */
   void check(Instant now) {
-    present.forEach(
+    presentTasks.forEach(
         (task, run) -> {
-          boolean waits = !run.running && !still.contains(run.machine);
-          if (waits && run.since.plus(forming).plus(SLACK).isBefore(now)) {
-            breaks("half_gang_waits", task.job(), task + " waits since " + run.since);
+          boolean waiting = !run.running && !unresponsiveMachines.contains(run.machine);
+          if (waiting && run.since.plus(formingTimeout).plus(REACTION_ALLOWANCE).isBefore(now)) {
+            reportViolation("half_gang_waits", task.job(), task + " waits since " + run.since);
           }
-          Instant asked = cancelled.get(task.job());
-          if (asked != null && asked.plus(cancel).plus(SLACK).isBefore(now)) {
-            breaks("gang_after_cancel", task.job(), task + " on " + run.machine);
+          Instant confirmedAt = cancelledAt.get(task.job());
+          if (confirmedAt != null
+              && confirmedAt.plus(cancelTimeout).plus(REACTION_ALLOWANCE).isBefore(now)) {
+            reportViolation("gang_after_cancel", task.job(), task + " on " + run.machine);
           }
         });
     incompleteSince.forEach(
         (job, since) -> {
           // The loss is noticed within that time, and the others have as long to exit.
-          if (since.plus(peerLoss.multipliedBy(2)).plus(SLACK).isBefore(now)) {
-            breaks("half_gang_runs", job, "not whole since " + since);
+          if (since.plus(peerLossTimeout.multipliedBy(2)).plus(REACTION_ALLOWANCE).isBefore(now)) {
+            reportViolation("half_gang_runs", job, "not whole since " + since);
           }
         });
   }
--- a/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
+++ b/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
@@ -19,7 +19,7 @@
  */
 class GangRolloutDrillTest {
   private static final int PORT = 19700;
-  private static final int GANG = 4;
+  private static final int GANG_SIZE = 4;
   private static final String OPERATIONS = "(announce-support-s 5)";
   private static final SchemaLevel SMALL_VALUES = new SchemaLevel(2, 2, true);
   private static final String SCENARIO =
@@ -35,22 +35,22 @@
 
   @TempDir Path folder;
   private ProcessDrill drill;
-  private String olderBuild;
+  private String olderClassPath;
 
-  private void startOld(int node) throws IOException {
-    drill.startOf(olderBuild, node, OPERATIONS);
+  private void startOlderBuild(int node) throws IOException {
+    drill.startBuild(olderClassPath, node, OPERATIONS);
   }
 
-  private void replace(int node) throws Exception {
+  private void replaceWithThisBuild(int node) throws Exception {
     drill.loopback.kill(node);
     drill.loopback.processes().get("hive-" + node).waitFor();
     drill.start(node, OPERATIONS);
-    drill.until("hive-" + node + " announces", () -> saysHighest(node, 2));
+    drill.waitUntil("hive-" + node + " announces", () -> announcesHighestLevel(node, 2));
     submitBatch();
   }
 
-  private boolean saysHighest(int node, int level) {
-    return drill.world.store.holds("c/member/hive-" + node, "\"highest\":" + level);
+  private boolean announcesHighestLevel(int node, int level) {
+    return drill.cluster.store.valueContains("c/member/hive-" + node, "\"highest\":" + level);
   }
 
   private void submitBatch() {
@@ -58,14 +58,14 @@
   }
 
   private String submitGang(int run) {
-    return drill.submit("gang", "tasks=" + GANG, "cpus=2", "one-zone", "run=" + run);
+    return drill.submit("gang", "tasks=" + GANG_SIZE, "cpus=2", "one-zone", "run=" + run);
   }
 
   private String stage(String job) {
-    return drill.world.users.get(job).stage;
+    return drill.cluster.users.get(job).stage;
   }
 
-  private boolean logHas(int node, String text) {
+  private boolean logContains(int node, String text) {
     try {
       return Files.readString(drill.loopback.logFile(node)).contains(text);
     } catch (IOException e) {
@@ -74,62 +74,63 @@
   }
 
   private boolean allDone() {
-    return drill.world.users.values().stream()
+    return drill.cluster.users.values().stream()
         .allMatch(user -> user.spec.isService() || user.stage.equals("done"));
   }
 
   @Test
-  void theVersionInProductionIsReplacedWhileItServes() throws Exception {
+  void productionBuildIsReplacedWhileServing() throws Exception {
     Assumptions.assumeTrue(
         ProductionBuild.hasHistory(), "no history to build the older version from");
-    olderBuild = ProductionBuild.classPath(Files.createDirectory(folder.resolve("older")));
+    olderClassPath = ProductionBuild.classPath(Files.createDirectory(folder.resolve("older")));
     try (ProcessDrill started = new ProcessDrill(SCENARIO, PORT, folder)) {
       drill = started;
       for (int node = 0; node < LoopbackCluster.NODES; node++) {
-        startOld(node);
+        startOlderBuild(node);
       }
-      drill.loopback.play();
+      drill.loopback.startClock();
       String service = drill.submit("service", "tasks=3", "cpus=2");
-      drill.until("the service runs", () -> stage(service).equals("running"));
-      String early = rollOut();
-      String gang = anOldProcessMeetsAStoredGang();
-      drill.until("all jobs end", this::allDone);
-      for (String job : List.of(early, gang)) {
-        assertEquals(GANG, drill.loopback.ask(() -> drill.world.starts.get(job)), job);
+      drill.waitUntil("the service runs", () -> stage(service).equals("running"));
+      String firstGang = rollOutThisBuild();
+      String gang = startOlderBuildWithStoredGang();
+      drill.waitUntil("all jobs end", this::allDone);
+      for (String job : List.of(firstGang, gang)) {
+        assertEquals(GANG_SIZE, drill.loopback.call(() -> drill.cluster.starts.get(job)), job);
       }
-      assertEquals(0, drill.loopback.ask(() -> drill.world.gangs.attemptsBroken));
-      assertEquals(List.of(), drill.loopback.ask(() -> List.copyOf(drill.world.violations)));
+      assertEquals(0, drill.loopback.call(() -> drill.cluster.gangs.attemptsAborted));
+      assertEquals(List.of(), drill.loopback.call(() -> List.copyOf(drill.cluster.violations)));
     }
   }
 
   /** Replaces one after the other; a gang that comes before the level has risen waits for that. */
-  private String rollOut() throws Exception {
-    replace(0);
-    replace(1);
+  private String rollOutThisBuild() throws Exception {
+    replaceWithThisBuild(0);
+    replaceWithThisBuild(1);
     drill.loopback.kill(0);
     drill.loopback.processes().get("hive-0").waitFor();
-    startOld(0);
+    startOlderBuild(0);
     submitBatch();
-    drill.until("hive-0 is old again", () -> saysHighest(0, 1));
-    replace(0);
-    assertEquals(0, drill.loopback.ask(() -> drill.world.store.level().level()));
-    replace(2);
-    String early = submitGang(/* run= */ 4);
-    drill.until("the level rises", () -> drill.world.store.level().equals(SMALL_VALUES));
-    drill.until("the gang is done", () -> stage(early).equals("done"));
-    return early;
+    drill.waitUntil("hive-0 is old again", () -> announcesHighestLevel(0, 1));
+    replaceWithThisBuild(0);
+    assertEquals(0, drill.loopback.call(() -> drill.cluster.store.level().level()));
+    replaceWithThisBuild(2);
+    String firstGang = submitGang(/* run= */ 4);
+    drill.waitUntil("the level rises", () -> drill.cluster.store.level().equals(SMALL_VALUES));
+    drill.waitUntil("the gang is done", () -> stage(firstGang).equals("done"));
+    return firstGang;
   }
 
-  private String anOldProcessMeetsAStoredGang() throws Exception {
+  private String startOlderBuildWithStoredGang() throws Exception {
     String gang = submitGang(/* run= */ 12);
-    drill.until("the gang runs", () -> stage(gang).equals("running"));
+    drill.waitUntil("the gang runs", () -> stage(gang).equals("running"));
     for (int node = 0; node < LoopbackCluster.NODES; node++) {
       drill.loopback.kill(node);
       drill.loopback.processes().get("hive-" + node).waitFor();
     }
-    startOld(0);
-    drill.until("the old build stays out", () -> logHas(0, "event=stays_out"));
-    assertTrue(drill.loopback.ask(() -> drill.world.store.holds("c/live/" + gang, gang)));
+    startOlderBuild(0);
+    drill.waitUntil("the old build stays out", () -> logContains(0, "event=stays_out"));
+    assertTrue(
+        drill.loopback.call(() -> drill.cluster.store.valueContains("c/live/" + gang, gang)));
     for (int node = 1; node < LoopbackCluster.NODES; node++) {
       drill.start(node, OPERATIONS);
     }
--- a/src/test/java/io/pearscale/sim/GangRunsTest.java
+++ b/src/test/java/io/pearscale/sim/GangRunsTest.java
@@ -16,10 +16,10 @@
  */
 class GangRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.gangRuns", 60);
-  private static final long FIRST = Long.getLong("pearscale.firstSeed", 1);
+  private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
   private static final int TRANSACTIONS = Integer.getInteger("pearscale.gangSteps", 8);
 
-  private static final String SMALL =
+  private static final String SMALL_SCENARIO =
       """
       nodes 3
       announce 10 automatic
@@ -34,57 +34,61 @@
 
   /** Gangs among other work, in the troubles of any day. */
   @TestFactory
-  Stream<DynamicTest> gangsOnRandomDays() {
+  Stream<DynamicTest> gangsInRandomScenarios() {
     return SeededScenarios.nothingFails(
-        SeededScenarios.seeds(FIRST, RUNS), seed -> with(RandomRunsTest.day(seed), gangs(seed)));
+        SeededScenarios.seeds(FIRST_SEED, RUNS),
+        seed -> withLines(RandomRunsTest.scenario(seed), gangLines(seed)));
   }
 
   /** The same while all controllers are replaced, and the state service then lowers its limits. */
   @TestFactory
-  Stream<DynamicTest> gangsAfterARolloutOnRandomDays() {
+  Stream<DynamicTest> gangsDuringRolloutInRandomScenarios() {
     return SeededScenarios.nothingFails(
-        SeededScenarios.seeds(FIRST, RUNS),
-        seed -> with(RandomRunsTest.day(seed), gangs(seed) + rollout(seed)));
+        SeededScenarios.seeds(FIRST_SEED, RUNS),
+        seed -> withLines(RandomRunsTest.scenario(seed), gangLines(seed) + rolloutLines(seed)));
   }
 
-  private static String with(String day, String more) {
-    return day.replaceFirst("nodes 3\n", "nodes 3\nannounce 10 automatic\n" + more);
+  private static String withLines(String scenario, String lines) {
+    return scenario.replaceFirst("nodes 3\n", "nodes 3\nannounce 10 automatic\n" + lines);
   }
 
-  private static String gangs(long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 86028121);
-    StringBuilder gangs = new StringBuilder();
-    for (int i = 0; i < 3 + r.nextInt(4); i++) {
+  private static String gangLines(long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 86028121);
+    StringBuilder lines = new StringBuilder();
+    for (int i = 0; i < 3 + random.nextInt(4); i++) {
       String id = "wk-g" + i;
-      double at = 12 + r.nextDouble() * 70;
-      gangs
-          .append("at %.2f submit %s gang tasks=%d".formatted(at, id, 1 + r.nextInt(6)))
-          .append(" cpus=%d run=%d".formatted(1 + r.nextInt(3), 4 + r.nextInt(30)))
-          .append(r.nextInt(2) == 0 ? " one-zone" : r.nextInt(4) == 0 ? " spread" : "")
-          .append(r.nextInt(2) == 0 ? " checkpoint=5 save=%d".formatted(1 + r.nextInt(4)) : "")
-          .append(r.nextInt(3) == 0 ? " spot" : "")
-          .append(r.nextInt(4) == 0 ? " priority=high" : "")
-          .append(" image=g%d\n".formatted(r.nextInt(3)));
-      if (r.nextInt(4) == 0) {
-        gangs.append("at %.2f cancel %s\nexpect %s present 0\n".formatted(at + 63, id, id));
+      double at = 12 + random.nextDouble() * 70;
+      lines
+          .append("at %.2f submit %s gang tasks=%d".formatted(at, id, 1 + random.nextInt(6)))
+          .append(" cpus=%d run=%d".formatted(1 + random.nextInt(3), 4 + random.nextInt(30)))
+          .append(random.nextInt(2) == 0 ? " one-zone" : random.nextInt(4) == 0 ? " spread" : "")
+          .append(
+              random.nextInt(2) == 0
+                  ? " checkpoint=5 save=%d".formatted(1 + random.nextInt(4))
+                  : "")
+          .append(random.nextInt(3) == 0 ? " spot" : "")
+          .append(random.nextInt(4) == 0 ? " priority=high" : "")
+          .append(" image=g%d\n".formatted(random.nextInt(3)));
+      if (random.nextInt(4) == 0) {
+        lines.append("at %.2f cancel %s\nexpect %s present 0\n".formatted(at + 63, id, id));
       } else {
-        gangs.append("expect %s stage done\n".formatted(id));
+        lines.append("expect %s stage done\n".formatted(id));
       }
     }
-    return gangs.toString();
+    return lines.toString();
   }
 
   /** The builds are installed before the first restart and start at different times. */
-  private static String rollout(long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 49979687);
-    StringBuilder steps = new StringBuilder("next-limits value=2048 txn=8 writes=21\n");
-    double at = 6 + r.nextDouble() * 10;
+  private static String rolloutLines(long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 49979687);
+    StringBuilder lines = new StringBuilder("next-limits value=2048 txn=8 writes=21\n");
+    double at = 6 + random.nextDouble() * 10;
     for (int i = 0; i < 3; i++) {
-      steps.append("build hive-%d 0 1\nat %.2f build hive-%d 0 2\n".formatted(i, at, i));
-      steps.append("at %.2f crash hive-%d\nat %.2f start hive-%d\n".formatted(at, i, at + 3, i));
-      at += 4 + r.nextDouble() * 8;
+      lines.append("build hive-%d 0 1\nat %.2f build hive-%d 0 2\n".formatted(i, at, i));
+      lines.append("at %.2f crash hive-%d\nat %.2f start hive-%d\n".formatted(at, i, at + 3, i));
+      at += 4 + random.nextDouble() * 8;
     }
-    return steps
+    return lines
         .append("at %.2f limits value=2048 txn=8 writes=21\n".formatted(at + 12))
         .toString();
   }
@@ -93,11 +97,11 @@
    * The leader meets each trouble at each transaction while one gang forms and another one runs.
    */
   @TestFactory
-  Stream<DynamicTest> theLeaderMeetsATroubleAtEachStep() {
+  Stream<DynamicTest> leaderFaultAtEachTransaction() {
     return CommitFaultScenarios.each(
         TRANSACTIONS,
-        (trouble, number) ->
-            SMALL
+        (fault, number) ->
+            SMALL_SCENARIO
                 + """
                 at 12 submit wk-1 gang tasks=5 cpus=2 one-zone run=30 checkpoint=5 save=1
                 at 20.001 at-commit %d %s
@@ -111,7 +115,7 @@
                 expect wk-3 stage done
                 expect wk-9 stage done
                 """
-                    .formatted(number, trouble));
+                    .formatted(number, fault));
   }
 
   /**
@@ -120,11 +124,11 @@
    * while.
    */
   @TestFactory
-  Stream<DynamicTest> theLeaderMeetsATroubleAtEachStepOfARollout() {
+  Stream<DynamicTest> leaderFaultAtEachTransactionOfRollout() {
     return CommitFaultScenarios.each(
         TRANSACTIONS,
-        (trouble, number) ->
-            SMALL
+        (fault, number) ->
+            SMALL_SCENARIO
                 + """
                 build hive-0 0 1
                 build hive-1 0 1
@@ -156,16 +160,16 @@
                 expect wk-3 stage done
                 expect wk-9 stage done
                 """
-                    .formatted(number, trouble));
+                    .formatted(number, fault));
   }
 
   /** The same with a second trouble on top: a machine of the gang can't be reached meanwhile. */
   @TestFactory
-  Stream<DynamicTest> theLeaderMeetsATroubleWhileAMachineIsCutOff() {
+  Stream<DynamicTest> leaderFaultDuringMachinePartition() {
     return CommitFaultScenarios.each(
         TRANSACTIONS,
-        (trouble, number) ->
-            SMALL
+        (fault, number) ->
+            SMALL_SCENARIO
                 + """
                 at 12 submit wk-1 gang tasks=5 cpus=2 one-zone run=30 checkpoint=5 save=1
                 at 20 cut host:wk-1/2 all hold
@@ -185,12 +189,12 @@
                 expect wk-1 stage done
                 expect wk-2 stage done
                 """
-                    .formatted(number, trouble));
+                    .formatted(number, fault));
   }
 
   /** The checker finds a job of which two attempts run. */
   @Test
-  void twoAttemptsAtOnceAreFound() {
+  void detectsTwoRunningAttempts() {
     SimulatedCluster cluster = new SimulatedCluster(1);
     Scenario.submit(cluster, List.of("submit", "wk-1", "gang", "tasks=1"));
     SimGangRendezvous.Member member =
@@ -202,13 +206,14 @@
           public void exited(String cause, boolean saved) {}
 
           @Override
-          public boolean hangs() {
+          public boolean isUnresponsive() {
             return false;
           }
         };
-    cluster.gangs.join(SimUser.task("wk-1/0"), 1, member);
+    cluster.gangs.join(SimUser.parseTask("wk-1/0"), 1, member);
     assertEquals(List.of(), cluster.violations);
-    cluster.gangs.join(SimUser.task("wk-1/0"), 2, member);
-    assertTrue(cluster.violations.stream().anyMatch(rule -> rule.startsWith("gang_twice")));
+    cluster.gangs.join(SimUser.parseTask("wk-1/0"), 2, member);
+    assertTrue(
+        cluster.violations.stream().anyMatch(violation -> violation.startsWith("gang_twice")));
   }
 }
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -190,19 +190,19 @@
         ObjectNode body = SimulatedCluster.map();
         ObjectNode change = body.putArray("then").addObject().put("write", "c/term");
         change.set("value", SimulatedCluster.map().put("term", Long.parseLong(words.get(1))));
-        world.store.serve("x", "POST", "/commit", body, r -> {});
+        world.store.handleRequest("x", "POST", "/commit", body, r -> {});
       }
       case "cancelled-unseen" -> {
         ObjectNode body = SimulatedCluster.map();
         body.putArray("then").addObject().put("drop", "c/live/" + words.get(1));
-        world.store.serve("x", "POST", "/commit", body, r -> {});
+        world.store.handleRequest("x", "POST", "/commit", body, r -> {});
       }
       case "hold-commits" -> holdCommits = true;
       case "release-commits" -> {
         holdCommits = false;
         List<Pending> late = List.copyOf(heldCommits);
         heldCommits.clear();
-        late.forEach(p -> world.store.serve("x", "POST", p.path, p.body, p.answer));
+        late.forEach(p -> world.store.handleRequest("x", "POST", p.path, p.body, p.answer));
         settle(Duration.ofMillis(200));
       }
       case "lose-commits" -> {
@@ -291,14 +291,15 @@
     String job = task.split("/")[0];
     int index = Integer.parseInt(task.split("/")[1]);
     Map<Integer, String> names = new HashMap<>();
-    for (Map.Entry<String, JsonNode> value : world.store.under("c/roster/").entrySet()) {
+    for (Map.Entry<String, JsonNode> value :
+        world.store.entriesWithPrefix("c/roster/").entrySet()) {
       int number = Keys.valueNumber(value.getKey());
       for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value.getValue())) {
         names.put(
             PlacementRecordCodec.positionalReference(number, e.number(), PLACES), e.machine());
       }
     }
-    for (JsonNode value : world.store.under("c/marks/").values()) {
+    for (JsonNode value : world.store.entriesWithPrefix("c/marks/").values()) {
       for (PlacementRecordCodec.PartitionRecord p : PlacementRecordCodec.decode(value)) {
         if (p.job().equals(job) && p.doneTasks().get(index)) {
           return "done";
@@ -312,7 +313,7 @@
 
   /** What the roster says of a machine. */
   private String machineRecordOf(String machine) throws MalformedMessageException {
-    for (JsonNode value : world.store.under("c/roster/").values()) {
+    for (JsonNode value : world.store.entriesWithPrefix("c/roster/").values()) {
       for (MachineRecordCodec.MachineRecord e : MachineRecordCodec.decode(value)) {
         if (e.machine().equals(machine)) {
           return e.retiring() ? "retiring" : "usable";
@@ -346,7 +347,7 @@
     } else {
       change.put("drop", key);
     }
-    world.store.serve("x", "POST", "/commit", body, r -> {});
+    world.store.handleRequest("x", "POST", "/commit", body, r -> {});
     revision = world.store.storeRevision();
     Optional<Entry> entry = value.map(v -> new Entry(v, revision));
     entry.ifPresentOrElse(e -> keys.put(key, e), () -> keys.remove(key));
@@ -380,7 +381,7 @@
         .addObject()
         .put("write", "c/term")
         .set("value", SimulatedCluster.map().put("term", term));
-    world.store.serve("x", "POST", "/commit", body, r -> {});
+    world.store.handleRequest("x", "POST", "/commit", body, r -> {});
     revision = world.store.storeRevision();
   }
 
@@ -466,11 +467,15 @@
             : Optional.of("token +" + got);
       }
       case "stored" -> {
-        boolean has = world.store.holds(words.get(1), words.size() > 2 ? words.get(2) : "");
-        return has ? Optional.empty() : Optional.of("stored " + world.store.show(words.get(1)));
+        boolean has = world.store.valueContains(words.get(1), words.size() > 2 ? words.get(2) : "");
+        return has
+            ? Optional.empty()
+            : Optional.of("stored " + world.store.valueAsText(words.get(1)));
       }
       case "not-stored" -> {
-        return world.store.holds(words.get(1), "") ? Optional.of("is stored") : Optional.empty();
+        return world.store.valueContains(words.get(1), "")
+            ? Optional.of("is stored")
+            : Optional.empty();
       }
       case "started" -> {
         return terminatedMachines.stream().anyMatch(g -> g.startsWith(words.get(1) + ":"))
@@ -526,13 +531,13 @@
       if (path.equals("/commit") && holdCommits) {
         heldCommits.add(new Pending(path, body, to));
       } else {
-        world.store.serve("x", method, path, body, to);
+        world.store.handleRequest("x", method, path, body, to);
       }
     } else if (address.equals("cloud")) {
       if (path.equals("/hosts")) {
         provisionRequests.add(body.path("hire").asText());
       }
-      world.cloud.serve(method, path, body, to);
+      world.cloud.handleRequest(method, path, body, to);
     } else {
       body.path("orders").forEach(this::note);
       direct.put(address, new Pending(path, body, to));
--- a/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
+++ b/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
@@ -11,9 +11,9 @@
  */
 final class LeaseExpiryScenarioGenerator {
   /** With reports every 2 s, the seventh question to a silent machine is sent after so long. */
-  private static final double SEVENTH_QUESTION = 22;
+  private static final double SEVENTH_PROBE_SECONDS = 22;
 
-  private static final int END = 110;
+  private static final int END_SECOND = 110;
 
   private final RandomGenerator random;
   private final StringBuilder text = new StringBuilder();
@@ -26,37 +26,37 @@
     // On every other day a question is under way when the leases of silent machines are over.
     this.lease =
         random.nextBoolean()
-            ? SEVENTH_QUESTION - 1.2 + random.nextDouble()
+            ? SEVENTH_PROBE_SECONDS - 1.2 + random.nextDouble()
             : 10 + random.nextDouble() * 14;
   }
 
   /** A day on so many machines, the same for the same seed. */
-  static String day(long seed, int machines) {
-    return new LeaseExpiryScenarioGenerator(seed, machines).write();
+  static String generate(long seed, int machines) {
+    return new LeaseExpiryScenarioGenerator(seed, machines).build();
   }
 
-  private String write() {
+  private String build() {
     text.append("nodes 3\nzones a b\ntype small cpus=8 mem=64 boot=5\n")
         .append("workers report=2 lease=%.2f cancel=%.2f\n".formatted(lease, lease + 20))
         .append("machines small a ordinary %d\n".formatted(machines / 2))
         .append("machines small b ordinary %d\n".formatted(machines - machines / 2))
         .append("drift hive-0 1.0005\ndrift hive-1 0.9995\n")
         .append("team t\nteam u cpus_max=%d\n".formatted(2 * machines));
-    submissions();
-    double first = 14 + random.nextDouble() * 8;
-    lapse(first);
+    appendSubmissions();
+    double firstExpiry = 14 + random.nextDouble() * 8;
+    appendLeaseExpiry(firstExpiry);
     if (random.nextBoolean()) {
-      lapse(first + lease + random.nextDouble() * 8);
+      appendLeaseExpiry(firstExpiry + lease + random.nextDouble() * 8);
     }
-    int others = random.nextInt(3);
-    for (int i = 0; i < others; i++) {
-      other(first + random.nextDouble() * (lease + 6));
+    int otherFaults = random.nextInt(3);
+    for (int i = 0; i < otherFaults; i++) {
+      appendOtherFault(firstExpiry + random.nextDouble() * (lease + 6));
     }
-    return text.append("until " + END + "\n").toString();
+    return text.append("until " + END_SECOND + "\n").toString();
   }
 
   /** More than fits, so that whatever is taken for free is used at once. */
-  private void submissions() {
+  private void appendSubmissions() {
     int jobs = machines;
     for (int i = 0; i < jobs; i++) {
       boolean service = random.nextInt(10) == 0;
@@ -76,64 +76,67 @@
   }
 
   /** A group of machines is out of reach for about a lease. */
-  private void lapse(double at) {
+  private void appendLeaseExpiry(double at) {
     double end = at + lease - 1.5 + random.nextDouble() * 3;
     String hold = random.nextInt(4) > 0 ? " hold" : "";
     switch (random.nextInt(6)) {
-      case 0 -> group(at, end, "hang-within-lease", "resume", "");
-      case 1 -> group(at, end, "deafen", "undeafen", "");
-      case 2 -> group(at, end, "mute", "unmute", "");
-      default -> group(at, end, "cut", "heal", " all" + hold);
+      case 0 -> appendFaultOnMachines(at, end, "hang-within-lease", "resume", "");
+      case 1 -> appendFaultOnMachines(at, end, "deafen", "undeafen", "");
+      case 2 -> appendFaultOnMachines(at, end, "mute", "unmute", "");
+      default -> appendFaultOnMachines(at, end, "cut", "heal", " all" + hold);
     }
   }
 
-  private void other(double at) {
+  private void appendOtherFault(double at) {
     String node = random.nextInt(3) > 0 ? "leader-if-any" : "hive-" + random.nextInt(3);
     switch (random.nextInt(8)) {
       case 0 ->
-          line(at, "late-commands %d %.2f", 1 + random.nextInt(machines), random.nextDouble() * 18);
-      case 1 -> line(at, "freeze %s %.2f midway", node, 1 + random.nextDouble() * 20);
+          appendEvent(
+              at, "late-commands %d %.2f", 1 + random.nextInt(machines), random.nextDouble() * 18);
+      case 1 -> appendEvent(at, "freeze %s %.2f midway", node, 1 + random.nextDouble() * 20);
       case 2 -> {
-        line(at, "call %s ended%.0f", node, at);
-        line(at, "crash ended%.0f", at);
-        line(at + random.nextDouble() * 6, "start ended%.0f", at);
+        appendEvent(at, "call %s ended%.0f", node, at);
+        appendEvent(at, "crash ended%.0f", at);
+        appendEvent(at + random.nextDouble() * 6, "start ended%.0f", at);
       }
-      case 3 -> group(at, at, "reboot", "", "");
-      case 4 -> spell(at, "slow-links %.2f".formatted(random.nextDouble()));
-      case 5 -> spell(at, "lose-answers %.2f".formatted(random.nextDouble() * 0.7));
-      case 6 -> spell(at, "lose-commands %.2f".formatted(random.nextDouble()));
+      case 3 -> appendFaultOnMachines(at, at, "reboot", "", "");
+      case 4 -> appendTemporaryFault(at, "slow-links %.2f".formatted(random.nextDouble()));
+      case 5 -> appendTemporaryFault(at, "lose-answers %.2f".formatted(random.nextDouble() * 0.7));
+      case 6 -> appendTemporaryFault(at, "lose-commands %.2f".formatted(random.nextDouble()));
       default -> {
-        line(at, "call %s apart%.0f", node, at);
-        line(at, "cut apart%.0f workers%s", at, random.nextBoolean() ? " hold" : "");
-        line(at + 2 + random.nextDouble() * 20, "heal apart%.0f workers", at);
+        appendEvent(at, "call %s apart%.0f", node, at);
+        appendEvent(at, "cut apart%.0f workers%s", at, random.nextBoolean() ? " hold" : "");
+        appendEvent(at + 2 + random.nextDouble() * 20, "heal apart%.0f workers", at);
       }
     }
   }
 
-  private void line(double at, String format, Object... values) {
+  private void appendEvent(double at, String format, Object... values) {
     text.append("at %.2f ".formatted(at)).append(format.formatted(values)).append('\n');
   }
 
   /** A verb with a figure, which is 0 again some seconds later. */
-  private void spell(double at, String words) {
-    line(at, "%s", words);
-    line(at + random.nextDouble() * 20, "%s 0", words.substring(0, words.lastIndexOf(' ')));
+  private void appendTemporaryFault(double at, String command) {
+    appendEvent(at, "%s", command);
+    appendEvent(
+        at + random.nextDouble() * 20, "%s 0", command.substring(0, command.lastIndexOf(' ')));
   }
 
   /**
    * A part of the machines, whose troubles end within a second or two of each other. It is mostly a
    * large one: few silent machines are given back long before their lease is over.
    */
-  private void group(double at, double end, String begins, String ends, String rest) {
-    int first = random.nextInt(machines);
+  private void appendFaultOnMachines(
+      double at, double end, String startCommand, String endCommand, String arguments) {
+    int firstMachine = random.nextInt(machines);
     int count = 1 + random.nextInt(Math.max(2, machines * 2 / 3));
-    double apart = random.nextBoolean() ? 0 : random.nextDouble() * 2;
+    double endSpread = random.nextBoolean() ? 0 : random.nextDouble() * 2;
     for (int i = 0; i < count; i++) {
-      String name = "m-%06d".formatted((first + i) % machines);
-      line(at, "%s %s%s", begins, name, rest);
-      if (!ends.isEmpty()) {
-        double over = end + apart * random.nextDouble();
-        line(over, "%s %s%s", ends, name, rest.replace(" hold", ""));
+      String name = "m-%06d".formatted((firstMachine + i) % machines);
+      appendEvent(at, "%s %s%s", startCommand, name, arguments);
+      if (!endCommand.isEmpty()) {
+        double endOfFault = end + endSpread * random.nextDouble();
+        appendEvent(endOfFault, "%s %s%s", endCommand, name, arguments.replace(" hold", ""));
       }
     }
   }
--- a/src/test/java/io/pearscale/sim/LoadDriver.java
+++ b/src/test/java/io/pearscale/sim/LoadDriver.java
@@ -20,40 +20,40 @@
  */
 final class LoadDriver {
   private static final int PORT = 19300;
-  private static final int REPORT_EVERY = 5;
+  private static final int REPORT_INTERVAL_SECONDS = 5;
 
   private final Path project;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final LoopbackCluster loopback;
   private final List<String> jvmOptions;
-  private final Map<String, double[]> before = new HashMap<>();
+  private final Map<String, double[]> previousCpuSeconds = new HashMap<>();
 
   private LoadDriver(Path project, String text, List<String> jvmOptions) throws IOException {
     this.project = project;
     this.jvmOptions = jvmOptions;
-    this.world = Scenario.of(text, 1).world();
-    this.loopback = new LoopbackCluster(world, PORT, Files.createTempDirectory("load"));
+    this.cluster = Scenario.of(text, 1).world();
+    this.loopback = new LoopbackCluster(cluster, PORT, Files.createTempDirectory("load"));
   }
 
   private void launch(int node) throws IOException {
-    String run = Files.readString(project.resolve("deploy/service.toml"));
-    run = run.substring(run.indexOf("run = \"") + 7, run.lastIndexOf('"'));
-    List<String> command = new ArrayList<>(List.of(run.split(" ")));
-    int jar = command.indexOf("-jar");
+    String command = Files.readString(project.resolve("deploy/service.toml"));
+    command = command.substring(command.indexOf("run = \"") + 7, command.lastIndexOf('"'));
+    List<String> arguments = new ArrayList<>(List.of(command.split(" ")));
+    int jar = arguments.indexOf("-jar");
     for (String option : jvmOptions) {
-      command.add(jar, option.replace("NODE", "" + node));
+      arguments.add(jar, option.replace("NODE", "" + node));
     }
-    command.add(loopback.settingsFile(node).toString());
-    loopback.launch(node, project, command);
+    arguments.add(loopback.settingsFile(node).toString());
+    loopback.launch(node, project, arguments);
   }
 
-  private void end() {
+  private void finish() {
     loopback.processes().values().forEach(Process::destroyForcibly);
-    System.out.println("broken: " + world.violations);
+    System.out.println("broken: " + cluster.violations);
     System.exit(0);
   }
 
-  private void figures(long second) {
+  private void printStatistics(long second) {
     StringBuilder line = new StringBuilder("%4d s".formatted(second));
     loopback
         .processes()
@@ -61,42 +61,48 @@
             (name, process) -> {
               try {
                 String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
-                String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-                double cpu = (Long.parseLong(f[11]) + Long.parseLong(f[12])) / 100.0;
-                double mb = Long.parseLong(f[21]) / 256.0;
-                double[] last = before.getOrDefault(process.pid() + "", new double[1]);
-                before.put(process.pid() + "", new double[] {cpu});
+                String[] statFields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+                double cpu =
+                    (Long.parseLong(statFields[11]) + Long.parseLong(statFields[12])) / 100.0;
+                double mb = Long.parseLong(statFields[21]) / 256.0;
+                double[] previous =
+                    previousCpuSeconds.getOrDefault(process.pid() + "", new double[1]);
+                previousCpuSeconds.put(process.pid() + "", new double[] {cpu});
                 line.append(
                     "  %s %5.1f%% %3.0f MB (%.2f s)"
-                        .formatted(name, (cpu - last[0]) * 100 / REPORT_EVERY, mb, cpu));
+                        .formatted(
+                            name, (cpu - previous[0]) * 100 / REPORT_INTERVAL_SECONDS, mb, cpu));
               } catch (IOException e) {
                 line.append("  " + name + " ended");
               }
             });
-    System.out.println(line + "  tasks " + world.present.size());
-    loopback.after(Duration.ofSeconds(REPORT_EVERY), () -> figures(second + REPORT_EVERY));
+    System.out.println(line + "  tasks " + cluster.present.size());
+    loopback.schedule(
+        Duration.ofSeconds(REPORT_INTERVAL_SECONDS),
+        () -> printStatistics(second + REPORT_INTERVAL_SECONDS));
   }
 
-  private void play(Duration until) throws IOException {
+  private void play(Duration duration) throws IOException {
     for (int i = 0; i < LoopbackCluster.NODES; i++) {
       launch(i);
     }
-    loopback.play();
-    loopback.after(Duration.ZERO, () -> figures(0));
-    loopback.after(until, this::end);
+    loopback.startClock();
+    loopback.schedule(Duration.ZERO, () -> printStatistics(0));
+    loopback.schedule(duration, this::finish);
   }
 
   /** Ends and starts processes, as the scenario's text says. */
-  private void outages(String text) {
+  private void scheduleProcessEvents(String text) {
     for (String line : text.split("\n")) {
-      String[] w = line.strip().split("\\s+");
-      if (w.length == 4 && w[0].equals("process")) {
-        loopback.after(Duration.ofSeconds(Long.parseLong(w[1])), () -> outage(w));
+      String[] words = line.strip().split("\\s+");
+      if (words.length == 4 && words[0].equals("process")) {
+        loopback.schedule(
+            Duration.ofSeconds(Long.parseLong(words[1])), () -> applyProcessEvent(words));
       }
     }
   }
 
-  private void outage(String[] words) {
+  private void applyProcessEvent(String[] words) {
     int node = Integer.parseInt(words[3]);
     System.out.println(String.join(" ", words));
     try {
@@ -113,10 +119,10 @@
   /** Plays a file. */
   public static void main(String[] args) throws IOException {
     String text = Files.readString(Path.of(args[1]));
-    String world = text.replaceAll("(?m)^process.*$", "");
+    String scenario = text.replaceAll("(?m)^process.*$", "");
     LoadDriver driver =
-        new LoadDriver(Path.of(args[0]), world, List.of(args).subList(3, args.length));
-    driver.outages(text);
+        new LoadDriver(Path.of(args[0]), scenario, List.of(args).subList(3, args.length));
+    driver.scheduleProcessEvents(text);
     driver.play(Duration.ofSeconds(Long.parseLong(args[2])));
   }
 }
--- a/src/test/java/io/pearscale/sim/LoopbackCluster.java
+++ b/src/test/java/io/pearscale/sim/LoopbackCluster.java
@@ -32,22 +32,22 @@
  */
 final class LoopbackCluster implements AutoCloseable {
   static final int NODES = 3;
-  private static final Duration PUMP = Duration.ofMillis(1);
+  private static final Duration ADVANCE_INTERVAL = Duration.ofMillis(1);
   private static final int CLIENT_PORTS = 10;
   private static final int PEER_PORTS = 20;
-  private static final long ANSWER_SECONDS = 10;
+  private static final long CALL_TIMEOUT_SECONDS = 10;
 
   private final int port;
-  private final SimulatedCluster world;
-  private final XnioWorker worker;
+  private final SimulatedCluster cluster;
+  private final XnioWorker xnioWorker;
   private final XnioEventLoop loop;
-  private final UndertowHttpClient calls;
+  private final UndertowHttpClient httpClient;
   private final Undertow server;
   private final Path folder;
   private final Map<String, Process> processes = new HashMap<>();
-  private final Map<String, String> machines = new HashMap<>();
-  private final long began = System.nanoTime();
-  private volatile boolean playing = true;
+  private final Map<String, String> machinesByAddress = new HashMap<>();
+  private final long startNanos = System.nanoTime();
+  private volatile boolean running = true;
 
   /**
    * Puts the world behind sockets.
@@ -57,9 +57,9 @@
    */
   LoopbackCluster(SimulatedCluster cluster, int port, Path folder) throws IOException {
     this.port = port;
-    this.world = cluster;
+    this.cluster = cluster;
     this.folder = folder;
-    this.worker =
+    this.xnioWorker =
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
@@ -67,14 +67,14 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 400, 4);
-    this.loop = new XnioEventLoop(worker.getIoThread());
-    this.calls = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 6000);
+    this.loop = new XnioEventLoop(xnioWorker.getIoThread());
+    this.httpClient = new UndertowHttpClient(loop, xnioWorker.getIoThread(), buffers, 6000);
     this.server =
         Undertow.builder()
-            .setWorker(worker)
+            .setWorker(xnioWorker)
             .setByteBufferPool(buffers)
             .addHttpListener(port, "0.0.0.0")
-            .setHandler(x -> x.dispatch(SameThreadExecutor.INSTANCE, () -> receive(x)))
+            .setHandler(x -> x.dispatch(SameThreadExecutor.INSTANCE, () -> readBody(x)))
             .build();
     server.start();
     cluster.machineAddress = this::machineAddress;
@@ -83,7 +83,7 @@
       cluster
           .controllers
           .get("hive-" + i)
-          .answerBy((from, method, path, body, to) -> ask(node, from, method, path, body, to));
+          .delegateTo((from, method, path, body, to) -> call(node, from, method, path, body, to));
     }
   }
 
@@ -91,23 +91,25 @@
   private String machineAddress(String machine) {
     int number = Integer.parseInt(machine.substring(2));
     String address = "127.1.%d.%d:%d".formatted(number / 250, 1 + number % 250, port);
-    machines.put(address, machine);
+    machinesByAddress.put(address, machine);
     return address;
   }
 
-  private void receive(HttpServerExchange exchange) {
+  private void readBody(HttpServerExchange exchange) {
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
-            (x, bytes) -> x.dispatch(SameThreadExecutor.INSTANCE, () -> handle(x, bytes)));
+            (received, bytes) ->
+                received.dispatch(
+                    SameThreadExecutor.INSTANCE, () -> handleRequest(received, bytes)));
   }
 
-  private void handle(HttpServerExchange exchange, byte[] bytes) {
+  private void handleRequest(HttpServerExchange exchange, byte[] bytes) {
     String host = exchange.getHostAndPort();
     String from = "hive-0";
     String to;
-    if (machines.containsKey(host)) {
-      to = machines.get(host);
+    if (machinesByAddress.containsKey(host)) {
+      to = machinesByAddress.get(host);
     } else {
       int last = Integer.parseInt(host.substring(host.lastIndexOf('.') + 1, host.indexOf(':')));
       to = last >= 100 ? "cloud" : "state";
@@ -117,7 +119,7 @@
         bytes.length == 0 ? MessagePack.MISSING : MessagePack.decode(bytes).orElseThrow();
     String query = exchange.getQueryString();
     String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
-    world.serve(
+    cluster.serve(
         from,
         to,
         exchange.getRequestMethod().toString(),
@@ -134,35 +136,35 @@
   }
 
   private String settings(int node) {
-    StringBuilder s = new StringBuilder();
-    s.append("host_name = \"hive-%d\"\ndomain = \"a\"\n".formatted(node))
+    StringBuilder text = new StringBuilder();
+    text.append("host_name = \"hive-%d\"\ndomain = \"a\"\n".formatted(node))
         .append("client_listen = \"0.0.0.0:%d\"\n".formatted(port + CLIENT_PORTS + node))
         .append("back = \"127.0.0.1:%d\"\n".formatted(port + PEER_PORTS + node));
     for (int i = 0; i < NODES; i++) {
       if (i != node) {
-        s.append("[[peers]]\nhost_name = \"hive-%d\"\ndomain = \"a\"\n".formatted(i))
+        text.append("[[peers]]\nhost_name = \"hive-%d\"\ndomain = \"a\"\n".formatted(i))
             .append("address = \"127.0.0.1:%d\"\n".formatted(port + PEER_PORTS + i));
       }
     }
-    s.append("[endpoints]\ncloud = \"127.0.2.10%d:%d\"\n".formatted(node, port))
+    text.append("[endpoints]\ncloud = \"127.0.2.10%d:%d\"\n".formatted(node, port))
         .append("state = \"127.0.2.%d:%d\"\n".formatted(10 + node, port))
         .append("[facts]\nnodes = 3\n");
-    world.teams.forEach(
+    cluster.teams.forEach(
         t ->
-            s.append("[[facts.teams]]\nname = \"%s\"\n".formatted(t.name()))
+            text.append("[[facts.teams]]\nname = \"%s\"\n".formatted(t.name()))
                 .append("cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"));
-    world.objectives.forEach(
+    cluster.objectives.forEach(
         o ->
-            s.append("[[facts.objectives]]\nkind = \"%s\"\n".formatted(o.kind()))
+            text.append("[[facts.objectives]]\nkind = \"%s\"\n".formatted(o.kind()))
                 .append("class = \"%s\"\n".formatted(o.jobClass()))
                 .append("within_s = %s\n".formatted(o.target().toMillis() / 1000.0)));
-    return s.append(
+    return text.append(
             "[facts.workers]\nreport_s = %s\n"
-                .formatted(world.heartbeatInterval.toMillis() / 1000.0))
-        .append("lease_s = %s\n".formatted(world.lease.toMillis() / 1000.0))
-        .append("cancel_s = %s\n".formatted(world.cancelTimeout.toMillis() / 1000.0))
-        .append("gang_wait_s = %s\n".formatted(world.gangForming.toMillis() / 1000.0))
-        .append("gang_peer_s = %s\n".formatted(world.gangPeerLoss.toMillis() / 1000.0))
+                .formatted(cluster.heartbeatInterval.toMillis() / 1000.0))
+        .append("lease_s = %s\n".formatted(cluster.lease.toMillis() / 1000.0))
+        .append("cancel_s = %s\n".formatted(cluster.cancelTimeout.toMillis() / 1000.0))
+        .append("gang_wait_s = %s\n".formatted(cluster.gangForming.toMillis() / 1000.0))
+        .append("gang_peer_s = %s\n".formatted(cluster.gangPeerLoss.toMillis() / 1000.0))
         .append("[facts.state]\nrps = 150.0\nwrite_rps = 50.0\nvalue_kb = 8.0\ntxn_ops = 40\n")
         .append("[facts.cloud]\nrps = 4.0\nlist_lag_s = 10.0\n")
         .append("[facts.limits]\nfd_limit = 2000\n")
@@ -200,57 +202,58 @@
     return processes;
   }
 
-  private void ask(
-      int node, String from, String method, String path, JsonNode body, Consumer<Reply> answer) {
+  private void call(
+      int node, String from, String method, String path, JsonNode body, Consumer<Reply> response) {
     // A worker's connection is its own, as it is in production: other address, other connection.
     String host =
-        world.agents.containsKey(from)
+        cluster.agents.containsKey(from)
             ? machineAddress(from).replaceFirst(":.*", "")
-            : "127.0.3." + (1 + world.random.nextInt(8));
+            : "127.0.3." + (1 + cluster.random.nextInt(8));
     String address = host + ":" + (port + CLIENT_PORTS + node);
-    loop.execute(() -> calls.call(address, method, path, body, Duration.ofSeconds(4), answer));
+    loop.execute(
+        () -> httpClient.call(address, method, path, body, Duration.ofSeconds(4), response));
   }
 
   /** Lets the world's time pass as real time does. */
-  void play() {
-    loop.execute(this::pump);
+  void startClock() {
+    loop.execute(this::advanceClock);
   }
 
-  private void pump() {
-    world.playTo(passed());
-    if (playing) {
-      loop.schedule(PUMP, this::pump);
+  private void advanceClock() {
+    cluster.playTo(elapsed());
+    if (running) {
+      loop.schedule(ADVANCE_INTERVAL, this::advanceClock);
     }
   }
 
-  Duration passed() {
-    return Duration.ofNanos(System.nanoTime() - began);
+  Duration elapsed() {
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
   /** Runs on the world's thread after the delay. */
-  void after(Duration delay, Runnable task) {
+  void schedule(Duration delay, Runnable task) {
     loop.schedule(delay, task);
   }
 
   /** Asks something of the world on its own thread. */
-  <T> T ask(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  <T> T call(Supplier<T> supplier) {
+    CompletableFuture<T> response = new CompletableFuture<>();
     loop.execute(
         () -> {
           try {
-            answer.complete(question.get());
+            response.complete(supplier.get());
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            response.completeExceptionally(e);
           }
         });
-    return answer.orTimeout(ANSWER_SECONDS, TimeUnit.SECONDS).join();
+    return response.orTimeout(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
   }
 
   @Override
   public void close() {
-    playing = false;
+    running = false;
     processes.values().forEach(Process::destroyForcibly);
     server.stop();
-    worker.shutdownNow();
+    xnioWorker.shutdownNow();
   }
 }
--- a/src/test/java/io/pearscale/sim/ProcessDrill.java
+++ b/src/test/java/io/pearscale/sim/ProcessDrill.java
@@ -13,27 +13,27 @@
 
 /** A cluster of real processes for drills, and the operators' own commands run against it. */
 final class ProcessDrill implements AutoCloseable {
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   final LoopbackCluster loopback;
   private final Path folder;
-  private int jobs;
+  private int submittedJobs;
 
   /** What a command has ended with, and what it said. */
   record CommandResult(int code, String text) {}
 
   ProcessDrill(String scenario, int port, Path folder) throws IOException {
     this.folder = folder;
-    this.world = Scenario.of(scenario, 1).world();
-    this.loopback = new LoopbackCluster(world, port, folder);
+    this.cluster = Scenario.of(scenario, 1).world();
+    this.loopback = new LoopbackCluster(cluster, port, folder);
   }
 
-  private static List<String> java(List<String> arguments) {
-    return java(System.getProperty("java.class.path"), arguments);
+  private static List<String> javaCommand(List<String> arguments) {
+    return javaCommand(System.getProperty("java.class.path"), arguments);
   }
 
-  private static List<String> java(String classPath, List<String> arguments) {
+  private static List<String> javaCommand(String classPath, List<String> arguments) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"));
@@ -43,52 +43,54 @@
     return command;
   }
 
-  private Path operations(int node) {
+  private Path operationsFile(int node) {
     return folder.resolve("operations-" + node + ".sexp");
   }
 
   /** Starts a controller with that operations file. */
   void start(int node, String operations) throws IOException {
-    startOf(System.getProperty("java.class.path"), node, operations);
+    startBuild(System.getProperty("java.class.path"), node, operations);
   }
 
   /** Starts a controller of the build that has this class path. */
-  void startOf(String classPath, int node, String operations) throws IOException {
-    Files.writeString(operations(node), operations);
+  void startBuild(String classPath, int node, String operations) throws IOException {
+    Files.writeString(operationsFile(node), operations);
     String settings = loopback.settingsFile(node).toString();
     loopback.launch(
         node,
         folder,
-        java(
+        javaCommand(
             classPath,
-            List.of("serve", "--config", settings, "--operations", operations(node).toString())));
+            List.of(
+                "serve", "--config", settings, "--operations", operationsFile(node).toString())));
   }
 
   /** Runs a command with the settings of the second controller. */
-  CommandResult run(String... words) throws Exception {
-    List<String> arguments = new ArrayList<>(List.of(words));
-    arguments.addAll(
+  CommandResult runCommand(String... arguments) throws Exception {
+    List<String> commandLine = new ArrayList<>(List.of(arguments));
+    commandLine.addAll(
         List.of(
             "--config",
             loopback.settingsFile(1).toString(),
             "--operations",
-            operations(1).toString()));
-    Path said = Files.createTempFile(folder, "said", ".txt");
+            operationsFile(1).toString()));
+    Path output = Files.createTempFile(folder, "said", ".txt");
     Process process =
-        new ProcessBuilder(java(arguments))
+        new ProcessBuilder(javaCommand(commandLine))
             .redirectErrorStream(true)
-            .redirectOutput(said.toFile())
+            .redirectOutput(output.toFile())
             .start();
-    assertTrue(process.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS), "the command hangs");
-    return new CommandResult(process.exitValue(), Files.readString(said));
+    assertTrue(process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the command hangs");
+    return new CommandResult(process.exitValue(), Files.readString(output));
   }
 
   /** Waits until it holds in the world. */
-  void until(String what, BooleanSupplier holds) throws Exception {
-    long end = System.nanoTime() + PATIENCE.toNanos();
-    while (!loopback.ask(holds::getAsBoolean)) {
+  void waitUntil(String condition, BooleanSupplier isMet) throws Exception {
+    long deadline = System.nanoTime() + TIMEOUT.toNanos();
+    while (!loopback.call(isMet::getAsBoolean)) {
       assertTrue(
-          System.nanoTime() < end, () -> "not met: " + what + "\n" + logs() + world.violations);
+          System.nanoTime() < deadline,
+          () -> "not met: " + condition + "\n" + logs() + cluster.violations);
       TimeUnit.MILLISECONDS.sleep(50);
     }
   }
@@ -107,13 +109,13 @@
   }
 
   /** A user submits a job of that kind, and asks for it until it is over. */
-  String submit(String kind, String... words) {
-    return loopback.ask(
+  String submit(String kind, String... options) {
+    return loopback.call(
         () -> {
-          String id = "wk-" + ++jobs;
-          List<String> line = new ArrayList<>(List.of("submit", id, kind));
-          line.addAll(List.of(words));
-          Scenario.submit(world, line);
+          String id = "wk-" + ++submittedJobs;
+          List<String> submission = new ArrayList<>(List.of("submit", id, kind));
+          submission.addAll(List.of(options));
+          Scenario.submit(cluster, submission);
           return id;
         });
   }
--- a/src/test/java/io/pearscale/sim/ProductionBuild.java
+++ b/src/test/java/io/pearscale/sim/ProductionBuild.java
@@ -19,10 +19,10 @@
  * deploy/service.toml} names.
  */
 final class ProductionBuild {
-  private static final Path SERVICE = Path.of("deploy", "service.toml");
-  private static final Pattern COMMIT = Pattern.compile("production = \"([0-9a-f]{40})\"");
+  private static final Path SERVICE_FILE = Path.of("deploy", "service.toml");
+  private static final Pattern COMMIT_PATTERN = Pattern.compile("production = \"([0-9a-f]{40})\"");
   private static final String MAIN_SOURCES = "src/main";
-  private static final long PATIENCE_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
 
   private ProductionBuild() {}
 
@@ -62,9 +62,9 @@
 
   private static String commit() {
     try {
-      Matcher matcher = COMMIT.matcher(Files.readString(SERVICE));
+      Matcher matcher = COMMIT_PATTERN.matcher(Files.readString(SERVICE_FILE));
       if (!matcher.find()) {
-        throw new IllegalStateException(SERVICE + " names no version in production");
+        throw new IllegalStateException(SERVICE_FILE + " names no version in production");
       }
       return matcher.group(1);
     } catch (IOException e) {
@@ -88,7 +88,7 @@
 
   private static int exitValue(String... command) throws Exception {
     Process process = new ProcessBuilder(command).inheritIO().start();
-    if (!process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+    if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       throw new IOException(String.join(" ", command) + " hangs");
     }
     return process.exitValue();
--- a/src/test/java/io/pearscale/sim/RandomRunsTest.java
+++ b/src/test/java/io/pearscale/sim/RandomRunsTest.java
@@ -14,18 +14,18 @@
  */
 class RandomRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.randomRuns", 120);
-  private static final long FIRST = Long.getLong("pearscale.firstSeed", 1);
+  private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
 
   /** Days on which a write decided before a switch went out after it with the new level's stamp. */
-  private static final List<Long> FAILED_ONCE = List.of(5097L, 5123L, 5447L);
+  private static final List<Long> LEVEL_SWITCH_REGRESSION_SEEDS = List.of(5097L, 5123L, 5447L);
 
   private static List<Long> seeds(int runs) {
-    return SeededScenarios.seeds(FIRST, runs);
+    return SeededScenarios.seeds(FIRST_SEED, runs);
   }
 
   @TestFactory
-  Stream<DynamicTest> rulesHoldAndWorkComesRight() {
-    return SeededScenarios.nothingFails(seeds(RUNS), RandomRunsTest::day);
+  Stream<DynamicTest> rulesHoldAndJobsComplete() {
+    return SeededScenarios.nothingFails(seeds(RUNS), RandomRunsTest::scenario);
   }
 
   /**
@@ -33,10 +33,10 @@
    * raised at some time: one controller has the old build, and stays out from then on.
    */
   @TestFactory
-  Stream<DynamicTest> mixedBuildsServeThroughASwitchOfTheLevel() {
-    List<Long> seeds = new ArrayList<>(FAILED_ONCE);
+  Stream<DynamicTest> mixedBuildsServeDuringLevelChange() {
+    List<Long> seeds = new ArrayList<>(LEVEL_SWITCH_REGRESSION_SEEDS);
     seeds.addAll(seeds(RUNS / 2));
-    return SeededScenarios.nothingFails(seeds, seed -> withMixedBuilds(day(seed), seed));
+    return SeededScenarios.nothingFails(seeds, seed -> withMixedBuilds(scenario(seed), seed));
   }
 
   /**
@@ -44,8 +44,9 @@
    * controller of the old build on every third day. At the end level 0 is in force everywhere.
    */
   @TestFactory
-  Stream<DynamicTest> stepsAreTakenAndTakenBackOnRandomDays() {
-    return SeededScenarios.nothingFails(seeds(RUNS / 2), seed -> withSteps(day(seed), seed));
+  Stream<DynamicTest> levelChangesAndRollbacks() {
+    return SeededScenarios.nothingFails(
+        seeds(RUNS / 2), seed -> withLevelChanges(scenario(seed), seed));
   }
 
   /**
@@ -54,137 +55,139 @@
    * all jobs are checked, and budgets are left to {@link DrainRunsTest}.
    */
   @TestFactory
-  Stream<DynamicTest> drainsOnRandomDays() {
-    return SeededScenarios.nothingFails(seeds(RUNS / 2), seed -> withDrains(day(seed), seed));
+  Stream<DynamicTest> drainsInRandomScenarios() {
+    return SeededScenarios.nothingFails(seeds(RUNS / 2), seed -> withDrains(scenario(seed), seed));
   }
 
-  private static String withDrains(String day, long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 32452843);
+  private static String withDrains(String scenario, long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 32452843);
     StringBuilder drains =
         new StringBuilder("nodes 3\nunchecked-budget * * most-down 2\nat 8 level 1\n");
-    for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      double at = 12 + r.nextDouble() * 60;
-      int machine = r.nextInt(4);
+    for (int i = 0; i < 2 + random.nextInt(2); i++) {
+      double at = 12 + random.nextDouble() * 60;
+      int machine = random.nextInt(4);
       drains.append(
           "at %.2f drain d%d machines=m-00000%d,m-00000%d at-once=2 for=150%s\n"
-              .formatted(at, i, machine, (machine + 1) % 4, r.nextBoolean() ? " hold" : ""));
-      if (r.nextInt(3) == 0) {
+              .formatted(at, i, machine, (machine + 1) % 4, random.nextBoolean() ? " hold" : ""));
+      if (random.nextInt(3) == 0) {
         drains.append("at %.2f drain-wish d%d PAUSE\n".formatted(at + 2, i));
       }
-      drains.append("at %.2f drain-wish d%d CANCEL\n".formatted(at + 20 + r.nextDouble() * 90, i));
+      drains.append(
+          "at %.2f drain-wish d%d CANCEL\n".formatted(at + 20 + random.nextDouble() * 90, i));
     }
-    return day.replaceFirst("nodes 3\n", drains.toString());
+    return scenario.replaceFirst("nodes 3\n", drains.toString());
   }
 
-  private static String withSteps(String day, long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 15485863);
-    StringBuilder steps = new StringBuilder("nodes 3\nvalue-bytes 1024\n");
+  private static String withLevelChanges(String scenario, long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 15485863);
+    StringBuilder levelChanges = new StringBuilder("nodes 3\nvalue-bytes 1024\n");
     if (seed % 3 == 0) {
-      steps.append("build hive-%d 0 0\n".formatted(r.nextInt(3)));
+      levelChanges.append("build hive-%d 0 0\n".formatted(random.nextInt(3)));
     }
     double at = 8;
-    for (int i = 0; i < 1 + r.nextInt(3); i++) {
-      at += r.nextDouble() * 25;
-      steps.append("at %.2f level 1\n".formatted(at));
-      at += r.nextDouble() * 25;
-      steps.append("at %.2f level-back\n".formatted(at));
+    for (int i = 0; i < 1 + random.nextInt(3); i++) {
+      at += random.nextDouble() * 25;
+      levelChanges.append("at %.2f level 1\n".formatted(at));
+      at += random.nextDouble() * 25;
+      levelChanges.append("at %.2f level-back\n".formatted(at));
     }
-    return day.replaceFirst("nodes 3\n", steps.toString()) + "expect level 0\n";
+    return scenario.replaceFirst("nodes 3\n", levelChanges.toString()) + "expect level 0\n";
   }
 
-  private static String withMixedBuilds(String day, long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 104729);
-    int old = r.nextInt(3);
+  private static String withMixedBuilds(String scenario, long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 104729);
+    int olderBuildHost = random.nextInt(3);
     StringBuilder builds = new StringBuilder("nodes 3\n");
     for (int i = 0; i < 3; i++) {
-      builds.append("build hive-%d 0 %d\n".formatted(i, i == old ? 0 : 1));
+      builds.append("build hive-%d 0 %d\n".formatted(i, i == olderBuildHost ? 0 : 1));
     }
-    builds.append("at %.2f level 1\n".formatted(10 + r.nextDouble() * 70));
-    return day.replaceFirst("nodes 3\n", builds.toString());
+    builds.append("at %.2f level 1\n".formatted(10 + random.nextDouble() * 70));
+    return scenario.replaceFirst("nodes 3\n", builds.toString());
   }
 
-  static String day(long seed) {
-    RandomGenerator r = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 7919);
-    StringBuilder s = new StringBuilder();
-    boolean limit = r.nextInt(4) == 0;
-    s.append("nodes 3\nzones a b\ntype small cpus=8 mem=64 boot=5\ntype big cpus=16 mem=64 boot=8")
+  static String scenario(long seed) {
+    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 7919);
+    StringBuilder text = new StringBuilder();
+    boolean limitTeam = random.nextInt(4) == 0;
+    text.append(
+            "nodes 3\nzones a b\ntype small cpus=8 mem=64 boot=5\ntype big cpus=16 mem=64 boot=8")
         .append(" price=1.8 spot=0.8\n")
         .append("capacity small a ordinary 5\ncapacity small b ordinary 5\n")
         .append("capacity small a spot 3\ncapacity big b ordinary 2\ncapacity big b spot 2\n")
         .append("machines small a ordinary 2\nmachines small b ordinary 2\n")
         .append("drift hive-0 1.0005\ndrift hive-1 0.9995\n")
         .append("team t")
-        .append(limit ? " cpus_max=24\n" : "\n")
+        .append(limitTeam ? " cpus_max=24\n" : "\n")
         .append("team u\n")
         .append("class web wait 1\n");
-    StringBuilder expect = new StringBuilder();
-    boolean refused = r.nextInt(3) == 0;
-    int jobs = 6 + r.nextInt(8);
+    StringBuilder expectations = new StringBuilder();
+    boolean refuseLeader = random.nextInt(3) == 0;
+    int jobs = 6 + random.nextInt(8);
     for (int i = 0; i < jobs; i++) {
       String id = "wk-" + i;
-      boolean service = r.nextInt(3) == 0;
-      int tasks = 1 + r.nextInt(service ? 4 : 12);
-      s.append(
+      boolean service = random.nextInt(3) == 0;
+      int tasks = 1 + random.nextInt(service ? 4 : 12);
+      text.append(
               "at %.2f submit %s %s tasks=%d cpus=%d"
                   .formatted(
-                      1 + r.nextDouble() * 70,
+                      1 + random.nextDouble() * 70,
                       id,
                       service ? "service" : "batch",
                       tasks,
-                      1 + r.nextInt(3)))
+                      1 + random.nextInt(3)))
           .append(service ? " class=web" : "")
-          .append((limit && service) || r.nextInt(4) == 0 ? " team=u" : "")
-          .append(r.nextInt(3) == 0 ? " spread" : r.nextInt(6) == 0 ? " one-zone" : "")
-          .append(!service && r.nextInt(2) == 0 ? " spot" : "")
-          .append(r.nextInt(3) == 0 && !service ? " priority=idle checkpoint=3 save=1" : "")
-          .append(" image=i" + r.nextInt(3))
-          .append(" run=" + (2 + r.nextInt(14)) + "\n");
-      if (r.nextInt(4) == 0) {
-        double spell = refused ? 2 : 20;
-        s.append("at %.2f cancel %s\n".formatted(72 + r.nextDouble() * spell, id));
-        expect.append("expect " + id + " present 0\n");
+          .append((limitTeam && service) || random.nextInt(4) == 0 ? " team=u" : "")
+          .append(random.nextInt(3) == 0 ? " spread" : random.nextInt(6) == 0 ? " one-zone" : "")
+          .append(!service && random.nextInt(2) == 0 ? " spot" : "")
+          .append(random.nextInt(3) == 0 && !service ? " priority=idle checkpoint=3 save=1" : "")
+          .append(" image=i" + random.nextInt(3))
+          .append(" run=" + (2 + random.nextInt(14)) + "\n");
+      if (random.nextInt(4) == 0) {
+        double cancelWindow = refuseLeader ? 2 : 20;
+        text.append("at %.2f cancel %s\n".formatted(72 + random.nextDouble() * cancelWindow, id));
+        expectations.append("expect " + id + " present 0\n");
       } else if (service) {
-        expect.append("expect " + id + " present " + tasks + "\n");
+        expectations.append("expect " + id + " present " + tasks + "\n");
       } else {
-        expect.append("expect " + id + " stage done\n");
+        expectations.append("expect " + id + " stage done\n");
       }
     }
-    int troubles = 2 + r.nextInt(6);
-    for (int i = 0; i < troubles; i++) {
-      trouble(r, s, i);
+    int faultCount = 2 + random.nextInt(6);
+    for (int i = 0; i < faultCount; i++) {
+      appendFault(random, text, i);
     }
-    if (refused) {
-      refusedThenOut(r, s);
+    if (refuseLeader) {
+      appendRefusalThenOutage(random, text);
     }
     // Drawn last, so that what was drawn before is as it was.
-    meetings(r, s, jobs);
-    return s.append("until 330\n").append(expect).toString();
+    appendAdditionalFaults(random, text, jobs);
+    return text.append("until 330\n").append(expectations).toString();
   }
 
   /**
    * The leader is refused at about the time at which users cancel, a controller may end and be
    * back, and then the state service is out for all for longer than a cancel may take.
    */
-  private static void refusedThenOut(RandomGenerator random, StringBuilder text) {
+  private static void appendRefusalThenOutage(RandomGenerator random, StringBuilder text) {
     double at = 72 + random.nextDouble();
     text.append("at %.2f call leader-if-any refused\nat %.2f refuse refused\n".formatted(at, at));
     if (random.nextBoolean()) {
       String node = "hive-" + random.nextInt(3);
-      double ends = at + random.nextDouble() * 2;
-      text.append("at %.2f crash %s\n".formatted(ends, node))
-          .append("at %.2f start %s\n".formatted(ends + 0.1 + random.nextDouble(), node));
+      double crashAt = at + random.nextDouble() * 2;
+      text.append("at %.2f crash %s\n".formatted(crashAt, node))
+          .append("at %.2f start %s\n".formatted(crashAt + 0.1 + random.nextDouble(), node));
     }
-    double out = at + 0.5 + random.nextDouble() * 3;
+    double outageAt = at + 0.5 + random.nextDouble() * 3;
     text.append(
             "at %.2f down state\nat %.2f up state\n"
-                .formatted(out, out + 30 + random.nextDouble() * 25))
+                .formatted(outageAt, outageAt + 30 + random.nextDouble() * 25))
         .append("at %.2f serve refused\n".formatted(at + 5 + random.nextDouble() * 60));
   }
 
   /**
    * Troubles that were added later: repeats, cancels at the end, late commands, slow processors.
    */
-  private static void meetings(RandomGenerator random, StringBuilder text, int jobs) {
+  private static void appendAdditionalFaults(RandomGenerator random, StringBuilder text, int jobs) {
     for (int i = 0; i < 3; i++) {
       text.append(
           "at %.2f resubmit wk-%d\n"
@@ -206,13 +209,14 @@
     }
     if (random.nextInt(4) == 0) {
       double at = random.nextDouble() * 60;
-      String who = random.nextBoolean() ? "all" : "hive-" + random.nextInt(3);
-      text.append("at %.2f slow %s %.4f\n".formatted(at, who, 0.001 + random.nextDouble() * 0.006))
-          .append("at %.2f slow %s 0\n".formatted(at + 10 + random.nextDouble() * 60, who));
+      String target = random.nextBoolean() ? "all" : "hive-" + random.nextInt(3);
+      text.append(
+              "at %.2f slow %s %.4f\n".formatted(at, target, 0.001 + random.nextDouble() * 0.006))
+          .append("at %.2f slow %s 0\n".formatted(at + 10 + random.nextDouble() * 60, target));
     }
   }
 
-  private static void trouble(RandomGenerator random, StringBuilder text, int number) {
+  private static void appendFault(RandomGenerator random, StringBuilder text, int number) {
     double at = 6 + random.nextDouble() * 70;
     double end = at + 1 + random.nextDouble() * 40;
     String node = "hive-" + random.nextInt(3);
--- a/src/test/java/io/pearscale/sim/Scenario.java
+++ b/src/test/java/io/pearscale/sim/Scenario.java
@@ -74,7 +74,10 @@
     world.endOfDay();
     failures.addAll(world.violations);
     if (!failures.isEmpty()) {
-      world.store.under("c/drain-status/").forEach((key, v) -> failures.add(key + " " + v));
+      world
+          .store
+          .entriesWithPrefix("c/drain-status/")
+          .forEach((key, v) -> failures.add(key + " " + v));
       failures.addAll(world.log);
     }
     return failures;
@@ -117,7 +120,7 @@
       case "build" -> build(w);
       case "value-bytes" -> {
         world.valueBytes = Integer.parseInt(w.get(1));
-        world.store.valueBytes = world.valueBytes;
+        world.store.maxValueBytes = world.valueBytes;
       }
       case "next-limits" -> world.nextLimits = Optional.of(limits(o));
       case "announce" ->
@@ -129,7 +132,7 @@
                   world.operations.drains());
       case "budget" -> world.disruptions.add(budget(w));
       case "unchecked-budget" -> budget(w);
-      case "drift" -> world.controllers.get(w.get(1)).drift = Double.parseDouble(w.get(2));
+      case "drift" -> world.controllers.get(w.get(1)).clockRate = Double.parseDouble(w.get(2));
       case "cpu-share" -> world.cpuShare = Double.parseDouble(w.get(1));
       case "workers" -> {
         world.heartbeatInterval = seconds(o.get("report"));
@@ -153,7 +156,7 @@
           world.objectives.add(
               new Settings.ServiceLevelObjective(w.get(2), w.get(1), seconds(w.get(3))));
       case "faulty" -> world.cloud.faulty.addAll(w.subList(1, w.size()));
-      case "never-boot" -> world.cloud.neverBoot = Integer.parseInt(w.get(1));
+      case "never-boot" -> world.cloud.machinesThatNeverBoot = Integer.parseInt(w.get(1));
       case "until" -> until = seconds(w.get(1));
       case "at" -> {
         List<String> rest = w.subList(2, w.size());
@@ -275,7 +278,7 @@
       }
       case "up" -> {
         if (words.get(1).equals("state")) {
-          world.store.up();
+          world.store.recover();
         } else {
           world.cloud.down = false;
         }
@@ -303,39 +306,42 @@
       case "slow" -> nodes(words.get(1)).forEach(n -> n.processingTime = seconds(words.get(2)));
       case "build" -> build(words);
       case "level" ->
-          world.store.set(
+          world.store.put(
               "c/level", SimulatedCluster.map().put("level", Integer.parseInt(words.get(1))));
       case "drain" -> drain(words);
       case "disrupted" -> {
-        TaskId task = SimUser.task(words.get(1));
+        TaskId task = SimUser.parseTask(words.get(1));
         JobSpec spec = world.submitted.get(task.job());
-        world.store.set(
+        world.store.put(
             "c/disrupted/0",
             Disruption.encode(
                 List.of(new Disruption(task, spec.team(), spec.jobClass(), true, Duration.ZERO))));
       }
       case "drain-wish" ->
-          world.store.set(
+          world.store.put(
               "c/drain/" + words.get(1),
               DrainRequest.withDesiredState(
-                  world.store.under("c/drain/" + words.get(1)).get("c/drain/" + words.get(1)),
+                  world
+                      .store
+                      .entriesWithPrefix("c/drain/" + words.get(1))
+                      .get("c/drain/" + words.get(1)),
                   DrainRequest.DesiredState.valueOf(words.get(2))));
       case "level-back" -> {
         int level = world.store.level().level();
-        world.store.set(
+        world.store.put(
             "c/level", world.store.level().rollingBack().toNode(SimulatedCluster.map()));
         world.trace("level " + level + " is taken back");
       }
       case "limits" -> {
         Settings.StoreLimits limits = limits(options(words.subList(1, words.size())));
-        world.store.valueBytes = limits.maxValueBytes();
-        world.store.txnOps = limits.maxTransactionOperations();
+        world.store.maxValueBytes = limits.maxValueBytes();
+        world.store.maxTransactionOps = limits.maxTransactionOperations();
         world.store.writeRate = Optional.of(limits.writesPerSecond());
       }
       case "at-commit" -> world.store.faultAtCommit(Integer.parseInt(words.get(1)), words.get(2));
-      case "damage" -> world.store.damage(words.get(1));
+      case "damage" -> world.store.corrupt(words.get(1));
       case "repair" -> world.store.repair(words.get(1));
-      case "forget-history" -> world.store.forgetHistory();
+      case "forget-history" -> world.store.discardHistory();
       case "lose-answers" -> world.lostAnswers = Double.parseDouble(words.get(1));
       case "lose-commands" -> world.lostCommands = Double.parseDouble(words.get(1));
       case "ignore-kills" -> world.agents.get(name(words.get(1))).ignoresStops = true;
@@ -349,7 +355,7 @@
         world.store.lateCommits = Integer.parseInt(words.get(1));
         world.store.lateCommitDelay = seconds(words.get(2));
       }
-      case "kill-machine" -> world.agents.get(name(words.get(1))).die();
+      case "kill-machine" -> world.agents.get(name(words.get(1))).powerOff();
       case "take" -> world.cloud.terminate(name(words.get(1)));
       case "notice" -> {
         String machine = name(words.get(1));
@@ -357,10 +363,13 @@
         world.after(seconds(words.get(2)), () -> world.cloud.terminate(machine));
       }
       case "hang" -> worker(words.get(1)).ifPresent(SimAgent::hang);
-      case "hang-within-lease" -> worker(words.get(1)).ifPresent(SimAgent::hangWithinLease);
+      case "hang-within-lease" -> worker(words.get(1)).ifPresent(SimAgent::hangUntilLeaseExpires);
       case "resume" -> worker(words.get(1)).ifPresent(SimAgent::resume);
       case "inject" ->
-          world.controllers.get(name(words.get(1))).inject(HexFormat.of().parseHex(words.get(2)));
+          world
+              .controllers
+              .get(name(words.get(1)))
+              .injectPeerRecord(HexFormat.of().parseHex(words.get(2)));
       case "check" -> expect(words.subList(1, words.size()), String.join(" ", words));
       default -> throw new IllegalArgumentException("scenario: " + words);
     }
@@ -415,7 +424,7 @@
             Optional.empty());
     request
         .toMutations(machines, world.valueBytes)
-        .forEach(change -> world.store.set(change.key(), change.value().orElseThrow()));
+        .forEach(change -> world.store.put(change.key(), change.value().orElseThrow()));
   }
 
   /** A user submits a job, as the words of a scenario's line say. */
@@ -454,7 +463,7 @@
     for (long i = 0; i < rate * time.toSeconds(); i++) {
       SimUser u = users.get(world.random.nextInt(users.size()));
       world.after(
-          Duration.ofMillis((long) (world.random.nextDouble() * time.toMillis())), u::query);
+          Duration.ofMillis((long) (world.random.nextDouble() * time.toMillis())), u::pollOnce);
     }
   }
 
@@ -501,20 +510,21 @@
               && world.store.level().level() == Integer.parseInt(words.get(1));
     } else if (words.get(0).equals("drain")) {
       good =
-          world.store.holds("c/drain-status/" + words.get(1), "\"state\":\"" + words.get(2) + "\"");
+          world.store.valueContains(
+              "c/drain-status/" + words.get(1), "\"state\":\"" + words.get(2) + "\"");
     } else if (words.get(0).equals("voluntary-stops")) {
-      good = world.disruptions.stops() >= Integer.parseInt(words.get(2));
+      good = world.disruptions.voluntaryStops() >= Integer.parseInt(words.get(2));
     } else if (words.get(0).equals("gangs")) {
       int count =
           switch (words.get(1)) {
-            case "begun" -> world.gangs.attemptsBegun;
-            case "broken" -> world.gangs.attemptsBroken;
-            default -> world.gangs.attemptsNeverComplete;
+            case "begun" -> world.gangs.attemptsStarted;
+            case "broken" -> world.gangs.attemptsAborted;
+            default -> world.gangs.formingTimeouts;
           };
       int bound = Integer.parseInt(words.get(3));
       good = words.get(2).equals("<=") ? count <= bound : count >= bound;
     } else if (words.get(0).equals("announced")) {
-      good = world.store.under("c/member/").size() == Integer.parseInt(words.get(2));
+      good = world.store.entriesWithPrefix("c/member/").size() == Integer.parseInt(words.get(2));
     } else if (words.get(0).equals("leader")) {
       good = world.store.leader().isPresent();
     } else if (words.get(0).equals("leader-not")) {
@@ -523,7 +533,7 @@
       good = world.store.leader().isEmpty();
     } else if (words.get(0).equals("terms")) {
       good =
-          world.store.under("c/term").get("c/term").path("term").asLong()
+          world.store.entriesWithPrefix("c/term").get("c/term").path("term").asLong()
               <= Long.parseLong(words.get(2));
     } else if (words.get(0).equals("gone")) {
       good = world.agents.get(name(words.get(1))).isDead();
--- a/src/test/java/io/pearscale/sim/SessionRunsTest.java
+++ b/src/test/java/io/pearscale/sim/SessionRunsTest.java
@@ -16,13 +16,13 @@
   Stream<DynamicTest> noTaskRunsTwice() {
     return SeededScenarios.rulesHold(
         SeededScenarios.seeds(FIRST, RUNS),
-        seed -> LeaseExpiryScenarioGenerator.day(seed, MACHINES));
+        seed -> LeaseExpiryScenarioGenerator.generate(seed, MACHINES));
   }
 
   @TestFactory
   Stream<DynamicTest> noTaskRunsTwiceAtSize() {
     return SeededScenarios.rulesHold(
         SeededScenarios.seeds(FIRST, RUNS_AT_SIZE),
-        seed -> LeaseExpiryScenarioGenerator.day(seed, SIZE));
+        seed -> LeaseExpiryScenarioGenerator.generate(seed, SIZE));
   }
 }
--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -30,7 +30,7 @@
     Instant runsSince = Instant.MAX;
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   final String name;
   final MachineType type;
   final String zone;
@@ -46,19 +46,19 @@
   private boolean heartbeatPending;
   private boolean dead;
   private boolean hung;
-  private final List<Runnable> whileHung = new ArrayList<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
   private Instant lastHeartbeat = Instant.MIN;
-  private long timer;
+  private long heartbeatTimer;
   boolean faulty;
 
   /** A fault of its own, to see that the world's checker finds what goes on after a cancel. */
   boolean ignoresStops;
 
-  Duration notice;
+  Duration preemptionNotice;
   private Instant preemptionTime;
 
   SimAgent(SimulatedCluster cluster, String name, MachineType type, String zone, boolean spot) {
-    this.world = cluster;
+    this.cluster = cluster;
     this.name = name;
     this.type = type;
     this.zone = zone;
@@ -66,9 +66,9 @@
   }
 
   void start() {
-    leaseStart = world.now;
-    controllerIndex = world.random.nextInt(world.controllers.size());
-    world.trace(name + " is up in " + zone);
+    leaseStart = cluster.now;
+    controllerIndex = cluster.random.nextInt(cluster.controllers.size());
+    cluster.trace(name + " is up in " + zone);
     checkLease();
     sendHeartbeat();
   }
@@ -82,7 +82,7 @@
   }
 
   /** Whether all tasks of a job have completed, told or not. */
-  static boolean allDone(SimulatedCluster cluster, JobSpec spec) {
+  static boolean allCompleted(SimulatedCluster cluster, JobSpec spec) {
     Set<TaskId> done = completed(cluster);
     for (int i = 0; i < spec.tasks(); i++) {
       if (!done.contains(new TaskId(spec.id(), i))) {
@@ -93,19 +93,19 @@
   }
 
   /** How many tasks of the job could run here now. */
-  int placesFor(JobSpec spec) {
+  int availableSlots(JobSpec spec) {
     if (dead || hung || faulty || preemptionTime != null || !spec.allows(type, zone, spot)) {
       return 0;
     }
     double used = 0;
-    for (SimulatedCluster.Presence p : world.present) {
-      used += p.agent() == this ? world.submitted.get(p.task().job()).cpus() : 0;
+    for (SimulatedCluster.Presence presence : cluster.present) {
+      used += presence.agent() == this ? cluster.submitted.get(presence.task().job()).cpus() : 0;
     }
     return (int) ((type.cpus() - used + 1e-6) / spec.cpus());
   }
 
   /** Power off. */
-  void die() {
+  void powerOff() {
     dead = true;
     clearTasks();
   }
@@ -116,23 +116,23 @@
     incarnation++;
     sequence = 0;
     fencingToken = 0;
-    leaseStart = world.now;
-    heartbeatSoon();
+    leaseStart = cluster.now;
+    requestHeartbeat();
   }
 
   void hang() {
     hung = true;
-    world.gangChecker().standsStill(name, world.now);
+    cluster.gangChecker().machineUnresponsive(name, cluster.now);
     tasks.forEach(
         (key, task) -> {
           if (task.stage.equals("running") && isGang(key)) {
-            world.gangs.hung(key.task, key.attempt, new GangMember(key, task));
+            cluster.gangs.memberUnresponsive(key.task, key.attempt, new GangMember(key, task));
           }
         });
   }
 
   private boolean isGang(Key key) {
-    return world.submitted.get(key.task.job()).isGang();
+    return cluster.submitted.get(key.task.job()).isGang();
   }
 
   /** A task of a gang, as the others see it. Two of them are the same if their task is. */
@@ -148,28 +148,28 @@
     @Override
     public void started() {
       task.stage = "running";
-      task.runsSince = world.now;
-      world.gangChecker().runs(key.task, world.now);
-      heartbeatSoon();
+      task.runsSince = cluster.now;
+      cluster.gangChecker().taskRunning(key.task, cluster.now);
+      requestHeartbeat();
     }
 
     @Override
     public void exited(String cause, boolean saved) {
-      whenAlive(
+      runWhenResponsive(
           () -> {
             if (tasks.get(key) == task && !task.stage.equals("ended")) {
               task.saved = saved;
               if (cause.equals("done")) {
-                world.gangChecker().completes(key.task, key.attempt);
+                cluster.gangChecker().taskCompleted(key.task, key.attempt);
               }
               end(key, task, cause);
-              cancelIfAllDone(key);
+              cancelIfAllCompleted(key);
             }
           });
     }
 
     @Override
-    public boolean hangs() {
+    public boolean isUnresponsive() {
       return hung;
     }
 
@@ -185,10 +185,10 @@
   }
 
   /** Hangs, but goes on when its lease is over, if it did not before. */
-  void hangWithinLease() {
+  void hangUntilLeaseExpires() {
     hang();
-    world.at(
-        leaseStart.plus(world.lease).plusMillis(1),
+    cluster.at(
+        leaseStart.plus(cluster.lease).plusMillis(1),
         () -> {
           if (hung) {
             resume();
@@ -198,23 +198,23 @@
 
   void resume() {
     hung = false;
-    world.gangChecker().goesOn(name, world.now);
-    List<Runnable> late = List.copyOf(whileHung);
-    whileHung.clear();
-    late.forEach(Runnable::run);
+    cluster.gangChecker().machineResumed(name, cluster.now);
+    List<Runnable> deferred = List.copyOf(deferredActions);
+    deferredActions.clear();
+    deferred.forEach(Runnable::run);
   }
 
-  void receivePreemptionNotice(Duration left) {
-    preemptionTime = world.now.plus(left);
-    heartbeatSoon();
+  void receivePreemptionNotice(Duration timeLeft) {
+    preemptionTime = cluster.now.plus(timeLeft);
+    requestHeartbeat();
   }
 
-  private void whenAlive(Runnable action) {
+  private void runWhenResponsive(Runnable action) {
     if (dead) {
       return;
     }
     if (hung) {
-      whileHung.add(() -> whenAlive(action));
+      deferredActions.add(() -> runWhenResponsive(action));
     } else {
       action.run();
     }
@@ -222,36 +222,36 @@
 
   private void clearTasks() {
     tasks.forEach(
-        (k, t) -> {
-          if (t.started && !t.stage.equals("ended")) {
-            world.taskGone(this, k.task, k.attempt);
-            world.gangs.leave(k.task, k.attempt);
+        (key, state) -> {
+          if (state.started && !state.stage.equals("ended")) {
+            cluster.taskGone(this, key.task, key.attempt);
+            cluster.gangs.leave(key.task, key.attempt);
           }
         });
     tasks.clear();
   }
 
   private void checkLease() {
-    whenAlive(
+    runWhenResponsive(
         () -> {
-          if (world.now.isAfter(leaseStart.plus(world.lease))) {
+          if (cluster.now.isAfter(leaseStart.plus(cluster.lease))) {
             if (!tasks.isEmpty()) {
-              world.trace(name + " lease over, " + tasks.size() + " tasks killed");
+              cluster.trace(name + " lease over, " + tasks.size() + " tasks killed");
             }
             clearTasks();
             incarnation++;
             sequence = 0;
-            leaseStart = world.now;
+            leaseStart = cluster.now;
           }
-          world.after(Duration.ofMillis(200), this::checkLease);
+          cluster.after(Duration.ofMillis(200), this::checkLease);
         });
   }
 
-  private ObjectNode body() {
+  private ObjectNode heartbeatBody() {
     ObjectNode body =
         SimulatedCluster.map()
             .put("hive", name)
-            .put("address", world.machineAddress.apply(name))
+            .put("address", cluster.machineAddress.apply(name))
             .put("breed", type.name())
             .put("yard", zone)
             .put("windfall", spot)
@@ -260,282 +260,287 @@
             .put("baton", fencingToken);
     if (preemptionTime != null) {
       body.put(
-          "warningS", Math.max(0, Duration.between(world.now, preemptionTime).toMillis() / 1000.0));
+          "warningS",
+          Math.max(0, Duration.between(cluster.now, preemptionTime).toMillis() / 1000.0));
     }
     var list = body.putArray("pieces");
     tasks.forEach(
-        (k, t) -> {
-          ObjectNode p =
+        (key, state) -> {
+          ObjectNode node =
               list.addObject()
-                  .put("piece", k.task.toString())
-                  .put("try", k.attempt)
-                  .put("stage", t.stage);
-          if (t.stage.equals("ended")) {
-            p.put("cause", t.cause).put("stored", t.saved);
+                  .put("piece", key.task.toString())
+                  .put("try", key.attempt)
+                  .put("stage", state.stage);
+          if (state.stage.equals("ended")) {
+            node.put("cause", state.cause).put("stored", state.saved);
           }
         });
     return body;
   }
 
   private void sendHeartbeat() {
-    whenAlive(
+    runWhenResponsive(
         () -> {
           if (heartbeatPending) {
             return;
           }
-          timer++;
+          heartbeatTimer++;
           heartbeatPending = true;
-          Instant sent = world.now;
-          lastHeartbeat = sent;
-          long sentSession = incarnation;
-          String to = List.copyOf(world.controllers.keySet()).get(controllerIndex);
-          world.request(
+          Instant sentAt = cluster.now;
+          lastHeartbeat = sentAt;
+          long sentIncarnation = incarnation;
+          String controller = List.copyOf(cluster.controllers.keySet()).get(controllerIndex);
+          cluster.request(
               name,
-              to,
+              controller,
               "POST",
               "/checkin",
-              body(),
+              heartbeatBody(),
               TIMEOUT,
-              r -> whenAlive(() -> heartbeatAnswered(sent, sentSession, r)));
+              r -> runWhenResponsive(() -> handleHeartbeatResponse(sentAt, sentIncarnation, r)));
         });
   }
 
-  private void heartbeatAnswered(Instant sent, long sentSession, Reply reply) {
+  private void handleHeartbeatResponse(Instant sentAt, long sentIncarnation, Reply reply) {
     heartbeatPending = false;
     if (reply.status() == 200) {
-      long answeredToken = reply.body().path("baton").asLong();
-      if (answeredToken >= fencingToken && sentSession == incarnation) {
-        boolean higher = answeredToken > fencingToken;
-        fencingToken = answeredToken;
-        leaseStart = sent;
+      long responseToken = reply.body().path("baton").asLong();
+      if (responseToken >= fencingToken && sentIncarnation == incarnation) {
+        boolean higherToken = responseToken > fencingToken;
+        fencingToken = responseToken;
+        leaseStart = sentAt;
         reply.body().path("orders").forEach(this::execute);
-        if (higher) {
-          heartbeatSoon();
+        if (higherToken) {
+          requestHeartbeat();
         }
       }
-      scheduleHeartbeat(jitter());
+      scheduleHeartbeat(jitteredHeartbeatInterval());
     } else {
       if (reply.status() == 421
-          && world.controllers.containsKey(reply.body().path("foreman").asText())) {
+          && cluster.controllers.containsKey(reply.body().path("foreman").asText())) {
         controllerIndex =
-            List.copyOf(world.controllers.keySet()).indexOf(reply.body().path("foreman").asText());
+            List.copyOf(cluster.controllers.keySet())
+                .indexOf(reply.body().path("foreman").asText());
         scheduleHeartbeat(Duration.ofMillis(200));
         return;
       }
-      controllerIndex = (controllerIndex + 1) % world.controllers.size();
+      controllerIndex = (controllerIndex + 1) % cluster.controllers.size();
       scheduleHeartbeat(Duration.ofSeconds(1));
     }
   }
 
-  private Duration jitter() {
+  private Duration jitteredHeartbeatInterval() {
     return Duration.ofMillis(
-        (long) (world.heartbeatInterval.toMillis() * (0.75 + world.random.nextDouble() * 0.5)));
+        (long) (cluster.heartbeatInterval.toMillis() * (0.75 + cluster.random.nextDouble() * 0.5)));
   }
 
   private void scheduleHeartbeat(Duration delay) {
-    long mine = ++timer;
-    world.after(
+    long scheduledTimer = ++heartbeatTimer;
+    cluster.after(
         delay,
         () -> {
-          if (mine == timer) {
+          if (scheduledTimer == heartbeatTimer) {
             sendHeartbeat();
           }
         });
   }
 
-  private void heartbeatSoon() {
+  private void requestHeartbeat() {
     if (!heartbeatPending) {
-      Instant soonest =
-          lastHeartbeat.equals(Instant.MIN) ? world.now : lastHeartbeat.plusMillis(500);
+      Instant earliest =
+          lastHeartbeat.equals(Instant.MIN) ? cluster.now : lastHeartbeat.plusMillis(500);
       scheduleHeartbeat(
-          soonest.isAfter(world.now) ? Duration.between(world.now, soonest) : Duration.ZERO);
+          earliest.isAfter(cluster.now) ? Duration.between(cluster.now, earliest) : Duration.ZERO);
     } else {
-      world.after(Duration.ofMillis(500), () -> whenAlive(this::heartbeatSoonIfIdle));
+      cluster.after(Duration.ofMillis(500), () -> runWhenResponsive(this::requestHeartbeatIfIdle));
     }
   }
 
-  private void heartbeatSoonIfIdle() {
+  private void requestHeartbeatIfIdle() {
     if (!heartbeatPending) {
-      heartbeatSoon();
+      requestHeartbeat();
     }
   }
 
-  void serve(String method, String path, JsonNode body, Consumer<Reply> answer) {
-    whenAlive(
+  void handleRequest(String method, String path, JsonNode body, Consumer<Reply> responseHandler) {
+    runWhenResponsive(
         () -> {
           if (path.equals("/status")) {
-            answer.accept(new Reply(200, body()));
+            responseHandler.accept(new Reply(200, heartbeatBody()));
             return;
           }
           long commandToken = body.path("baton").asLong();
           if (commandToken < fencingToken || body.path("stint").asLong() != incarnation) {
-            answer.accept(new Reply(409, body()));
+            responseHandler.accept(new Reply(409, heartbeatBody()));
             return;
           }
-          boolean higher = commandToken > fencingToken;
+          boolean higherToken = commandToken > fencingToken;
           fencingToken = commandToken;
           body.path("orders").forEach(this::execute);
-          answer.accept(new Reply(200, body()));
-          if (higher) {
-            heartbeatSoon();
+          responseHandler.accept(new Reply(200, heartbeatBody()));
+          if (higherToken) {
+            requestHeartbeat();
           }
         });
   }
 
   private void execute(JsonNode command) {
-    TaskId task = SimUser.task(command.path("piece").asText());
+    TaskId task = SimUser.parseTask(command.path("piece").asText());
     Key key = new Key(task, command.path("try").asLong());
-    Task run = tasks.get(key);
+    Task state = tasks.get(key);
     switch (command.path("verb").asText()) {
       case "run" -> {
-        if (run == null) {
+        if (state == null) {
           startTask(key);
         }
       }
       case "kill" -> {
-        if (run != null && !run.stage.equals("ended") && !ignoresStops) {
-          stopTask(key, run, command.path("leewayS").asDouble());
+        if (state != null && !state.stage.equals("ended") && !ignoresStops) {
+          stopTask(key, state, command.path("leewayS").asDouble());
         }
       }
       default -> {
-        if (run != null && run.stage.equals("ended")) {
+        if (state != null && state.stage.equals("ended")) {
           tasks.remove(key);
         }
       }
     }
-    heartbeatSoon();
+    requestHeartbeat();
   }
 
   /**
    * A running task with checkpoints saves if it is given the time; a second kill may cut it off.
    */
-  private void stopTask(Key key, Task run, double leeway) {
-    JobSpec spec = world.submitted.get(key.task.job());
-    if (run.started && run.stage.equals("running")) {
-      world.disruptions.stopped(key.task);
+  private void stopTask(Key key, Task state, double gracePeriodSeconds) {
+    JobSpec spec = cluster.submitted.get(key.task.job());
+    if (state.started && state.stage.equals("running")) {
+      cluster.disruptions.taskStopped(key.task);
     }
-    boolean hasTime = leeway > 0 && leeway >= spec.checkpointDuration().toMillis() / 1000.0;
+    boolean hasTime =
+        gracePeriodSeconds > 0
+            && gracePeriodSeconds >= spec.checkpointDuration().toMillis() / 1000.0;
     if (spec.isGang()
-        && run.stage.equals("running")
+        && state.stage.equals("running")
         && !spec.checkpointInterval().isZero()
         && hasTime) {
-      world.gangs.stopRequested(key.task, key.attempt);
+      cluster.gangs.stopRequested(key.task, key.attempt);
       return;
     }
-    if (run.stage.equals("running") && !spec.checkpointInterval().isZero() && hasTime) {
-      run.stage = "flushing";
-      Duration ran = Duration.between(run.runsSince, world.now);
-      world.after(
+    if (state.stage.equals("running") && !spec.checkpointInterval().isZero() && hasTime) {
+      state.stage = "flushing";
+      Duration runTime = Duration.between(state.runsSince, cluster.now);
+      cluster.after(
           spec.checkpointDuration(),
           () ->
-              whenAlive(
+              runWhenResponsive(
                   () -> {
-                    if (tasks.get(key) == run && run.stage.equals("flushing")) {
-                      world.savedProgress.merge(key.task, ran, Duration::plus);
-                      end(key, run, "stopped");
+                    if (tasks.get(key) == state && state.stage.equals("flushing")) {
+                      cluster.savedProgress.merge(key.task, runTime, Duration::plus);
+                      end(key, state, "stopped");
                     }
                   }));
-    } else if (!run.stage.equals("flushing") || leeway <= 0) {
-      end(key, run, "stopped");
+    } else if (!state.stage.equals("flushing") || gracePeriodSeconds <= 0) {
+      end(key, state, "stopped");
     }
   }
 
   private void startTask(Key key) {
-    Task run = new Task();
-    tasks.put(key, run);
-    JobSpec spec = world.submitted.get(key.task.job());
+    Task state = new Task();
+    tasks.put(key, state);
+    JobSpec spec = cluster.submitted.get(key.task.job());
     double used = 0;
-    for (Map.Entry<Key, Task> e : tasks.entrySet()) {
-      if (!e.getKey().equals(key) && !e.getValue().stage.equals("ended")) {
-        if (e.getKey().task.equals(key.task)) {
-          end(key, run, "busy");
+    for (Map.Entry<Key, Task> entry : tasks.entrySet()) {
+      if (!entry.getKey().equals(key) && !entry.getValue().stage.equals("ended")) {
+        if (entry.getKey().task.equals(key.task)) {
+          end(key, state, "busy");
           return;
         }
-        used += world.submitted.get(e.getKey().task.job()).cpus();
+        used += cluster.submitted.get(entry.getKey().task.job()).cpus();
       }
     }
     if (spec == null || used + spec.cpus() > type.cpus() + 1e-6) {
-      end(key, run, spec == null ? "no_such" : "no_room");
+      end(key, state, spec == null ? "no_such" : "no_room");
       return;
     }
     Duration fetch =
         cachedImages.contains(spec.image())
             ? Duration.ofMillis(10)
             : type.fetchTime(spec.imageGb());
-    world.after(
+    cluster.after(
         fetch,
         () ->
-            whenAlive(
+            runWhenResponsive(
                 () -> {
-                  if (tasks.get(key) != run || !run.stage.equals("fetching")) {
+                  if (tasks.get(key) != state || !state.stage.equals("fetching")) {
                     return;
                   }
                   cachedImages.add(spec.image());
-                  if (completed(world).contains(key.task)) {
-                    world.startsOfDoneTasks++;
-                    end(key, run, "done");
+                  if (completed(cluster).contains(key.task)) {
+                    cluster.startsOfDoneTasks++;
+                    end(key, state, "done");
                     return;
                   }
-                  run.started = true;
+                  state.started = true;
                   if (spec.isGang()) {
-                    run.stage = "waiting";
-                    world.taskStarts(this, key.task, key.attempt);
-                    heartbeatSoon();
+                    state.stage = "waiting";
+                    cluster.taskStarts(this, key.task, key.attempt);
+                    requestHeartbeat();
                     if (faulty) {
-                      world.after(
+                      cluster.after(
                           Duration.ofMillis(300),
-                          () -> whenAlive(() -> endIfThere(key, run, "error")));
+                          () -> runWhenResponsive(() -> endIfPresent(key, state, "error")));
                     }
-                    world.gangs.join(key.task, key.attempt, new GangMember(key, run));
+                    cluster.gangs.join(key.task, key.attempt, new GangMember(key, state));
                     return;
                   }
-                  run.stage = "running";
-                  run.runsSince = world.now;
-                  world.taskStarts(this, key.task, key.attempt);
-                  heartbeatSoon();
-                  if (faulty || world.users.get(spec.id()).failsEverywhere()) {
-                    world.after(
+                  state.stage = "running";
+                  state.runsSince = cluster.now;
+                  cluster.taskStarts(this, key.task, key.attempt);
+                  requestHeartbeat();
+                  if (faulty || cluster.users.get(spec.id()).failsEverywhere()) {
+                    cluster.after(
                         Duration.ofMillis(300),
-                        () -> whenAlive(() -> endIfRunning(key, run, "error")));
+                        () -> runWhenResponsive(() -> endIfRunning(key, state, "error")));
                   } else if (!spec.isService()) {
-                    Duration whole = world.users.get(spec.id()).run(key.task);
-                    Duration left = whole.minus(world.progressOf(key.task));
-                    world.after(left, () -> whenAlive(() -> endIfRunning(key, run, "done")));
+                    Duration runTime = cluster.users.get(spec.id()).runTime(key.task);
+                    Duration timeLeft = runTime.minus(cluster.progressOf(key.task));
+                    cluster.after(
+                        timeLeft, () -> runWhenResponsive(() -> endIfRunning(key, state, "done")));
                   }
                 }));
   }
 
-  private void endIfRunning(Key key, Task run, String cause) {
-    if (tasks.get(key) == run && run.stage.equals("running")) {
+  private void endIfRunning(Key key, Task state, String cause) {
+    if (tasks.get(key) == state && state.stage.equals("running")) {
       if (cause.equals("done")) {
-        completed(world).add(key.task);
+        completed(cluster).add(key.task);
       }
-      end(key, run, cause);
-      cancelIfAllDone(key);
+      end(key, state, cause);
+      cancelIfAllCompleted(key);
     }
   }
 
-  private void endIfThere(Key key, Task run, String cause) {
-    if (tasks.get(key) == run && !run.stage.equals("ended")) {
-      end(key, run, cause);
+  private void endIfPresent(Key key, Task state, String cause) {
+    if (tasks.get(key) == state && !state.stage.equals("ended")) {
+      end(key, state, cause);
     }
   }
 
-  private void cancelIfAllDone(Key key) {
+  private void cancelIfAllCompleted(Key key) {
     String job = key.task.job();
-    if (world.cancelledAtEnd.contains(job) && allDone(world, world.submitted.get(job))) {
-      world.cancelledAtEnd.remove(job);
-      world.users.get(job).cancel();
+    if (cluster.cancelledAtEnd.contains(job) && allCompleted(cluster, cluster.submitted.get(job))) {
+      cluster.cancelledAtEnd.remove(job);
+      cluster.users.get(job).cancel();
     }
   }
 
-  private void end(Key key, Task run, String cause) {
-    if (run.started) {
-      world.taskGone(this, key.task, key.attempt);
-      world.gangs.leave(key.task, key.attempt);
+  private void end(Key key, Task state, String cause) {
+    if (state.started) {
+      cluster.taskGone(this, key.task, key.attempt);
+      cluster.gangs.leave(key.task, key.attempt);
     }
-    run.stage = "ended";
-    run.cause = cause;
-    heartbeatSoon();
+    state.stage = "ended";
+    state.cause = cause;
+    requestHeartbeat();
   }
 }
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -17,54 +17,54 @@
 
 /** A stand-in for the cloud, by its protocol: names, boot times, a list that lags. */
 final class SimCloud {
-  private record Machine(String name, String type, String zone, boolean spot, Instant at) {}
+  private record Machine(String name, String type, String zone, boolean spot, Instant createdAt) {}
 
-  private static final int PAGE = 500;
+  private static final int PAGE_SIZE = 500;
 
   /** Calls a second, of which two seconds' worth may come at once. */
-  static final double RATE = 4;
+  static final double CALLS_PER_SECOND = 4;
 
-  private final SimulatedCluster world;
-  private double allowed = 2 * RATE;
-  private Instant counted = SimulatedCluster.START;
+  private final SimulatedCluster cluster;
+  private double rateTokens = 2 * CALLS_PER_SECOND;
+  private Instant rateTokensAt = SimulatedCluster.START;
 
   /** Calls that were over the rate. */
-  int overRate;
+  int rateLimitedCalls;
 
   final Map<String, MachineType> types = new TreeMap<>();
   final Map<String, Integer> capacity = new HashMap<>();
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, List<String>> answers = new HashMap<>();
+  private final Map<String, List<String>> machinesByRequest = new HashMap<>();
   private int nextMachineNumber;
   boolean down;
   Duration listLag = Duration.ofSeconds(6);
-  int neverBoot;
+  int machinesThatNeverBoot;
   int machinesProvisioned;
   final Set<String> faulty = new HashSet<>();
 
   SimCloud(SimulatedCluster cluster) {
-    this.world = cluster;
+    this.cluster = cluster;
   }
 
-  private static String kind(String type, String zone, boolean spot) {
+  private static String capacityKey(String type, String zone, boolean spot) {
     return type + "/" + zone + "/" + (spot ? "spot" : "ordinary");
   }
 
-  void serve(String method, String path, JsonNode body, Consumer<Reply> answer) {
-    if (overRate()) {
+  void handleRequest(String method, String path, JsonNode body, Consumer<Reply> answer) {
+    if (isRateLimited()) {
       answer.accept(new Reply(429, SimulatedCluster.map()));
     } else if (down) {
       answer.accept(new Reply(503, SimulatedCluster.map().put("error", "trouble")));
     } else if (path.equals("/catalog")) {
-      ObjectNode n = SimulatedCluster.map();
-      var list = n.putArray("breeds");
+      ObjectNode node = SimulatedCluster.map();
+      var list = node.putArray("breeds");
       types.values().forEach(type -> list.add(type.toNode()));
-      answer.accept(new Reply(200, n));
+      answer.accept(new Reply(200, node));
     } else if (path.equals("/hosts")) {
       handleProvisionRequest(body, answer);
     } else if (path.equals("/hosts/delete")) {
-      for (JsonNode n : body.path("hives")) {
-        terminate(n.asText());
+      for (JsonNode node : body.path("hives")) {
+        terminate(node.asText());
       }
       answer.accept(new Reply(200, SimulatedCluster.map()));
     } else {
@@ -72,38 +72,38 @@
     }
   }
 
-  private boolean overRate() {
-    double passed = Duration.between(counted, world.now).toNanos() / 1e9;
-    allowed = Math.min(2 * RATE, allowed + passed * RATE);
-    counted = world.now;
-    if (allowed < 1) {
-      overRate++;
+  private boolean isRateLimited() {
+    double secondsPassed = Duration.between(rateTokensAt, cluster.now).toNanos() / 1e9;
+    rateTokens = Math.min(2 * CALLS_PER_SECOND, rateTokens + secondsPassed * CALLS_PER_SECOND);
+    rateTokensAt = cluster.now;
+    if (rateTokens < 1) {
+      rateLimitedCalls++;
       return true;
     }
-    allowed--;
+    rateTokens--;
     return false;
   }
 
   private void handleProvisionRequest(JsonNode body, Consumer<Reply> answer) {
     String request = body.path("hire").asText();
-    if (answers.containsKey(request)) {
-      answer.accept(names(answers.get(request)));
+    if (machinesByRequest.containsKey(request)) {
+      answer.accept(namesReply(machinesByRequest.get(request)));
       return;
     }
-    String kind =
-        kind(
+    String capacityKey =
+        capacityKey(
             body.path("breed").asText(),
             body.path("yard").asText(),
             body.path("windfall").asBoolean());
-    int left = capacity.getOrDefault(kind, 0);
-    int n = Math.min(left, body.path("count").asInt());
-    if (n == 0) {
+    int available = capacity.getOrDefault(capacityKey, 0);
+    int granted = Math.min(available, body.path("count").asInt());
+    if (granted == 0) {
       answer.accept(new Reply(503, SimulatedCluster.map().put("error", "no capacity")));
       return;
     }
-    capacity.put(kind, left - n);
+    capacity.put(capacityKey, available - granted);
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < granted; i++) {
       names.add(
           provision(
               body.path("breed").asText(),
@@ -111,76 +111,76 @@
               body.path("windfall").asBoolean(),
               types.get(body.path("breed").asText()).bootTime()));
     }
-    answers.put(request, names);
-    answer.accept(names(names));
+    machinesByRequest.put(request, names);
+    answer.accept(namesReply(names));
   }
 
   /** A machine comes into being; its worker starts when it has booted. */
-  String provision(String type, String zone, boolean spot, Duration boot) {
+  String provision(String type, String zone, boolean spot, Duration bootTime) {
     String name = "m-%06d".formatted(nextMachineNumber++);
-    machines.put(name, new Machine(name, type, zone, spot, world.now));
+    machines.put(name, new Machine(name, type, zone, spot, cluster.now));
     machinesProvisioned++;
-    if (neverBoot > 0) {
-      neverBoot--;
+    if (machinesThatNeverBoot > 0) {
+      machinesThatNeverBoot--;
       return name;
     }
-    world.after(
-        boot,
+    cluster.after(
+        bootTime,
         () -> {
           if (machines.containsKey(name)) {
-            SimAgent w = new SimAgent(world, name, types.get(type), zone, spot);
-            w.faulty = faulty.contains(name);
-            world.agents.put(name, w);
-            w.start();
+            SimAgent agent = new SimAgent(cluster, name, types.get(type), zone, spot);
+            agent.faulty = faulty.contains(name);
+            cluster.agents.put(name, agent);
+            agent.start();
           }
         });
     return name;
   }
 
-  private static Reply names(List<String> names) {
-    ObjectNode n = SimulatedCluster.map();
-    var list = n.putArray("hives");
+  private static Reply namesReply(List<String> names) {
+    ObjectNode body = SimulatedCluster.map();
+    var list = body.putArray("hives");
     names.forEach(list::add);
-    return new Reply(200, n);
+    return new Reply(200, body);
   }
 
   /** The machine and everything on it is gone. */
   void terminate(String name) {
-    Machine r = machines.remove(name);
-    if (r == null) {
+    Machine machine = machines.remove(name);
+    if (machine == null) {
       return;
     }
-    capacity.merge(kind(r.type, r.zone, r.spot), 1, Integer::sum);
-    SimAgent w = world.agents.get(name);
-    if (w != null) {
-      w.die();
+    capacity.merge(capacityKey(machine.type, machine.zone, machine.spot), 1, Integer::sum);
+    SimAgent agent = cluster.agents.get(name);
+    if (agent != null) {
+      agent.powerOff();
     }
-    world.trace(name + " gone");
+    cluster.trace(name + " gone");
   }
 
   private void list(String path, Consumer<Reply> answer) {
     int since = path.indexOf("since=");
-    String last = since < 0 ? "" : path.substring(since + "since=".length()).split("&")[0];
-    ObjectNode n = SimulatedCluster.map().put("more", false);
-    var list = n.putArray("hives");
-    for (Machine r : machines.tailMap(last, false).values()) {
-      if (r.at.plus(listLag).isAfter(world.now)) {
+    String startAfter = since < 0 ? "" : path.substring(since + "since=".length()).split("&")[0];
+    ObjectNode body = SimulatedCluster.map().put("more", false);
+    var list = body.putArray("hives");
+    for (Machine machine : machines.tailMap(startAfter, false).values()) {
+      if (machine.createdAt.plus(listLag).isAfter(cluster.now)) {
         continue;
       }
-      if (list.size() == PAGE) {
-        n.put("more", true);
+      if (list.size() == PAGE_SIZE) {
+        body.put("more", true);
         break;
       }
-      SimAgent w = world.agents.get(r.name);
+      SimAgent agent = cluster.agents.get(machine.name);
       list.addObject()
-          .put("uid", r.name)
-          .put("address", world.machineAddress.apply(r.name))
-          .put("breed", r.type)
-          .put("yard", r.zone)
-          .put("windfall", r.spot)
-          .put("stage", w == null ? "booting" : w.isDead() ? "failed" : "running")
-          .put("ageS", Duration.between(r.at, world.now).toSeconds());
+          .put("uid", machine.name)
+          .put("address", cluster.machineAddress.apply(machine.name))
+          .put("breed", machine.type)
+          .put("yard", machine.zone)
+          .put("windfall", machine.spot)
+          .put("stage", agent == null ? "booting" : agent.isDead() ? "failed" : "running")
+          .put("ageS", Duration.between(machine.createdAt, cluster.now).toSeconds());
     }
-    answer.accept(new Reply(200, n));
+    answer.accept(new Reply(200, body));
   }
 }
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -26,19 +26,19 @@
 
 /** A controller's process in the simulated world: it can be killed and started again. */
 final class SimController {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   final String name;
   private int incarnation;
   private Controller controller;
-  private Optional<External> external = Optional.empty();
+  private Optional<ExternalProcess> externalProcess = Optional.empty();
   private final Map<String, Instant> lastReceived = new HashMap<>();
 
   // Standing still: what was about to be sent, timers that came due, what came in.
   private Instant frozenUntil = Instant.MIN;
-  private Optional<Duration> freezesAtNextSend = Optional.empty();
-  private final List<Runnable> unsent = new ArrayList<>();
-  private final List<Runnable> dueTimers = new ArrayList<>();
-  private final List<Runnable> unread = new ArrayList<>();
+  private Optional<Duration> freezeAtNextSend = Optional.empty();
+  private final List<Runnable> deferredSends = new ArrayList<>();
+  private final List<Runnable> deferredTimers = new ArrayList<>();
+  private final List<Runnable> deferredInput = new ArrayList<>();
 
   /** What each message, answer and timer takes of the process's time, and until when it is busy. */
   Duration processingTime = Duration.ZERO;
@@ -52,34 +52,34 @@
   SupportedLevels runningLevels = installedLevels;
 
   /** How fast the steady clock runs. */
-  double drift = 1.0;
+  double clockRate = 1.0;
 
   SimController(SimulatedCluster cluster, String name) {
-    this.world = cluster;
+    this.cluster = cluster;
     this.name = name;
   }
 
   boolean isUp() {
-    return controller != null || external.isPresent();
+    return controller != null || externalProcess.isPresent();
   }
 
   /** Lets a process outside of the simulated world answer in place of a controller in it. */
-  void answerBy(External process) {
-    external = Optional.of(process);
+  void delegateTo(ExternalProcess process) {
+    externalProcess = Optional.of(process);
   }
 
   /** A controller's process outside of the simulated world. */
-  interface External {
+  interface ExternalProcess {
     void request(
         String from, String method, String path, JsonNode body, Consumer<HttpClient.Reply> answer);
   }
 
   /** The seam that real sockets fill in production. */
   private final class SimProcess implements EventLoop, HttpClient, PeerTransport {
-    final int incarnationOfProcess = incarnation;
+    final int ownIncarnation = incarnation;
 
-    private boolean alive() {
-      return incarnationOfProcess == incarnation;
+    private boolean isCurrent() {
+      return ownIncarnation == incarnation;
     }
 
     @Override
@@ -89,11 +89,11 @@
 
     @Override
     public void schedule(Duration delay, Runnable task) {
-      world.after(
+      cluster.after(
           delay,
           () -> {
-            if (alive()) {
-              unlessFrozen(dueTimers, task);
+            if (isCurrent()) {
+              runOrDefer(deferredTimers, task);
             }
           });
     }
@@ -102,8 +102,8 @@
     public InstantSource clock() {
       return () ->
           Instant.EPOCH
-              .plusNanos((long) (world.elapsed().toNanos() * drift))
-              .plusSeconds(incarnationOfProcess);
+              .plusNanos((long) (cluster.elapsed().toNanos() * clockRate))
+              .plusSeconds(ownIncarnation);
     }
 
     @Override
@@ -114,9 +114,9 @@
         JsonNode body,
         Duration timeout,
         Consumer<Reply> answer) {
-      sending(
+      sendOrDefer(
           () ->
-              world.request(
+              cluster.request(
                   name,
                   address,
                   method,
@@ -124,21 +124,21 @@
                   body,
                   timeout,
                   r -> {
-                    if (alive()) {
-                      unlessFrozen(unread, () -> answer.accept(r));
+                    if (isCurrent()) {
+                      runOrDefer(deferredInput, () -> answer.accept(r));
                     }
                   }));
     }
 
     @Override
     public boolean send(String peer, byte[] frame) {
-      if (world.linksRefused) {
+      if (cluster.linksRefused) {
         return false;
       }
-      SimController to = world.controllers.get(peer);
-      world.peerRecords++;
-      world.wireRecorder.ifPresent(recorder -> recorder.record(name, peer, frame));
-      sending(() -> world.deliver(name, peer, () -> to.fromPeer(name, frame)));
+      SimController to = cluster.controllers.get(peer);
+      cluster.peerRecords++;
+      cluster.wireRecorder.ifPresent(recorder -> recorder.record(name, peer, frame));
+      sendOrDefer(() -> cluster.deliver(name, peer, () -> to.receivePeerRecord(name, frame)));
       return true;
     }
 
@@ -147,7 +147,7 @@
       Set<String> up = new LinkedHashSet<>();
       lastReceived.forEach(
           (peer, at) -> {
-            if (!world.linksRefused && at.isAfter(world.now.minusSeconds(3))) {
+            if (!cluster.linksRefused && at.isAfter(cluster.now.minusSeconds(3))) {
               up.add(peer);
             }
           });
@@ -155,12 +155,12 @@
     }
   }
 
-  private void fromPeer(String peer, byte[] frame) {
+  private void receivePeerRecord(String peer, byte[] frame) {
     if (controller != null) {
-      unlessFrozen(
-          unread,
+      runOrDefer(
+          deferredInput,
           () -> {
-            lastReceived.put(peer, world.now);
+            lastReceived.put(peer, cluster.now);
             controller.handlePeerRecord(peer, frame);
           });
     }
@@ -171,54 +171,54 @@
    *
    * @param midway it stops between deciding and sending: the next message waits, all else with it
    */
-  void freeze(Duration time, boolean midway) {
+  void freeze(Duration duration, boolean midway) {
     if (controller != null) {
-      freezesAtNextSend = midway ? Optional.of(time) : Optional.empty();
+      freezeAtNextSend = midway ? Optional.of(duration) : Optional.empty();
       if (!midway) {
-        freezeNow(time);
+        freezeNow(duration);
       }
     }
   }
 
-  private void freezeNow(Duration time) {
-    int mine = incarnation;
-    frozenUntil = world.now.plus(time);
-    world.trace(name + " stands still");
-    world.at(
+  private void freezeNow(Duration duration) {
+    int ownIncarnation = incarnation;
+    frozenUntil = cluster.now.plus(duration);
+    cluster.trace(name + " stands still");
+    cluster.at(
         frozenUntil,
         () -> {
-          if (mine == incarnation) {
-            world.trace(name + " goes on");
-            wake();
+          if (ownIncarnation == incarnation) {
+            cluster.trace(name + " goes on");
+            resume();
           }
         });
   }
 
-  private boolean frozen() {
-    return world.now.isBefore(frozenUntil);
+  private boolean isFrozen() {
+    return cluster.now.isBefore(frozenUntil);
   }
 
-  private void unlessFrozen(List<Runnable> queue, Runnable task) {
-    if (frozen()) {
+  private void runOrDefer(List<Runnable> queue, Runnable task) {
+    if (isFrozen()) {
       queue.add(task);
-    } else if (processingTime.isZero() && !world.now.isBefore(busyUntil)) {
+    } else if (processingTime.isZero() && !cluster.now.isBefore(busyUntil)) {
       task.run();
     } else {
-      inTurn(queue, task);
+      runAfterBacklog(queue, task);
     }
   }
 
   /** On a slow processor whatever comes in waits for what came before. */
-  private void inTurn(List<Runnable> queue, Runnable task) {
-    Instant turn = world.now.isBefore(busyUntil) ? busyUntil : world.now;
-    busyUntil = turn.plus(processingTime);
-    int mine = incarnation;
-    world.at(
-        turn,
+  private void runAfterBacklog(List<Runnable> queue, Runnable task) {
+    Instant startAt = cluster.now.isBefore(busyUntil) ? busyUntil : cluster.now;
+    busyUntil = startAt.plus(processingTime);
+    int ownIncarnation = incarnation;
+    cluster.at(
+        startAt,
         () -> {
-          if (mine == incarnation && frozen()) {
+          if (ownIncarnation == incarnation && isFrozen()) {
             queue.add(task);
-          } else if (mine == incarnation) {
+          } else if (ownIncarnation == incarnation) {
             task.run();
           }
         });
@@ -227,27 +227,27 @@
   /** Builds from before level 2 say nothing of themselves unless they are told to. */
   private OperatorSettings operations() {
     return runningLevels.contains(Feature.GANG_JOBS.requiredLevel())
-            || !world.operations.automaticLevel()
-        ? world.operations
+            || !cluster.operations.automaticLevel()
+        ? cluster.operations
         : OperatorSettings.disabled();
   }
 
-  private void sending(Runnable message) {
-    freezesAtNextSend.ifPresent(this::freezeNow);
-    freezesAtNextSend = Optional.empty();
-    if (frozen()) {
-      unsent.add(message);
+  private void sendOrDefer(Runnable message) {
+    freezeAtNextSend.ifPresent(this::freezeNow);
+    freezeAtNextSend = Optional.empty();
+    if (isFrozen()) {
+      deferredSends.add(message);
     } else {
       message.run();
     }
   }
 
   /** As a real process does: all timers that are due run before anything is read. */
-  private void wake() {
-    for (List<Runnable> queue : List.of(unsent, dueTimers, unread)) {
+  private void resume() {
+    for (List<Runnable> queue : List.of(deferredSends, deferredTimers, deferredInput)) {
       List<Runnable> tasks = List.copyOf(queue);
       queue.clear();
-      tasks.forEach(t -> unlessFrozen(queue, t));
+      tasks.forEach(t -> runOrDefer(queue, t));
     }
   }
 
@@ -255,46 +255,46 @@
     lastReceived.clear();
     busyUntil = Instant.MIN;
     frozenUntil = Instant.MIN;
-    freezesAtNextSend = Optional.empty();
-    unsent.clear();
-    dueTimers.clear();
-    unread.clear();
+    freezeAtNextSend = Optional.empty();
+    deferredSends.clear();
+    deferredTimers.clear();
+    deferredInput.clear();
   }
 
   void start() {
     incarnation++;
     clearQueues();
     runningLevels = installedLevels;
-    SimProcess p = new SimProcess();
+    SimProcess process = new SimProcess();
     controller =
         new Controller(
-            p,
-            p,
-            new Controller.RenewalLoop(p, p),
-            p,
-            world.settings(name),
+            process,
+            process,
+            new Controller.RenewalLoop(process, process),
+            process,
+            cluster.settings(name),
             installedLevels,
             new Controller.Options(Tuning.defaults(), operations()),
-            RandomGeneratorFactory.of("L64X128MixRandom").create(world.random.nextLong()),
-            () -> world.now);
+            RandomGeneratorFactory.of("L64X128MixRandom").create(cluster.random.nextLong()),
+            () -> cluster.now);
     controller.start();
-    world.trace(name + " starts");
+    cluster.trace(name + " starts");
   }
 
   void crash() {
     incarnation++;
     clearQueues();
     controller = null;
-    world.trace(name + " crashes");
+    cluster.trace(name + " crashes");
     // Its sockets close; a peer that dials again is refused.
-    for (SimController n : world.controllers.values()) {
-      if (n != this) {
-        world.deliver(
+    for (SimController peer : cluster.controllers.values()) {
+      if (peer != this) {
+        cluster.deliver(
             name,
-            n.name,
+            peer.name,
             () -> {
-              if (n.controller != null && controller == null) {
-                n.controller.peerConnectionRefused(name);
+              if (peer.controller != null && controller == null) {
+                peer.controller.peerConnectionRefused(name);
               }
             });
       }
@@ -304,42 +304,43 @@
   /** Its links were closed, and new ones are refused, while all processes live. */
   void refuseLinks() {
     if (controller != null) {
-      for (SimController n : world.controllers.values()) {
-        if (n != this) {
-          controller.peerConnectionRefused(n.name);
+      for (SimController peer : cluster.controllers.values()) {
+        if (peer != this) {
+          controller.peerConnectionRefused(peer.name);
         }
       }
     }
   }
 
   /** Hands a peer record in, as if it came over the link. */
-  void inject(byte[] frame) {
-    fromPeer(
-        world.controllers.keySet().stream().filter(n -> !n.equals(name)).findFirst().get(), frame);
+  void injectPeerRecord(byte[] frame) {
+    receivePeerRecord(
+        cluster.controllers.keySet().stream().filter(n -> !n.equals(name)).findFirst().get(),
+        frame);
   }
 
-  void serve(
+  void handleRequest(
       String from, String method, String path, JsonNode body, Consumer<HttpClient.Reply> answer) {
-    if (external.isPresent()) {
-      external.get().request(from, method, path, body, answer);
+    if (externalProcess.isPresent()) {
+      externalProcess.get().request(from, method, path, body, answer);
       return;
     }
     if (controller == null) {
       answer.accept(HttpClient.Reply.NO_RESPONSE);
       return;
     }
-    int mine = incarnation;
-    unlessFrozen(
-        unread,
+    int ownIncarnation = incarnation;
+    runOrDefer(
+        deferredInput,
         () ->
             controller.handleRequest(
                 method,
                 path,
                 Body.of(body),
                 r ->
-                    sending(
+                    sendOrDefer(
                         () -> {
-                          if (mine == incarnation) {
+                          if (ownIncarnation == incarnation) {
                             answer.accept(
                                 new HttpClient.Reply(
                                     r.status(), r.body().tree().orElse(MessagePack.MISSING)));
--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -24,7 +24,7 @@
     void exited(String cause, boolean saved);
 
     /** Whether its machine stands still. */
-    boolean hangs();
+    boolean isUnresponsive();
   }
 
   private record Attempt(String job, long number) {}
@@ -32,27 +32,27 @@
   /** What is known of an attempt. */
   private static final class State {
     final Map<Integer, Member> members = new TreeMap<>();
-    final Map<Integer, Instant> stopRequested = new HashMap<>();
+    final Map<Integer, Instant> stopRequestedAt = new HashMap<>();
     boolean running;
-    boolean over;
-    Instant since = Instant.MAX;
-    Instant firstStop = Instant.MAX;
+    boolean ended;
+    Instant runningSince = Instant.MAX;
+    Instant firstStopAt = Instant.MAX;
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<Attempt, State> attempts = new HashMap<>();
 
   /** What each job had saved when it was last stopped or lost a task. */
-  private final Map<String, Duration> progress = new HashMap<>();
+  private final Map<String, Duration> savedProgress = new HashMap<>();
 
   /** Attempts that began to run, that were broken off, and that never became complete. */
-  int attemptsBegun;
+  int attemptsStarted;
 
-  int attemptsBroken;
-  int attemptsNeverComplete;
+  int attemptsAborted;
+  int formingTimeouts;
 
   SimGangRendezvous(SimulatedCluster cluster) {
-    this.world = cluster;
+    this.cluster = cluster;
   }
 
   /** A task has its image and waits for the others. */
@@ -60,63 +60,67 @@
     Attempt attempt = new Attempt(task.job(), number);
     State state = attempts.computeIfAbsent(attempt, a -> new State());
     state.members.put(task.index(), member);
-    JobSpec spec = world.submitted.get(task.job());
-    if (state.running || state.over) {
+    JobSpec spec = cluster.submitted.get(task.job());
+    if (state.running || state.ended) {
       // The others have begun without it, or are gone: it can only wait in vain.
-      world.after(world.gangPeerLoss, () -> exitIfThere(state, task.index(), member, "mates_gone"));
+      cluster.after(
+          cluster.gangPeerLoss, () -> exitIfPresent(state, task.index(), member, "mates_gone"));
     } else if (state.members.size() == spec.tasks()) {
-      begin(attempt, state, spec);
+      startAttempt(attempt, state, spec);
     } else {
-      world.after(world.gangForming, () -> giveUp(state, task.index(), member));
+      cluster.after(cluster.gangForming, () -> exitIfStillForming(state, task.index(), member));
     }
   }
 
-  private void giveUp(State state, int index, Member member) {
+  private void exitIfStillForming(State state, int index, Member member) {
     if (!state.running) {
-      attemptsNeverComplete += state.members.get(index) == member ? 1 : 0;
-      exitIfThere(state, index, member, "alone");
+      formingTimeouts += state.members.get(index) == member ? 1 : 0;
+      exitIfPresent(state, index, member, "alone");
     }
   }
 
-  private static void exitIfThere(State state, int index, Member member, String cause) {
+  private static void exitIfPresent(State state, int index, Member member, String cause) {
     if (state.members.get(index) == member) {
       member.exited(cause, false);
     }
   }
 
-  private void begin(Attempt attempt, State state, JobSpec spec) {
+  private void startAttempt(Attempt attempt, State state, JobSpec spec) {
     attempts.forEach(
-        (other, its) -> {
-          if (its.running && !its.over && other.job.equals(attempt.job) && !other.equals(attempt)) {
-            world.reportViolation("gang_twice", attempt.job + " under two attempts");
+        (other, otherState) -> {
+          if (otherState.running
+              && !otherState.ended
+              && other.job.equals(attempt.job)
+              && !other.equals(attempt)) {
+            cluster.reportViolation("gang_twice", attempt.job + " under two attempts");
           }
         });
-    attemptsBegun++;
+    attemptsStarted++;
     state.running = true;
-    state.since = world.now;
-    world.firstStarts.putIfAbsent(attempt.job, world.now);
+    state.runningSince = cluster.now;
+    cluster.firstStarts.putIfAbsent(attempt.job, cluster.now);
     state.members.values().forEach(Member::started);
-    if (world.users.get(attempt.job).failsEverywhere()) {
+    if (cluster.users.get(attempt.job).failsEverywhere()) {
       Member first = state.members.values().iterator().next();
-      world.after(Duration.ofMillis(300), () -> first.exited("error", false));
+      cluster.after(Duration.ofMillis(300), () -> first.exited("error", false));
       return;
     }
-    Duration whole = world.users.get(attempt.job).run(new TaskId(attempt.job, 0));
-    Duration left = whole.minus(progress.getOrDefault(attempt.job, Duration.ZERO));
-    world.after(left, () -> complete(attempt, state, spec));
+    Duration runTime = cluster.users.get(attempt.job).runTime(new TaskId(attempt.job, 0));
+    Duration timeLeft = runTime.minus(savedProgress.getOrDefault(attempt.job, Duration.ZERO));
+    cluster.after(timeLeft, () -> complete(attempt, state, spec));
   }
 
   private void complete(Attempt attempt, State state, JobSpec spec) {
-    boolean allGoOn =
+    boolean allRunning =
         state.members.size() == spec.tasks()
-            && state.firstStop.equals(Instant.MAX)
-            && state.members.values().stream().noneMatch(Member::hangs);
-    if (state.over || !allGoOn) {
+            && state.firstStopAt.equals(Instant.MAX)
+            && state.members.values().stream().noneMatch(Member::isUnresponsive);
+    if (state.ended || !allRunning) {
       return;
     }
-    state.over = true;
+    state.ended = true;
     for (int i = 0; i < spec.tasks(); i++) {
-      SimAgent.completed(world).add(new TaskId(attempt.job, i));
+      SimAgent.completed(cluster).add(new TaskId(attempt.job, i));
     }
     List.copyOf(state.members.values()).forEach(member -> member.exited("done", false));
   }
@@ -128,76 +132,79 @@
     if (state == null || state.members.remove(task.index()) == null) {
       return;
     }
-    if (state.running && !state.over) {
-      breakOff(attempt, state);
+    if (state.running && !state.ended) {
+      abort(attempt, state);
     }
   }
 
   /** A machine stands still: the others notice if it does for long. */
-  void hung(TaskId task, long number, Member member) {
+  void memberUnresponsive(TaskId task, long number, Member member) {
     Attempt attempt = new Attempt(task.job(), number);
     State state = attempts.get(attempt);
     if (state != null && state.running) {
-      world.after(
-          world.gangPeerLoss,
+      cluster.after(
+          cluster.gangPeerLoss,
           () -> {
-            if (member.hangs() && !state.over && state.members.containsValue(member)) {
-              breakOff(attempt, state);
+            if (member.isUnresponsive() && !state.ended && state.members.containsValue(member)) {
+              abort(attempt, state);
             }
           });
     }
   }
 
   /** A task of a running gang is gone: what was done since the last checkpoint is lost. */
-  private void breakOff(Attempt attempt, State state) {
-    state.over = true;
-    attemptsBroken++;
-    JobSpec spec = world.submitted.get(attempt.job);
-    Duration done = doneBy(attempt, state, world.now);
-    Duration step = spec.checkpointInterval();
-    if (!step.isZero()) {
-      progress.put(attempt.job, step.multipliedBy(done.toMillis() / step.toMillis()));
+  private void abort(Attempt attempt, State state) {
+    state.ended = true;
+    attemptsAborted++;
+    JobSpec spec = cluster.submitted.get(attempt.job);
+    Duration progress = progressAt(attempt, state, cluster.now);
+    Duration checkpointInterval = spec.checkpointInterval();
+    if (!checkpointInterval.isZero()) {
+      savedProgress.put(
+          attempt.job,
+          checkpointInterval.multipliedBy(progress.toMillis() / checkpointInterval.toMillis()));
     }
-    world.after(
-        Duration.ofMillis((long) (world.random.nextDouble() * world.gangPeerLoss.toMillis())),
+    cluster.after(
+        Duration.ofMillis((long) (cluster.random.nextDouble() * cluster.gangPeerLoss.toMillis())),
         () -> List.copyOf(state.members.values()).forEach(m -> m.exited("mates_gone", false)));
   }
 
-  private Duration doneBy(Attempt attempt, State state, Instant when) {
-    Instant end = when.isBefore(state.firstStop) ? when : state.firstStop;
-    return progress
+  private Duration progressAt(Attempt attempt, State state, Instant when) {
+    Instant end = when.isBefore(state.firstStopAt) ? when : state.firstStopAt;
+    return savedProgress
         .getOrDefault(attempt.job, Duration.ZERO)
-        .plus(Duration.between(state.since, end));
+        .plus(Duration.between(state.runningSince, end));
   }
 
   /** A task that runs is told to save; all have to be told in time. */
   void stopRequested(TaskId task, long number) {
     Attempt attempt = new Attempt(task.job(), number);
     State state = attempts.get(attempt);
-    if (state.over || state.stopRequested.putIfAbsent(task.index(), world.now) != null) {
+    if (state.ended || state.stopRequestedAt.putIfAbsent(task.index(), cluster.now) != null) {
       return;
     }
-    JobSpec spec = world.submitted.get(attempt.job);
-    if (state.firstStop.equals(Instant.MAX)) {
-      state.firstStop = world.now;
-      world.after(world.gangPeerLoss.plusMillis(1), () -> timeIsOver(attempt, state, spec));
+    JobSpec spec = cluster.submitted.get(attempt.job);
+    if (state.firstStopAt.equals(Instant.MAX)) {
+      state.firstStopAt = cluster.now;
+      cluster.after(
+          cluster.gangPeerLoss.plusMillis(1), () -> abortUnlessAllStopped(attempt, state, spec));
     }
-    if (state.stopRequested.size() == spec.tasks()) {
-      world.after(spec.checkpointDuration(), () -> saved(attempt, state));
+    if (state.stopRequestedAt.size() == spec.tasks()) {
+      cluster.after(spec.checkpointDuration(), () -> saved(attempt, state));
     }
   }
 
   private void saved(Attempt attempt, State state) {
-    if (!state.over) {
-      state.over = true;
-      progress.put(attempt.job, doneBy(attempt, state, state.firstStop));
+    if (!state.ended) {
+      state.ended = true;
+      savedProgress.put(attempt.job, progressAt(attempt, state, state.firstStopAt));
       List.copyOf(state.members.values()).forEach(member -> member.exited("stopped", true));
     }
   }
 
-  private void timeIsOver(Attempt attempt, State state, JobSpec spec) {
-    if (!state.over && state.stopRequested.size() < spec.tasks()) {
-      breakOff(attempt, state);
+  private void abortUnlessAllStopped(Attempt attempt, State state, JobSpec spec) {
+    if (!state.ended && state.stopRequestedAt.size() < spec.tasks()) {
+      abort(attempt, state);
     }
   }
 }
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -26,15 +26,15 @@
 
   private record Changed(String key, JsonNode value, long revision) {}
 
-  private record Watch(String from, String prefix, long since, Consumer<Reply> answer) {}
+  private record Watch(String client, String prefix, long sinceRevision, Consumer<Reply> answer) {}
 
-  private final SimulatedCluster world;
-  private final TreeMap<String, Pair> pairs = new TreeMap<>();
+  private final SimulatedCluster cluster;
+  private final TreeMap<String, Pair> entries = new TreeMap<>();
   private final List<Changed> history = new ArrayList<>();
   private final Map<Long, Instant> leaseDeadlines = new HashMap<>();
   private final Map<Long, Duration> leaseTtls = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Map<String, JsonNode> damaged = new HashMap<>();
+  private final Map<String, JsonNode> originalValues = new HashMap<>();
   private long storeRevision;
   private long oldestWatchable;
   private long lastLeaseId;
@@ -56,15 +56,15 @@
   Duration lateCommitDelay = Duration.ofSeconds(5);
 
   /** Its limits: how long a value and how large a transaction may be. */
-  int valueBytes = 8192;
+  int maxValueBytes = 8192;
 
-  int txnOps = 24;
+  int maxTransactionOps = 24;
 
   /** Changes a second that it takes; it does not count them before the limits are lowered. */
   Optional<Double> writeRate = Optional.empty();
 
   private double writeTokens;
-  private Instant tokensAt = SimulatedCluster.START;
+  private Instant writeTokensAt = SimulatedCluster.START;
 
   /** The numbers under which machines were ever recorded. */
   private final Set<Integer> recordedMachineNumbers = new HashSet<>();
@@ -73,23 +73,27 @@
   private String fault = "";
 
   SimKeyValueStore(SimulatedCluster cluster) {
-    this.world = cluster;
+    this.cluster = cluster;
   }
 
   /** After an outage every lease has its full time again. */
-  void up() {
+  void recover() {
     down = false;
-    leaseDeadlines.replaceAll((id, end) -> world.now.plus(leaseTtls.get(id)));
+    leaseDeadlines.replaceAll((id, end) -> cluster.now.plus(leaseTtls.get(id)));
   }
 
-  private static Reply ok(JsonNode body) {
+  private static Reply okReply(JsonNode body) {
     return new Reply(200, body);
   }
 
-  void serve(String from, String method, String path, JsonNode body, Consumer<Reply> to) {
+  void handleRequest(
+      String from, String method, String path, JsonNode body, Consumer<Reply> responseHandler) {
     requests++;
-    Duration slow = extraLatency;
-    Consumer<Reply> answer = slow.isZero() ? to : r -> world.after(slow, () -> to.accept(r));
+    Duration latency = extraLatency;
+    Consumer<Reply> answer =
+        latency.isZero()
+            ? responseHandler
+            : r -> cluster.after(latency, () -> responseHandler.accept(r));
     if (path.startsWith("/watch")) {
       watch(from, path, answer);
       return;
@@ -101,17 +105,20 @@
     expire();
     if (path.startsWith("/keys/")) {
       String key = path.substring(6);
-      Pair p = pairs.get(key);
-      if (p == null) {
+      Pair entry = entries.get(key);
+      if (entry == null) {
         answer.accept(new Reply(404, SimulatedCluster.map().put("epoch", storeRevision)));
       } else {
-        ObjectNode n =
-            SimulatedCluster.map().put("key", key).put("stamp", p.revision).put("claim", p.leaseId);
-        n.set("value", p.value);
-        answer.accept(ok(n));
+        ObjectNode response =
+            SimulatedCluster.map()
+                .put("key", key)
+                .put("stamp", entry.revision)
+                .put("claim", entry.leaseId);
+        response.set("value", entry.value);
+        answer.accept(okReply(response));
       }
     } else if (path.startsWith("/keys?")) {
-      list(query(path), answer);
+      list(queryParameters(path), answer);
     } else if (path.equals("/commit")) {
       if (faultIsDue(from, body)) {
         applyFault(from, body);
@@ -119,41 +126,41 @@
       }
       if (lateCommits > 0) {
         lateCommits--;
-        world.after(lateCommitDelay, () -> commit(from, body, r -> {}));
+        cluster.after(lateCommitDelay, () -> commit(from, body, r -> {}));
         return;
       }
       commit(from, body, answer);
     } else if (path.equals("/grants")) {
       Duration ttl = Duration.ofMillis(body.path("ttlMs").asLong());
-      leaseDeadlines.put(++lastLeaseId, world.now.plus(ttl));
+      leaseDeadlines.put(++lastLeaseId, cluster.now.plus(ttl));
       leaseTtls.put(lastLeaseId, ttl);
       long id = lastLeaseId;
-      world.after(ttl, () -> expireLater(id));
-      answer.accept(ok(SimulatedCluster.map().put("claim", id)));
+      cluster.after(ttl, () -> expireWhenDue(id));
+      answer.accept(okReply(SimulatedCluster.map().put("claim", id)));
     } else if (path.startsWith("/grants/")) {
       long id = Long.parseLong(path.split("/")[2]);
       if (!leaseDeadlines.containsKey(id)) {
         answer.accept(new Reply(404, SimulatedCluster.map()));
       } else if (method.equals("DELETE")) {
-        leaseDeadlines.put(id, world.now.minusMillis(1));
+        leaseDeadlines.put(id, cluster.now.minusMillis(1));
         expire();
-        answer.accept(ok(SimulatedCluster.map()));
+        answer.accept(okReply(SimulatedCluster.map()));
       } else {
-        leaseDeadlines.put(id, world.now.plus(leaseTtls.get(id)));
-        answer.accept(ok(SimulatedCluster.map()));
+        leaseDeadlines.put(id, cluster.now.plus(leaseTtls.get(id)));
+        answer.accept(okReply(SimulatedCluster.map()));
       }
     }
   }
 
-  private void expireLater(long id) {
+  private void expireWhenDue(long id) {
     Instant end = leaseDeadlines.get(id);
     if (end == null) {
       return;
     }
-    if (end.isAfter(world.now)) {
-      world.at(end, () -> expireLater(id));
+    if (end.isAfter(cluster.now)) {
+      cluster.at(end, () -> expireWhenDue(id));
     } else if (down) {
-      world.after(Duration.ofMillis(100), () -> expireLater(id));
+      cluster.after(Duration.ofMillis(100), () -> expireWhenDue(id));
     } else {
       expire();
     }
@@ -164,11 +171,12 @@
       return;
     }
     for (long id : List.copyOf(leaseDeadlines.keySet())) {
-      if (leaseDeadlines.get(id).isBefore(world.now) || leaseDeadlines.get(id).equals(world.now)) {
+      if (leaseDeadlines.get(id).isBefore(cluster.now)
+          || leaseDeadlines.get(id).equals(cluster.now)) {
         leaseDeadlines.remove(id);
-        for (String key : List.copyOf(pairs.keySet())) {
-          if (pairs.get(key).leaseId == id) {
-            pairs.remove(key);
+        for (String key : List.copyOf(entries.keySet())) {
+          if (entries.get(key).leaseId == id) {
+            entries.remove(key);
             storeRevision++;
             history.add(new Changed(key, null, storeRevision));
           }
@@ -178,50 +186,50 @@
     notifyWatches();
   }
 
-  private static Map<String, String> query(String path) {
-    Map<String, String> q = new HashMap<>();
+  private static Map<String, String> queryParameters(String path) {
+    Map<String, String> parameters = new HashMap<>();
     for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
       String[] kv = part.split("=", 2);
-      q.put(kv[0], kv[1]);
+      parameters.put(kv[0], kv[1]);
     }
-    return q;
+    return parameters;
   }
 
   private void list(Map<String, String> query, Consumer<Reply> answer) {
-    ObjectNode n = SimulatedCluster.map().put("epoch", storeRevision);
-    var list = n.putArray("pairs");
-    int left = Integer.parseInt(query.get("limit"));
+    ObjectNode response = SimulatedCluster.map().put("epoch", storeRevision);
+    var list = response.putArray("pairs");
+    int remaining = Integer.parseInt(query.get("limit"));
     boolean more = false;
-    for (var e :
-        pairs.tailMap(query.getOrDefault("since", query.get("prefix")), false).entrySet()) {
-      if (!e.getKey().startsWith(query.get("prefix"))) {
+    for (var entry :
+        entries.tailMap(query.getOrDefault("since", query.get("prefix")), false).entrySet()) {
+      if (!entry.getKey().startsWith(query.get("prefix"))) {
         break;
       }
-      if (left-- == 0) {
+      if (remaining-- == 0) {
         more = true;
         break;
       }
       list.addObject()
-          .put("key", e.getKey())
-          .put("stamp", e.getValue().revision)
-          .set("value", e.getValue().value);
+          .put("key", entry.getKey())
+          .put("stamp", entry.getValue().revision)
+          .set("value", entry.getValue().value);
     }
-    answer.accept(ok(n.put("more", more)));
+    answer.accept(okReply(response.put("more", more)));
   }
 
   private void commit(String from, JsonNode body, Consumer<Reply> answer) {
     List<String> failed = new ArrayList<>();
-    for (JsonNode g : body.path("guards")) {
-      Pair p = pairs.get(g.path("key").asText());
-      if ((p == null ? 0 : p.revision) != g.path("stamp").asLong()) {
-        failed.add(g.path("key").asText());
+    for (JsonNode guard : body.path("guards")) {
+      Pair entry = entries.get(guard.path("key").asText());
+      if ((entry == null ? 0 : entry.revision) != guard.path("stamp").asLong()) {
+        failed.add(guard.path("key").asText());
       }
     }
     if (!failed.isEmpty()) {
-      ObjectNode n = SimulatedCluster.map().put("epoch", storeRevision);
-      var list = n.putArray("failed");
+      ObjectNode response = SimulatedCluster.map().put("epoch", storeRevision);
+      var list = response.putArray("failed");
       failed.forEach(list::add);
-      answer.accept(new Reply(409, n));
+      answer.accept(new Reply(409, response));
       return;
     }
     for (JsonNode c : body.path("then")) {
@@ -230,48 +238,48 @@
         return;
       }
     }
-    if (refusesSize(body)) {
+    if (exceedsSizeLimits(body)) {
       answer.accept(new Reply(400, SimulatedCluster.map().put("error", "too large")));
       return;
     }
-    if (overRate(body.path("then").size())) {
+    if (isRateLimited(body.path("then").size())) {
       answer.accept(new Reply(429, SimulatedCluster.map()));
       return;
     }
-    checkLevel(from);
+    checkWriterLevel(from);
     storeRevision++;
     for (JsonNode c : body.path("then")) {
       writes++;
       if (c.hasNonNull("write")) {
         String key = c.path("write").asText();
-        pairs.put(key, new Pair(c.path("value"), storeRevision, c.path("claim").asLong(0)));
+        entries.put(key, new Pair(c.path("value"), storeRevision, c.path("claim").asLong(0)));
         history.add(new Changed(key, c.path("value"), storeRevision));
-      } else if (pairs.remove(c.path("drop").asText()) != null) {
+      } else if (entries.remove(c.path("drop").asText()) != null) {
         history.add(new Changed(c.path("drop").asText(), null, storeRevision));
       }
     }
-    checkForms();
-    checkNumbers(body);
+    checkRecordLevels();
+    checkMachineReferences(body);
     notifyWatches();
-    answer.accept(ok(SimulatedCluster.map().put("epoch", storeRevision)));
+    answer.accept(okReply(SimulatedCluster.map().put("epoch", storeRevision)));
   }
 
-  private boolean refusesSize(JsonNode body) {
+  private boolean exceedsSizeLimits(JsonNode body) {
     boolean tooLong = false;
     for (JsonNode change : body.path("then")) {
-      tooLong |= change.path("value").toString().length() > valueBytes;
+      tooLong |= change.path("value").toString().length() > maxValueBytes;
     }
-    return tooLong || body.path("then").size() > txnOps;
+    return tooLong || body.path("then").size() > maxTransactionOps;
   }
 
   /** Bursts of one second's worth are taken. */
-  private boolean overRate(int changes) {
+  private boolean isRateLimited(int changes) {
     if (writeRate.isEmpty()) {
       return false;
     }
-    double passed = Duration.between(tokensAt, world.now).toMillis() / 1000.0;
-    writeTokens = Math.min(writeRate.get(), writeTokens + passed * writeRate.get());
-    tokensAt = world.now;
+    double secondsPassed = Duration.between(writeTokensAt, cluster.now).toMillis() / 1000.0;
+    writeTokens = Math.min(writeRate.get(), writeTokens + secondsPassed * writeRate.get());
+    writeTokensAt = cluster.now;
     if (writeTokens < changes) {
       return true;
     }
@@ -283,7 +291,7 @@
    * Marks name a machine by its number only once a successor finds the machine of that number: else
    * it would take the task to be nowhere.
    */
-  private void checkNumbers(JsonNode body) {
+  private void checkMachineReferences(JsonNode body) {
     try {
       for (JsonNode change : body.path("then")) {
         if (change.path("write").asText().startsWith(RecordLayout.NUMBERED.machinePrefix())) {
@@ -294,12 +302,13 @@
       for (JsonNode change : body.path("then")) {
         String key = change.path("write").asText();
         if (key.startsWith(RecordLayout.NUMBERED.placementPrefix())) {
-          for (PlacementRecordCodec.PartitionRecord part :
+          for (PlacementRecordCodec.PartitionRecord partition :
               PlacementRecordCodec.decode(change.path("value"))) {
-            for (int host : part.machineReferences()) {
-              if (host > 0 && !recordedMachineNumbers.contains(host)) {
-                world.reportViolation(
-                    "mark_without_machine", key + " names " + host + " for " + part.job());
+            for (int machineNumber : partition.machineReferences()) {
+              if (machineNumber > 0 && !recordedMachineNumbers.contains(machineNumber)) {
+                cluster.reportViolation(
+                    "mark_without_machine",
+                    key + " names " + machineNumber + " for " + partition.job());
               }
             }
           }
@@ -311,24 +320,25 @@
   }
 
   /** No record has a later form than the level in force, nor another one once all are migrated. */
-  private void checkForms() {
+  private void checkRecordLevels() {
     SchemaLevel level = level();
-    boolean byNumberOnly = level.migrated() && level.level() >= 2;
+    boolean numberedOnly = level.migrated() && level.level() >= 2;
     for (RecordLayout layout : RecordLayout.values()) {
-      boolean mayStand = layout == RecordLayout.POSITIONAL ? !byNumberOnly : level.level() >= 2;
-      if (!mayStand
-          && !(under(layout.placementPrefix()).isEmpty()
-              && under(layout.machinePrefix()).isEmpty())) {
-        world.reportViolation("form_of_other_level", layout + " at " + level);
+      boolean allowed = layout == RecordLayout.POSITIONAL ? !numberedOnly : level.level() >= 2;
+      if (!allowed
+          && !(entriesWithPrefix(layout.placementPrefix()).isEmpty()
+              && entriesWithPrefix(layout.machinePrefix()).isEmpty())) {
+        cluster.reportViolation("form_of_other_level", layout + " at " + level);
       }
     }
-    under("c/roster/")
+    entriesWithPrefix("c/roster/")
         .forEach(
             (key, value) -> {
-              int form = MachineRecordCodec.levelOf(value).orElse(level.writtenLevel());
-              if (form > level.level() || (level.migrated() && form < level.level())) {
-                world.reportViolation(
-                    "form_of_other_level", key + " has form " + form + " at " + level);
+              int recordLevel = MachineRecordCodec.levelOf(value).orElse(level.writtenLevel());
+              if (recordLevel > level.level()
+                  || (level.migrated() && recordLevel < level.level())) {
+                cluster.reportViolation(
+                    "form_of_other_level", key + " has form " + recordLevel + " at " + level);
               }
             });
   }
@@ -336,8 +346,8 @@
   /** The stored level. */
   SchemaLevel level() {
     try {
-      return pairs.containsKey("c/level")
-          ? SchemaLevel.parse(pairs.get("c/level").value)
+      return entries.containsKey("c/level")
+          ? SchemaLevel.parse(entries.get("c/level").value)
           : SchemaLevel.UNVERSIONED;
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
@@ -351,102 +361,105 @@
   }
 
   private boolean faultIsDue(String from, JsonNode body) {
-    boolean leaders = false;
+    boolean writtenByLeader = false;
     for (JsonNode change : body.path("then")) {
-      leaders |= change.path("write").asText().equals("c/term");
+      writtenByLeader |= change.path("write").asText().equals("c/term");
     }
-    return leaders
-        && world.controllers.containsKey(from)
+    return writtenByLeader
+        && cluster.controllers.containsKey(from)
         && commitsUntilFault > 0
         && --commitsUntilFault == 0;
   }
 
   /** The transaction is lost, is applied unanswered, or is applied late; its sender ends. */
   private void applyFault(String from, JsonNode body) {
-    world.trace("trouble " + fault + " for " + from);
+    cluster.trace("trouble " + fault + " for " + from);
     switch (fault) {
-      case "crash-before" -> world.controllers.get(from).crash();
+      case "crash-before" -> cluster.controllers.get(from).crash();
       case "crash-after" -> {
         commit(from, body, r -> {});
-        world.controllers.get(from).crash();
+        cluster.controllers.get(from).crash();
       }
       case "crash-late" -> {
-        world.after(lateCommitDelay, () -> commit(from, body, r -> {}));
-        world.controllers.get(from).crash();
+        cluster.after(lateCommitDelay, () -> commit(from, body, r -> {}));
+        cluster.controllers.get(from).crash();
       }
       case "freeze" -> {
-        world.controllers.get(from).freeze(lateCommitDelay, false);
-        world.after(lateCommitDelay, () -> commit(from, body, r -> {}));
+        cluster.controllers.get(from).freeze(lateCommitDelay, false);
+        cluster.after(lateCommitDelay, () -> commit(from, body, r -> {}));
         return;
       }
       default -> throw new IllegalArgumentException(fault);
     }
-    world.after(Duration.ofSeconds(3), world.controllers.get(from)::start);
+    cluster.after(Duration.ofSeconds(3), cluster.controllers.get(from)::start);
   }
 
   /** No controller writes under a level that its build does not support. */
-  private void checkLevel(String from) {
-    SimController node = world.controllers.get(from);
-    int level = pairs.containsKey("c/level") ? pairs.get("c/level").value.path("level").asInt() : 0;
+  private void checkWriterLevel(String from) {
+    SimController node = cluster.controllers.get(from);
+    int level =
+        entries.containsKey("c/level") ? entries.get("c/level").value.path("level").asInt() : 0;
     if (node != null && !node.runningLevels.contains(level)) {
-      world.reportViolation("wrote_unsupported_level", from + " at level " + level);
+      cluster.reportViolation("wrote_unsupported_level", from + " at level " + level);
     }
   }
 
   private void watch(String from, String path, Consumer<Reply> answer) {
-    Map<String, String> q = query(path);
-    Watch w = new Watch(from, q.get("prefix"), Long.parseLong(q.get("since")), answer);
-    long block = Long.parseLong(q.get("blockMs"));
+    Map<String, String> parameters = queryParameters(path);
+    Watch watch =
+        new Watch(from, parameters.get("prefix"), Long.parseLong(parameters.get("since")), answer);
+    long blockMs = Long.parseLong(parameters.get("blockMs"));
     if (down || refusedClients.contains(from)) {
       answer.accept(new Reply(503, SimulatedCluster.map()));
       return;
     }
-    if (w.since < oldestWatchable) {
+    if (watch.sinceRevision < oldestWatchable) {
       answer.accept(new Reply(410, SimulatedCluster.map()));
       return;
     }
-    if (block == 0 || !events(w).isEmpty()) {
-      answerWatch(w);
+    if (blockMs == 0 || !events(watch).isEmpty()) {
+      answerWatch(watch);
       return;
     }
-    watches.add(w);
-    world.after(
-        Duration.ofMillis(block),
+    watches.add(watch);
+    cluster.after(
+        Duration.ofMillis(blockMs),
         () -> {
-          if (!down && !refusedClients.contains(from) && watches.remove(w)) {
-            answerWatch(w);
+          if (!down && !refusedClients.contains(from) && watches.remove(watch)) {
+            answerWatch(watch);
           }
         });
   }
 
   private List<Changed> events(Watch watch) {
     return history.stream()
-        .filter(c -> c.revision > watch.since && c.key.startsWith(watch.prefix))
+        .filter(
+            change -> change.revision > watch.sinceRevision && change.key.startsWith(watch.prefix))
         .toList();
   }
 
   private void answerWatch(Watch watch) {
-    ObjectNode n = SimulatedCluster.map().put("epoch", storeRevision);
-    var list = n.putArray("events");
-    for (Changed c : events(watch)) {
-      ObjectNode e = list.addObject().put(c.value == null ? "drop" : "write", c.key);
-      e.put("stamp", c.revision);
-      if (c.value != null) {
-        e.set("value", c.value);
+    ObjectNode response = SimulatedCluster.map().put("epoch", storeRevision);
+    var list = response.putArray("events");
+    for (Changed change : events(watch)) {
+      ObjectNode event = list.addObject().put(change.value == null ? "drop" : "write", change.key);
+      event.put("stamp", change.revision);
+      if (change.value != null) {
+        event.set("value", change.value);
       }
     }
-    watch.answer.accept(ok(n));
+    watch.answer.accept(okReply(response));
   }
 
   private void notifyWatches() {
     if (down) {
       return;
     }
-    for (Watch w : List.copyOf(watches)) {
+    for (Watch watch : List.copyOf(watches)) {
       // Whoever is refused alone has its open watches wait as during an outage.
-      if (!refusedClients.contains(w.from) && !events(w).isEmpty()) {
-        watches.remove(w);
-        answerWatch(w);
+      if (!refusedClients.contains(watch.client) && !events(watch).isEmpty()) {
+        watches.remove(watch);
+        answerWatch(watch);
       }
     }
   }
@@ -456,41 +469,41 @@
   }
 
   long revisionOf(String key) {
-    return pairs.containsKey(key) ? pairs.get(key).revision : 0;
+    return entries.containsKey(key) ? entries.get(key).revision : 0;
   }
 
   /** Writes a key as an operator's command would. */
-  void set(String key, JsonNode value) {
+  void put(String key, JsonNode value) {
     ObjectNode body = SimulatedCluster.map();
     body.putArray("then").addObject().put("write", key).set("value", value);
     commit("operator", body, r -> {});
   }
 
   /** Spoils a value, which {@link #repair} brings back. */
-  void damage(String key) {
-    damaged.put(key, pairs.get(key).value);
-    set(key, SimulatedCluster.map().put("m", "?").put("x/0", "?"));
+  void corrupt(String key) {
+    originalValues.put(key, entries.get(key).value);
+    put(key, SimulatedCluster.map().put("m", "?").put("x/0", "?"));
   }
 
   void repair(String key) {
-    set(key, damaged.remove(key));
+    put(key, originalValues.remove(key));
   }
 
   /** The service retains no changes from before now. */
-  void forgetHistory() {
+  void discardHistory() {
     oldestWatchable = storeRevision;
     history.clear();
   }
 
   /** Whether a key is there and its value, as text, holds the given one. */
-  boolean holds(String key, String text) {
-    return pairs.containsKey(key) && show(key).contains(text);
+  boolean valueContains(String key, String text) {
+    return entries.containsKey(key) && valueAsText(key).contains(text);
   }
 
   /** All keys with a prefix. */
-  Map<String, JsonNode> under(String prefix) {
+  Map<String, JsonNode> entriesWithPrefix(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
-    pairs.forEach(
+    entries.forEach(
         (key, pair) -> {
           if (key.startsWith(prefix)) {
             found.put(key, pair.value);
@@ -499,11 +512,11 @@
     return found;
   }
 
-  String show(String key) {
-    return pairs.containsKey(key) ? pairs.get(key).value.toString() : "nothing";
+  String valueAsText(String key) {
+    return entries.containsKey(key) ? entries.get(key).value.toString() : "nothing";
   }
 
   Optional<String> leader() {
-    return Optional.ofNullable(pairs.get("c/lead")).map(p -> p.value.path("node").asText());
+    return Optional.ofNullable(entries.get("c/lead")).map(p -> p.value.path("node").asText());
   }
 }
