--- a/src/test/java/io/pearscale/sim/GangInvariantChecker.java
+++ b/src/test/java/io/pearscale/sim/GangInvariantChecker.java
@@ -20,10 +20,10 @@
   /** What a worker may take beyond the times of the protocol to notice and to exit. */
   static final Duration REACTION_ALLOWANCE = Duration.ofSeconds(2);
 
-  private record TaskRun(
+  private record TaskPresence(
       long attempt, String machine, String zone, Instant since, boolean running) {
-    TaskRun withSince(Instant now) {
-      return new TaskRun(attempt, machine, zone, now, running);
+    TaskPresence withSince(Instant now) {
+      return new TaskPresence(attempt, machine, zone, now, running);
     }
   }
 
@@ -31,7 +31,7 @@
   private final Duration peerLossTimeout;
   private final Duration cancelTimeout;
   private final BiConsumer<String, String> violationHandler;
-  private final Map<TaskId, TaskRun> presentTasks = new LinkedHashMap<>();
+  private final Map<TaskId, TaskPresence> presentTasks = new LinkedHashMap<>();
   private final Map<String, JobSpec> jobs = new HashMap<>();
   private final Map<String, Instant> incompleteSince = new HashMap<>();
   private final Map<String, Instant> cancelledAt = new HashMap<>();
@@ -67,8 +67,8 @@
     check(now);
     String job = spec.id();
     jobs.put(job, spec);
-    TaskRun previous =
-        presentTasks.put(task, new TaskRun(attempt, machine, zone, now, /* running= */ false));
+    TaskPresence previous =
+        presentTasks.put(task, new TaskPresence(attempt, machine, zone, now, /* running= */ false));
     if (previous != null) {
       reportViolation("gang_task_twice", job, task + " on " + previous.machine + " and " + machine);
     }
@@ -87,9 +87,9 @@
   /** A task makes progress from now on. */
   void taskRunning(TaskId task, Instant now) {
     check(now);
-    TaskRun run = presentTasks.get(task);
+    TaskPresence run = presentTasks.get(task);
     presentTasks.put(
-        task, new TaskRun(run.attempt, run.machine, run.zone, run.since, /* running= */ true));
+        task, new TaskPresence(run.attempt, run.machine, run.zone, run.since, /* running= */ true));
     presentTasks.forEach(
         (other, otherRun) -> {
           boolean otherAttempt = otherRun.running && otherRun.attempt != run.attempt;
@@ -147,8 +147,8 @@
     }
   }
 
-  private boolean isRunning(Map.Entry<TaskId, TaskRun> entry, String job) {
-    TaskRun run = entry.getValue();
+  private boolean isRunning(Map.Entry<TaskId, TaskPresence> entry, String job) {
+    TaskPresence run = entry.getValue();
     return run.running
         && !unresponsiveMachines.contains(run.machine)
         && entry.getKey().job().equals(job);
--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -20,9 +20,9 @@
 final class SimAgent {
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
 
-  private record Key(TaskId task, long attempt) {}
+  private record TaskAttempt(TaskId task, long attempt) {}
 
-  private static final class Task {
+  private static final class TaskState {
     String stage = "fetching";
     String cause = "";
     boolean saved;
@@ -35,7 +35,7 @@
   final MachineType type;
   final String zone;
   final boolean spot;
-  private final Map<Key, Task> tasks = new LinkedHashMap<>();
+  private final Map<TaskAttempt, TaskState> tasks = new LinkedHashMap<>();
   private final Set<String> cachedImages = new HashSet<>();
   private static final Map<SimulatedCluster, Set<TaskId>> COMPLETED = new java.util.WeakHashMap<>();
   private long incarnation = 1;
@@ -131,16 +131,16 @@
         });
   }
 
-  private boolean isGang(Key key) {
+  private boolean isGang(TaskAttempt key) {
     return cluster.submitted.get(key.task.job()).isGang();
   }
 
   /** A task of a gang, as the others see it. Two of them are the same if their task is. */
   private final class GangMember implements SimGangRendezvous.Member {
-    private final Key key;
-    private final Task task;
+    private final TaskAttempt key;
+    private final TaskState task;
 
-    GangMember(Key key, Task task) {
+    GangMember(TaskAttempt key, TaskState task) {
       this.key = key;
       this.task = task;
     }
@@ -386,8 +386,8 @@
 
   private void execute(JsonNode command) {
     TaskId task = SimUser.parseTask(command.path("piece").asText());
-    Key key = new Key(task, command.path("try").asLong());
-    Task state = tasks.get(key);
+    TaskAttempt key = new TaskAttempt(task, command.path("try").asLong());
+    TaskState state = tasks.get(key);
     switch (command.path("verb").asText()) {
       case "run" -> {
         if (state == null) {
@@ -411,7 +411,7 @@
   /**
    * A running task with checkpoints saves if it is given the time; a second kill may cut it off.
    */
-  private void stopTask(Key key, Task state, double gracePeriodSeconds) {
+  private void stopTask(TaskAttempt key, TaskState state, double gracePeriodSeconds) {
     JobSpec spec = cluster.submitted.get(key.task.job());
     if (state.started && state.stage.equals("running")) {
       cluster.disruptions.taskStopped(key.task);
@@ -444,12 +444,12 @@
     }
   }
 
-  private void startTask(Key key) {
-    Task state = new Task();
+  private void startTask(TaskAttempt key) {
+    TaskState state = new TaskState();
     tasks.put(key, state);
     JobSpec spec = cluster.submitted.get(key.task.job());
     double used = 0;
-    for (Map.Entry<Key, Task> entry : tasks.entrySet()) {
+    for (Map.Entry<TaskAttempt, TaskState> entry : tasks.entrySet()) {
       if (!entry.getKey().equals(key) && !entry.getValue().stage.equals("ended")) {
         if (entry.getKey().task.equals(key.task)) {
           end(key, state, "busy");
@@ -510,7 +510,7 @@
                 }));
   }
 
-  private void endIfRunning(Key key, Task state, String cause) {
+  private void endIfRunning(TaskAttempt key, TaskState state, String cause) {
     if (tasks.get(key) == state && state.stage.equals("running")) {
       if (cause.equals("done")) {
         completed(cluster).add(key.task);
@@ -520,13 +520,13 @@
     }
   }
 
-  private void endIfPresent(Key key, Task state, String cause) {
+  private void endIfPresent(TaskAttempt key, TaskState state, String cause) {
     if (tasks.get(key) == state && !state.stage.equals("ended")) {
       end(key, state, cause);
     }
   }
 
-  private void cancelIfAllCompleted(Key key) {
+  private void cancelIfAllCompleted(TaskAttempt key) {
     String job = key.task.job();
     if (cluster.cancelledAtEnd.contains(job) && allCompleted(cluster, cluster.submitted.get(job))) {
       cluster.cancelledAtEnd.remove(job);
@@ -534,7 +534,7 @@
     }
   }
 
-  private void end(Key key, Task state, String cause) {
+  private void end(TaskAttempt key, TaskState state, String cause) {
     if (state.started) {
       cluster.taskGone(this, key.task, key.attempt);
       cluster.gangs.leave(key.task, key.attempt);
--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -30,7 +30,7 @@
   private record Attempt(String job, long number) {}
 
   /** What is known of an attempt. */
-  private static final class State {
+  private static final class AttemptState {
     final Map<Integer, Member> members = new TreeMap<>();
     final Map<Integer, Instant> stopRequestedAt = new HashMap<>();
     boolean running;
@@ -40,7 +40,7 @@
   }
 
   private final SimulatedCluster cluster;
-  private final Map<Attempt, State> attempts = new HashMap<>();
+  private final Map<Attempt, AttemptState> attempts = new HashMap<>();
 
   /** What each job had saved when it was last stopped or lost a task. */
   private final Map<String, Duration> savedProgress = new HashMap<>();
@@ -58,7 +58,7 @@
   /** A task has its image and waits for the others. */
   void join(TaskId task, long number, Member member) {
     Attempt attempt = new Attempt(task.job(), number);
-    State state = attempts.computeIfAbsent(attempt, a -> new State());
+    AttemptState state = attempts.computeIfAbsent(attempt, a -> new AttemptState());
     state.members.put(task.index(), member);
     JobSpec spec = cluster.submitted.get(task.job());
     if (state.running || state.ended) {
@@ -72,20 +72,20 @@
     }
   }
 
-  private void exitIfStillForming(State state, int index, Member member) {
+  private void exitIfStillForming(AttemptState state, int index, Member member) {
     if (!state.running) {
       formingTimeouts += state.members.get(index) == member ? 1 : 0;
       exitIfPresent(state, index, member, "alone");
     }
   }
 
-  private static void exitIfPresent(State state, int index, Member member, String cause) {
+  private static void exitIfPresent(AttemptState state, int index, Member member, String cause) {
     if (state.members.get(index) == member) {
       member.exited(cause, false);
     }
   }
 
-  private void startAttempt(Attempt attempt, State state, JobSpec spec) {
+  private void startAttempt(Attempt attempt, AttemptState state, JobSpec spec) {
     attempts.forEach(
         (other, otherState) -> {
           if (otherState.running
@@ -110,7 +110,7 @@
     cluster.after(timeLeft, () -> complete(attempt, state, spec));
   }
 
-  private void complete(Attempt attempt, State state, JobSpec spec) {
+  private void complete(Attempt attempt, AttemptState state, JobSpec spec) {
     boolean allRunning =
         state.members.size() == spec.tasks()
             && state.firstStopAt.equals(Instant.MAX)
@@ -128,7 +128,7 @@
   /** A task is gone from its machine, for whatever reason. */
   void leave(TaskId task, long number) {
     Attempt attempt = new Attempt(task.job(), number);
-    State state = attempts.get(attempt);
+    AttemptState state = attempts.get(attempt);
     if (state == null || state.members.remove(task.index()) == null) {
       return;
     }
@@ -140,7 +140,7 @@
   /** A machine stands still: the others notice if it does for long. */
   void memberUnresponsive(TaskId task, long number, Member member) {
     Attempt attempt = new Attempt(task.job(), number);
-    State state = attempts.get(attempt);
+    AttemptState state = attempts.get(attempt);
     if (state != null && state.running) {
       cluster.after(
           cluster.gangPeerLoss,
@@ -153,7 +153,7 @@
   }
 
   /** A task of a running gang is gone: what was done since the last checkpoint is lost. */
-  private void abort(Attempt attempt, State state) {
+  private void abort(Attempt attempt, AttemptState state) {
     state.ended = true;
     attemptsAborted++;
     JobSpec spec = cluster.submitted.get(attempt.job);
@@ -169,7 +169,7 @@
         () -> List.copyOf(state.members.values()).forEach(m -> m.exited("mates_gone", false)));
   }
 
-  private Duration progressAt(Attempt attempt, State state, Instant when) {
+  private Duration progressAt(Attempt attempt, AttemptState state, Instant when) {
     Instant end = when.isBefore(state.firstStopAt) ? when : state.firstStopAt;
     return savedProgress
         .getOrDefault(attempt.job, Duration.ZERO)
@@ -179,7 +179,7 @@
   /** A task that runs is told to save; all have to be told in time. */
   void stopRequested(TaskId task, long number) {
     Attempt attempt = new Attempt(task.job(), number);
-    State state = attempts.get(attempt);
+    AttemptState state = attempts.get(attempt);
     if (state.ended || state.stopRequestedAt.putIfAbsent(task.index(), cluster.now) != null) {
       return;
     }
@@ -194,7 +194,7 @@
     }
   }
 
-  private void saved(Attempt attempt, State state) {
+  private void saved(Attempt attempt, AttemptState state) {
     if (!state.ended) {
       state.ended = true;
       savedProgress.put(attempt.job, progressAt(attempt, state, state.firstStopAt));
@@ -202,7 +202,7 @@
     }
   }
 
-  private void abortUnlessAllStopped(Attempt attempt, State state, JobSpec spec) {
+  private void abortUnlessAllStopped(Attempt attempt, AttemptState state, JobSpec spec) {
     if (!state.ended && state.stopRequestedAt.size() < spec.tasks()) {
       abort(attempt, state);
     }
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -22,15 +22,15 @@
 
 /** A stand-in for the state service, by its protocol. */
 final class SimKeyValueStore {
-  private record Pair(JsonNode value, long revision, long leaseId) {}
+  private record Entry(JsonNode value, long revision, long leaseId) {}
 
-  private record Changed(String key, JsonNode value, long revision) {}
+  private record Change(String key, JsonNode value, long revision) {}
 
   private record Watch(String client, String prefix, long sinceRevision, Consumer<Reply> answer) {}
 
   private final SimulatedCluster cluster;
-  private final TreeMap<String, Pair> entries = new TreeMap<>();
-  private final List<Changed> history = new ArrayList<>();
+  private final TreeMap<String, Entry> entries = new TreeMap<>();
+  private final List<Change> history = new ArrayList<>();
   private final Map<Long, Instant> leaseDeadlines = new HashMap<>();
   private final Map<Long, Duration> leaseTtls = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
@@ -105,7 +105,7 @@
     expire();
     if (path.startsWith("/keys/")) {
       String key = path.substring(6);
-      Pair entry = entries.get(key);
+      Entry entry = entries.get(key);
       if (entry == null) {
         answer.accept(new Reply(404, SimulatedCluster.map().put("epoch", storeRevision)));
       } else {
@@ -178,7 +178,7 @@
           if (entries.get(key).leaseId == id) {
             entries.remove(key);
             storeRevision++;
-            history.add(new Changed(key, null, storeRevision));
+            history.add(new Change(key, null, storeRevision));
           }
         }
       }
@@ -220,7 +220,7 @@
   private void commit(String from, JsonNode body, Consumer<Reply> answer) {
     List<String> failed = new ArrayList<>();
     for (JsonNode guard : body.path("guards")) {
-      Pair entry = entries.get(guard.path("key").asText());
+      Entry entry = entries.get(guard.path("key").asText());
       if ((entry == null ? 0 : entry.revision) != guard.path("stamp").asLong()) {
         failed.add(guard.path("key").asText());
       }
@@ -252,10 +252,10 @@
       writes++;
       if (c.hasNonNull("write")) {
         String key = c.path("write").asText();
-        entries.put(key, new Pair(c.path("value"), storeRevision, c.path("claim").asLong(0)));
-        history.add(new Changed(key, c.path("value"), storeRevision));
+        entries.put(key, new Entry(c.path("value"), storeRevision, c.path("claim").asLong(0)));
+        history.add(new Change(key, c.path("value"), storeRevision));
       } else if (entries.remove(c.path("drop").asText()) != null) {
-        history.add(new Changed(c.path("drop").asText(), null, storeRevision));
+        history.add(new Change(c.path("drop").asText(), null, storeRevision));
       }
     }
     checkRecordLevels();
@@ -431,7 +431,7 @@
         });
   }
 
-  private List<Changed> events(Watch watch) {
+  private List<Change> events(Watch watch) {
     return history.stream()
         .filter(
             change -> change.revision > watch.sinceRevision && change.key.startsWith(watch.prefix))
@@ -441,7 +441,7 @@
   private void answerWatch(Watch watch) {
     ObjectNode response = SimulatedCluster.map().put("epoch", storeRevision);
     var list = response.putArray("events");
-    for (Changed change : events(watch)) {
+    for (Change change : events(watch)) {
       ObjectNode event = list.addObject().put(change.value == null ? "drop" : "write", change.key);
       event.put("stamp", change.revision);
       if (change.value != null) {
