--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -16,7 +16,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** A stand-in for a worker, by its protocol: reports, orders, tokens, sessions, leases. */
+/**
+ * A simulated agent. It implements the agent's side of the protocol: heartbeats, commands, fencing
+ * tokens, incarnations and leases.
+ */
 final class SimAgent {
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
 
@@ -51,7 +54,7 @@
   private long heartbeatTimer;
   boolean faulty;
 
-  /** A fault of its own, to see that the world's checker finds what goes on after a cancel. */
+  /** Injected fault for a test of the checker: the agent does not execute stop commands. */
   boolean ignoresStops;
 
   Duration preemptionNotice;
@@ -81,7 +84,7 @@
     return COMPLETED.computeIfAbsent(cluster, w -> new HashSet<>());
   }
 
-  /** Whether all tasks of a job have completed, told or not. */
+  /** Returns whether all tasks of a job have completed, reported to a controller or not. */
   static boolean allCompleted(SimulatedCluster cluster, JobSpec spec) {
     Set<TaskId> done = completed(cluster);
     for (int i = 0; i < spec.tasks(); i++) {
@@ -92,7 +95,7 @@
     return true;
   }
 
-  /** How many tasks of the job could run here now. */
+  /** Returns how many more tasks of the job the machine has capacity for. */
   int availableSlots(JobSpec spec) {
     if (dead || hung || faulty || preemptionTime != null || !spec.allows(type, zone, spot)) {
       return 0;
@@ -104,13 +107,13 @@
     return (int) ((type.cpus() - used + 1e-6) / spec.cpus());
   }
 
-  /** Power off. */
+  /** Ends the agent and all its tasks at once. */
   void powerOff() {
     dead = true;
     clearTasks();
   }
 
-  /** Back within a moment, with nothing of what it ran and nothing of what it was told. */
+  /** Starts a new incarnation without tasks and without the fencing token. */
   void reboot() {
     clearTasks();
     incarnation++;
@@ -135,7 +138,7 @@
     return cluster.submitted.get(key.task.job()).isGang();
   }
 
-  /** A task of a gang, as the others see it. Two of them are the same if their task is. */
+  /** A task of a gang on this agent. Members are equal if they are for the same task state. */
   private final class GangMember implements SimGangRendezvous.Member {
     private final TaskAttempt key;
     private final TaskState task;
@@ -184,7 +187,7 @@
     }
   }
 
-  /** Hangs, but goes on when its lease is over, if it did not before. */
+  /** Hangs until it is resumed, or until its lease has expired at the latest. */
   void hangUntilLeaseExpires() {
     hang();
     cluster.at(
@@ -236,7 +239,7 @@
         () -> {
           if (cluster.now.isAfter(leaseStart.plus(cluster.lease))) {
             if (!tasks.isEmpty()) {
-              cluster.trace(name + " lease over, " + tasks.size() + " tasks killed");
+              cluster.trace(name + " lease expired, " + tasks.size() + " tasks killed");
             }
             clearTasks();
             incarnation++;
@@ -409,7 +412,8 @@
   }
 
   /**
-   * A running task with checkpoints saves if it is given the time; a second kill may cut it off.
+   * Stops a task. A running task with checkpoints saves its progress first if the grace period is
+   * long enough; a second stop command without a grace period interrupts that.
    */
   private void stopTask(TaskAttempt key, TaskState state, double gracePeriodSeconds) {
     JobSpec spec = cluster.submitted.get(key.task.job());
--- a/src/test/java/io/pearscale/sim/SimCloud.java
+++ b/src/test/java/io/pearscale/sim/SimCloud.java
@@ -15,20 +15,23 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** A stand-in for the cloud, by its protocol: names, boot times, a list that lags. */
+/**
+ * A simulated cloud provider with a rate limit, limited capacity, boot times and a machine list
+ * that lags behind.
+ */
 final class SimCloud {
   private record Machine(String name, String type, String zone, boolean spot, Instant createdAt) {}
 
   private static final int PAGE_SIZE = 500;
 
-  /** Calls a second, of which two seconds' worth may come at once. */
+  /** The rate limit; bursts may have the calls of two seconds. */
   static final double CALLS_PER_SECOND = 4;
 
   private final SimulatedCluster cluster;
   private double rateTokens = 2 * CALLS_PER_SECOND;
   private Instant rateTokensAt = SimulatedCluster.START;
 
-  /** Calls that were over the rate. */
+  /** How many calls the rate limit rejected. */
   int rateLimitedCalls;
 
   final Map<String, MachineType> types = new TreeMap<>();
@@ -115,7 +118,7 @@
     answer.accept(namesReply(names));
   }
 
-  /** A machine comes into being; its worker starts when it has booted. */
+  /** Creates a machine, whose agent starts after the boot time, and returns its name. */
   String provision(String type, String zone, boolean spot, Duration bootTime) {
     String name = "m-%06d".formatted(nextMachineNumber++);
     machines.put(name, new Machine(name, type, zone, spot, cluster.now));
@@ -144,7 +147,7 @@
     return new Reply(200, body);
   }
 
-  /** The machine and everything on it is gone. */
+  /** Deletes a machine with everything that runs on it. */
   void terminate(String name) {
     Machine machine = machines.remove(name);
     if (machine == null) {
@@ -155,7 +158,7 @@
     if (agent != null) {
       agent.powerOff();
     }
-    cluster.trace(name + " gone");
+    cluster.trace(name + " terminated");
   }
 
   private void list(String path, Consumer<Reply> answer) {
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -24,7 +24,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGeneratorFactory;
 
-/** A controller's process in the simulated world: it can be killed and started again. */
+/** A simulated controller process that can crash, freeze and restart. */
 final class SimController {
   private final SimulatedCluster cluster;
   final String name;
@@ -33,25 +33,25 @@
   private Optional<ExternalProcess> externalProcess = Optional.empty();
   private final Map<String, Instant> lastReceived = new HashMap<>();
 
-  // Standing still: what was about to be sent, timers that came due, what came in.
+  // While frozen: messages to send, timers that are due and received messages.
   private Instant frozenUntil = Instant.MIN;
   private Optional<Duration> freezeAtNextSend = Optional.empty();
   private final List<Runnable> deferredSends = new ArrayList<>();
   private final List<Runnable> deferredTimers = new ArrayList<>();
   private final List<Runnable> deferredInput = new ArrayList<>();
 
-  /** What each message, answer and timer takes of the process's time, and until when it is busy. */
+  /** The CPU time that each message, response and timer takes. */
   Duration processingTime = Duration.ZERO;
 
   private Instant busyUntil = Instant.MIN;
 
-  /** The levels of stored forms that the build on this host supports, from its next start on. */
+  /** The schema levels that the installed build supports; it runs from the next start on. */
   SupportedLevels installedLevels = SupportedLevels.OF_THIS_BUILD;
 
-  /** Those of the build that runs. */
+  /** The schema levels that the running build supports. */
   SupportedLevels runningLevels = installedLevels;
 
-  /** How fast the steady clock runs. */
+  /** The rate of the monotonic clock relative to simulated time. */
   double clockRate = 1.0;
 
   SimController(SimulatedCluster cluster, String name) {
@@ -63,18 +63,18 @@
     return controller != null || externalProcess.isPresent();
   }
 
-  /** Lets a process outside of the simulated world answer in place of a controller in it. */
+  /** Forwards all requests to a process outside the simulation instead of a simulated one. */
   void delegateTo(ExternalProcess process) {
     externalProcess = Optional.of(process);
   }
 
-  /** A controller's process outside of the simulated world. */
+  /** A controller process outside the simulation. */
   interface ExternalProcess {
     void request(
         String from, String method, String path, JsonNode body, Consumer<HttpClient.Reply> answer);
   }
 
-  /** The seam that real sockets fill in production. */
+  /** Implements the interfaces that production implements with real sockets and timers. */
   private final class SimProcess implements EventLoop, HttpClient, PeerTransport {
     final int ownIncarnation = incarnation;
 
@@ -167,9 +167,10 @@
   }
 
   /**
-   * The process stands still for so long while its clocks run on.
+   * Makes the process unresponsive for a time, during which its clocks keep running.
    *
-   * @param midway it stops between deciding and sending: the next message waits, all else with it
+   * @param midway whether to freeze at the next message to send, between decision and sending, and
+   *     not at once
    */
   void freeze(Duration duration, boolean midway) {
     if (controller != null) {
@@ -183,12 +184,12 @@
   private void freezeNow(Duration duration) {
     int ownIncarnation = incarnation;
     frozenUntil = cluster.now.plus(duration);
-    cluster.trace(name + " stands still");
+    cluster.trace(name + " becomes unresponsive");
     cluster.at(
         frozenUntil,
         () -> {
           if (ownIncarnation == incarnation) {
-            cluster.trace(name + " goes on");
+            cluster.trace(name + " resumes");
             resume();
           }
         });
@@ -208,7 +209,7 @@
     }
   }
 
-  /** On a slow processor whatever comes in waits for what came before. */
+  /** Queues the task behind earlier input, which a slow processor is still processing. */
   private void runAfterBacklog(List<Runnable> queue, Runnable task) {
     Instant startAt = cluster.now.isBefore(busyUntil) ? busyUntil : cluster.now;
     busyUntil = startAt.plus(processingTime);
@@ -224,7 +225,7 @@
         });
   }
 
-  /** Builds from before level 2 say nothing of themselves unless they are told to. */
+  /** Builds without level 2 announce themselves only if their operator settings say so. */
   private OperatorSettings operations() {
     return runningLevels.contains(Feature.GANG_JOBS.requiredLevel())
             || !cluster.operations.automaticLevel()
@@ -242,7 +243,7 @@
     }
   }
 
-  /** As a real process does: all timers that are due run before anything is read. */
+  /** Resumes in the order of a real process: all timers that are due run before input is read. */
   private void resume() {
     for (List<Runnable> queue : List.of(deferredSends, deferredTimers, deferredInput)) {
       List<Runnable> tasks = List.copyOf(queue);
@@ -286,7 +287,7 @@
     clearQueues();
     controller = null;
     cluster.trace(name + " crashes");
-    // Its sockets close; a peer that dials again is refused.
+    // The sockets close and the peers' attempts to reconnect are refused.
     for (SimController peer : cluster.controllers.values()) {
       if (peer != this) {
         cluster.deliver(
@@ -301,7 +302,7 @@
     }
   }
 
-  /** Its links were closed, and new ones are refused, while all processes live. */
+  /** Simulates closed and refused connections to all peers while all processes run. */
   void refuseLinks() {
     if (controller != null) {
       for (SimController peer : cluster.controllers.values()) {
@@ -312,7 +313,7 @@
     }
   }
 
-  /** Hands a peer record in, as if it came over the link. */
+  /** Delivers a peer record as if another controller had sent it. */
   void injectPeerRecord(byte[] frame) {
     receivePeerRecord(
         cluster.controllers.keySet().stream().filter(n -> !n.equals(name)).findFirst().get(),
--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -10,26 +10,26 @@
 import java.util.TreeMap;
 
 /**
- * How the tasks of a gang find each other across workers, by the workers' protocol: they wait for
- * all of their attempt, run together, notice the loss of one, save together and complete together.
- * It checks on the way that no job runs under two attempts at once.
+ * Simulates how the tasks of a gang coordinate across agents: the members of an attempt wait until
+ * all are present, start together, detect the loss of a member, save together and complete
+ * together. It also checks that no job runs under two attempts at once.
  */
 final class SimGangRendezvous {
   /** One task of an attempt, on its worker. */
   interface Member {
-    /** It runs from now on. */
+    /** Starts the task once all members are present. */
     void started();
 
-    /** It exits with that cause, unless its machine hangs or is gone. */
+    /** Ends the task with a cause: later if its machine is unresponsive, not if it is off. */
     void exited(String cause, boolean saved);
 
-    /** Whether its machine stands still. */
+    /** Returns whether the task's machine is unresponsive. */
     boolean isUnresponsive();
   }
 
   private record Attempt(String job, long number) {}
 
-  /** What is known of an attempt. */
+  /** The members and the progress of an attempt. */
   private static final class AttemptState {
     final Map<Integer, Member> members = new TreeMap<>();
     final Map<Integer, Instant> stopRequestedAt = new HashMap<>();
@@ -42,27 +42,30 @@
   private final SimulatedCluster cluster;
   private final Map<Attempt, AttemptState> attempts = new HashMap<>();
 
-  /** What each job had saved when it was last stopped or lost a task. */
+  /** The progress that each job had saved when it was last stopped or lost a task. */
   private final Map<String, Duration> savedProgress = new HashMap<>();
 
-  /** Attempts that began to run, that were broken off, and that never became complete. */
+  /** How many attempts started to run. */
   int attemptsStarted;
 
+  /** How many running attempts were aborted by the loss of a member. */
   int attemptsAborted;
+
+  /** How many members gave up because their attempt was not complete in time. */
   int formingTimeouts;
 
   SimGangRendezvous(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** A task has its image and waits for the others. */
+  /** Adds a member that has fetched its image and waits for the others. */
   void join(TaskId task, long number, Member member) {
     Attempt attempt = new Attempt(task.job(), number);
     AttemptState state = attempts.computeIfAbsent(attempt, a -> new AttemptState());
     state.members.put(task.index(), member);
     JobSpec spec = cluster.submitted.get(task.job());
     if (state.running || state.ended) {
-      // The others have begun without it, or are gone: it can only wait in vain.
+      // The attempt runs without this member or has ended, so the member can never start.
       cluster.after(
           cluster.gangPeerLoss, () -> exitIfPresent(state, task.index(), member, "mates_gone"));
     } else if (state.members.size() == spec.tasks()) {
@@ -125,7 +128,7 @@
     List.copyOf(state.members.values()).forEach(member -> member.exited("done", false));
   }
 
-  /** A task is gone from its machine, for whatever reason. */
+  /** Removes a member whose task is no longer on its machine. */
   void leave(TaskId task, long number) {
     Attempt attempt = new Attempt(task.job(), number);
     AttemptState state = attempts.get(attempt);
@@ -137,7 +140,7 @@
     }
   }
 
-  /** A machine stands still: the others notice if it does for long. */
+  /** Aborts the attempt if the member's machine stays unresponsive for the peer loss timeout. */
   void memberUnresponsive(TaskId task, long number, Member member) {
     Attempt attempt = new Attempt(task.job(), number);
     AttemptState state = attempts.get(attempt);
@@ -152,7 +155,7 @@
     }
   }
 
-  /** A task of a running gang is gone: what was done since the last checkpoint is lost. */
+  /** Ends an attempt that lost a member; progress since the last checkpoint is lost. */
   private void abort(Attempt attempt, AttemptState state) {
     state.ended = true;
     attemptsAborted++;
@@ -176,7 +179,7 @@
         .plus(Duration.between(state.runningSince, end));
   }
 
-  /** A task that runs is told to save; all have to be told in time. */
+  /** Asks a running task to save; the members save only if all are asked in time. */
   void stopRequested(TaskId task, long number) {
     Attempt attempt = new Attempt(task.job(), number);
     AttemptState state = attempts.get(attempt);
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -20,7 +20,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** A stand-in for the state service, by its protocol. */
+/**
+ * A simulated key-value store with leases, watches and conditional transactions. It checks what the
+ * controllers write and injects faults at commits.
+ */
 final class SimKeyValueStore {
   private record Entry(JsonNode value, long revision, long leaseId) {}
 
@@ -39,34 +42,37 @@
   private long oldestWatchable;
   private long lastLeaseId;
 
-  /** Puts and deletes of all that were applied, and requests of any kind. */
+  /** How many puts and deletes were applied. */
   long writes;
 
+  /** How many requests of any kind were received. */
   long requests;
+
   boolean down;
 
-  /** How much longer each answer takes than by itself; a watch that waits is told as late. */
+  /** Added to the latency of each response, also of pending watches. */
   Duration extraLatency = Duration.ZERO;
 
   final Set<String> refusedClients = new HashSet<>();
 
-  /** The next so many commits of anybody are applied late, and their answers are lost. */
+  /** How many of the next commits are applied late, with their responses lost. */
   int lateCommits;
 
   Duration lateCommitDelay = Duration.ofSeconds(5);
 
-  /** Its limits: how long a value and how large a transaction may be. */
+  /** The maximum length of a value. */
   int maxValueBytes = 8192;
 
+  /** The maximum number of changes in a transaction. */
   int maxTransactionOps = 24;
 
-  /** Changes a second that it takes; it does not count them before the limits are lowered. */
+  /** The limit of changes per second; not enforced until a scenario lowers the limits. */
   Optional<Double> writeRate = Optional.empty();
 
   private double writeTokens;
   private Instant writeTokensAt = SimulatedCluster.START;
 
-  /** The numbers under which machines were ever recorded. */
+  /** All machine numbers that machine records have ever contained. */
   private final Set<Integer> recordedMachineNumbers = new HashSet<>();
 
   private int commitsUntilFault;
@@ -76,7 +82,7 @@
     this.cluster = cluster;
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Ends an outage; every lease starts again with its full TTL. */
   void recover() {
     down = false;
     leaseDeadlines.replaceAll((id, end) -> cluster.now.plus(leaseTtls.get(id)));
@@ -272,7 +278,7 @@
     return tooLong || body.path("then").size() > maxTransactionOps;
   }
 
-  /** Bursts of one second's worth are taken. */
+  /** A burst may have the changes of one second. */
   private boolean isRateLimited(int changes) {
     if (writeRate.isEmpty()) {
       return false;
@@ -288,8 +294,8 @@
   }
 
   /**
-   * Marks name a machine by its number only once a successor finds the machine of that number: else
-   * it would take the task to be nowhere.
+   * Checks that placement records refer only to machine numbers that are in a machine record. With
+   * a dangling number, a new leader would conclude that the task is on no machine.
    */
   private void checkMachineReferences(JsonNode body) {
     try {
@@ -308,7 +314,7 @@
               if (machineNumber > 0 && !recordedMachineNumbers.contains(machineNumber)) {
                 cluster.reportViolation(
                     "mark_without_machine",
-                    key + " names " + machineNumber + " for " + partition.job());
+                    key + " refers to machine number " + machineNumber + " for " + partition.job());
               }
             }
           }
@@ -319,7 +325,10 @@
     }
   }
 
-  /** No record has a later form than the level in force, nor another one once all are migrated. */
+  /**
+   * Checks that no record has a later format than the current level, nor, once migrated, an
+   * earlier.
+   */
   private void checkRecordLevels() {
     SchemaLevel level = level();
     boolean numberedOnly = level.migrated() && level.level() >= 2;
@@ -338,12 +347,13 @@
               if (recordLevel > level.level()
                   || (level.migrated() && recordLevel < level.level())) {
                 cluster.reportViolation(
-                    "form_of_other_level", key + " has form " + recordLevel + " at " + level);
+                    "form_of_other_level",
+                    key + " has record level " + recordLevel + " at " + level);
               }
             });
   }
 
-  /** The stored level. */
+  /** Returns the stored schema level. */
   SchemaLevel level() {
     try {
       return entries.containsKey("c/level")
@@ -354,7 +364,7 @@
     }
   }
 
-  /** The leader meets a trouble at its next transaction but so many. */
+  /** Injects a fault at the leader's transaction with the given number, counted from 1. */
   void faultAtCommit(int number, String kind) {
     commitsUntilFault = number;
     fault = kind;
@@ -371,9 +381,12 @@
         && --commitsUntilFault == 0;
   }
 
-  /** The transaction is lost, is applied unanswered, or is applied late; its sender ends. */
+  /**
+   * Drops the transaction, applies it without a response, or applies it late; its sender crashes or
+   * freezes.
+   */
   private void applyFault(String from, JsonNode body) {
-    cluster.trace("trouble " + fault + " for " + from);
+    cluster.trace("injected fault " + fault + " at " + from);
     switch (fault) {
       case "crash-before" -> cluster.controllers.get(from).crash();
       case "crash-after" -> {
@@ -394,7 +407,7 @@
     cluster.after(Duration.ofSeconds(3), cluster.controllers.get(from)::start);
   }
 
-  /** No controller writes under a level that its build does not support. */
+  /** Checks that no controller writes at a schema level that its build does not support. */
   private void checkWriterLevel(String from) {
     SimController node = cluster.controllers.get(from);
     int level =
@@ -456,7 +469,7 @@
       return;
     }
     for (Watch watch : List.copyOf(watches)) {
-      // Whoever is refused alone has its open watches wait as during an outage.
+      // Open watches of a refused client stay pending, as during an outage.
       if (!refusedClients.contains(watch.client) && !events(watch).isEmpty()) {
         watches.remove(watch);
         answerWatch(watch);
@@ -472,14 +485,14 @@
     return entries.containsKey(key) ? entries.get(key).revision : 0;
   }
 
-  /** Writes a key as an operator's command would. */
+  /** Writes a key without a precondition, as an operator's command would. */
   void put(String key, JsonNode value) {
     ObjectNode body = SimulatedCluster.map();
     body.putArray("then").addObject().put("write", key).set("value", value);
     commit("operator", body, r -> {});
   }
 
-  /** Spoils a value, which {@link #repair} brings back. */
+  /** Replaces a value by a malformed one; {@link #repair} restores it. */
   void corrupt(String key) {
     originalValues.put(key, entries.get(key).value);
     put(key, SimulatedCluster.map().put("m", "?").put("x/0", "?"));
@@ -489,18 +502,18 @@
     put(key, originalValues.remove(key));
   }
 
-  /** The service retains no changes from before now. */
+  /** Discards the change history, so that watches from earlier revisions fail. */
   void discardHistory() {
     oldestWatchable = storeRevision;
     history.clear();
   }
 
-  /** Whether a key is there and its value, as text, holds the given one. */
+  /** Returns whether a key exists and its value, as text, contains the given text. */
   boolean valueContains(String key, String text) {
     return entries.containsKey(key) && valueAsText(key).contains(text);
   }
 
-  /** All keys with a prefix. */
+  /** Returns all keys with a prefix and their values. */
   Map<String, JsonNode> entriesWithPrefix(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     entries.forEach(
--- a/src/test/java/io/pearscale/sim/SimUser.java
+++ b/src/test/java/io/pearscale/sim/SimUser.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The user of one job: submits, polls, maybe cancels, and holds the service to its answers. */
+/** A simulated user of one job, who submits, polls, may cancel, and checks the responses. */
 final class SimUser {
   private static final Duration ANSWER_DEADLINE = Duration.ofSeconds(75);
 
@@ -18,10 +18,10 @@
   final JobSpec spec;
   private final Duration runTime;
 
-  /** Whether the job was submitted with a mistake: it fails wherever it is started. */
+  /** Whether the job has an error in its specification, so that it fails on every machine. */
   private final boolean failsEverywhere;
 
-  /** How much longer each task runs than the one before. */
+  /** The run time of each task exceeds that of the previous one by this. */
   private final Duration runTimeStep;
 
   boolean accepted;
@@ -47,12 +47,12 @@
     this.runTime = runTime;
   }
 
-  /** How long a task of the job runs. */
+  /** Returns how long a task of the job runs. */
   Duration runTime(TaskId task) {
     return runTime.plus(runTimeStep.multipliedBy(task.index()));
   }
 
-  /** Whether the user wants the job no more, confirmed or not. */
+  /** Returns whether the user has asked to cancel the job, confirmed or not. */
   boolean cancelRequested() {
     return cancelRequested;
   }
@@ -61,7 +61,7 @@
     return failsEverywhere;
   }
 
-  /** One more question, by somebody who asks but once; counts whether it was answered. */
+  /** Sends a single status query without retries and counts whether it succeeds. */
   void pollOnce() {
     cluster.stormQueries++;
     send(
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Takes in an answer. One to a question that was asked before the job's end was told may be older
-   * than that: the two were under way at once.
+   * Checks and stores a reported stage. A response to a request that was sent before the job's end
+   * was reported may be older than that report and is ignored.
    */
   private void receiveStage(String reported, Instant sentAt) {
     boolean finished = stage.equals("done") || stage.equals("withdrawn");
@@ -133,10 +133,11 @@
       return;
     }
     if (finished && !reported.equals(stage)) {
-      cluster.reportViolation("went_back", spec.id() + " was " + stage + ", is called " + reported);
+      cluster.reportViolation(
+          "went_back", spec.id() + " was " + stage + ", is now reported as " + reported);
     }
     if (reported.equals("withdrawn") && !cancelRequested) {
-      cluster.reportViolation("went_back", spec.id() + " withdrawn, but nobody cancelled it");
+      cluster.reportViolation("went_back", spec.id() + " withdrawn without a cancel request");
     }
     if (reported.equals("done") && !stage.equals("done")) {
       doneAt = cluster.now;
