--- a/src/test/java/io/pearscale/sim/CancelRunsTest.java
+++ b/src/test/java/io/pearscale/sim/CancelRunsTest.java
@@ -8,14 +8,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Days on which many jobs are cancelled amid troubles: their tasks must be gone in time. */
+/**
+ * Random scenarios in which many jobs are cancelled during injected faults. The tasks of a
+ * cancelled job must stop within the cancel timeout.
+ */
 class CancelRunsTest {
   private static final int SMALL_FLEET = 24;
   private static final int RUNS = Integer.getInteger("pearscale.cancelRuns", 60);
   private static final int MACHINES = Integer.getInteger("pearscale.cancelMachines", SMALL_FLEET);
   private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
 
-  /** Seeds of days on which cancelled tasks went on while a stop counted as sent once. */
+  /**
+   * Seeds on which cancelled tasks kept running when a stop command was recorded as sent after the
+   * first attempt and not repeated.
+   */
   private static final List<Long> REGRESSION_SEEDS = List.of(1847L, 10590L, 12187L);
 
   private static final List<Long> LARGE_FLEET_REGRESSION_SEEDS = List.of(3016L);
@@ -41,7 +47,7 @@
         seed -> CancellationScenarioGenerator.generate(seed, LARGE_FLEET));
   }
 
-  /** The checker itself: a worker that ignores one stop command is found out. */
+  /** The checker reports a task that keeps running because its agent ignores the stop command. */
   @Test
   void checkerDetectsUnstoppedCancelledTask() {
     String scenario =
--- a/src/test/java/io/pearscale/sim/CancellationScenarioGenerator.java
+++ b/src/test/java/io/pearscale/sim/CancellationScenarioGenerator.java
@@ -4,9 +4,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Writes days on which users cancel many jobs at once while messages are lost and several things
- * fail together. All tasks run for longer than the day, so that whatever a cancel fails to stop
- * goes on until the world's checker finds it.
+ * Generates scenarios in which users cancel many jobs at once while messages are lost and several
+ * faults overlap. All tasks run for longer than the scenario, so a task that a cancel fails to stop
+ * keeps running until the checker of {@link SimulatedCluster} reports it.
  */
 final class CancellationScenarioGenerator {
   private static final int FIRST_CANCEL_SECOND = 24;
@@ -24,7 +24,7 @@
     this.jobs = machines / 2;
   }
 
-  /** A day on so many machines, the same for the same seed. */
+  /** Returns a scenario on that many machines, the same text for the same seed. */
   static String generate(long seed, int machines) {
     return new CancellationScenarioGenerator(seed, machines).build();
   }
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Most of the cancels come within a second or two, the others at any time. */
+  /** Most cancels come within a two-second burst, the others within 40 s of its start. */
   private void appendCancels() {
     double burst = FIRST_CANCEL_SECOND + random.nextDouble() * 12;
     for (int i = 0; i < jobs; i++) {
@@ -110,7 +110,7 @@
     text.append("at %.2f ".formatted(at)).append(format.formatted(values)).append('\n');
   }
 
-  /** A verb with a figure, which is 0 again at the end. */
+  /** Appends a command whose last argument is a number, and resets that number to 0 at the end. */
   private void appendTemporaryFault(double at, String command, double end) {
     appendEvent(at, "%s", command);
     appendEvent(end, "%s 0", command.substring(0, command.lastIndexOf(' ')));
--- a/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
+++ b/src/test/java/io/pearscale/sim/DisruptionBudgetChecker.java
@@ -13,13 +13,16 @@
 import java.util.Set;
 
 /**
- * Checks budgets of disruptions against what workers did, without a look at any ledger. It knows
- * only of tasks that began, were stopped by command, or went away otherwise, and of which jobs are
- * over. For days on which nothing is evicted and no machine is taken with notice: then a stop of
- * work that goes on is voluntary.
+ * Checks disruption budgets against what agents did, independently of the controllers' disruption
+ * ledger. It sees only tasks that started, were stopped by a command or were lost, and which jobs
+ * have finished. Use it in scenarios without evictions and without preemption notices: there every
+ * stop of a task of an unfinished job is voluntary.
  */
 final class DisruptionBudgetChecker {
-  /** What was lost for so long must be known to whoever stops more, silent as it is since. */
+  /**
+   * A leader must know of a loss after this time, by missed heartbeats if nothing else, and count
+   * it against the budget before it stops more tasks.
+   */
   private static final Duration DETECTION_GRACE = Duration.ofSeconds(6);
 
   private final SimulatedCluster cluster;
@@ -37,12 +40,12 @@
     budgets.add(budget);
   }
 
-  /** How many tasks were stopped by choice. */
+  /** Returns how many tasks were stopped voluntarily. */
   int voluntaryStops() {
     return voluntaryStops;
   }
 
-  /** How many were down at once by choice, at the most. */
+  /** Returns the maximum number of tasks that were voluntarily stopped at the same time. */
   int maxConcurrentlyStopped() {
     return maxConcurrentlyStopped;
   }
@@ -56,7 +59,7 @@
     downSince.putIfAbsent(task, cluster.now);
   }
 
-  /** A command has told a worker to stop the task, which runs there. */
+  /** Records that a command stopped a task that was running on its agent. */
   void taskStopped(TaskId task) {
     if (budgets.isEmpty() || isFinished(task)) {
       return;
@@ -104,7 +107,8 @@
     if (!withinBudget) {
       cluster.reportViolation(
           "over_budget",
-          "%s: %s stopped, %d by choice, %d lost".formatted(budget, stoppedTask, voluntary, lost));
+          "%s: exceeded by the stop of %s, with %d voluntarily stopped and %d lost"
+              .formatted(budget, stoppedTask, voluntary, lost));
     }
   }
 
--- a/src/test/java/io/pearscale/sim/DrainDrillTest.java
+++ b/src/test/java/io/pearscale/sim/DrainDrillTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two drains with real processes and the operators' own commands, the leader's process killed in
- * between. Each question that an operator has is answered with one command.
+ * Runs two drains with real processes and the CLI, and kills the leader's process while they are in
+ * progress. Each piece of status that an operator needs must be available from one command.
  */
 class DrainDrillTest {
   private static final int PORT = 19600;
@@ -70,7 +70,8 @@
       drill.waitUntil("the replicas run", () -> hasRunningTasks(job, 6));
       runExpecting(EXIT_REFUSED, "level 1", "drain", "start", "d1", "--zone", "a");
       drill.waitUntil(
-          "all announce", () -> drill.cluster.store.entriesWithPrefix("c/member/").size() == 3);
+          "all controllers announce their build",
+          () -> drill.cluster.store.entriesWithPrefix("c/member/").size() == 3);
       runExpecting(0, "done:", "upgrade", "finalise");
       checkRefusals();
 
@@ -91,7 +92,7 @@
       runExpecting(0, "budget * * most-down 1", "budget");
       runExpecting(0, "6 tasks, 6 of them have a machine", "why", job);
       runExpecting(0, "CANCEL", "drain", "cancel", "d2");
-      drill.waitUntil("d2 is taken back", () -> drainHasState("d2", "cancelled"));
+      drill.waitUntil("d2 is cancelled", () -> drainHasState("d2", "cancelled"));
       runExpecting(0, "cancelled", "drain", "show", "d2");
       runExpecting(0, "forgot drain d2", "drain", "forget", "d2");
       runExpecting(EXIT_ARGUMENTS, "no drain is called d2", "drain", "show", "d2");
--- a/src/test/java/io/pearscale/sim/DrainRunsTest.java
+++ b/src/test/java/io/pearscale/sim/DrainRunsTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Drains amid failures. The world's checker reads what the workers did, not the ledger: what is
- * stopped by choice never goes beyond the budget, nor comes on top of what was lost before.
+ * Drains during injected faults. {@link DisruptionBudgetChecker} reads what the agents did, not the
+ * ledger: voluntary stops, together with the tasks that were lost before, never exceed the budget.
  */
 class DrainRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.drainRuns", 12);
   private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
   private static final int TRANSACTIONS = Integer.getInteger("pearscale.drainSteps", 10);
 
-  /** Of one priority, so that nothing is evicted and each stop is a choice. */
+  /** All jobs have one priority, so nothing is evicted and every stop is voluntary. */
   private static final String SMALL_SCENARIO =
       """
       nodes 3
@@ -39,7 +39,7 @@
       at 14 level 1
       """;
 
-  /** Half of a fleet of 200 machines is replaced in steps while machines and controllers fail. */
+  /** Replaces half of a fleet of 200 machines in steps while machines and controllers fail. */
   private static String replacementScenario(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 6151);
     StringBuilder text =
@@ -100,7 +100,8 @@
           List<String> failures = scenario.run();
           assertTrue(failures.isEmpty(), "seed " + seed + ":\n" + String.join("\n", failures));
           assertTrue(
-              scenario.world().disruptions.voluntaryStops() >= 50, "hardly anything was stopped");
+              scenario.world().disruptions.voluntaryStops() >= 50,
+              "expected at least 50 voluntary stops");
         });
   }
 
@@ -116,7 +117,9 @@
                 + "expect wk-2 stage done\n");
   }
 
-  /** The checker is told of a smaller budget than the controllers, and must find them over it. */
+  /**
+   * The checker has a smaller budget than the controllers, so it must report that they exceed it.
+   */
   @Test
   void checkerDetectsExceededBudget() {
     String text =
--- a/src/test/java/io/pearscale/sim/GangInvariantChecker.java
+++ b/src/test/java/io/pearscale/sim/GangInvariantChecker.java
@@ -12,12 +12,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * Checks gangs against what workers did and what users were told, without a look at any controller
- * or at how the stand-in makes gangs meet: nowhere twice, in one zone where that is asked for,
- * under one attempt at a time, whole or not at all, done once, gone after a confirmed cancel.
+ * Checks gangs against what agents did and which answers users got, independently of the
+ * controllers and of {@link SimGangRendezvous}. The invariants: a task is on one machine at a time;
+ * a single-zone gang is in one zone; one attempt runs at a time; a gang runs with all of its tasks
+ * or not at all; a task completes under one attempt; no task remains after a confirmed cancel.
  */
 final class GangInvariantChecker {
-  /** What a worker may take beyond the times of the protocol to notice and to exit. */
+  /** How long an agent may take, beyond the timeouts of the protocol, to react and to exit. */
   static final Duration REACTION_ALLOWANCE = Duration.ofSeconds(2);
 
   private record TaskPresence(
@@ -40,9 +41,9 @@
   private final Set<String> reportedViolations = new HashSet<>();
 
   /**
-   * Knows of nothing yet.
+   * Creates a checker without any tasks.
    *
-   * @param violationHandler is told the rule and what broke it, once for each job and rule
+   * @param violationHandler receives the rule and the details, once for each job and rule
    */
   GangInvariantChecker(
       Duration formingTimeout,
@@ -61,7 +62,7 @@
     }
   }
 
-  /** A task has its image, and is on its machine from now on. */
+  /** Records that a task has fetched its image and is present on its machine. */
   void taskArrived(
       JobSpec spec, TaskId task, long attempt, String machine, String zone, Instant now) {
     check(now);
@@ -84,7 +85,7 @@
     updateIncomplete(job, now);
   }
 
-  /** A task makes progress from now on. */
+  /** Records that a task starts to make progress. */
   void taskRunning(TaskId task, Instant now) {
     check(now);
     TaskPresence run = presentTasks.get(task);
@@ -101,28 +102,28 @@
     updateIncomplete(task.job(), now);
   }
 
-  /** A machine executes nothing: nobody expects its tasks to exit. */
+  /** Records that a machine executes nothing, so its tasks are not expected to exit. */
   void machineUnresponsive(String machine, Instant now) {
     check(now);
     unresponsiveMachines.add(machine);
     jobs.keySet().forEach(job -> updateIncomplete(job, now));
   }
 
-  /** A machine executes its tasks again. */
+  /** Records that a machine executes its tasks again. */
   void machineResumed(String machine, Instant now) {
     unresponsiveMachines.remove(machine);
     presentTasks.replaceAll((task, run) -> run.machine.equals(machine) ? run.withSince(now) : run);
     jobs.keySet().forEach(job -> updateIncomplete(job, now));
   }
 
-  /** A task is gone from that machine. */
+  /** Records that a task is no longer on that machine. */
   void taskLeft(TaskId task, String machine, Instant now) {
     check(now);
     presentTasks.computeIfPresent(task, (t, run) -> run.machine.equals(machine) ? null : run);
     updateIncomplete(task.job(), now);
   }
 
-  /** A task has completed. */
+  /** Records that a task has completed. */
   void taskCompleted(TaskId task, long attempt) {
     Long previousAttempt = completedAttempts.putIfAbsent(task, attempt);
     if (previousAttempt != null && previousAttempt != attempt) {
@@ -131,12 +132,12 @@
     }
   }
 
-  /** The user was told that the job is cancelled. */
+  /** Records that the user got the confirmation of a cancel. */
   void cancelConfirmed(String job, Instant now) {
     cancelledAt.putIfAbsent(job, now);
   }
 
-  /** From when on a gang, some tasks of which run, lacks others. */
+  /** Updates the time since which only a part of the tasks of a gang runs. */
   private void updateIncomplete(String job, Instant now) {
     long running = presentTasks.entrySet().stream().filter(e -> isRunning(e, job)).count();
     boolean incomplete = running > 0 && running < jobs.get(job).tasks();
@@ -154,7 +155,7 @@
         && entry.getKey().job().equals(job);
   }
 
-  /** Looks for what has stayed for too long. */
+  /** Reports tasks that have waited, run incomplete or outlived a cancel for too long. */
   void check(Instant now) {
     presentTasks.forEach(
         (task, run) -> {
@@ -170,9 +171,9 @@
         });
     incompleteSince.forEach(
         (job, since) -> {
-          // The loss is noticed within that time, and the others have as long to exit.
+          // The other members detect a loss within the timeout and then have as long to exit.
           if (since.plus(peerLossTimeout.multipliedBy(2)).plus(REACTION_ALLOWANCE).isBefore(now)) {
-            reportViolation("half_gang_runs", job, "not whole since " + since);
+            reportViolation("half_gang_runs", job, "incomplete since " + since);
           }
         });
   }
--- a/src/test/java/io/pearscale/sim/GangInvariantCheckerTest.java
+++ b/src/test/java/io/pearscale/sim/GangInvariantCheckerTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The checker of gangs finds a planted fault of each kind, and none where there is none. */
+/** {@link GangInvariantChecker} reports each kind of violation and accepts valid histories. */
 class GangInvariantCheckerTest {
   private static final Instant START = Instant.EPOCH;
   private static final JobSpec GANG_SPEC =
--- a/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
+++ b/src/test/java/io/pearscale/sim/GangRolloutDrillTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The version in production is replaced by this build, process by process, while it serves; one
- * comes back old in between. Nobody types a command. A gang is refused until all are new, and one
- * that is stored is left alone by an old process that comes back, at last alone.
+ * Replaces the production version by this build, one process after the other and without operator
+ * commands, while jobs are submitted; one process is rolled back in between. A gang does not start
+ * until all processes run this build. A process of the older build that restarts alone must not
+ * take part, and must leave a stored gang unchanged.
  */
 class GangRolloutDrillTest {
   private static final int PORT = 19700;
@@ -81,7 +82,7 @@
   @Test
   void productionBuildIsReplacedWhileServing() throws Exception {
     Assumptions.assumeTrue(
-        ProductionBuild.hasHistory(), "no history to build the older version from");
+        ProductionBuild.hasHistory(), "no Git history to build the production version from");
     olderClassPath = ProductionBuild.classPath(Files.createDirectory(folder.resolve("older")));
     try (ProcessDrill started = new ProcessDrill(SCENARIO, PORT, folder)) {
       drill = started;
@@ -102,7 +103,10 @@
     }
   }
 
-  /** Replaces one after the other; a gang that comes before the level has risen waits for that. */
+  /**
+   * Replaces one process after the other. A gang that is submitted before the schema level rises
+   * waits for the new level.
+   */
   private String rollOutThisBuild() throws Exception {
     replaceWithThisBuild(0);
     replaceWithThisBuild(1);
@@ -110,7 +114,7 @@
     drill.loopback.processes().get("hive-0").waitFor();
     startOlderBuild(0);
     submitBatch();
-    drill.waitUntil("hive-0 is old again", () -> announcesHighestLevel(0, 1));
+    drill.waitUntil("hive-0 announces the older build", () -> announcesHighestLevel(0, 1));
     replaceWithThisBuild(0);
     assertEquals(0, drill.loopback.call(() -> drill.cluster.store.level().level()));
     replaceWithThisBuild(2);
@@ -128,7 +132,7 @@
       drill.loopback.processes().get("hive-" + node).waitFor();
     }
     startOlderBuild(0);
-    drill.waitUntil("the old build stays out", () -> logContains(0, "event=stays_out"));
+    drill.waitUntil("the older build does not take part", () -> logContains(0, "event=stays_out"));
     assertTrue(
         drill.loopback.call(() -> drill.cluster.store.valueContains("c/live/" + gang, gang)));
     for (int node = 1; node < LoopbackCluster.NODES; node++) {
--- a/src/test/java/io/pearscale/sim/GangRunsTest.java
+++ b/src/test/java/io/pearscale/sim/GangRunsTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Random days with gang jobs, with a rollout amid them, and troubles at each step of an attempt.
+ * Random scenarios with gang jobs, some of them during a rollout, and leader faults at each
+ * transaction while gangs form and run.
  */
 class GangRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.gangRuns", 60);
@@ -32,7 +33,7 @@
       at 3 submit wk-9 batch tasks=12 cpus=1 run=60
       """;
 
-  /** Gangs among other work, in the troubles of any day. */
+  /** Gangs beside other jobs, with the faults of {@link RandomRunsTest}. */
   @TestFactory
   Stream<DynamicTest> gangsInRandomScenarios() {
     return SeededScenarios.nothingFails(
@@ -40,7 +41,10 @@
         seed -> withLines(RandomRunsTest.scenario(seed), gangLines(seed)));
   }
 
-  /** The same while all controllers are replaced, and the state service then lowers its limits. */
+  /**
+   * The same scenarios while all controllers are replaced by a newer build, after which the
+   * key-value store lowers its limits.
+   */
   @TestFactory
   Stream<DynamicTest> gangsDuringRolloutInRandomScenarios() {
     return SeededScenarios.nothingFails(
@@ -78,7 +82,7 @@
     return lines.toString();
   }
 
-  /** The builds are installed before the first restart and start at different times. */
+  /** Restarts the controllers one after the other with the newer build, then lowers the limits. */
   private static String rolloutLines(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 49979687);
     StringBuilder lines = new StringBuilder("next-limits value=2048 txn=8 writes=21\n");
@@ -93,9 +97,7 @@
         .toString();
   }
 
-  /**
-   * The leader meets each trouble at each transaction while one gang forms and another one runs.
-   */
+  /** Injects each fault at each transaction of the leader while one gang forms and one runs. */
   @TestFactory
   Stream<DynamicTest> leaderFaultAtEachTransaction() {
     return CommitFaultScenarios.each(
@@ -119,9 +121,9 @@
   }
 
   /**
-   * The leader meets each trouble at each transaction from the last restart of a rollout on, over
-   * the rise of the level, the copies and the first gangs; then an old build comes back for a
-   * while.
+   * Injects each fault at each transaction of the leader from the last restart of a rollout on:
+   * while the schema level rises, records are copied and the first gangs run. Then one controller
+   * runs the older build for a while.
    */
   @TestFactory
   Stream<DynamicTest> leaderFaultAtEachTransactionOfRollout() {
@@ -163,7 +165,7 @@
                     .formatted(number, fault));
   }
 
-  /** The same with a second trouble on top: a machine of the gang can't be reached meanwhile. */
+  /** The same faults while a machine of the gang is partitioned from all other hosts. */
   @TestFactory
   Stream<DynamicTest> leaderFaultDuringMachinePartition() {
     return CommitFaultScenarios.each(
@@ -192,7 +194,7 @@
                     .formatted(number, fault));
   }
 
-  /** The checker finds a job of which two attempts run. */
+  /** {@link SimGangRendezvous} reports a job of which two attempts run. */
   @Test
   void detectsTwoRunningAttempts() {
     SimulatedCluster cluster = new SimulatedCluster(1);
--- a/src/test/java/io/pearscale/sim/LargeFleetScenarioBuilder.java
+++ b/src/test/java/io/pearscale/sim/LargeFleetScenarioBuilder.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** The text of a day on a large fleet, always the same for the same figures. */
+/** Builds the text of a scenario on a large fleet, the same for the same arguments. */
 final class LargeFleetScenarioBuilder {
   private static final int IMAGES = 16;
 
@@ -12,7 +12,7 @@
   private final StringBuilder text = new StringBuilder("nodes 3\nteam t\nclass web wait 2\n");
   private final StringBuilder expectations = new StringBuilder();
 
-  /** Machines that are up at the start, evenly over the zones; they are named in that order. */
+  /** Starts with the same number of running machines in each zone, numbered zone by zone. */
   LargeFleetScenarioBuilder(List<String> zones, int machinesPerZone) {
     text.append("zones " + String.join(" ", zones) + "\n");
     text.append("type big cpus=32 mem=256 boot=5\n");
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Services of 4, 8 or 12 replicas, from a time on, each of which must be up at the end. */
+  /** Adds services of 4, 8 or 12 replicas; all replicas must be running at the end. */
   LargeFleetScenarioBuilder services(int count, double firstAt, double interval) {
     for (int i = 0; i < count; i++) {
       int tasks = 4 + 4 * random.nextInt(3);
@@ -34,7 +34,7 @@
     return this;
   }
 
-  /** Arrays of 10 to 69 short tasks, from a time on, each of which must be done at the end. */
+  /** Adds batch jobs of 10 to 69 short tasks; each job must be done at the end. */
   LargeFleetScenarioBuilder arrays(int count, double firstAt, double interval) {
     for (int i = 0; i < count; i++) {
       addLine(
@@ -50,7 +50,7 @@
     return this;
   }
 
-  /** Gangs of 2 to 8 tasks in one zone, from a time on, each of which must be done at the end. */
+  /** Adds gangs of 2 to 8 tasks in one zone; each gang must be done at the end. */
   LargeFleetScenarioBuilder gangs(int count, double firstAt, double interval) {
     for (int i = 0; i < count; i++) {
       addLine(
@@ -66,7 +66,7 @@
     return this;
   }
 
-  /** Arrays with long to go that are all cancelled within a second. */
+  /** Adds batch jobs of long tasks that are cancelled 10 ms apart. */
   LargeFleetScenarioBuilder cancelledArrays(int count, double firstAt, double cancelledAt) {
     for (int i = 0; i < count; i++) {
       addLine(
@@ -78,7 +78,7 @@
     return this;
   }
 
-  /** Cuts a part of the machines, by their numbers, off from everything. */
+  /** Partitions a range of machines, given by their numbers, from all other hosts. */
   LargeFleetScenarioBuilder partition(int first, int last, double startAt, double endAt) {
     for (int i = first; i <= last; i++) {
       addLine("at %.2f cut m-%06d all".formatted(startAt, i));
@@ -87,7 +87,7 @@
     return this;
   }
 
-  /** Any other line. */
+  /** Adds a line of the scenario language. */
   LargeFleetScenarioBuilder addLine(String line) {
     text.append(line).append('\n');
     return this;
--- a/src/test/java/io/pearscale/sim/LargeFleetTest.java
+++ b/src/test/java/io/pearscale/sim/LargeFleetTest.java
@@ -7,14 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * 4,000 machines with tens of thousands of tasks, in troubles that hit all of them at once. The
- * rules are checked after every event, and at the end all work must have come right.
+ * 4,000 machines with tens of thousands of tasks, and faults that affect many machines at once. The
+ * invariants are checked after every event, and at the end all jobs must be in their expected
+ * state.
  */
 class LargeFleetTest {
   private static final int MACHINES_PER_ZONE = 1334;
   private static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** The workers of the large deployments report and keep their leases like this. */
+  /** Uses the heartbeat interval, lease and cancel timeout of the large deployments. */
   private static LargeFleetScenarioBuilder scenarioBuilder() {
     return new LargeFleetScenarioBuilder(ZONES, MACHINES_PER_ZONE)
         .addLine("workers report=4 lease=22 cancel=42");
@@ -28,7 +29,10 @@
     assertTrue(tasks > 20_000, "tasks: " + tasks);
   }
 
-  /** The leader ends, then a third of the machines is cut off, then the keys' history is lost. */
+  /**
+   * The leader crashes, then a third of the machines is partitioned, then the key-value store
+   * discards its change history.
+   */
   @Test
   void takeoverThenZoneLoss() {
     runScenario(
@@ -42,7 +46,10 @@
             .buildUntil(130));
   }
 
-  /** Jobs are cancelled all at once, the state service is out, and all controllers end. */
+  /**
+   * Many jobs are cancelled at once while the leader is partitioned from the agents; then the
+   * key-value store is down, and all controllers crash.
+   */
   @Test
   void cancelsThenStoreOutageThenRestartOfAllControllers() {
     runScenario(
--- a/src/test/java/io/pearscale/sim/LargeGangDaysTest.java
+++ b/src/test/java/io/pearscale/sim/LargeGangDaysTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Gangs among services and arrays on large fleets, in troubles that hit many of them at once. The
- * rules are checked after every event, and at the end all work must have come right.
+ * Gangs beside services and batch jobs on large fleets, and faults that affect many of them at
+ * once. The invariants are checked after every event, and at the end all jobs must be in their
+ * expected state.
  */
 class LargeGangDaysTest {
   private static final List<String> ZONES = List.of("a", "b", "c");
@@ -24,10 +25,10 @@
     List<String> failures = scenario.run();
     assertEquals(List.of(), failures.stream().limit(20).toList());
     int attemptsStarted = scenario.world().gangs.attemptsStarted;
-    assertTrue(attemptsStarted >= gangs, "gangs begun: " + attemptsStarted);
+    assertTrue(attemptsStarted >= gangs, "gang attempts started: " + attemptsStarted);
   }
 
-  /** The leader ends, a zone is cut off, and all controllers end. */
+  /** The leader crashes, a zone is partitioned, and all controllers crash. */
   @Test
   void fifteenHundredMachines() {
     int machinesPerZone = 500;
@@ -44,7 +45,7 @@
         /* gangs= */ 200);
   }
 
-  /** The leader stands still amid starts, and the state service is out. */
+  /** The leader is unresponsive while tasks start, then the key-value store is down. */
   @Test
   void fourThousandMachines() {
     runScenario(
--- a/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
+++ b/src/test/java/io/pearscale/sim/LeaseExpiryScenarioGenerator.java
@@ -4,13 +4,13 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Writes days on which many machines lose their leases and begin new sessions: cuts and hangs of
- * about a lease's length that end round its end, with messages held up, while more work waits than
- * there is room for. Whatever the leader concludes of a session that it has not seen shows as a
- * task in two places.
+ * Generates scenarios in which many machines lose their leases and start new incarnations: network
+ * partitions and hangs of about a lease's length, with delayed messages, while more tasks wait than
+ * the fleet has capacity for. A wrong conclusion of the leader about an incarnation that it has not
+ * seen shows as a task on two machines.
  */
 final class LeaseExpiryScenarioGenerator {
-  /** With reports every 2 s, the seventh question to a silent machine is sent after so long. */
+  /** With heartbeats every 2 s, the seventh probe of an unreachable machine is sent after 22 s. */
   private static final double SEVENTH_PROBE_SECONDS = 22;
 
   private static final int END_SECOND = 110;
@@ -23,14 +23,14 @@
   private LeaseExpiryScenarioGenerator(long seed, int machines) {
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 7433 + machines);
     this.machines = machines;
-    // On every other day a question is under way when the leases of silent machines are over.
+    // In half of the scenarios a probe is in flight when the leases of unreachable machines expire.
     this.lease =
         random.nextBoolean()
             ? SEVENTH_PROBE_SECONDS - 1.2 + random.nextDouble()
             : 10 + random.nextDouble() * 14;
   }
 
-  /** A day on so many machines, the same for the same seed. */
+  /** Returns a scenario on that many machines, the same text for the same seed. */
   static String generate(long seed, int machines) {
     return new LeaseExpiryScenarioGenerator(seed, machines).build();
   }
@@ -55,7 +55,7 @@
     return text.append("until " + END_SECOND + "\n").toString();
   }
 
-  /** More than fits, so that whatever is taken for free is used at once. */
+  /** Submits more than fits, so that resources considered free are used at once. */
   private void appendSubmissions() {
     int jobs = machines;
     for (int i = 0; i < jobs; i++) {
@@ -75,7 +75,7 @@
     }
   }
 
-  /** A group of machines is out of reach for about a lease. */
+  /** Makes a group of machines unreachable for about the length of a lease. */
   private void appendLeaseExpiry(double at) {
     double end = at + lease - 1.5 + random.nextDouble() * 3;
     String hold = random.nextInt(4) > 0 ? " hold" : "";
@@ -115,7 +115,7 @@
     text.append("at %.2f ".formatted(at)).append(format.formatted(values)).append('\n');
   }
 
-  /** A verb with a figure, which is 0 again some seconds later. */
+  /** Appends a command whose last argument is a number, and resets it to 0 within 20 s. */
   private void appendTemporaryFault(double at, String command) {
     appendEvent(at, "%s", command);
     appendEvent(
@@ -123,8 +123,9 @@
   }
 
   /**
-   * A part of the machines, whose troubles end within a second or two of each other. It is mostly a
-   * large one: few silent machines are given back long before their lease is over.
+   * Appends a fault on consecutive machines, which ends on all of them within two seconds. The
+   * group is mostly large: a few unreachable machines would be deleted long before their lease
+   * expires.
    */
   private void appendFaultOnMachines(
       double at, double end, String startCommand, String endCommand, String arguments) {
--- a/src/test/java/io/pearscale/sim/LoadDriver.java
+++ b/src/test/java/io/pearscale/sim/LoadDriver.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * Plays a scenario in real time against three real processes, started with the command of {@code
- * deploy/service.toml}, and prints the processor time and memory that each takes. It measures and
- * judges nothing: figures depend on the machine.
+ * Runs a scenario in real time against three real controller processes, started with the command of
+ * {@code deploy/service.toml}, and prints the CPU time and memory of each. It does not compare the
+ * results with limits, because they depend on the machine.
  *
- * <p>Arguments: the folder of the built project, the scenario's file, seconds to play, and further
- * options for the JVMs. Lines {@code process T kill N} and {@code process T start N} end and start
- * processes.
+ * <p>Arguments: the directory of the built project, the scenario file, the duration in seconds, and
+ * further options for the JVMs. Lines {@code process T kill N} and {@code process T start N} in the
+ * file kill and start controller N after T seconds.
  */
 final class LoadDriver {
   private static final int PORT = 19300;
@@ -91,7 +91,7 @@
     loopback.schedule(duration, this::finish);
   }
 
-  /** Ends and starts processes, as the scenario's text says. */
+  /** Schedules the {@code process} lines of the scenario. */
   private void scheduleProcessEvents(String text) {
     for (String line : text.split("\n")) {
       String[] words = line.strip().split("\\s+");
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Plays a file. */
+  /** Runs a scenario file; the class comment describes the arguments. */
   public static void main(String[] args) throws IOException {
     String text = Files.readString(Path.of(args[1]));
     String scenario = text.replaceAll("(?m)^process.*$", "");
--- a/src/test/java/io/pearscale/sim/LoopbackCluster.java
+++ b/src/test/java/io/pearscale/sim/LoopbackCluster.java
@@ -27,8 +27,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Plays a scenario in real time against three real processes. The state service, the cloud, the
- * workers and the users are the stand-ins of the simulated world, put behind sockets on loopback.
+ * Runs a scenario in real time against three real controller processes. The key-value store, the
+ * cloud, the agents and the users are those of {@link SimulatedCluster}, reachable through loopback
+ * sockets.
  */
 final class LoopbackCluster implements AutoCloseable {
   static final int NODES = 3;
@@ -50,10 +51,10 @@
   private volatile boolean running = true;
 
   /**
-   * Puts the world behind sockets.
+   * Starts the HTTP server of the simulated hosts.
    *
-   * @param port the services' port; the controllers' follow within thirty
-   * @param folder where settings and logs are written
+   * @param port the port of all simulated hosts; the controllers use ports up to 30 above it
+   * @param folder the directory for settings and logs
    */
   LoopbackCluster(SimulatedCluster cluster, int port, Path folder) throws IOException {
     this.port = port;
@@ -87,7 +88,7 @@
     }
   }
 
-  /** Each machine has a loopback address of its own, which also tells which one is meant. */
+  /** Returns the loopback address of a machine, unique so that a request identifies the machine. */
   private String machineAddress(String machine) {
     int number = Integer.parseInt(machine.substring(2));
     String address = "127.1.%d.%d:%d".formatted(number / 250, 1 + number % 250, port);
@@ -171,17 +172,17 @@
         .toString();
   }
 
-  /** Writes the settings of a controller. */
+  /** Writes the settings file of a controller. */
   Path settingsFile(int node) throws IOException {
     return Files.writeString(folder.resolve("hive-" + node + ".toml"), settings(node));
   }
 
-  /** What the controller has logged so far. */
+  /** Returns the file to which the controller logs. */
   Path logFile(int node) {
     return folder.resolve("hive-" + node + ".log");
   }
 
-  /** Starts a controller with that command. */
+  /** Starts a controller process with a command. */
   void launch(int node, Path directory, List<String> command) throws IOException {
     processes.put(
         "hive-" + node,
@@ -192,19 +193,19 @@
             .start());
   }
 
-  /** Ends a controller's process without a signal that it could see. */
+  /** Kills a controller process with a signal that it can't handle. */
   void kill(int node) {
     processes.get("hive-" + node).destroyForcibly();
   }
 
-  /** The processes that were started last, by host. */
+  /** Returns the process that was started last for each host. */
   Map<String, Process> processes() {
     return processes;
   }
 
   private void call(
       int node, String from, String method, String path, JsonNode body, Consumer<Reply> response) {
-    // A worker's connection is its own, as it is in production: other address, other connection.
+    // Each agent uses its own client address, hence its own connection, as in production.
     String host =
         cluster.agents.containsKey(from)
             ? machineAddress(from).replaceFirst(":.*", "")
@@ -214,7 +215,7 @@
         () -> httpClient.call(address, method, path, body, Duration.ofSeconds(4), response));
   }
 
-  /** Lets the world's time pass as real time does. */
+  /** Makes simulated time follow real time. */
   void startClock() {
     loop.execute(this::advanceClock);
   }
@@ -230,12 +231,12 @@
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  /** Runs on the world's thread after the delay. */
+  /** Runs a task on the simulation's thread after a delay. */
   void schedule(Duration delay, Runnable task) {
     loop.schedule(delay, task);
   }
 
-  /** Asks something of the world on its own thread. */
+  /** Returns the result of a supplier that runs on the simulation's thread. */
   <T> T call(Supplier<T> supplier) {
     CompletableFuture<T> response = new CompletableFuture<>();
     loop.execute(
--- a/src/test/java/io/pearscale/sim/ProcessDrill.java
+++ b/src/test/java/io/pearscale/sim/ProcessDrill.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A cluster of real processes for drills, and the operators' own commands run against it. */
+/** A cluster of real controller processes, against which a drill runs CLI commands. */
 final class ProcessDrill implements AutoCloseable {
   private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
@@ -20,7 +20,7 @@
   private final Path folder;
   private int submittedJobs;
 
-  /** What a command has ended with, and what it said. */
+  /** The exit code and the output of a command. */
   record CommandResult(int code, String text) {}
 
   ProcessDrill(String scenario, int port, Path folder) throws IOException {
@@ -47,12 +47,12 @@
     return folder.resolve("operations-" + node + ".sexp");
   }
 
-  /** Starts a controller with that operations file. */
+  /** Starts a controller of this build with the content of an operations file. */
   void start(int node, String operations) throws IOException {
     startBuild(System.getProperty("java.class.path"), node, operations);
   }
 
-  /** Starts a controller of the build that has this class path. */
+  /** Starts a controller of the build with the given class path. */
   void startBuild(String classPath, int node, String operations) throws IOException {
     Files.writeString(operationsFile(node), operations);
     String settings = loopback.settingsFile(node).toString();
@@ -65,7 +65,7 @@
                 "serve", "--config", settings, "--operations", operationsFile(node).toString())));
   }
 
-  /** Runs a command with the settings of the second controller. */
+  /** Runs a CLI command with the settings of the second controller. */
   CommandResult runCommand(String... arguments) throws Exception {
     List<String> commandLine = new ArrayList<>(List.of(arguments));
     commandLine.addAll(
@@ -80,22 +80,23 @@
             .redirectErrorStream(true)
             .redirectOutput(output.toFile())
             .start();
-    assertTrue(process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the command hangs");
+    assertTrue(
+        process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the command did not exit in time");
     return new CommandResult(process.exitValue(), Files.readString(output));
   }
 
-  /** Waits until it holds in the world. */
+  /** Waits until a condition on the simulated cluster is met, and fails after the timeout. */
   void waitUntil(String condition, BooleanSupplier isMet) throws Exception {
     long deadline = System.nanoTime() + TIMEOUT.toNanos();
     while (!loopback.call(isMet::getAsBoolean)) {
       assertTrue(
           System.nanoTime() < deadline,
-          () -> "not met: " + condition + "\n" + logs() + cluster.violations);
+          () -> "timed out waiting for: " + condition + "\n" + logs() + cluster.violations);
       TimeUnit.MILLISECONDS.sleep(50);
     }
   }
 
-  /** What all controllers have logged. */
+  /** Returns the logs of all controllers. */
   String logs() {
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < LoopbackCluster.NODES; i++) {
@@ -108,7 +109,7 @@
     return all.toString();
   }
 
-  /** A user submits a job of that kind, and asks for it until it is over. */
+  /** Submits a job as a simulated user, who polls until it is finished, and returns its ID. */
   String submit(String kind, String... options) {
     return loopback.call(
         () -> {
--- a/src/test/java/io/pearscale/sim/ProductionBuild.java
+++ b/src/test/java/io/pearscale/sim/ProductionBuild.java
@@ -15,7 +15,7 @@
 import javax.tools.ToolProvider;
 
 /**
- * The version in production, compiled from the repository's history: the commit that {@code
+ * Compiles the production version from the repository's history, at the commit that {@code
  * deploy/service.toml} names.
  */
 final class ProductionBuild {
@@ -26,16 +26,16 @@
 
   private ProductionBuild() {}
 
-  /** Whether there is a history to build from: a copy of the sources alone has none. */
+  /** Returns whether the commit exists; it does not in a copy of the sources without history. */
   static boolean hasHistory() throws Exception {
     return exitValue("git", "cat-file", "-e", commit() + "^{commit}") == 0;
   }
 
   /**
-   * Compiles it with the libraries of this build.
+   * Compiles the production version with the libraries of this build.
    *
-   * @param folder where its sources and classes go
-   * @return the class path that runs it
+   * @param folder the directory for its sources and classes
+   * @return the class path to run it
    */
   static String classPath(Path folder) throws Exception {
     Path archive = folder.resolve("sources.tar");
@@ -51,7 +51,8 @@
         ToolProvider.getSystemJavaCompiler()
             .run(null, null, null, arguments.toArray(new String[0]));
     if (result != 0) {
-      throw new IOException("the older build does not compile");
+      throw new IOException(
+          "the production version does not compile with the libraries of this build");
     }
     return classes
         + File.pathSeparator
@@ -64,7 +65,8 @@
     try {
       Matcher matcher = COMMIT_PATTERN.matcher(Files.readString(SERVICE_FILE));
       if (!matcher.find()) {
-        throw new IllegalStateException(SERVICE_FILE + " names no version in production");
+        throw new IllegalStateException(
+            SERVICE_FILE + " has no line production = \"<40-digit commit>\"");
       }
       return matcher.group(1);
     } catch (IOException e) {
@@ -72,7 +74,7 @@
     }
   }
 
-  /** The class path without this build's own classes. */
+  /** Returns the class path of this build without its own classes. */
   private static String libraries() {
     String[] entries = System.getProperty("java.class.path").split(File.pathSeparator);
     return String.join(
@@ -82,14 +84,14 @@
 
   private static void run(String... command) throws Exception {
     if (exitValue(command) != 0) {
-      throw new IOException(String.join(" ", command) + " failed");
+      throw new IOException(String.join(" ", command) + " exited with an error");
     }
   }
 
   private static int exitValue(String... command) throws Exception {
     Process process = new ProcessBuilder(command).inheritIO().start();
     if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-      throw new IOException(String.join(" ", command) + " hangs");
+      throw new IOException(String.join(" ", command) + " did not exit in time");
     }
     return process.exitValue();
   }
--- a/src/test/java/io/pearscale/sim/RandomRunsTest.java
+++ b/src/test/java/io/pearscale/sim/RandomRunsTest.java
@@ -9,14 +9,18 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Days with random jobs and troubles from fixed seeds. The world checks the rules after each event;
- * at the end all work must have come right, since all troubles are over by then.
+ * Scenarios with random jobs and injected faults from fixed seeds. {@link SimulatedCluster} checks
+ * the invariants after each event. All faults end before the scenario does, so all jobs must be in
+ * their expected state at the end.
  */
 class RandomRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.randomRuns", 120);
   private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
 
-  /** Days on which a write decided before a switch went out after it with the new level's stamp. */
+  /**
+   * Seeds on which a write that was prepared before a level change was sent after it, guarded by
+   * the revision of the new level.
+   */
   private static final List<Long> LEVEL_SWITCH_REGRESSION_SEEDS = List.of(5097L, 5123L, 5447L);
 
   private static List<Long> seeds(int runs) {
@@ -29,8 +33,8 @@
   }
 
   /**
-   * The same days while controllers of two builds run side by side and the level of stored forms is
-   * raised at some time: one controller has the old build, and stays out from then on.
+   * The same scenarios while controllers of two builds run side by side and the schema level is
+   * raised: one controller has the older build and does not take part from then on.
    */
   @TestFactory
   Stream<DynamicTest> mixedBuildsServeDuringLevelChange() {
@@ -40,8 +44,8 @@
   }
 
   /**
-   * The same days while the level is raised, taken back and raised again at random times, with one
-   * controller of the old build on every third day. At the end level 0 is in force everywhere.
+   * The same scenarios while the schema level is raised and rolled back at random times, for every
+   * third seed with one controller of the older build. At the end level 0 is in force.
    */
   @TestFactory
   Stream<DynamicTest> levelChangesAndRollbacks() {
@@ -50,9 +54,9 @@
   }
 
   /**
-   * The same days while machines are drained at random times, some held and some given back, and
-   * drains are paused and cancelled. Work is evicted on these days, so the rules and the ends of
-   * all jobs are checked, and budgets are left to {@link DrainRunsTest}.
+   * The same scenarios while machines are drained at random times, some held and some deleted, and
+   * drains are paused and cancelled. Tasks are also evicted in these scenarios, so only the
+   * invariants and the final states of the jobs are checked; {@link DrainRunsTest} checks budgets.
    */
   @TestFactory
   Stream<DynamicTest> drainsInRandomScenarios() {
@@ -159,14 +163,15 @@
     if (refuseLeader) {
       appendRefusalThenOutage(random, text);
     }
-    // Drawn last, so that what was drawn before is as it was.
+    // Draws its random numbers last, so that earlier draws stay the same for each seed.
     appendAdditionalFaults(random, text, jobs);
     return text.append("until 330\n").append(expectations).toString();
   }
 
   /**
-   * The leader is refused at about the time at which users cancel, a controller may end and be
-   * back, and then the state service is out for all for longer than a cancel may take.
+   * The key-value store refuses the leader at about the time at which users cancel jobs, a
+   * controller may restart, and then the store is down for all clients for 30 to 55 s. The cancel
+   * timeout is 36 s.
    */
   private static void appendRefusalThenOutage(RandomGenerator random, StringBuilder text) {
     double at = 72 + random.nextDouble();
@@ -184,9 +189,7 @@
         .append("at %.2f serve refused\n".formatted(at + 5 + random.nextDouble() * 60));
   }
 
-  /**
-   * Troubles that were added later: repeats, cancels at the end, late commands, slow processors.
-   */
+  /** Appends repeated submissions, a cancel at a job's end, late commands and slow processors. */
   private static void appendAdditionalFaults(RandomGenerator random, StringBuilder text, int jobs) {
     for (int i = 0; i < 3; i++) {
       text.append(
@@ -289,7 +292,7 @@
               "at %.2f slow-links %.2f\nat %.2f slow-links 0\n"
                   .formatted(at, random.nextDouble() * 0.4, end));
       case 22 -> {
-        // Two controllers are gone, the third has lost the state service.
+        // Two controllers have crashed and the key-value store refuses the third.
         text.append("at %.2f refuse %s\n".formatted(at, node));
         for (int k = 0; k < 3; k++) {
           if (!node.equals("hive-" + k)) {
--- a/src/test/java/io/pearscale/sim/SessionRunsTest.java
+++ b/src/test/java/io/pearscale/sim/SessionRunsTest.java
@@ -4,7 +4,9 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Days on which many machines begin new sessions: no task may be in two places. */
+/**
+ * Random scenarios in which many machines start new incarnations: no task may be on two machines.
+ */
 class SessionRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.sessionRuns", 250);
   private static final int MACHINES = Integer.getInteger("pearscale.sessionMachines", 60);
--- a/src/test/java/io/pearscale/sim/SizeTest.java
+++ b/src/test/java/io/pearscale/sim/SizeTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * 1,500 machines and over ten thousand tasks, with a leader that ends in the middle and another one
- * that stands still for longer than a lease. What it takes is bounded in counts, which are the same
- * each time, and not in seconds.
+ * 1,500 machines and over ten thousand tasks, with one leader that crashes and another one that is
+ * unresponsive for longer than a lease. The load is bounded in requests and writes, which are the
+ * same in each run, and not in seconds.
  */
 class SizeTest {
   private static final int MACHINES = 1500;
@@ -44,14 +44,15 @@
                 cluster.peerRecords,
                 cluster.directCommands);
     assertTrue(tasks > 10_000, counts);
-    // A submission is one write and the end of a job two; marks and roster are shared.
+    // A submission takes one write and the end of a job two; jobs share placement and machine
+    // records.
     assertTrue(cluster.store.writes < 3L * jobs + 10 * DURATION_SECONDS, counts);
     assertTrue(cluster.store.requests < 100 * DURATION_SECONDS, counts);
-    // Two thirds of all reports are relayed, a record each way; workers report every 2 s, and when
-    // something has changed.
+    // Two thirds of all heartbeats are relayed, with one peer record each way; agents send one
+    // every 2 s and after each change.
     assertTrue(cluster.peerRecords < 1400L * DURATION_SECONDS, counts);
-    // A direct command carries all that a machine is to start or stop at that moment; and each of
-    // two takeovers asks every machine.
+    // A direct command carries everything that a machine has to start or stop at that moment. Each
+    // of the two takeovers queries every machine.
     assertTrue(cluster.directCommands < tasks / 2 + 2 * MACHINES, counts);
   }
 }
--- a/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeDrillTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An upgrade and its rollback with real processes and the operators' own commands, with an older
- * build among the controllers: it is away when the level is raised, rejoins, and takes part again
- * after the rollback. Users submit jobs all the time, and each gets one final answer.
+ * Upgrades and rolls back with real processes and the CLI. One controller has an older build: it is
+ * down when the schema level is raised, must not take part when it restarts, and takes part again
+ * after the rollback. Jobs are submitted throughout, and each must reach its final state.
  */
 class UpgradeDrillTest {
   private static final int ROUNDS = Integer.getInteger("pearscale.upgradeRounds", 2);
@@ -45,7 +45,9 @@
     drill.submit(kind, "tasks=3", "cpus=1", "run=4");
   }
 
-  /** All records have the level's forms. */
+  /**
+   * Returns whether the stored schema level equals the given one, including its migration state.
+   */
   private boolean storedLevelIs(SchemaLevel level) {
     return drill.cluster.store.level().equals(level);
   }
@@ -67,7 +69,9 @@
       drill.start(2, NEW_BUILD_OPERATIONS);
       drill.loopback.startClock();
       submit("service");
-      drill.waitUntil("all announce", () -> announcedMembers() == LoopbackCluster.NODES);
+      drill.waitUntil(
+          "all controllers announce their build",
+          () -> announcedMembers() == LoopbackCluster.NODES);
       for (int round = 0; round < ROUNDS; round++) {
         runRound();
       }
@@ -85,7 +89,7 @@
         : user.stage.equals("done");
   }
 
-  /** One of the two raises the level, and neither raises it twice. */
+  /** Of two concurrent finalise commands exactly one raises the level, and only by one. */
   private void finaliseConcurrently() throws Exception {
     CompletableFuture<CommandResult> first =
         CompletableFuture.supplyAsync(
@@ -109,7 +113,7 @@
     assertTrue(refused.text().contains("hive-0 supports 0, not level 1"), refused.text());
 
     drill.loopback.kill(0);
-    drill.waitUntil("its word ends with the old build", () -> announcedMembers() == 2);
+    drill.waitUntil("the older build's member record expires", () -> announcedMembers() == 2);
     CommandResult missingMember = drill.runCommand("upgrade", "finalise");
     assertEquals(EXIT_REFUSED, missingMember.code(), missingMember.text());
     assertTrue(missingMember.text().contains("hive-0 was not seen"), missingMember.text());
@@ -124,14 +128,15 @@
     }
     assertTrue(
         logContains(0, "event=incompatible_build"),
-        () -> "the old build took part:\n" + drill.logs());
+        () -> "the older build did not stay out:\n" + drill.logs());
     assertEquals(2, drill.loopback.call(this::announcedMembers));
 
     CommandResult rollback = drill.runCommand("upgrade", "rollback");
     assertEquals(0, rollback.code(), rollback.text());
     submit("batch");
     drill.waitUntil("level 0 with all records", () -> storedLevelIs(LEVEL_0_HELD));
-    drill.waitUntil("the old build takes part", () -> announcedMembers() == LoopbackCluster.NODES);
+    drill.waitUntil(
+        "the older build takes part", () -> announcedMembers() == LoopbackCluster.NODES);
     CommandResult status = drill.runCommand("upgrade", "status");
     assertEquals(0, status.code(), status.text());
     assertTrue(status.text().contains("level in force   0"), status.text());
--- a/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
+++ b/src/test/java/io/pearscale/sim/UpgradeStepsTest.java
@@ -11,9 +11,10 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Raises the level and takes it back, and has the leader meet a trouble at each of the transactions
- * that follow. Whatever was durable by then, the migration comes to its end, no record has a form
- * that the level does not allow, and all work comes right.
+ * Raises the schema level and rolls it back, with a fault injected at each of the leader's
+ * following transactions. Independently of what was durable at that time, the migration must
+ * complete, no record may have a format that the level does not allow, and all jobs must reach
+ * their expected state.
  */
 class UpgradeStepsTest {
   private static final int TRANSACTIONS = Integer.getInteger("pearscale.upgradeSteps", 12);
@@ -45,7 +46,8 @@
       """;
 
   /**
-   * All is copied to the layout of level 2, while tasks start and end, and back to that of level 1.
+   * All records are copied to the layout of level 2 while tasks start and end, and back to that of
+   * level 1.
    */
   private static final String LAYOUT_COPY_SCENARIO =
       """
@@ -81,7 +83,7 @@
       expect wk-6 stage done
       """;
 
-  /** A step writes each value of the roster once, and the leader's own key with each batch. */
+  /** A migration writes each machine record once, and the leader's term key with each batch. */
   @Test
   void migrationWritesEachValueOnce() {
     String text =
