--- a/src/test/java/io/pearscale/sim/GangRunsTest.java
+++ b/src/test/java/io/pearscale/sim/GangRunsTest.java
@@ -202,10 +202,10 @@
     SimGangRendezvous.Member member =
         new SimGangRendezvous.Member() {
           @Override
-          public void started() {}
+          public void start() {}
 
           @Override
-          public void exited(String cause, boolean saved) {}
+          public void exit(String cause, boolean saved) {}
 
           @Override
           public boolean isUnresponsive() {
--- a/src/test/java/io/pearscale/sim/LoopbackCluster.java
+++ b/src/test/java/io/pearscale/sim/LoopbackCluster.java
@@ -151,14 +151,14 @@
         .append("state = \"127.0.2.%d:%d\"\n".formatted(10 + node, port))
         .append("[facts]\nnodes = 3\n");
     cluster.teams.forEach(
-        t ->
-            text.append("[[facts.teams]]\nname = \"%s\"\n".formatted(t.name()))
+        team ->
+            text.append("[[facts.teams]]\nname = \"%s\"\n".formatted(team.name()))
                 .append("cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"));
     cluster.objectives.forEach(
-        o ->
-            text.append("[[facts.objectives]]\nkind = \"%s\"\n".formatted(o.kind()))
-                .append("class = \"%s\"\n".formatted(o.jobClass()))
-                .append("within_s = %s\n".formatted(o.target().toMillis() / 1000.0)));
+        objective ->
+            text.append("[[facts.objectives]]\nkind = \"%s\"\n".formatted(objective.kind()))
+                .append("class = \"%s\"\n".formatted(objective.jobClass()))
+                .append("within_s = %s\n".formatted(objective.target().toMillis() / 1000.0)));
     return text.append(
             "[facts.workers]\nreport_s = %s\n"
                 .formatted(cluster.heartbeatInterval.toMillis() / 1000.0))
--- a/src/test/java/io/pearscale/sim/SessionRunsTest.java
+++ b/src/test/java/io/pearscale/sim/SessionRunsTest.java
@@ -10,21 +10,21 @@
 class SessionRunsTest {
   private static final int RUNS = Integer.getInteger("pearscale.sessionRuns", 250);
   private static final int MACHINES = Integer.getInteger("pearscale.sessionMachines", 60);
-  private static final long FIRST = Long.getLong("pearscale.firstSeed", 1);
-  private static final int SIZE = Integer.getInteger("pearscale.sessionSize", 300);
-  private static final int RUNS_AT_SIZE = Integer.getInteger("pearscale.sessionRunsAtSize", 2);
+  private static final long FIRST_SEED = Long.getLong("pearscale.firstSeed", 1);
+  private static final int LARGE_FLEET_MACHINES = Integer.getInteger("pearscale.sessionSize", 300);
+  private static final int LARGE_FLEET_RUNS = Integer.getInteger("pearscale.sessionRunsAtSize", 2);
 
   @TestFactory
   Stream<DynamicTest> noTaskRunsTwice() {
     return SeededScenarios.rulesHold(
-        SeededScenarios.seeds(FIRST, RUNS),
+        SeededScenarios.seeds(FIRST_SEED, RUNS),
         seed -> LeaseExpiryScenarioGenerator.generate(seed, MACHINES));
   }
 
   @TestFactory
-  Stream<DynamicTest> noTaskRunsTwiceAtSize() {
+  Stream<DynamicTest> noTaskRunsTwiceOnLargeFleet() {
     return SeededScenarios.rulesHold(
-        SeededScenarios.seeds(FIRST, RUNS_AT_SIZE),
-        seed -> LeaseExpiryScenarioGenerator.generate(seed, SIZE));
+        SeededScenarios.seeds(FIRST_SEED, LARGE_FLEET_RUNS),
+        seed -> LeaseExpiryScenarioGenerator.generate(seed, LARGE_FLEET_MACHINES));
   }
 }
--- a/src/test/java/io/pearscale/sim/SimAgent.java
+++ b/src/test/java/io/pearscale/sim/SimAgent.java
@@ -127,9 +127,9 @@
     hung = true;
     cluster.gangChecker().machineUnresponsive(name, cluster.now);
     tasks.forEach(
-        (key, task) -> {
-          if (task.stage.equals("running") && isGang(key)) {
-            cluster.gangs.memberUnresponsive(key.task, key.attempt, new GangMember(key, task));
+        (key, state) -> {
+          if (state.stage.equals("running") && isGang(key)) {
+            cluster.gangs.memberUnresponsive(key.task, key.attempt, new GangMember(key, state));
           }
         });
   }
@@ -141,31 +141,31 @@
   /** A task of a gang on this agent. Members are equal if they are for the same task state. */
   private final class GangMember implements SimGangRendezvous.Member {
     private final TaskAttempt key;
-    private final TaskState task;
+    private final TaskState state;
 
-    GangMember(TaskAttempt key, TaskState task) {
+    GangMember(TaskAttempt key, TaskState state) {
       this.key = key;
-      this.task = task;
+      this.state = state;
     }
 
     @Override
-    public void started() {
-      task.stage = "running";
-      task.runsSince = cluster.now;
+    public void start() {
+      state.stage = "running";
+      state.runsSince = cluster.now;
       cluster.gangChecker().taskRunning(key.task, cluster.now);
       requestHeartbeat();
     }
 
     @Override
-    public void exited(String cause, boolean saved) {
+    public void exit(String cause, boolean saved) {
       runWhenResponsive(
           () -> {
-            if (tasks.get(key) == task && !task.stage.equals("ended")) {
-              task.saved = saved;
+            if (tasks.get(key) == state && !state.stage.equals("ended")) {
+              state.saved = saved;
               if (cause.equals("done")) {
                 cluster.gangChecker().taskCompleted(key.task, key.attempt);
               }
-              end(key, task, cause);
+              end(key, state, cause);
               cancelIfAllCompleted(key);
             }
           });
@@ -178,12 +178,12 @@
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof GangMember member && member.task == task;
+      return other instanceof GangMember member && member.state == state;
     }
 
     @Override
     public int hashCode() {
-      return System.identityHashCode(task);
+      return System.identityHashCode(state);
     }
   }
 
@@ -300,7 +300,8 @@
               "/checkin",
               heartbeatBody(),
               TIMEOUT,
-              r -> runWhenResponsive(() -> handleHeartbeatResponse(sentAt, sentIncarnation, r)));
+              reply ->
+                  runWhenResponsive(() -> handleHeartbeatResponse(sentAt, sentIncarnation, reply)));
         });
   }
 
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -31,7 +31,7 @@
   private int incarnation;
   private Controller controller;
   private Optional<ExternalProcess> externalProcess = Optional.empty();
-  private final Map<String, Instant> lastReceived = new HashMap<>();
+  private final Map<String, Instant> lastReceivedAt = new HashMap<>();
 
   // While frozen: messages to send, timers that are due and received messages.
   private Instant frozenUntil = Instant.MIN;
@@ -123,9 +123,9 @@
                   path,
                   body,
                   timeout,
-                  r -> {
+                  reply -> {
                     if (isCurrent()) {
-                      runOrDefer(deferredInput, () -> answer.accept(r));
+                      runOrDefer(deferredInput, () -> answer.accept(reply));
                     }
                   }));
     }
@@ -145,7 +145,7 @@
     @Override
     public Set<String> connected() {
       Set<String> up = new LinkedHashSet<>();
-      lastReceived.forEach(
+      lastReceivedAt.forEach(
           (peer, at) -> {
             if (!cluster.linksRefused && at.isAfter(cluster.now.minusSeconds(3))) {
               up.add(peer);
@@ -160,7 +160,7 @@
       runOrDefer(
           deferredInput,
           () -> {
-            lastReceived.put(peer, cluster.now);
+            lastReceivedAt.put(peer, cluster.now);
             controller.handlePeerRecord(peer, frame);
           });
     }
@@ -253,7 +253,7 @@
   }
 
   private void clearQueues() {
-    lastReceived.clear();
+    lastReceivedAt.clear();
     busyUntil = Instant.MIN;
     frozenUntil = Instant.MIN;
     freezeAtNextSend = Optional.empty();
@@ -338,13 +338,14 @@
                 method,
                 path,
                 Body.of(body),
-                r ->
+                response ->
                     sendOrDefer(
                         () -> {
                           if (ownIncarnation == incarnation) {
                             answer.accept(
                                 new HttpClient.Reply(
-                                    r.status(), r.body().tree().orElse(MessagePack.MISSING)));
+                                    response.status(),
+                                    response.body().tree().orElse(MessagePack.MISSING)));
                           }
                         })));
   }
--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -18,10 +18,10 @@
   /** One task of an attempt, on its worker. */
   interface Member {
     /** Starts the task once all members are present. */
-    void started();
+    void start();
 
     /** Ends the task with a cause: later if its machine is unresponsive, not if it is off. */
-    void exited(String cause, boolean saved);
+    void exit(String cause, boolean saved);
 
     /** Returns whether the task's machine is unresponsive. */
     boolean isUnresponsive();
@@ -84,7 +84,7 @@
 
   private static void exitIfPresent(AttemptState state, int index, Member member, String cause) {
     if (state.members.get(index) == member) {
-      member.exited(cause, false);
+      member.exit(cause, false);
     }
   }
 
@@ -102,10 +102,10 @@
     state.running = true;
     state.runningSince = cluster.now;
     cluster.firstStarts.putIfAbsent(attempt.job, cluster.now);
-    state.members.values().forEach(Member::started);
+    state.members.values().forEach(Member::start);
     if (cluster.users.get(attempt.job).failsEverywhere()) {
       Member first = state.members.values().iterator().next();
-      cluster.after(Duration.ofMillis(300), () -> first.exited("error", false));
+      cluster.after(Duration.ofMillis(300), () -> first.exit("error", false));
       return;
     }
     Duration runTime = cluster.users.get(attempt.job).runTime(new TaskId(attempt.job, 0));
@@ -125,7 +125,7 @@
     for (int i = 0; i < spec.tasks(); i++) {
       SimAgent.completed(cluster).add(new TaskId(attempt.job, i));
     }
-    List.copyOf(state.members.values()).forEach(member -> member.exited("done", false));
+    List.copyOf(state.members.values()).forEach(member -> member.exit("done", false));
   }
 
   /** Removes a member whose task is no longer on its machine. */
@@ -169,7 +169,9 @@
     }
     cluster.after(
         Duration.ofMillis((long) (cluster.random.nextDouble() * cluster.gangPeerLoss.toMillis())),
-        () -> List.copyOf(state.members.values()).forEach(m -> m.exited("mates_gone", false)));
+        () ->
+            List.copyOf(state.members.values())
+                .forEach(member -> member.exit("mates_gone", false)));
   }
 
   private Duration progressAt(Attempt attempt, AttemptState state, Instant when) {
@@ -193,15 +195,15 @@
           cluster.gangPeerLoss.plusMillis(1), () -> abortUnlessAllStopped(attempt, state, spec));
     }
     if (state.stopRequestedAt.size() == spec.tasks()) {
-      cluster.after(spec.checkpointDuration(), () -> saved(attempt, state));
+      cluster.after(spec.checkpointDuration(), () -> endSaved(attempt, state));
     }
   }
 
-  private void saved(Attempt attempt, AttemptState state) {
+  private void endSaved(Attempt attempt, AttemptState state) {
     if (!state.ended) {
       state.ended = true;
       savedProgress.put(attempt.job, progressAt(attempt, state, state.firstStopAt));
-      List.copyOf(state.members.values()).forEach(member -> member.exited("stopped", true));
+      List.copyOf(state.members.values()).forEach(member -> member.exit("stopped", true));
     }
   }
 
--- a/src/test/java/io/pearscale/sim/SimKeyValueStore.java
+++ b/src/test/java/io/pearscale/sim/SimKeyValueStore.java
@@ -39,7 +39,7 @@
   private final List<Watch> watches = new ArrayList<>();
   private final Map<String, JsonNode> originalValues = new HashMap<>();
   private long storeRevision;
-  private long oldestWatchable;
+  private long oldestWatchableRevision;
   private long lastLeaseId;
 
   /** How many puts and deletes were applied. */
@@ -238,8 +238,8 @@
       answer.accept(new Reply(409, response));
       return;
     }
-    for (JsonNode c : body.path("then")) {
-      if (c.has("claim") && !leaseDeadlines.containsKey(c.path("claim").asLong())) {
+    for (JsonNode operation : body.path("then")) {
+      if (operation.has("claim") && !leaseDeadlines.containsKey(operation.path("claim").asLong())) {
         answer.accept(new Reply(400, SimulatedCluster.map().put("error", "no such lease")));
         return;
       }
@@ -254,14 +254,16 @@
     }
     checkWriterLevel(from);
     storeRevision++;
-    for (JsonNode c : body.path("then")) {
+    for (JsonNode operation : body.path("then")) {
       writes++;
-      if (c.hasNonNull("write")) {
-        String key = c.path("write").asText();
-        entries.put(key, new Entry(c.path("value"), storeRevision, c.path("claim").asLong(0)));
-        history.add(new Change(key, c.path("value"), storeRevision));
-      } else if (entries.remove(c.path("drop").asText()) != null) {
-        history.add(new Change(c.path("drop").asText(), null, storeRevision));
+      if (operation.hasNonNull("write")) {
+        String key = operation.path("write").asText();
+        entries.put(
+            key,
+            new Entry(operation.path("value"), storeRevision, operation.path("claim").asLong(0)));
+        history.add(new Change(key, operation.path("value"), storeRevision));
+      } else if (entries.remove(operation.path("drop").asText()) != null) {
+        history.add(new Change(operation.path("drop").asText(), null, storeRevision));
       }
     }
     checkRecordLevels();
@@ -409,10 +411,10 @@
 
   /** Checks that no controller writes at a schema level that its build does not support. */
   private void checkWriterLevel(String from) {
-    SimController node = cluster.controllers.get(from);
+    SimController controller = cluster.controllers.get(from);
     int level =
         entries.containsKey("c/level") ? entries.get("c/level").value.path("level").asInt() : 0;
-    if (node != null && !node.runningLevels.contains(level)) {
+    if (controller != null && !controller.runningLevels.contains(level)) {
       cluster.reportViolation("wrote_unsupported_level", from + " at level " + level);
     }
   }
@@ -426,7 +428,7 @@
       answer.accept(new Reply(503, SimulatedCluster.map()));
       return;
     }
-    if (watch.sinceRevision < oldestWatchable) {
+    if (watch.sinceRevision < oldestWatchableRevision) {
       answer.accept(new Reply(410, SimulatedCluster.map()));
       return;
     }
@@ -504,7 +506,7 @@
 
   /** Discards the change history, so that watches from earlier revisions fail. */
   void discardHistory() {
-    oldestWatchable = storeRevision;
+    oldestWatchableRevision = storeRevision;
     history.clear();
   }
 
@@ -517,9 +519,9 @@
   Map<String, JsonNode> entriesWithPrefix(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     entries.forEach(
-        (key, pair) -> {
+        (key, entry) -> {
           if (key.startsWith(prefix)) {
-            found.put(key, pair.value);
+            found.put(key, entry.value);
           }
         });
     return found;
