--- a/src/test/java/io/pearscale/sim/SimGangRendezvous.java
+++ b/src/test/java/io/pearscale/sim/SimGangRendezvous.java
@@ -15,7 +15,7 @@
  * together. It also checks that no job runs under two attempts at once.
  */
 final class SimGangRendezvous {
-  /** One task of an attempt, on its worker. */
+  /** A task of an attempt on its agent. */
   interface Member {
     /** Starts the task once all members are present. */
     void start();
