--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -55,14 +55,14 @@
    * Returns the response that refuses a new job; empty if the job can be accepted.
    *
    * @param machineTypes the machine types of the cloud; empty while they are unknown
-   * @param liveJobs the number of live jobs
+   * @param liveJobCount the number of live jobs
    */
-  Optional<Response> refusal(JobSpec spec, List<MachineType> machineTypes, int liveJobs) {
+  Optional<Response> refusal(JobSpec spec, List<MachineType> machineTypes, int liveJobCount) {
     if (machineTypes.isEmpty()) {
       return Optional.of(
           Response.unavailable(CATALOGUE_RETRY_AFTER, "machine types unknown as yet"));
     }
-    if (liveJobs >= MAX_LIVE_JOBS) {
+    if (liveJobCount >= MAX_LIVE_JOBS) {
       return Optional.of(Response.unavailable(TOO_MANY_JOBS_RETRY_AFTER, "too many jobs"));
     }
     Team team = teams.get(spec.team());
@@ -127,9 +127,9 @@
         team.hasQuotaLimit()
             ? new PlacementRecordCodec.QuotaClaim(
                     spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
-                .maximumSize()
+                .maxEncodedSize()
             : 0;
-    return PlacementRecordCodec.maximumSize(
+    return PlacementRecordCodec.maxEncodedSize(
             spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
         + quotaClaimBytes;
   }
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -156,7 +156,7 @@
     }
 
     private Optional<String> findInvalidArgument() throws SettingsException {
-      if (!DrainRequest.isId(id)) {
+      if (!DrainRequest.isValidId(id)) {
         return Optional.of("ID " + id + ": expected up to 12 of a-z, 0-9 and -");
       }
       if (!CONCURRENCY_PATTERN.matcher(concurrency).matches()) {
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -54,7 +54,10 @@
 
     /** Stores the change of the level, or prints why there is none. */
     int applyOutcome(
-        KeyValueStoreSession session, UpgradeView view, Outcome outcome, Set<String> absentHosts)
+        KeyValueStoreSession session,
+        UpgradeView view,
+        Outcome outcome,
+        Set<String> confirmedAbsent)
         throws IOException {
       if (outcome instanceof UpgradePlan.NoChange noChange) {
         print("nothing to do: " + noChange.reason());
@@ -64,9 +67,9 @@
         return refuse(String.join("; ", refusal.reasons()));
       }
       ObjectNode record = ((UpgradePlan.LevelChange) outcome).next().toNode(view.storedLevel());
-      if (!absentHosts.isEmpty()) {
+      if (!confirmedAbsent.isEmpty()) {
         ArrayNode absentNode = record.putArray("absent");
-        absentHosts.forEach(absentNode::add);
+        confirmedAbsent.forEach(absentNode::add);
       }
       return reportOutcome(
           session.write(view.preconditions(), List.of(Mutation.put(Keys.LEVEL, record))),
@@ -131,7 +134,7 @@
         names = "--absent",
         paramLabel = "HOST",
         description = "a controller that is away; you vouch that it comes back with a new build")
-    Set<String> absentHosts = new LinkedHashSet<>();
+    Set<String> confirmedAbsent = new LinkedHashSet<>();
 
     @Override
     int run(KeyValueStoreSession session, UpgradeView view) throws IOException {
@@ -139,7 +142,8 @@
         return printError(view.incompatibility().get(), EXIT_INCOMPATIBLE_BUILD);
       }
       UpgradePlan plan = view.plan().orElseThrow();
-      return applyOutcome(session, view, plan.finalise(view.build(), absentHosts), absentHosts);
+      return applyOutcome(
+          session, view, plan.finalise(view.build(), confirmedAbsent), confirmedAbsent);
     }
   }
 
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -13,9 +13,9 @@
 import io.pearscale.storage.PlacementRecordCodec;
 import io.pearscale.storage.RecordLayout;
 import io.pearscale.transport.MessagePack;
+import io.pearscale.upgrade.ControllerSupport;
 import io.pearscale.upgrade.Feature;
 import io.pearscale.upgrade.LevelGate;
-import io.pearscale.upgrade.MemberSupport;
 import io.pearscale.upgrade.SchemaLevel;
 import io.pearscale.upgrade.SupportedLevels;
 import io.pearscale.upgrade.UpgradePlan;
@@ -35,7 +35,7 @@
  *
  * @param storedLevelRecord the stored record of the schema level; empty if none was ever stored
  * @param incompatibility why this build must not take part in the cluster; empty if it may
- * @param members the support records of the running controllers, by host
+ * @param supportRecords the support records of the running controllers, by host
  * @param valuesToMigrate how many values have another encoding or layout than is written now
  * @param plan decides which steps are allowed; empty if the level can't be read
  */
@@ -43,8 +43,8 @@
     Optional<StoredValue> storedLevelRecord,
     SupportedLevels build,
     Optional<String> incompatibility,
-    Set<String> hosts,
-    Map<String, StoredValue> members,
+    Set<String> controllerNames,
+    Map<String, StoredValue> supportRecords,
     int valuesToMigrate,
     Optional<UpgradePlan> plan,
     Optional<String> leader,
@@ -53,59 +53,68 @@
   /** Reads the level, the controllers' support and all records that an upgrade may migrate. */
   static UpgradeView read(KeyValueStoreSession session, Settings settings, SupportedLevels build)
       throws IOException {
-    Optional<StoredValue> level = session.read(Keys.LEVEL);
+    Optional<StoredValue> storedLevelRecord = session.read(Keys.LEVEL);
     LevelGate gate = new LevelGate(build);
-    gate.update(level.map(StoredValue::value), level.map(StoredValue::revision).orElse(0L));
-    Set<String> hosts = settings.controllerNames();
-    Map<String, StoredValue> members = new TreeMap<>();
+    gate.update(
+        storedLevelRecord.map(StoredValue::value),
+        storedLevelRecord.map(StoredValue::revision).orElse(0L));
+    Set<String> controllerNames = settings.controllerNames();
+    Map<String, StoredValue> supportRecords = new TreeMap<>();
     session
-        .list(Keys.MEMBERS)
-        .forEach((key, stored) -> members.put(key.substring(Keys.MEMBERS.length()), stored));
+        .list(Keys.SUPPORT_RECORDS)
+        .forEach(
+            (key, stored) ->
+                supportRecords.put(key.substring(Keys.SUPPORT_RECORDS.length()), stored));
     Map<String, StoredValue> records = new TreeMap<>();
     for (RecordLayout layout : RecordLayout.values()) {
       records.putAll(session.list(layout.machinePrefix()));
       records.putAll(session.list(layout.placementPrefix()));
     }
-    Map<Feature, List<String>> usesByFeature = new EnumMap<>(Feature.class);
-    usesByFeature.put(Feature.MACHINE_MAINTENANCE, machinesInMaintenance(records));
-    usesByFeature.putAll(jobsRequiringLaterLevels(session.list(Keys.LIVE_JOBS), settings));
-    Optional<SchemaLevel> schemaLevel = parseLevel(level);
+    Map<Feature, List<String>> recordsByFeature = new EnumMap<>(Feature.class);
+    recordsByFeature.put(Feature.MACHINE_MAINTENANCE, machinesInMaintenance(records));
+    recordsByFeature.putAll(jobsRequiringLaterLevels(session.list(Keys.LIVE_JOBS), settings));
+    Optional<SchemaLevel> schemaLevel = parseLevel(storedLevelRecord);
     return new UpgradeView(
-        level,
+        storedLevelRecord,
         build,
         gate.incompatibility(),
-        hosts,
-        members,
+        controllerNames,
+        supportRecords,
         schemaLevel
             .map(currentLevel -> countValuesToMigrate(records, currentLevel.writtenLevel()))
             .orElse(0),
         schemaLevel.map(
             currentLevel ->
-                new UpgradePlan(currentLevel, hosts, supportByHost(members), usesByFeature)),
+                new UpgradePlan(
+                    currentLevel,
+                    controllerNames,
+                    supportByController(supportRecords),
+                    recordsByFeature)),
         session.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
         session.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
   }
 
-  private static Optional<SchemaLevel> parseLevel(Optional<StoredValue> level) {
+  private static Optional<SchemaLevel> parseLevel(Optional<StoredValue> storedLevelRecord) {
     try {
-      return Optional.of(SchemaLevel.fromStored(level.map(StoredValue::value)));
+      return Optional.of(SchemaLevel.fromStored(storedLevelRecord.map(StoredValue::value)));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
 
   /** Parses the support records. A controller whose record can't be parsed counts as not seen. */
-  private static Map<String, MemberSupport> supportByHost(Map<String, StoredValue> members) {
-    Map<String, MemberSupport> supports = new TreeMap<>();
-    members.forEach(
-        (host, stored) -> {
+  private static Map<String, ControllerSupport> supportByController(
+      Map<String, StoredValue> supportRecords) {
+    Map<String, ControllerSupport> supportByController = new TreeMap<>();
+    supportRecords.forEach(
+        (controllerName, stored) -> {
           try {
-            supports.put(host, MemberSupport.parse(stored.value()));
+            supportByController.put(controllerName, ControllerSupport.parse(stored.value()));
           } catch (MalformedMessageException e) {
-            supports.remove(host);
+            supportByController.remove(controllerName);
           }
         });
-    return supports;
+    return supportByController;
   }
 
   private static int countValuesToMigrate(Map<String, StoredValue> records, int writtenLevel) {
@@ -141,7 +150,7 @@
           if (JobSpec.isStoredGang(spec)) {
             gangJobs.add(id);
           }
-          if (PlacementRecordCodec.maximumSize(id, tasks, earlierLayout)
+          if (PlacementRecordCodec.maxEncodedSize(id, tasks, earlierLayout)
               > settings.storeLimits().maxValueBytes()) {
             largeJobs.add(id);
           }
@@ -169,9 +178,12 @@
   /** Returns preconditions which require that no controller's support record has changed. */
   List<Precondition> preconditions() {
     List<Precondition> preconditions = new ArrayList<>();
-    for (String host : hosts) {
-      long revision = members.containsKey(host) ? members.get(host).revision() : 0;
-      preconditions.add(new Precondition(Keys.member(host), revision));
+    for (String controllerName : controllerNames) {
+      long revision =
+          supportRecords.containsKey(controllerName)
+              ? supportRecords.get(controllerName).revision()
+              : 0;
+      preconditions.add(new Precondition(Keys.supportRecord(controllerName), revision));
     }
     return preconditions;
   }
@@ -205,16 +217,16 @@
     return plan.map(upgradePlan -> upgradePlan.nextStep(build)).orElse("repair " + Keys.LEVEL);
   }
 
-  private Map<String, String> supportTextByHost() {
-    Map<String, MemberSupport> supports = supportByHost(members);
-    Map<String, String> controllers = new TreeMap<>();
-    for (String host : hosts) {
-      MemberSupport support = supports.get(host);
-      controllers.put(
-          host,
+  private Map<String, String> supportTextByController() {
+    Map<String, ControllerSupport> supportByController = supportByController(supportRecords);
+    Map<String, String> textByController = new TreeMap<>();
+    for (String controllerName : controllerNames) {
+      ControllerSupport support = supportByController.get(controllerName);
+      textByController.put(
+          controllerName,
           support == null ? "not seen" : support.levels() + " (release " + support.release() + ")");
     }
-    return controllers;
+    return textByController;
   }
 
   String asTable() {
@@ -229,7 +241,8 @@
     lines.add("takes part       " + incompatibility.map(reason -> "no: " + reason).orElse("yes"));
     lines.add("leader           " + leader.orElse("nobody"));
     lines.add("term             " + term);
-    supportTextByHost().forEach((host, support) -> lines.add("%-16s %s".formatted(host, support)));
+    supportTextByController()
+        .forEach((host, support) -> lines.add("%-16s %s".formatted(host, support)));
     lines.add("next step        " + nextStep());
     return String.join(System.lineSeparator(), lines);
   }
@@ -247,7 +260,7 @@
     leader.ifPresent(name -> node.put("leader", name));
     node.put("term", term);
     ObjectNode controllers = node.putObject("controllers");
-    supportTextByHost().forEach(controllers::put);
+    supportTextByController().forEach(controllers::put);
     return node.put("nextStep", nextStep()).toString();
   }
 }
--- a/src/main/java/io/pearscale/cli/WarmUpServices.java
+++ b/src/main/java/io/pearscale/cli/WarmUpServices.java
@@ -83,8 +83,8 @@
   }
 
   /** Returns the agent's next heartbeat; every second one reports its tasks as done. */
-  synchronized ObjectNode heartbeat(String workerAddress) {
-    address = workerAddress;
+  synchronized ObjectNode heartbeat(String agentAddress) {
+    address = agentAddress;
     ObjectNode heartbeat =
         WarmUp.sampleHeartbeat(address).put("tally", ++sequence).put("baton", fencingToken);
     ArrayNode tasks = heartbeat.putArray("pieces");
--- a/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
+++ b/src/main/java/io/pearscale/coordination/SupportAnnouncer.java
@@ -7,7 +7,7 @@
 import io.pearscale.transport.Actor;
 import io.pearscale.transport.EventLoop;
 import io.pearscale.transport.HttpClient.Reply;
-import io.pearscale.upgrade.MemberSupport;
+import io.pearscale.upgrade.ControllerSupport;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -49,7 +49,7 @@
 
   private final KeyValueStoreClient store;
   private final String host;
-  private final MemberSupport support;
+  private final ControllerSupport support;
   private final Duration leaseTtl;
   private OptionalLong leaseId = OptionalLong.empty();
 
@@ -62,7 +62,7 @@
       EventLoop loop,
       KeyValueStoreClient store,
       String host,
-      MemberSupport support,
+      ControllerSupport support,
       Duration leaseTtl) {
     super(loop);
     this.store = store;
@@ -115,7 +115,9 @@
   private void writeRecord() {
     Mutation record =
         new Mutation(
-            Keys.member(host), Optional.of(support.toNode()), Optional.of(leaseId.getAsLong()));
+            Keys.supportRecord(host),
+            Optional.of(support.toNode()),
+            Optional.of(leaseId.getAsLong()));
     store.compareAndSwap(List.of(), List.of(record), reply -> tell(new RecordWriteAnswered(reply)));
   }
 
@@ -128,7 +130,7 @@
       leaseId = OptionalLong.empty();
       requestLeaseIfMissing();
     } else if (reply.ok()) {
-      store.get(Keys.member(host), readReply -> tell(new RecordReadAnswered(readReply)));
+      store.get(Keys.supportRecord(host), readReply -> tell(new RecordReadAnswered(readReply)));
     }
   }
 
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -23,7 +23,7 @@
   public record Group(String team, String jobClass) {}
 
   private final List<DisruptionBudget> budgets;
-  private final Map<TaskId, Disruption> open = new LinkedHashMap<>();
+  private final Map<TaskId, Disruption> openDisruptions = new LinkedHashMap<>();
   private Map<Group, Availability> availabilityByGroup = Map.of();
   private Optional<String> blockedReason = Optional.empty();
 
@@ -37,10 +37,10 @@
    * again.
    */
   public void beginTerm(Collection<Disruption> recorded) {
-    open.clear();
+    openDisruptions.clear();
     availabilityByGroup = Map.of();
     blockedReason = Optional.empty();
-    recorded.forEach(disruption -> open.put(disruption.task(), disruption));
+    recorded.forEach(disruption -> openDisruptions.put(disruption.task(), disruption));
   }
 
   /** Refuses all further disruptions in this term because recorded ones can't be read. */
@@ -49,26 +49,26 @@
   }
 
   /** Returns the disruptions that count against the budgets. */
-  public Collection<Disruption> open() {
-    return Collections.unmodifiableCollection(open.values());
+  public Collection<Disruption> openDisruptions() {
+    return Collections.unmodifiableCollection(openDisruptions.values());
   }
 
   /** Returns whether the task counts as disrupted. */
-  public boolean isOpen(TaskId task) {
-    return open.containsKey(task);
+  public boolean isDisrupted(TaskId task) {
+    return openDisruptions.containsKey(task);
   }
 
   /** Counts an involuntary disruption, which no budget can refuse. */
   public void recordInvoluntary(Disruption disruption) {
-    open.putIfAbsent(disruption.task(), disruption);
+    openDisruptions.putIfAbsent(disruption.task(), disruption);
   }
 
   /** Closes the disruptions of all tasks that match, and returns these disruptions. */
   public List<Disruption> closeIf(Predicate<TaskId> isFinished) {
     List<Disruption> closed = new ArrayList<>();
-    for (Disruption disruption : List.copyOf(open.values())) {
+    for (Disruption disruption : List.copyOf(openDisruptions.values())) {
       if (isFinished.test(disruption.task())) {
-        open.remove(disruption.task());
+        openDisruptions.remove(disruption.task());
         closed.add(disruption);
       }
     }
@@ -86,7 +86,7 @@
 
   /** Returns the open disruption of the task, if any. */
   public Optional<Disruption> find(TaskId task) {
-    return Optional.ofNullable(open.get(task));
+    return Optional.ofNullable(openDisruptions.get(task));
   }
 
   /**
@@ -123,7 +123,7 @@
         return rejection;
       }
     }
-    disruptions.forEach(disruption -> open.put(disruption.task(), disruption));
+    disruptions.forEach(disruption -> openDisruptions.put(disruption.task(), disruption));
     availabilityByGroup = new HashMap<>(availabilityByGroup);
     availabilityByGroup.merge(group, added, Availability::plus);
     return Optional.empty();
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -88,14 +88,14 @@
    *
    * @param maintenanceChanges new maintenance states, by machine name
    * @param tasksToStop tasks to stop, whose disruptions the ledger has granted
-   * @param machinesToRelease empty machines to terminate
+   * @param machinesToTerminate empty machines to terminate
    * @param tasksWithoutCapacity tasks for which no capacity on other machines was reserved
    * @param statuses the status of each drain, by drain id
    */
   public record Plan(
       Map<String, Maintenance> maintenanceChanges,
       List<TaskView> tasksToStop,
-      List<String> machinesToRelease,
+      List<String> machinesToTerminate,
       List<TaskView> tasksWithoutCapacity,
       Map<String, DrainStatus> statuses) {}
 
--- a/src/main/java/io/pearscale/drain/DrainRequest.java
+++ b/src/main/java/io/pearscale/drain/DrainRequest.java
@@ -93,7 +93,7 @@
   private static final Pattern ID = Pattern.compile("[a-z0-9][a-z0-9-]{0,11}");
 
   /** Returns whether the text is a valid drain id. */
-  public static boolean isId(String text) {
+  public static boolean isValidId(String text) {
     return ID.matcher(text).matches();
   }
 
--- a/src/main/java/io/pearscale/drain/DrainRound.java
+++ b/src/main/java/io/pearscale/drain/DrainRound.java
@@ -150,7 +150,7 @@
 
   private void planEmptyMachine(MachineView machine) {
     if (request.completionAction() == DrainRequest.CompletionAction.TERMINATE) {
-      plan.machinesToRelease().add(machine.name());
+      plan.machinesToTerminate().add(machine.name());
       released++;
     } else {
       plan.maintenanceChanges().put(machine.name(), new Maintenance(Stage.DRAINED, request.id()));
@@ -164,7 +164,7 @@
       return;
     }
     for (TaskView task : machine.tasks()) {
-      if (task.stopping() || ledger.isOpen(task.task())) {
+      if (task.stopping() || ledger.isDisrupted(task.task())) {
         continue;
       }
       if (!task.running()) {
@@ -209,7 +209,7 @@
     if (task == null) {
       return false;
     }
-    if (disruptionLedger.isOpen(task.task())) {
+    if (disruptionLedger.isDisrupted(task.task())) {
       return true; // The task is stopped together with another task of its gang.
     }
     Optional<String> rejection = capacity.reserve(task);
--- a/src/main/java/io/pearscale/gang/GangAttempt.java
+++ b/src/main/java/io/pearscale/gang/GangAttempt.java
@@ -53,7 +53,7 @@
   private static final long NO_NUMBER = -1;
 
   private final int taskCount;
-  private final Duration formingTimeout;
+  private final Duration formationTimeout;
   private Phase phase = Phase.VACANT;
   private long number = NO_NUMBER;
   private Instant startedAt = Instant.MIN;
@@ -64,11 +64,11 @@
    * Creates the state of a gang that has no attempt.
    *
    * @param taskCount the number of tasks of the gang
-   * @param formingTimeout how long a task waits for the others
+   * @param formationTimeout how long a task waits for the others
    */
-  public GangAttempt(int taskCount, Duration formingTimeout) {
+  public GangAttempt(int taskCount, Duration formationTimeout) {
     this.taskCount = taskCount;
-    this.formingTimeout = formingTimeout;
+    this.formationTimeout = formationTimeout;
   }
 
   /** Begins an attempt with the given number. */
@@ -148,7 +148,7 @@
   }
 
   private Instant replacementDeadline() {
-    return startedAt.plus(formingTimeout).minus(REPLACEMENT_FETCH_TIME);
+    return startedAt.plus(formationTimeout).minus(REPLACEMENT_FETCH_TIME);
   }
 
   private static boolean noneStopping(Collection<Member> members) {
--- a/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
+++ b/src/main/java/io/pearscale/gang/GangCheckpointPolicy.java
@@ -16,7 +16,7 @@
    * @param running whether the task runs; otherwise it has nothing to save
    * @param reachable whether its machine can currently receive a command
    */
-  public record MemberReachability(boolean running, boolean reachable) {}
+  public record MemberState(boolean running, boolean reachable) {}
 
   private GangCheckpointPolicy() {}
 
@@ -25,15 +25,15 @@
    *
    * @param taskCount the number of tasks of the gang
    * @param remaining how long all of the tasks can still run
-   * @param checkpointTime how long a checkpoint takes; zero if the job takes no checkpoints
+   * @param checkpointDuration how long a checkpoint takes; zero if the job takes no checkpoints
    */
   public static boolean mayCheckpoint(
-      Collection<MemberReachability> members,
+      Collection<MemberState> members,
       int taskCount,
       Duration remaining,
-      Duration checkpointTime) {
+      Duration checkpointDuration) {
     return members.size() == taskCount
-        && remaining.compareTo(checkpointTime) > 0
+        && remaining.compareTo(checkpointDuration) > 0
         && members.stream().allMatch(member -> member.running && member.reachable);
   }
 }
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -82,7 +82,7 @@
    *
    * @throws MalformedMessageException if the bytes are not a valid record of {@link #VERSION}
    */
-  static PeerMessage decode(byte[] frame) throws MalformedMessageException {
-    return PeerMessageCodec.decode(frame);
+  static PeerMessage decode(byte[] encoded) throws MalformedMessageException {
+    return PeerMessageCodec.decode(encoded);
   }
 }
--- a/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -115,8 +115,8 @@
    *
    * @throws MalformedMessageException if the bytes are not a valid record of this version
    */
-  static PeerMessage decode(byte[] frame) throws MalformedMessageException {
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(frame))) {
+  static PeerMessage decode(byte[] encoded) throws MalformedMessageException {
+    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(encoded))) {
       PeerMessage message = read(in);
       if (in.read() >= 0) {
         throw new MalformedMessageException("peer record with bytes left over");
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -20,8 +20,8 @@
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.HttpServer.Response;
 import io.pearscale.transport.PeerTransport;
+import io.pearscale.upgrade.ControllerSupport;
 import io.pearscale.upgrade.LevelGate;
-import io.pearscale.upgrade.MemberSupport;
 import io.pearscale.upgrade.Release;
 import io.pearscale.upgrade.SupportedLevels;
 import java.time.Duration;
@@ -157,7 +157,7 @@
 
   private SupportAnnouncer createSupportAnnouncer(
       SupportedLevels supported, Duration leaseTtl, RandomGenerator random) {
-    MemberSupport support = new MemberSupport(supported, random.nextLong(), Release.name());
+    ControllerSupport support = new ControllerSupport(supported, random.nextLong(), Release.name());
     return new SupportAnnouncer(loop, store, settings.controllerName(), support, leaseTtl);
   }
 
--- a/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -38,7 +38,7 @@
       components.records.storedValues().apply(change);
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
       components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
-    } else if (Keys.isMember(key)) {
+    } else if (Keys.isSupportRecord(key)) {
       components.levelUpgrader.applyAnnouncement(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
       applyCatalogue(change.entry().get());
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -3,7 +3,7 @@
 import io.pearscale.gang.GangAttempt.Action;
 import io.pearscale.gang.GangAttempt.Phase;
 import io.pearscale.gang.GangCheckpointPolicy;
-import io.pearscale.gang.GangCheckpointPolicy.MemberReachability;
+import io.pearscale.gang.GangCheckpointPolicy.MemberState;
 import io.pearscale.protocol.JobSpec;
 import io.pearscale.scheduler.model.AgentTimings;
 import io.pearscale.scheduler.model.GangTracker;
@@ -123,12 +123,11 @@
   /** Stops all tasks of the gang's current attempt. */
   private void stopGang(Job job, boolean withoutCheckpoint) {
     Instant now = clock.instant();
-    List<MemberReachability> members = new ArrayList<>();
+    List<MemberState> members = new ArrayList<>();
     Duration untilFirstPreemption = NO_PREEMPTION;
     for (TaskAttempt attempt : job.attempts().values()) {
       members.add(
-          new MemberReachability(
-              attempt.stage() == Stage.RUNNING, isReachable(attempt.machine(), now)));
+          new MemberState(attempt.stage() == Stage.RUNNING, isReachable(attempt.machine(), now)));
       Duration untilPreemption =
           attempt
               .machine()
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
@@ -100,7 +100,7 @@
    */
   boolean requestRelocation(TaskAttempt attempt) {
     Disruption disruption = disruption(attempt, /* voluntary= */ true);
-    if (ledger.isOpen(attempt.task()) || ledger.trySpend(disruption).isPresent()) {
+    if (ledger.isDisrupted(attempt.task()) || ledger.trySpend(disruption).isPresent()) {
       return false;
     }
     records.record(disruption);
@@ -192,7 +192,7 @@
 
   private Map<Group, Availability> availabilityByGroup(Instant now) {
     Map<String, Integer> openByJob = new HashMap<>();
-    ledger.open().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
+    ledger.openDisruptions().forEach(d -> openByJob.merge(d.task().job(), 1, Integer::sum));
     Map<Group, Availability> availability = new HashMap<>();
     for (Job job : jobs.all()) {
       if (!job.failures().failsEverywhere()) {
@@ -201,7 +201,7 @@
         availability.merge(group, availabilityOf(job, openCount, now), Availability::plus);
       }
     }
-    for (Disruption disruption : ledger.open()) {
+    for (Disruption disruption : ledger.openDisruptions()) {
       Group group = new Group(disruption.team(), disruption.jobClass());
       availability.merge(group, new Availability(0, 0, disruption.lostWork()), Availability::plus);
     }
@@ -218,7 +218,7 @@
     int running = 0;
     int stopping = 0;
     for (TaskAttempt attempt : job.attempts().values()) {
-      boolean disrupted = ledger.isOpen(attempt.task());
+      boolean disrupted = ledger.isDisrupted(attempt.task());
       running += isRunning(attempt, now) && !disrupted ? 1 : 0;
       stopping += attempt.stopping() && !disrupted ? 1 : 0;
     }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -188,7 +188,7 @@
 
   private void executePlan(Plan plan) {
     plan.maintenanceChanges().forEach(maintenance::change);
-    plan.machinesToRelease().stream()
+    plan.machinesToTerminate().stream()
         .map(inventory::get)
         .forEach(machine -> retirement.retire(machine, Reason.DRAINED));
     for (TaskView task : plan.tasksToStop()) {
--- a/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/StatusPublisher.java
@@ -87,7 +87,9 @@
           .put("down", availability.unavailable());
     }
     var disrupted = node.putArray("disrupted");
-    ledger.open().stream().limit(maxReasons).forEach(d -> disrupted.add(d.task().toString()));
+    ledger.openDisruptions().stream()
+        .limit(maxReasons)
+        .forEach(d -> disrupted.add(d.task().toString()));
     ObjectNode waiting = node.putObject("waiting");
     for (Job job : jobs.queued()) {
       putReason(waiting, job);
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -42,8 +42,8 @@
 
   /** Upper bound in bytes for the placement record of this partition. */
   int maximumRecordSize(RecordLayout layout) {
-    return PlacementRecordCodec.maximumSize(job.spec().id(), taskCount, layout)
-        + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
+    return PlacementRecordCodec.maxEncodedSize(job.spec().id(), taskCount, layout)
+        + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maxEncodedSize).orElse(0);
   }
 
   /** The attempts of the partition's tasks that exist or may exist. */
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -100,7 +100,7 @@
       machine.record().assignNumber(recordNumbers.allocate());
     }
     machines.assignSlot(
-        machine, MachineRecordCodec.maximumSize(MachineRecordMapper.toRecord(machine, 0)));
+        machine, MachineRecordCodec.maxEncodedSize(MachineRecordMapper.toRecord(machine, 0)));
   }
 
   /** Whether a slot is assigned to the machine's record. */
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -5,8 +5,8 @@
 import io.pearscale.storage.Keys;
 import io.pearscale.storage.StoreReplicaActor.Entry;
 import io.pearscale.storage.StoreReplicaActor.KeyChange;
+import io.pearscale.upgrade.ControllerSupport;
 import io.pearscale.upgrade.LevelGate;
-import io.pearscale.upgrade.MemberSupport;
 import io.pearscale.upgrade.UpgradePlan;
 import java.time.Duration;
 import java.time.Instant;
@@ -30,7 +30,7 @@
   private static final Duration ATTEMPT_INTERVAL = Duration.ofSeconds(1);
 
   /** The levels that a controller has announced, and the revision of the announcement. */
-  private record MemberAnnouncement(MemberSupport support, long revision) {}
+  private record MemberAnnouncement(ControllerSupport support, long revision) {}
 
   private final LevelGate gate;
   private final Set<String> hosts;
@@ -67,14 +67,14 @@
   private static Optional<MemberAnnouncement> announcementOf(Entry entry) {
     try {
       return Optional.of(
-          new MemberAnnouncement(MemberSupport.parse(entry.value()), entry.revision()));
+          new MemberAnnouncement(ControllerSupport.parse(entry.value()), entry.revision()));
     } catch (MalformedMessageException e) {
       return Optional.empty();
     }
   }
 
   private Optional<UpgradePlan.LevelChange> nextStep() {
-    Map<String, MemberSupport> members = new TreeMap<>();
+    Map<String, ControllerSupport> members = new TreeMap<>();
     announcements.forEach((host, announcement) -> members.put(host, announcement.support));
     UpgradePlan plan = new UpgradePlan(gate.currentLevel(), hosts, members, Map.of());
     return plan.automaticUpgrade(gate.supported()) instanceof UpgradePlan.LevelChange change
@@ -95,7 +95,9 @@
       JsonNode record = step.get().next().toNode(gate.storedRecord());
       LOG.info("event=schema_level_raised level={}", step.get().next().level());
       hosts.forEach(
-          host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
+          host ->
+              transaction.addPrecondition(
+                  Keys.supportRecord(host), announcements.get(host).revision));
       transaction.addSchemaLevel(record);
     }
   }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -40,7 +40,7 @@
       return;
     }
     MachineRecord record = stored.record();
-    int size = MachineRecordCodec.maximumSize(record);
+    int size = MachineRecordCodec.maxEncodedSize(record);
     if (packed.layout() == RecordLayout.NUMBERED) {
       machine.record().assignNumber(record.number());
       packed.machines().adopt(machine, size, stored.value());
--- a/src/main/java/io/pearscale/storage/Keys.java
+++ b/src/main/java/io/pearscale/storage/Keys.java
@@ -22,7 +22,7 @@
   public static final String CATALOGUE = "c/catalogue";
 
   /** Prefix of the build announcements of running controllers. */
-  public static final String MEMBERS = "c/member/";
+  public static final String SUPPORT_RECORDS = "c/member/";
 
   /** Prefix of operators' drain requests, see {@link #drain}. */
   public static final String DRAINS = "c/drain/";
@@ -52,8 +52,8 @@
   }
 
   /** The key of a controller's build announcement. */
-  public static String member(String host) {
-    return MEMBERS + host;
+  public static String supportRecord(String host) {
+    return SUPPORT_RECORDS + host;
   }
 
   /** The key of an operator's drain request. */
@@ -97,8 +97,8 @@
   }
 
   /** Whether the key holds a controller's build announcement. */
-  public static boolean isMember(String key) {
-    return key.startsWith(MEMBERS);
+  public static boolean isSupportRecord(String key) {
+    return key.startsWith(SUPPORT_RECORDS);
   }
 
   /** Whether the key holds a job that has not ended. */
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -43,7 +43,7 @@
   private MachineRecordCodec() {}
 
   /** Upper bound in bytes for an encoded record. */
-  public static int maximumSize(MachineRecord record) {
+  public static int maxEncodedSize(MachineRecord record) {
     return 64
         + record.machine.length()
         + Math.max(24, record.address.length())
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -56,7 +56,7 @@
     private static final int MAX_NUMBER_LENGTH = 24;
 
     /** Upper bound in bytes for the encoded claim. */
-    public int maximumSize() {
+    public int maxEncodedSize() {
       return team.length() + 3 * MAX_NUMBER_LENGTH + 4;
     }
 
@@ -68,8 +68,8 @@
   private PlacementRecordCodec() {}
 
   /** The reference to the machine in the given slot in the positional layout, from 1 to 65,535. */
-  public static int positionalReference(int value, int position, int slotsPerValue) {
-    int reference = value * slotsPerValue + position + 1;
+  public static int positionalReference(int valueNumber, int slot, int slotsPerValue) {
+    int reference = valueNumber * slotsPerValue + slot + 1;
     if (reference > MAX_POSITIONAL_REFERENCE) {
       throw new IllegalArgumentException(
           "the machine reference exceeds 65535, the maximum of the positional layout");
@@ -78,7 +78,7 @@
   }
 
   /** Upper bound in bytes for the record of a partition with the given number of tasks. */
-  public static int maximumSize(String job, int taskCount, RecordLayout layout) {
+  public static int maxEncodedSize(String job, int taskCount, RecordLayout layout) {
     return job.length()
         + 24
         + base64Length(taskCount / 8 + 1)
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -64,7 +64,7 @@
     void onKeysChanged(List<KeyChange> changes, long storeRevision);
 
     /** Called when all changes up to the given time have been delivered. */
-    void onUpToDate(Instant asOf);
+    void onUpToDate(Instant caughtUpTo);
   }
 
   private final KeyValueStoreClient store;
--- a/src/main/java/io/pearscale/transport/Timeouts.java
+++ b/src/main/java/io/pearscale/transport/Timeouts.java
@@ -86,8 +86,8 @@
     }
   }
 
-  private boolean expire(TimeUnit unit, long now, long timer) {
-    Timeout timeout = active.remove(timer);
+  private boolean expire(TimeUnit unit, long now, long timerId) {
+    Timeout timeout = active.remove(timerId);
     timeout.finished = true;
     expired.add(timeout);
     return true;
--- a/src/main/java/io/pearscale/upgrade/MemberSupport.java
+++ b/src/main/java/io/pearscale/upgrade/ControllerSupport.java
@@ -14,13 +14,13 @@
  * @param incarnation identifies the process; changes with each restart
  * @param release release name of the build, for display
  */
-public record MemberSupport(SupportedLevels levels, long incarnation, String release) {
+public record ControllerSupport(SupportedLevels levels, long incarnation, String release) {
   /** Decodes a stored record. */
-  public static MemberSupport parse(JsonNode value) throws MalformedMessageException {
+  public static ControllerSupport parse(JsonNode value) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(value);
     int lowest = (int) MessageFields.integer(map, "lowest", 0, Integer.MAX_VALUE);
     int highest = (int) MessageFields.integer(map, "highest", lowest, Integer.MAX_VALUE);
-    return new MemberSupport(
+    return new ControllerSupport(
         new SupportedLevels(lowest, highest),
         map.path("incarnation").asLong(),
         map.path("release").asText());
--- a/src/main/java/io/pearscale/upgrade/SchemaLevel.java
+++ b/src/main/java/io/pearscale/upgrade/SchemaLevel.java
@@ -26,8 +26,8 @@
   private static final String PINNED_FIELD = "held";
 
   /** Creates a level that may be raised automatically. */
-  public SchemaLevel(int level, int written, boolean migrated) {
-    this(level, written, migrated, /* pinned= */ false);
+  public SchemaLevel(int level, int writtenLevel, boolean migrated) {
+    this(level, writtenLevel, migrated, /* pinned= */ false);
   }
 
   /** Returns the level of the stored record, or {@link #UNVERSIONED} if there is none. */
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -12,15 +12,15 @@
  * records that were read.
  *
  * @param currentLevel the stored schema level
- * @param hosts names of all configured controllers
- * @param members announcements of running controllers, by host name
- * @param incompatibleRecords names of existing records that require a feature, by feature
+ * @param controllerNames names of all configured controllers
+ * @param supportByController announcements of running controllers, by host name
+ * @param recordsByFeature names of existing records that require a feature, by feature
  */
 public record UpgradePlan(
     SchemaLevel currentLevel,
-    Set<String> hosts,
-    Map<String, MemberSupport> members,
-    Map<Feature, List<String>> incompatibleRecords) {
+    Set<String> controllerNames,
+    Map<String, ControllerSupport> supportByController,
+    Map<Feature, List<String>> recordsByFeature) {
 
   /** The outcome of a requested step. */
   public sealed interface Outcome {}
@@ -72,8 +72,8 @@
       return new NoChange("an operator has taken a step back");
     }
     int target = build.highest();
-    for (MemberSupport member : members.values()) {
-      target = Math.min(target, member.levels().highest());
+    for (ControllerSupport support : supportByController.values()) {
+      target = Math.min(target, support.levels().highest());
     }
     if (target <= currentLevel.level() || !currentLevel.migrated()) {
       return new NoChange("level " + currentLevel.level() + " stays in force");
@@ -102,13 +102,13 @@
     if (!build.contains(target) || !build.contains(currentLevel.level())) {
       reasons.add("this build supports " + build);
     }
-    members.forEach(
-        (host, member) -> {
-          if (!member.levels().contains(target)) {
-            reasons.add(host + " supports " + member.levels() + ", not level " + target);
+    supportByController.forEach(
+        (controllerName, support) -> {
+          if (!support.levels().contains(target)) {
+            reasons.add(controllerName + " supports " + support.levels() + ", not level " + target);
           }
         });
-    incompatibleRecords.forEach(
+    recordsByFeature.forEach(
         (feature, records) -> {
           if (target < feature.requiredLevel() && !records.isEmpty()) {
             reasons.add(
@@ -121,19 +121,21 @@
   /** Returns what prevents raising the level; empty if all controllers support the target. */
   private List<String> findBlockers(int target, Set<String> confirmedAbsent) {
     List<String> reasons = new ArrayList<>();
-    for (String host : new TreeSet<>(hosts)) {
-      MemberSupport member = members.get(host);
-      if (member == null && !confirmedAbsent.contains(host)) {
-        reasons.add(host + " was not seen: it is away, or its build does not say what it supports");
-      } else if (member != null && !member.levels().contains(target)) {
-        reasons.add(host + " supports " + member.levels() + ", not level " + target);
+    for (String controllerName : new TreeSet<>(controllerNames)) {
+      ControllerSupport support = supportByController.get(controllerName);
+      if (support == null && !confirmedAbsent.contains(controllerName)) {
+        reasons.add(
+            controllerName
+                + " was not seen: it is away, or its build does not say what it supports");
+      } else if (support != null && !support.levels().contains(target)) {
+        reasons.add(controllerName + " supports " + support.levels() + ", not level " + target);
       }
     }
-    for (String host : new TreeSet<>(confirmedAbsent)) {
-      if (!hosts.contains(host)) {
-        reasons.add(host + " is no controller of this cluster");
-      } else if (members.containsKey(host)) {
-        reasons.add(host + " is not away");
+    for (String controllerName : new TreeSet<>(confirmedAbsent)) {
+      if (!controllerNames.contains(controllerName)) {
+        reasons.add(controllerName + " is no controller of this cluster");
+      } else if (supportByController.containsKey(controllerName)) {
+        reasons.add(controllerName + " is not away");
       }
     }
     return reasons;
--- a/src/test/java/io/pearscale/drain/DrainPlannerTest.java
+++ b/src/test/java/io/pearscale/drain/DrainPlannerTest.java
@@ -38,18 +38,18 @@
   private final Map<String, MachineView> machines = new HashMap<>();
   private final Map<String, MaintenanceWindow> windows = new HashMap<>();
   private final List<Drain> drains = new ArrayList<>();
-  private int jobs;
+  private int jobCount;
 
   private static DisruptionLedger ledger(Kind kind, double amount) {
     return new DisruptionLedger(List.of(new DisruptionBudget("t", Optional.empty(), kind, amount)));
   }
 
   private TaskView task(boolean running, Optional<Duration> remaining) {
-    TaskId id = new TaskId("wk-" + ++jobs, 0);
+    TaskId id = new TaskId("wk-" + ++jobCount, 0);
     return new TaskView(id, "t", "c", running, false, remaining, Duration.ZERO, List.of());
   }
 
-  private void machine(String name, Maintenance maintenance, int tasks) {
+  private void addMachine(String name, Maintenance maintenance, int tasks) {
     List<TaskView> list = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
       list.add(task(true, Optional.empty()));
@@ -61,7 +61,7 @@
     return new Maintenance(Stage.CORDONED, drain);
   }
 
-  private void drain(
+  private void addDrain(
       String id,
       CompletionAction completionAction,
       DesiredState desiredState,
@@ -87,10 +87,10 @@
 
   @Test
   void drainsShareABudgetRoundRobin() {
-    machine("m-1", cordoned("d1"), 5);
-    machine("m-2", cordoned("d2"), 5);
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
-    drain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-2");
+    addMachine("m-1", cordoned("d1"), 5);
+    addMachine("m-2", cordoned("d2"), 5);
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    addDrain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-2");
     DisruptionLedger ledger = ledger(Kind.MAX_UNAVAILABLE, 4);
     ledger.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
     Plan plan = plan(ledger, NOW);
@@ -103,7 +103,7 @@
   }
 
   /** Adds a gang of four tasks: two on a machine that is being drained, and two elsewhere. */
-  private void gangOfFour() {
+  private void addGangOfFour() {
     List<TaskId> gang = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       gang.add(new TaskId("wk-gang", i));
@@ -115,27 +115,27 @@
           new TaskView(task, "t", "c", true, false, Optional.empty(), Duration.ZERO, otherMembers));
     }
     machines.put("m-1", new MachineView("m-1", cordoned("d1"), true, true, tasksOnMachine));
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
   }
 
   @Test
   void allOrNoTasksOfAGangAreDisrupted() {
-    gangOfFour();
+    addGangOfFour();
     DisruptionLedger insufficient = ledger(Kind.MAX_UNAVAILABLE, 3);
     insufficient.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
     assertEquals(0, plan(insufficient, NOW).tasksToStop().size());
-    assertEquals(0, insufficient.open().size());
+    assertEquals(0, insufficient.openDisruptions().size());
 
     DisruptionLedger sufficient = ledger(Kind.MAX_UNAVAILABLE, 4);
     sufficient.updateAvailability(Map.of(GROUP, new Availability(10, 0, Duration.ZERO)));
     assertEquals(1, plan(sufficient, NOW).tasksToStop().size());
-    assertEquals(4, sufficient.open().size());
+    assertEquals(4, sufficient.openDisruptions().size());
   }
 
   @Test
   void unavailableTasksCountAgainstTheBudget() {
-    machine("m-1", cordoned("d1"), 2);
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    addMachine("m-1", cordoned("d1"), 2);
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
     for (Kind kind : Kind.values()) {
       double amount =
           switch (kind) {
@@ -183,10 +183,10 @@
 
   @Test
   void emptiestMachinesAreCordonedFirstUpToTheLimit() {
-    machine("m-1", Maintenance.IN_SERVICE, 3);
-    machine("m-2", Maintenance.IN_SERVICE, 0);
-    machine("m-3", Maintenance.IN_SERVICE, 1);
-    drain(
+    addMachine("m-1", Maintenance.IN_SERVICE, 3);
+    addMachine("m-2", Maintenance.IN_SERVICE, 0);
+    addMachine("m-3", Maintenance.IN_SERVICE, 1);
+    addDrain(
         "d1",
         CompletionAction.HOLD,
         DesiredState.RUN,
@@ -204,28 +204,28 @@
 
   @Test
   void emptyMachinesAreHeldOrTerminated() {
-    machine("m-1", cordoned("d1"), 0);
-    machine("m-2", cordoned("d2"), 0);
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
-    drain("d2", CompletionAction.TERMINATE, DesiredState.RUN, Optional.empty(), "m-2");
+    addMachine("m-1", cordoned("d1"), 0);
+    addMachine("m-2", cordoned("d2"), 0);
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1");
+    addDrain("d2", CompletionAction.TERMINATE, DesiredState.RUN, Optional.empty(), "m-2");
     Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(Map.of("m-1", new Maintenance(Stage.DRAINED, "d1")), plan.maintenanceChanges());
-    assertEquals(List.of("m-2"), plan.machinesToRelease());
+    assertEquals(List.of("m-2"), plan.machinesToTerminate());
     assertEquals(DrainStatus.State.DRAINED, plan.statuses().get("d1").state());
   }
 
   @Test
   void cancelledOrExpiredDrainReturnsMachinesToService() {
-    machine("m-1", cordoned("d1"), 2);
-    machine("m-2", new Maintenance(Stage.DRAINED, "d1"), 0);
-    drain("d1", CompletionAction.HOLD, DesiredState.CANCEL, Optional.empty(), "m-1", "m-2");
+    addMachine("m-1", cordoned("d1"), 2);
+    addMachine("m-2", new Maintenance(Stage.DRAINED, "d1"), 0);
+    addDrain("d1", CompletionAction.HOLD, DesiredState.CANCEL, Optional.empty(), "m-1", "m-2");
     Plan cancelled = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(
         Map.of("m-1", Maintenance.IN_SERVICE, "m-2", new Maintenance(Stage.PROBATION, "d1")),
         cancelled.maintenanceChanges());
     assertEquals(List.of(), cancelled.tasksToStop());
     drains.clear();
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
     Plan expired = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW.plusSeconds(61));
     assertEquals(Map.of("m-1", Maintenance.IN_SERVICE), expired.maintenanceChanges());
     assertEquals(DrainStatus.State.FAILED, expired.statuses().get("d1").state());
@@ -234,8 +234,8 @@
 
   @Test
   void drainIsPausedOutsideItsWindow() {
-    machine("m-1", cordoned("d1"), 2);
-    machine("m-2", Maintenance.IN_SERVICE, 0);
+    addMachine("m-1", cordoned("d1"), 2);
+    addMachine("m-2", Maintenance.IN_SERVICE, 0);
     windows.put(
         "night",
         new MaintenanceWindow(
@@ -244,8 +244,8 @@
             EnumSet.allOf(DayOfWeek.class),
             LocalTime.of(22, 0),
             LocalTime.of(4, 0)));
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.of("night"), "m-1", "m-2");
-    drain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.of("other"), "m-2");
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.of("night"), "m-1", "m-2");
+    addDrain("d2", CompletionAction.HOLD, DesiredState.RUN, Optional.of("other"), "m-2");
     Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(Map.of(), plan.maintenanceChanges());
     assertEquals(List.of(), plan.tasksToStop());
@@ -266,7 +266,7 @@
     machines.put(
         "m-2",
         new MachineView("m-2", cordoned("d1"), true, false, List.of(task(true, Optional.empty()))));
-    drain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
+    addDrain("d1", CompletionAction.HOLD, DesiredState.RUN, Optional.empty(), "m-1", "m-2");
     Plan plan = plan(ledger(Kind.MAX_UNAVAILABLE, 5), NOW);
     assertEquals(List.of(longer), plan.tasksToStop());
     assertEquals(
--- a/src/test/java/io/pearscale/gang/GangAttemptTest.java
+++ b/src/test/java/io/pearscale/gang/GangAttemptTest.java
@@ -15,8 +15,8 @@
 
 class GangAttemptTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
-  private static final Duration FORMING_TIMEOUT = Duration.ofSeconds(40);
-  private final GangAttempt gang = new GangAttempt(3, FORMING_TIMEOUT);
+  private static final Duration FORMATION_TIMEOUT = Duration.ofSeconds(40);
+  private final GangAttempt gang = new GangAttempt(3, FORMATION_TIMEOUT);
 
   private static List<Member> members(MemberStage... stages) {
     return Arrays.stream(stages).map(stage -> new Member(7, stage, false)).toList();
@@ -144,24 +144,24 @@
 
   @Test
   void checkpointsOnlyIfAllTasksRunAndAreReachableInTime() {
-    GangCheckpointPolicy.MemberReachability ready =
-        new GangCheckpointPolicy.MemberReachability(true, true);
-    GangCheckpointPolicy.MemberReachability unreachable =
-        new GangCheckpointPolicy.MemberReachability(true, false);
-    GangCheckpointPolicy.MemberReachability waiting =
-        new GangCheckpointPolicy.MemberReachability(false, true);
+    GangCheckpointPolicy.MemberState ready = new GangCheckpointPolicy.MemberState(true, true);
+    GangCheckpointPolicy.MemberState unreachable =
+        new GangCheckpointPolicy.MemberState(true, false);
+    GangCheckpointPolicy.MemberState waiting = new GangCheckpointPolicy.MemberState(false, true);
     Duration ample = Duration.ofHours(1);
-    Duration checkpointTime = Duration.ofSeconds(3);
-    assertTrue(GangCheckpointPolicy.mayCheckpoint(List.of(ready, ready), 2, ample, checkpointTime));
+    Duration checkpointDuration = Duration.ofSeconds(3);
+    assertTrue(
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready, ready), 2, ample, checkpointDuration));
     assertFalse(
-        GangCheckpointPolicy.mayCheckpoint(List.of(ready, unreachable), 2, ample, checkpointTime));
+        GangCheckpointPolicy.mayCheckpoint(
+            List.of(ready, unreachable), 2, ample, checkpointDuration));
     assertFalse(
-        GangCheckpointPolicy.mayCheckpoint(List.of(ready, waiting), 2, ample, checkpointTime));
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready, waiting), 2, ample, checkpointDuration));
     assertFalse(
-        GangCheckpointPolicy.mayCheckpoint(List.of(ready), 2, ample, checkpointTime),
+        GangCheckpointPolicy.mayCheckpoint(List.of(ready), 2, ample, checkpointDuration),
         "one of two tasks is no longer present");
     assertFalse(
         GangCheckpointPolicy.mayCheckpoint(
-            List.of(ready, ready), 2, Duration.ofSeconds(3), checkpointTime));
+            List.of(ready, ready), 2, Duration.ofSeconds(3), checkpointDuration));
   }
 }
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -27,7 +27,7 @@
 import io.pearscale.transport.CountingEventLoop;
 import io.pearscale.transport.HttpClient;
 import io.pearscale.transport.MessagePack;
-import io.pearscale.upgrade.MemberSupport;
+import io.pearscale.upgrade.ControllerSupport;
 import io.pearscale.upgrade.SchemaLevel;
 import io.pearscale.upgrade.SupportedLevels;
 import java.io.IOException;
@@ -295,12 +295,12 @@
           "length: "
               + PlacementRecordCodec.jsonLength(value)
               + " "
-              + PlacementRecordCodec.maximumSize("wk-2", secondPartition, layout));
+              + PlacementRecordCodec.maxEncodedSize("wk-2", secondPartition, layout));
       addDecodedPlacements(value);
       lines.add("keys: " + layout.placementKey(0) + " " + layout.machineKey(12));
       lines.add("part of " + layout.tasksPerPartition());
     }
-    lines.add("claim size: " + claim.get().maximumSize());
+    lines.add("claim size: " + claim.get().maxEncodedSize());
     lines.add("number: " + PlacementRecordCodec.positionalReference(2, 5, 64));
     for (String invalid :
         List.of("7", "{\"wk-1/0\":\"?\"}", "{\"wk-1\":\"|\"}", "{\"wk-1:0\":\"|AA|1|x|2|t\"}")) {
@@ -372,7 +372,7 @@
           "length: "
               + MachineRecordCodec.jsonLength(value)
               + " "
-              + MachineRecordCodec.maximumSize(machineRecords.get(1)));
+              + MachineRecordCodec.maxEncodedSize(machineRecords.get(1)));
       addDecodedMachines(value);
     }
     for (String invalid :
@@ -390,7 +390,7 @@
   }
 
   @Test
-  void levelsMembersAndDrains() {
+  void levelsSupportRecordsAndDrains() {
     SchemaLevel level = new SchemaLevel(1, 1, true);
     JsonNode laterRecord = json("{\"level\":0,\"newer\":[1]}");
     for (SchemaLevel each :
@@ -412,10 +412,10 @@
         List.of("{\"level\":2}", "{\"level\":0}", "{\"level\":1,\"written\":2}", "{}", "7")) {
       addLine("read " + text, () -> SchemaLevel.parse(json(text)).toNode(json("{}")).toString());
     }
-    MemberSupport member = new MemberSupport(new SupportedLevels(0, 2), 1L << 50, "0.1.0");
-    lines.add("member: " + jsonAndHex(member.toNode()));
+    ControllerSupport support = new ControllerSupport(new SupportedLevels(0, 2), 1L << 50, "0.1.0");
+    lines.add("member: " + jsonAndHex(support.toNode()));
     for (String text : List.of("{\"lowest\":1,\"highest\":0}", "{\"lowest\":1,\"highest\":2}")) {
-      addLine("read " + text, () -> MemberSupport.parse(json(text)).toNode().toString());
+      addLine("read " + text, () -> ControllerSupport.parse(json(text)).toNode().toString());
     }
     for (DrainRequest.CompletionAction completionAction : DrainRequest.CompletionAction.values()) {
       for (DrainRequest.DesiredState desiredState : DrainRequest.DesiredState.values()) {
@@ -521,13 +521,13 @@
     client.renewLease(77, reply -> {});
     client.revokeLease(77, reply -> {});
     lines.add("live: " + Keys.liveJob("wk-1") + " past: " + Keys.finishedJob("wk-1"));
-    lines.add("member: " + Keys.member("h") + " drain: " + Keys.drain("d-1"));
+    lines.add("member: " + Keys.supportRecord("h") + " drain: " + Keys.drain("d-1"));
     lines.add("machines: " + Keys.drainMachines("d-1") + " status: " + Keys.drainStatus("d-1"));
     lines.add("disruptions: " + Keys.disruptions(3));
     lines.add(
         String.join(" ", Keys.WATCHED_PREFIX, Keys.LEADER, Keys.TERM, Keys.LEVEL, Keys.CATALOGUE)
             + " "
-            + String.join(" ", Keys.MEMBERS, Keys.DRAINS, Keys.STATUS, Keys.LIVE_JOBS));
+            + String.join(" ", Keys.SUPPORT_RECORDS, Keys.DRAINS, Keys.STATUS, Keys.LIVE_JOBS));
     GoldenFile.check("key-value-store.txt", lines);
   }
 }
--- a/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
+++ b/src/test/java/io/pearscale/upgrade/UpgradePlanTest.java
@@ -22,13 +22,16 @@
 class UpgradePlanTest {
   private static final SupportedLevels LEVEL_0_ONLY = new SupportedLevels(0, 0);
   private static final SupportedLevels LEVELS_0_TO_1 = new SupportedLevels(0, 1);
-  private static final Set<String> HOSTS = Set.of("a", "b", "c");
+  private static final Set<String> CONTROLLER_NAMES = Set.of("a", "b", "c");
   private static final SchemaLevel MIGRATED_TO_LEVEL_1 = new SchemaLevel(1, 1, true);
 
-  private static UpgradePlan plan(SchemaLevel level, Map<String, SupportedLevels> levelsByHost) {
-    Map<String, MemberSupport> members = new TreeMap<>();
-    levelsByHost.forEach((host, levels) -> members.put(host, new MemberSupport(levels, 1, "r")));
-    return new UpgradePlan(level, HOSTS, members, Map.of());
+  private static UpgradePlan plan(
+      SchemaLevel level, Map<String, SupportedLevels> levelsByController) {
+    Map<String, ControllerSupport> supportByController = new TreeMap<>();
+    levelsByController.forEach(
+        (controllerName, levels) ->
+            supportByController.put(controllerName, new ControllerSupport(levels, 1, "r")));
+    return new UpgradePlan(level, CONTROLLER_NAMES, supportByController, Map.of());
   }
 
   private static final Map<String, SupportedLevels> ALL_SUPPORT_LEVEL_1 =
@@ -57,8 +60,9 @@
 
   @Test
   void onlyAbsentControllersCanBeConfirmedAbsent() {
-    Map<String, SupportedLevels> levelsByHost = Map.of("a", LEVELS_0_TO_1, "b", LEVELS_0_TO_1);
-    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, levelsByHost);
+    Map<String, SupportedLevels> levelsByController =
+        Map.of("a", LEVELS_0_TO_1, "b", LEVELS_0_TO_1);
+    UpgradePlan plan = plan(SchemaLevel.UNVERSIONED, levelsByController);
     assertInstanceOf(LevelChange.class, plan.finalise(LEVELS_0_TO_1, Set.of("c")));
     assertRefused(plan.finalise(LEVELS_0_TO_1, Set.of("c", "b")), "b is not away");
     assertRefused(
@@ -68,14 +72,14 @@
   @Test
   void levelIsRaisedOnlyAfterMigration() {
     SupportedLevels laterBuild = new SupportedLevels(0, 2);
-    Map<String, SupportedLevels> levelsByHost =
+    Map<String, SupportedLevels> levelsByController =
         Map.of("a", laterBuild, "b", laterBuild, "c", laterBuild);
     assertRefused(
-        plan(new SchemaLevel(1, 1, false), levelsByHost).finalise(laterBuild, Set.of()),
+        plan(new SchemaLevel(1, 1, false), levelsByController).finalise(laterBuild, Set.of()),
         "the records of level 1 are still migrated");
     assertEquals(
         new LevelChange(new SchemaLevel(2, 2, false)),
-        plan(MIGRATED_TO_LEVEL_1, levelsByHost).finalise(laterBuild, Set.of()));
+        plan(MIGRATED_TO_LEVEL_1, levelsByController).finalise(laterBuild, Set.of()));
     assertInstanceOf(
         NoChange.class,
         plan(MIGRATED_TO_LEVEL_1, ALL_SUPPORT_LEVEL_1).finalise(LEVELS_0_TO_1, Set.of()));
@@ -106,7 +110,7 @@
     UpgradePlan plan =
         new UpgradePlan(
             MIGRATED_TO_LEVEL_1,
-            HOSTS,
+            CONTROLLER_NAMES,
             Map.of(),
             Map.of(Feature.MACHINE_MAINTENANCE, List.of("m-7")));
     assertRefused(
@@ -135,9 +139,9 @@
         () -> SchemaLevel.parse(MessagePack.map().put("level", 0).put("written", 1)));
     assertThrows(
         MalformedMessageException.class,
-        () -> MemberSupport.parse(MessagePack.map().put("lowest", 2)));
+        () -> ControllerSupport.parse(MessagePack.map().put("lowest", 2)));
     assertThrows(
         MalformedMessageException.class,
-        () -> MemberSupport.parse(MessagePack.map().put("lowest", 2).put("highest", 1)));
+        () -> ControllerSupport.parse(MessagePack.map().put("lowest", 2).put("highest", 1)));
   }
 }
