--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -41,7 +41,7 @@
  * way is immediately refused with 503.
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
-  /** The number of finished jobs whose outcome is cached, in LRU order. */
+  /** The maximum number of cached outcomes; the least recently used ones are evicted. */
   private static final int MAX_CACHED_OUTCOMES = 20_000;
 
   /** Above this number, task counts of finished jobs are removed. */
@@ -136,7 +136,7 @@
    */
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
 
-  /** The outcomes of finished jobs by job id. */
+  /** The outcomes of finished jobs by job id, least recently used first. */
   private final Map<String, JobOutcome> cachedOutcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -371,9 +371,9 @@
   }
 
   /**
-   * Announces a cancellation to all controllers before it is acknowledged to users. The leader may
-   * not learn of it from the key-value store, and another controller still knows it if this process
-   * ends.
+   * Announces a cancellation to all controllers before it is acknowledged to users, because the
+   * leader might not learn of it from the key-value store. Another controller still knows of it if
+   * this process ends.
    */
   private void acknowledgeCancellation(String jobId, JobOutcome outcome) {
     if (outcome.isCancelled()
--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -43,7 +43,7 @@
   /**
    * Creates a validator with the teams and limits of the settings.
    *
-   * @param levelGate determines what can be stored at the active schema level
+   * @param levelGate determines what can be stored at the current schema level
    */
   SubmissionValidator(Settings settings, LevelGate levelGate) {
     this.settings = settings;
--- a/src/main/java/io/pearscale/drain/Disruption.java
+++ b/src/main/java/io/pearscale/drain/Disruption.java
@@ -14,7 +14,7 @@
 
 /**
  * A disruption of a task: the task was stopped or is about to be stopped, and is not yet running
- * again.
+ * again. Disruptions of the same task are equal.
  *
  * @param voluntary whether the scheduler chose to stop the task; a voluntary disruption is durably
  *     recorded before the stop command is sent
--- a/src/main/java/io/pearscale/drain/DisruptionLedger.java
+++ b/src/main/java/io/pearscale/drain/DisruptionLedger.java
@@ -53,7 +53,7 @@
     return Collections.unmodifiableCollection(openDisruptions.values());
   }
 
-  /** Returns whether the task counts as disrupted. */
+  /** Returns whether a disruption of the task counts against the budgets. */
   public boolean isDisrupted(TaskId task) {
     return openDisruptions.containsKey(task);
   }
--- a/src/main/java/io/pearscale/drain/DrainPlanner.java
+++ b/src/main/java/io/pearscale/drain/DrainPlanner.java
@@ -88,7 +88,7 @@
    *
    * @param maintenanceChanges new maintenance states, by machine name
    * @param tasksToStop tasks to stop, whose disruptions the ledger has granted
-   * @param machinesToTerminate empty machines to terminate
+   * @param machinesToTerminate empty machines that are terminated
    * @param tasksWithoutCapacity tasks for which no capacity on other machines was reserved
    * @param statuses the status of each drain, by drain id
    */
--- a/src/main/java/io/pearscale/protocol/ListedMachine.java
+++ b/src/main/java/io/pearscale/protocol/ListedMachine.java
@@ -1,7 +1,7 @@
 package io.pearscale.protocol;
 
 /**
- * An entry of the cloud's machine list, which lags a few seconds behind.
+ * An entry of the cloud's machine list, which lags a few seconds behind the actual state.
  *
  * @param address the address at which the machine's agent accepts commands; empty while unknown
  * @param type the name of the machine type
--- a/src/main/java/io/pearscale/protocol/Settings.java
+++ b/src/main/java/io/pearscale/protocol/Settings.java
@@ -187,10 +187,10 @@
   }
 
   /**
-   * Returns how long a relay waits for the leader's response to a heartbeat. Agents drop responses
-   * after 4 s, so the timeout for a slow leader is almost as long. With a fast leader it is
-   * shorter, because an agent that learns sooner that there is no response tries another controller
-   * sooner.
+   * Returns how long a controller waits for the leader's response to a heartbeat that it has
+   * forwarded. Agents drop responses after 4 s, so the timeout for a slow leader is almost as long.
+   * With a fast leader it is shorter, because an agent that learns sooner that there is no response
+   * tries another controller sooner.
    */
   public Duration relayTimeout() {
     Duration timeout = leaderLeaseTtl().multipliedBy(2).dividedBy(3);
--- a/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
+++ b/src/main/java/io/pearscale/storage/KeyValueStoreClient.java
@@ -17,9 +17,9 @@
 import java.util.function.Supplier;
 
 /**
- * Client of the key-value store. It limits its requests to this controller's share of the rate
- * limits: it answers excess requests itself, immediately and with status 429, so that three
- * controllers together never overload the store.
+ * Client of the key-value store. It limits its requests to a part of the store's rate limits: it
+ * answers excess requests itself, immediately and with status 429, so that one busy controller
+ * leaves capacity for the other two.
  */
 public final class KeyValueStoreClient {
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
@@ -100,7 +100,7 @@
   /**
    * Applies the mutations if every precondition holds and the stored schema level is still the one
    * that this controller knows. A controller that missed a change of the schema level must not
-   * write in the old form.
+   * write in the old format.
    */
   public void compareAndSwap(
       List<Precondition> preconditions, List<Mutation> mutations, Consumer<Reply> callback) {
--- a/src/main/java/io/pearscale/storage/Keys.java
+++ b/src/main/java/io/pearscale/storage/Keys.java
@@ -2,8 +2,8 @@
 
 /**
  * The keys of the key-value store. All keys that a controller must hold in memory start with {@link
- * #WATCHED_PREFIX}, so a single watch covers them. The outcomes of ended jobs have another prefix
- * and are read on request, so that a restart stays cheap after months of finished jobs.
+ * #WATCHED_PREFIX}, so a single watch covers them. The outcomes of finished jobs have another
+ * prefix and are read on request, so that a restart stays cheap after months of finished jobs.
  */
 public final class Keys {
   /** The watched prefix. */
@@ -15,13 +15,13 @@
   /** The highest term so far; its revision is a precondition of each write of a leader. */
   public static final String TERM = "c/term";
 
-  /** The schema level in force; its revision is a precondition of each write of any controller. */
+  /** The current schema level; its revision is a precondition of each write of any controller. */
   public static final String LEVEL = "c/level";
 
-  /** The last catalogue of machine types. */
+  /** The catalogue of machine types that was last received from the cloud. */
   public static final String CATALOGUE = "c/catalogue";
 
-  /** Prefix of the build announcements of running controllers. */
+  /** Prefix of the support records of running controllers, see {@link #supportRecord}. */
   public static final String SUPPORT_RECORDS = "c/member/";
 
   /** Prefix of operators' drain requests, see {@link #drain}. */
@@ -34,14 +34,14 @@
   private static final String DRAIN_STATUS = "c/drain-status/";
   private static final String DISRUPTIONS = "c/disrupted/";
 
-  /** Prefix of the jobs that have not ended. */
+  /** Prefix of live jobs, which have not finished. */
   public static final String LIVE_JOBS = "c/live/";
 
   private static final String FINISHED_JOBS = "p/";
 
   private Keys() {}
 
-  /** The key of a job that has not ended. */
+  /** The key of a live job. */
   public static String liveJob(String job) {
     return LIVE_JOBS + job;
   }
@@ -51,7 +51,7 @@
     return FINISHED_JOBS + job;
   }
 
-  /** The key of a controller's build announcement. */
+  /** The key of the record in which a controller announces the schema levels that it supports. */
   public static String supportRecord(String host) {
     return SUPPORT_RECORDS + host;
   }
@@ -96,12 +96,12 @@
     return key.startsWith(DRAINS);
   }
 
-  /** Whether the key holds a controller's build announcement. */
+  /** Whether the key holds a controller's support record. */
   public static boolean isSupportRecord(String key) {
     return key.startsWith(SUPPORT_RECORDS);
   }
 
-  /** Whether the key holds a job that has not ended. */
+  /** Whether the key holds a live job. */
   public static boolean isLiveJob(String key) {
     return key.startsWith(LIVE_JOBS);
   }
@@ -126,7 +126,7 @@
     return key.substring(key.lastIndexOf('/') + 1);
   }
 
-  /** The number of the value in a key of packed records. */
+  /** The number at the end of a key whose value holds several records. */
   public static int valueNumber(String key) {
     return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
   }
--- a/src/main/java/io/pearscale/storage/MachineRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/MachineRecordCodec.java
@@ -56,7 +56,7 @@
     return value.toString().length();
   }
 
-  /** Encodes a value in the form of the schema level. */
+  /** Encodes a value in the format of the given schema level. */
   public static JsonNode encode(Collection<MachineRecord> records, int level) {
     ObjectNode value = MessagePack.map();
     ArrayNode list = value.putArray("m");
@@ -79,7 +79,7 @@
   }
 
   /**
-   * The schema level in whose form the value is encoded; empty if the value has no records and so
+   * The schema level in whose format the value is encoded; empty if the value has no records and so
    * is valid at every level.
    */
   public static OptionalInt levelOf(JsonNode value) {
--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -15,8 +15,8 @@
 /**
  * Encodes and decodes values of placement records. For each task of a partition, a record states
  * whether the task is done and, if not, which machine the task may be on. The record is durable
- * before the start command is sent, so a new leader has to hold a task back only for that one
- * machine.
+ * before the start command is sent, so a new leader delays a restart of the task only until the
+ * state of that one machine is known.
  */
 public final class PlacementRecordCodec {
   private static final int MAX_POSITIONAL_REFERENCE = 0xffff;
@@ -89,7 +89,7 @@
     return (bytes + 2) / 3 * 4;
   }
 
-  /** Encodes a value in the layout's form. */
+  /** Encodes a value in the given layout. */
   public static JsonNode encode(Collection<PartitionRecord> partitions, RecordLayout layout) {
     ObjectNode value = MessagePack.map();
     Base64.Encoder base64 = Base64.getEncoder().withoutPadding();
--- a/src/main/java/io/pearscale/storage/RecordLayout.java
+++ b/src/main/java/io/pearscale/storage/RecordLayout.java
@@ -6,8 +6,8 @@
 /**
  * The layout of machine records and placement records across keys. Each layout has separate keys.
  * When the layout changes, values of the previous layout are never rewritten: their records are
- * copied one value at a time, and a value is deleted once nothing depends on it. This works for
- * stored values of any size, although only short values can be written.
+ * copied one value at a time, and a value is deleted once nothing depends on it. This also works
+ * for stored values that exceed the current maximum size, above which no value can be written.
  */
 public enum RecordLayout {
   /**
--- a/src/main/java/io/pearscale/storage/StoreReplicaActor.java
+++ b/src/main/java/io/pearscale/storage/StoreReplicaActor.java
@@ -35,7 +35,7 @@
   /** A message to the actor. */
   public sealed interface Message {}
 
-  /** Starts loading a snapshot. */
+  /** Starts to load a snapshot, which replaces the current content. */
   public record Start() implements Message {}
 
   /**
@@ -74,9 +74,15 @@
   private List<LinearizableRead> pendingReads = new ArrayList<>();
   private boolean barrierScheduled;
   private boolean loaded;
+
+  /** The number of the current snapshot; replies to requests for earlier ones are ignored. */
   private int generation;
+
   private long storeRevision;
+
+  /** The store revision of the first page of the snapshot; -1 before that page is received. */
   private long snapshotRevision = -1;
+
   private TreeMap<String, Entry> snapshot = new TreeMap<>();
 
   /** Creates a replica that is not loaded yet. */
@@ -164,6 +170,7 @@
   private void onWatchReply(WatchReceived received) {
     Reply reply = received.reply;
     if (reply.status() == 410) {
+      // The store no longer has all changes since the requested revision.
       loadSnapshot();
       return;
     }
--- a/src/main/java/io/pearscale/transport/BodyReader.java
+++ b/src/main/java/io/pearscale/transport/BodyReader.java
@@ -32,7 +32,8 @@
   /**
    * Reads the body up to its end, immediately or as more bytes arrive.
    *
-   * @param maxLength the maximum length of the body in bytes; a longer body fails
+   * @param maxLength the maximum declared length of the body in bytes; a body without a declared
+   *     length is limited by the server option {@code MAX_ENTITY_SIZE}
    */
   static void read(
       HttpServerExchange exchange,
--- a/src/main/java/io/pearscale/transport/HttpClient.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -26,8 +26,8 @@
   /**
    * A response, or the absence of one.
    *
-   * @param status the HTTP status, or 0 without a response, in which case the request may have been
-   *     executed or may still be executed
+   * @param status the HTTP status, or 0 without a response; unless {@link #notSent} is true, such a
+   *     request may have been executed or may still be executed
    */
   record Reply(int status, JsonNode body) {
     /** No response was received. */
--- a/src/main/java/io/pearscale/transport/PeerTransport.java
+++ b/src/main/java/io/pearscale/transport/PeerTransport.java
@@ -12,10 +12,10 @@
    */
   boolean send(String peer, byte[] frame);
 
-  /** Returns the peers that have recently sent a record. */
+  /** Returns the peers that are connected and have recently sent a record. */
   Set<String> connectedPeers();
 
-  /** Returns whether the peer has recently sent a record. */
+  /** Returns whether the peer is connected and has recently sent a record. */
   default boolean isConnected(String peer) {
     return connectedPeers().contains(peer);
   }
--- a/src/main/java/io/pearscale/upgrade/ControllerSupport.java
+++ b/src/main/java/io/pearscale/upgrade/ControllerSupport.java
@@ -7,8 +7,9 @@
 import io.pearscale.transport.MessagePack;
 
 /**
- * The schema levels and the release that a running controller announces. The record is attached to
- * a store lease that the process renews, so it is deleted soon after the process ends.
+ * The support record of a running controller, which announces its schema levels and its release.
+ * The record is attached to a lease of the key-value store that the process renews, so it is
+ * deleted soon after the process ends.
  *
  * @param levels the schema levels that the build supports
  * @param incarnation identifies the process; changes with each restart
--- a/src/main/java/io/pearscale/upgrade/Feature.java
+++ b/src/main/java/io/pearscale/upgrade/Feature.java
@@ -1,6 +1,6 @@
 package io.pearscale.upgrade;
 
-/** A feature that requires a minimum schema level; below it, a build behaves as before. */
+/** A feature that requires a minimum schema level; below it, builds do not use the feature. */
 public enum Feature {
   /** Machine records contain the maintenance state of the machine. */
   MACHINE_MAINTENANCE(1, "can't say that machines are in maintenance: "),
--- a/src/main/java/io/pearscale/upgrade/UpgradePlan.java
+++ b/src/main/java/io/pearscale/upgrade/UpgradePlan.java
@@ -13,7 +13,7 @@
  *
  * @param currentLevel the stored schema level
  * @param controllerNames names of all configured controllers
- * @param supportByController announcements of running controllers, by host name
+ * @param supportByController the support records of running controllers, by controller name
  * @param recordsByFeature names of existing records that require a feature, by feature
  */
 public record UpgradePlan(
