--- a/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
+++ b/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
@@ -24,7 +24,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * A blocking client of the state service for commands, which sends one request at a time. A write
+ * A blocking client of the key-value store for commands, which sends one request at a time. A write
  * requires that the schema level has not changed since this session read it; until it has been
  * read, no write is possible.
  */
--- a/src/main/java/io/pearscale/cli/Main.java
+++ b/src/main/java/io/pearscale/cli/Main.java
@@ -9,9 +9,9 @@
 /**
  * The entry point of the program. The usual command of a controller, {@code serve --config FILE},
  * is recognized here; {@link Commands} parses all others. The command-line library is compiled for
- * so old a JVM that its classes can't be put into the class data archive: loading, verifying and
- * querying two hundred of them took a third of the processor time of a start, and a controller may
- * have only a few hundredths of a core.
+ * such an old Java version that its classes can't be put into the class data archive: loading,
+ * verifying and querying two hundred of them took a third of the processor time of a start, and a
+ * controller may have only a few hundredths of a core.
  */
 public final class Main {
   /** Exit code for invalid settings or arguments. */
--- a/src/main/java/io/pearscale/cli/OperatorCommand.java
+++ b/src/main/java/io/pearscale/cli/OperatorCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that uses the state service and exits. Provides settings, output and exit codes. */
+/** A command that uses the key-value store and exits. Provides settings, output and exit codes. */
 abstract class OperatorCommand implements Callable<Integer> {
   /** Exit code for a request that is not allowed; nothing was changed. */
   static final int EXIT_REFUSED = 4;
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Returns the smaller of the state service's current limits and those that it may switch to at
+   * Returns the smaller of the key-value store's current limits and those that it may switch to at
    * any time without notice. A request that exceeds either would be refused at some time.
    */
   private Settings.StoreLimits parseStoreLimits(JsonNode state) throws SettingsException {
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -18,14 +18,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands that print what the state service holds; each answers one question. */
+/** Commands that print parts of the stored state. */
 final class ShowCommands {
   /** A status record that is older than this is reported as stale. */
   private static final Duration STALE_AFTER = Duration.ofSeconds(30);
 
   private ShowCommands() {}
 
-  /** A command that shows a part of the leader's status record, and prints the record's age. */
+  /** A command that prints a part of the leader's status record, after the age of the record. */
   private abstract static class StatusCommand extends OperatorCommand {
     @Option(names = "--json", description = "print JSON")
     boolean json;
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Prints how many tasks of each disruption budget are down, and the disrupted tasks. */
+  /** Prints the number of unavailable tasks under each disruption budget, and disrupted tasks. */
   @Command(
       name = "budget",
       description = "Shows what each budget of disruptions has left.",
@@ -154,7 +154,8 @@
     }
 
     /**
-     * Counts the tasks that have a machine; the newer record counts where both layouts have one.
+     * Counts the tasks that have a machine. If both layouts have a record of a task, the newer one
+     * counts.
      */
     private int countPlacedTasks(KeyValueStoreSession session)
         throws IOException, MalformedMessageException {
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the stored machine records, whichever layout they have. */
+/** Reads the stored machine records of both layouts. */
 final class StoredMachineRecords {
   private StoredMachineRecords() {}
 
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Commands for the time before, during and after controllers are replaced by another release. */
+/** Commands for upgrades to another release: they show the schema level, and change it. */
 @Command(
     name = "upgrade",
     description = "Answers questions on replacing controllers by another release, and takes steps.",
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Prints whether this build may take part in the cluster as it is, which controller leads it, and
-   * what the next step is. Operators run it with the build that they are about to install, for an
+   * Prints whether this build may participate in the cluster, which controller leads it, and what
+   * the next step is. Operators run it with the build that they are about to install, for an
    * upgrade and for a rollback alike.
    */
   @Command(
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -30,12 +30,12 @@
 import java.util.TreeSet;
 
 /**
- * The upgrade state of the cluster, as read from the state service. It also provides the
+ * The upgrade state of the cluster, as read from the key-value store. It also provides the
  * preconditions that make a step fail when this state has changed meanwhile.
  *
  * @param storedLevelRecord the stored record of the schema level; empty if none was ever stored
- * @param incompatibility why this build must not take part in the cluster; empty if it may
- * @param supportRecords the support records of the running controllers, by host
+ * @param incompatibility why this build must not participate in the cluster; empty if it may
+ * @param supportRecords the support records of the running controllers, by controller name
  * @param valuesToMigrate how many values have another encoding or layout than is written now
  * @param plan decides which steps are allowed; empty if the level can't be read
  */
@@ -136,7 +136,9 @@
         || MachineRecordCodec.levelOf(machineRecords).orElse(writtenLevel) == writtenLevel;
   }
 
-  /** Returns the jobs that an earlier level can't store: gangs, and jobs with too large records. */
+  /**
+   * Returns jobs that an earlier level can't store: gangs, and jobs whose records are too large.
+   */
   private static Map<Feature, List<String>> jobsRequiringLaterLevels(
       Map<String, StoredValue> jobs, Settings settings) {
     RecordLayout earlierLayout = RecordLayout.POSITIONAL;
--- a/src/main/java/io/pearscale/cli/WarmUpServices.java
+++ b/src/main/java/io/pearscale/cli/WarmUpServices.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /**
- * A stub of the state service, the cloud and one agent for {@link WarmUp}, which suffices for an
+ * A stub of the key-value store, the cloud and one agent for {@link WarmUp}, which suffices for an
  * election, a job and its tasks. It enforces no limits, loses nothing and persists nothing.
  */
 final class WarmUpServices {
@@ -26,7 +26,7 @@
   private long sequence;
   private String address = "127.0.0.1:1";
 
-  /** Handles a request to any of the three. */
+  /** Handles a request to any of the three services. */
   synchronized void handle(String method, String path, Body body, Consumer<Response> respond) {
     JsonNode request = body.tree().orElse(MessagePack.map());
     if (path.startsWith(KEYS_PATH)
@@ -100,7 +100,9 @@
     return heartbeat;
   }
 
-  /** Returns the fields of all other responses together; a reader ignores those of the others. */
+  /**
+   * Returns the fields of all other responses in one; clients ignore those that they do not use.
+   */
   private ObjectNode combinedResponse() {
     ObjectNode response = MessagePack.map();
     response.put("epoch", revision).put("claim", revision).put("more", false);
--- a/src/test/java/io/pearscale/LayersTest.java
+++ b/src/test/java/io/pearscale/LayersTest.java
@@ -64,7 +64,7 @@
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages(ROOT);
 
-  private static int layerOf(String layer) {
+  private static int layerIndex(String layer) {
     int index = LAYERS.indexOf(layer);
     assertTrue(index >= 0, layer + " is not a known layer");
     return index;
@@ -74,6 +74,7 @@
     return type.getPackageName().substring(ROOT.length() + 1);
   }
 
+  /** Returns the name of the class, or of its top-level class if it is nested. */
   private static String nameOf(JavaClass type) {
     String name = type.getName().substring(type.getPackageName().length() + 1);
     return name.replaceAll("[$].*", "");
@@ -83,7 +84,7 @@
       Set<String> violations, String from, String fromClass, String to, String toClass) {
     boolean siblingDependency =
         from.equals("api") && to.startsWith("scheduler.") && !to.equals(API_DEPENDENCY);
-    if (layerOf(to) > layerOf(from) || siblingDependency) {
+    if (layerIndex(to) > layerIndex(from) || siblingDependency) {
       violations.add(from + "." + fromClass + " -> " + to + "." + toClass);
     }
   }
@@ -95,7 +96,7 @@
     try (Stream<Path> found = Files.walk(SOURCES)) {
       files = found.filter(p -> p.toString().endsWith(".java")).toList();
     }
-    assertTrue(files.size() > LAYERS.size(), "source files are missing");
+    assertTrue(files.size() > LAYERS.size(), "expected more source files than layers");
     for (Path file : files) {
       String sourcePackage = SOURCES.relativize(file.getParent()).toString().replace('/', '.');
       String sourceClass = file.getFileName().toString().replace(".java", "");
@@ -121,7 +122,7 @@
   /** Apart from the allowed violations, packages have no cyclic dependencies. */
   @Test
   void packagesHaveNoCycles() {
-    assertTrue(CLASSES.size() > LAYERS.size(), "classes are missing");
+    assertTrue(CLASSES.size() > LAYERS.size(), "expected more classes than layers");
     SliceRule rule = slices().matching(ROOT + ".(**)").should().beFreeOfCycles();
     for (String violation : ALLOWED_VIOLATIONS) {
       String[] ends = violation.split(" -> ", 2);
--- a/src/test/java/io/pearscale/cli/LoopbackTest.java
+++ b/src/test/java/io/pearscale/cli/LoopbackTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests a controller on real sockets whose state service and cloud refuse every connection. */
+/** Tests a controller on real sockets whose key-value store and cloud refuse every connection. */
 class LoopbackTest {
   @TempDir static Path folder;
   private static Server server;
--- a/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
+++ b/src/test/java/io/pearscale/cli/UpgradeCommandTest.java
@@ -26,7 +26,7 @@
 import org.xnio.XnioWorker;
 import picocli.CommandLine;
 
-/** Tests {@code upgrade status} against a stub of the state service. */
+/** Tests {@code upgrade status} against a stub of the key-value store. */
 class UpgradeCommandTest {
   @TempDir Path folder;
   private final WarmUpServices services = new WarmUpServices();
--- a/src/test/java/io/pearscale/gang/GangAttemptTest.java
+++ b/src/test/java/io/pearscale/gang/GangAttemptTest.java
@@ -13,6 +13,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Tests when the attempts of a gang start, are completed and end. */
 class GangAttemptTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
   private static final Duration FORMATION_TIMEOUT = Duration.ofSeconds(40);
--- a/src/test/java/io/pearscale/golden/GoldenTest.java
+++ b/src/test/java/io/pearscale/golden/GoldenTest.java
@@ -234,8 +234,8 @@
     String invalidType = "{'sku':'c4','vcpus':4,'memoryGb':16,'rate':0.4}";
     String catalogue =
         "{'breeds':[" + completeType + "," + minimalType + "," + invalidType + ",7]}";
-    for (MachineType field : MachineType.parseAll(json(catalogue.replace('\'', '"')))) {
-      lines.add("type: " + jsonAndHex(field.toNode()));
+    for (MachineType machineType : MachineType.parseAll(json(catalogue.replace('\'', '"')))) {
+      lines.add("type: " + jsonAndHex(machineType.toNode()));
     }
     lines.add("none: " + MachineType.parseAll(json("{\"breeds\":7}")));
     GoldenFile.check("jobs.txt", lines);
--- a/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
+++ b/src/test/java/io/pearscale/protocol/HeartbeatResponseTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Compares packed responses with encoded trees, and limits what packing allocates. */
 class HeartbeatResponseTest {
   private static final TaskId TASK = new TaskId("wk-000412", 4);
 
