--- a/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
+++ b/src/main/java/io/pearscale/storage/PlacementRecordCodec.java
@@ -15,8 +15,8 @@
 /**
  * Encodes and decodes values of placement records. For each task of a partition, a record states
  * whether the task is done and, if not, which machine the task may be on. The record is durable
- * before the start command is sent, so a new leader has to hold a task back only for that one
- * machine.
+ * before the start command is sent, so a new leader delays a restart of the task only until the
+ * state of that one machine is known.
  */
 public final class PlacementRecordCodec {
   private static final int MAX_POSITIONAL_REFERENCE = 0xffff;
@@ -56,7 +56,7 @@
     private static final int MAX_NUMBER_LENGTH = 24;
 
     /** Upper bound in bytes for the encoded claim. */
-    public int maximumSize() {
+    public int maxEncodedSize() {
       return team.length() + 3 * MAX_NUMBER_LENGTH + 4;
     }
 
@@ -68,8 +68,8 @@
   private PlacementRecordCodec() {}
 
   /** The reference to the machine in the given slot in the positional layout, from 1 to 65,535. */
-  public static int positionalReference(int value, int position, int slotsPerValue) {
-    int reference = value * slotsPerValue + position + 1;
+  public static int positionalReference(int valueNumber, int slot, int slotsPerValue) {
+    int reference = valueNumber * slotsPerValue + slot + 1;
     if (reference > MAX_POSITIONAL_REFERENCE) {
       throw new IllegalArgumentException(
           "the machine reference exceeds 65535, the maximum of the positional layout");
@@ -78,7 +78,7 @@
   }
 
   /** Upper bound in bytes for the record of a partition with the given number of tasks. */
-  public static int maximumSize(String job, int taskCount, RecordLayout layout) {
+  public static int maxEncodedSize(String job, int taskCount, RecordLayout layout) {
     return job.length()
         + 24
         + base64Length(taskCount / 8 + 1)
@@ -89,7 +89,7 @@
     return (bytes + 2) / 3 * 4;
   }
 
-  /** Encodes a value in the layout's form. */
+  /** Encodes a value in the given layout. */
   public static JsonNode encode(Collection<PartitionRecord> partitions, RecordLayout layout) {
     ObjectNode value = MessagePack.map();
     Base64.Encoder base64 = Base64.getEncoder().withoutPadding();
