--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -110,7 +110,7 @@
         new PeerTransport.Receiver() {
           @Override
           public void received(String peer, byte[] frame) {
-            controller.handlePeerRecord(peer, frame);
+            controller.handlePeerMessage(peer, frame);
           }
 
           @Override
--- a/src/main/java/io/pearscale/coordination/ElectionActor.java
+++ b/src/main/java/io/pearscale/coordination/ElectionActor.java
@@ -38,7 +38,7 @@
   public sealed interface Message {}
 
   /** The replica of the stored keys was loaded. */
-  public record Loaded(Map<String, Entry> entries) implements Message {}
+  public record ReplicaLoaded(Map<String, Entry> entries) implements Message {}
 
   /** Stored keys changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
@@ -92,7 +92,7 @@
   private final ElectionStateMachine election;
 
   /**
-   * Creates an actor that takes part in elections after it receives {@link Loaded}.
+   * Creates an actor that takes part in elections after it receives {@link ReplicaLoaded}.
    *
    * @param levelObjection the reason why this build must not take part under the stored schema
    *     level; empty if it may
@@ -122,7 +122,7 @@
 
   @Override
   protected void receive(Message message) {
-    if (message instanceof Loaded m) {
+    if (message instanceof ReplicaLoaded m) {
       election.snapshotLoaded(m.entries);
     } else if (message instanceof KeysChanged m) {
       election.keysChanged(m.changes);
@@ -217,8 +217,8 @@
     }
 
     @Override
-    public void noteProgress() {
-      leaseRenewer.noteProgress();
+    public void recordProgress() {
+      leaseRenewer.recordProgress();
     }
 
     @Override
--- a/src/main/java/io/pearscale/coordination/ElectionEffects.java
+++ b/src/main/java/io/pearscale/coordination/ElectionEffects.java
@@ -42,7 +42,7 @@
   void stopLeaseRenewal();
 
   /** Records that the main loop makes progress, which allows renewals to continue for a while. */
-  void noteProgress();
+  void recordProgress();
 
   /** Reports {@link ElectionStateMachine#renewalDue} after one renewal interval. */
   void scheduleRenewalCheck(int round);
--- a/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
+++ b/src/main/java/io/pearscale/coordination/LeaderLeaseRenewer.java
@@ -55,7 +55,7 @@
    * @param answered receives each reply and the time at which its request was sent
    */
   public void start(long leaseId, BiConsumer<Instant, Reply> answered) {
-    noteProgress();
+    recordProgress();
     renewalLoop.execute(
         () -> {
           generation++;
@@ -69,7 +69,7 @@
   }
 
   /** Records progress of the main loop; must be called on the main loop. */
-  public void noteProgress() {
+  public void recordProgress() {
     lastProgressAt = mainLoop.clock().instant();
   }
 
--- a/src/main/java/io/pearscale/coordination/LeaderTenure.java
+++ b/src/main/java/io/pearscale/coordination/LeaderTenure.java
@@ -52,7 +52,7 @@
    */
   void checkRenewals() {
     Instant now = clock.instant();
-    effects.noteProgress();
+    effects.recordProgress();
     effects.scheduleRenewalCheck(round);
     if (proof.needsConfirmation(now)) {
       listener.requestConfirmations(confirmations.beginRequest(now));
@@ -74,7 +74,7 @@
         .ifPresent(this::allConfirmed);
   }
 
-  private void allConfirmed(PeerConfirmations.Confirmed complete) {
+  private void allConfirmed(PeerConfirmations.CompleteConfirmation complete) {
     proof.extendTo(complete.requestedAt());
     listener.confirmedByPeers(proof.provenAt(), complete.cancelledJobs(), complete.liveJobs());
     scheduleProofExpiry();
--- a/src/main/java/io/pearscale/coordination/PeerConfirmations.java
+++ b/src/main/java/io/pearscale/coordination/PeerConfirmations.java
@@ -45,7 +45,8 @@
    * @param liveJobs the live jobs of each controller that loaded the stored keys later than the
    *     leader
    */
-  record Confirmed(Instant requestedAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) {}
+  record CompleteConfirmation(
+      Instant requestedAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) {}
 
   /**
    * Creates a collection without a request.
@@ -83,12 +84,14 @@
    *
    * @return the complete confirmation; empty until all controllers have confirmed
    */
-  Optional<Confirmed> add(ElectionActor.PeerConfirmed confirmation) {
+  Optional<CompleteConfirmation> add(ElectionActor.PeerConfirmed confirmation) {
     confirmedControllers.add(confirmation.peer());
     cancelledJobs.addAll(confirmation.cancelledJobs());
     confirmation.liveJobs().ifPresent(liveJobs::add);
     return confirmedControllers.size() < controllerCount
         ? Optional.empty()
-        : Optional.of(new Confirmed(requestedAt, Set.copyOf(cancelledJobs), List.copyOf(liveJobs)));
+        : Optional.of(
+            new CompleteConfirmation(
+                requestedAt, Set.copyOf(cancelledJobs), List.copyOf(liveJobs)));
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -173,7 +173,7 @@
   private void sendPeerHeartbeat() {
     peers.broadcast(
         new PeerMessage.ControllerHeartbeat(
-            knownLeader.term(), knownLeader.host().orElse(""), health.isStoreHealthy()));
+            knownLeader.term(), knownLeader.leader().orElse(""), health.isStoreHealthy()));
     loop.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
   }
 
@@ -191,7 +191,7 @@
   }
 
   /** Handles a message of a peer; a malformed message is dropped without effect. */
-  public void handlePeerRecord(String peer, byte[] frame) {
+  public void handlePeerMessage(String peer, byte[] frame) {
     peerMessageHandler.handle(peer, frame);
   }
 
@@ -225,9 +225,9 @@
       // it.
       updateLevel(Optional.ofNullable(entries.get(Keys.LEVEL)));
       replicaStatus.loaded(storeRevision);
-      tellScheduler(new SchedulerActor.Loaded(entries, storeRevision));
+      tellScheduler(new SchedulerActor.ReplicaLoaded(entries, storeRevision));
       actors.api().tell(new ApiActor.ReplicaLoaded(entries));
-      actors.election().tell(new ElectionActor.Loaded(entries));
+      actors.election().tell(new ElectionActor.ReplicaLoaded(entries));
     }
 
     @Override
--- a/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -25,7 +25,7 @@
     components.jobs.clearUnreadable();
     components.records.storedValues().clear();
     components.levelUpgrader.clearAnnouncements();
-    components.drainCoordinator.ifPresent(DrainCoordinator::forgetStored);
+    components.drainCoordinator.ifPresent(DrainCoordinator::clearStoredValues);
     entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
   }
 
@@ -37,7 +37,7 @@
     } else if (Keys.isPlacementRecords(key) || Keys.isMachineRecords(key)) {
       components.records.storedValues().apply(change);
     } else if (Keys.isDrain(key) || Keys.isDrainMachines(key) || Keys.isDisruptions(key)) {
-      components.drainCoordinator.ifPresent(drains -> drains.storedChanged(change));
+      components.drainCoordinator.ifPresent(drains -> drains.applyChange(change));
     } else if (Keys.isMember(key)) {
       components.levelUpgrader.applyAnnouncement(change);
     } else if (key.equals(Keys.CATALOGUE) && change.entry().isPresent()) {
--- a/src/main/java/io/pearscale/scheduler/KnownLeader.java
+++ b/src/main/java/io/pearscale/scheduler/KnownLeader.java
@@ -5,12 +5,12 @@
 /** The highest term that this controller knows and, if known, the leader of that term. */
 final class KnownLeader {
   private long term;
-  private Optional<String> host = Optional.empty();
+  private Optional<String> leader = Optional.empty();
 
   /** Records the term and the leader that the election reported. */
-  void update(long newTerm, Optional<String> newHost) {
+  void update(long newTerm, Optional<String> newLeader) {
     term = newTerm;
-    host = newHost;
+    leader = newLeader;
   }
 
   /** Returns the highest known term; 0 if none is known. */
@@ -19,7 +19,7 @@
   }
 
   /** Returns the leader; empty if none is known. */
-  Optional<String> host() {
-    return host;
+  Optional<String> leader() {
+    return leader;
   }
 }
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -99,7 +99,7 @@
   private void confirm(String peer, ConfirmationRequest request) {
     long term = knownLeader.term();
     long revision = replicaStatus.revision();
-    boolean leaderCopyIsOlder = request.storeRevision() < replicaStatus.firstLoadRevision();
+    boolean leaderReplicaIsOlder = request.storeRevision() < replicaStatus.firstLoadRevision();
     actors
         .api()
         .tell(
@@ -111,7 +111,7 @@
                             request.nonce(),
                             term,
                             cancelledJobs,
-                            leaderCopyIsOlder
+                            leaderReplicaIsOlder
                                 ? Optional.of(new LiveJobs(revision, liveJobs))
                                 : Optional.empty()))));
   }
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -35,7 +35,7 @@
   public sealed interface Message {}
 
   /** The replica of the stored keys was loaded at the given revision. */
-  public record Loaded(Map<String, Entry> entries, long storeRevision) implements Message {}
+  public record ReplicaLoaded(Map<String, Entry> entries, long storeRevision) implements Message {}
 
   /** Stored keys changed, and the replica is now at the given revision. */
   public record KeysChanged(List<KeyChange> changes, long storeRevision) implements Message {}
@@ -167,9 +167,9 @@
     } else if (message instanceof KeysChanged m) {
       keysChanged(m);
     } else if (message instanceof ReplicaCaughtUp m) {
-      leadership.recordReplicaUpToDate(m.caughtUpTo);
+      leadership.recordReplicaCaughtUpTo(m.caughtUpTo);
       components.jobs.replicaCaughtUpTo(m.caughtUpTo);
-    } else if (message instanceof Loaded m) {
+    } else if (message instanceof ReplicaLoaded m) {
       keyChangeRouter.load(m.entries);
       lifecycle.replicaLoaded(m.storeRevision);
     } else if (message instanceof Elected m) {
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -26,7 +26,7 @@
    * recovery has completed.
    */
   void beginTerm(long term, long termRevision, Instant provenAt) {
-    leadership.begin(term, termRevision, provenAt);
+    leadership.beginTerm(term, termRevision, provenAt);
     components.schedulingPass.beginTerm();
     components.recordWriter.beginTerm();
     components.dispatcher.beginTerm();
@@ -36,7 +36,7 @@
 
   /** Ends the term and discards all state that exists only on a leader. */
   void endTerm() {
-    leadership.end();
+    leadership.endTerm();
     components.inventory.clear();
     components.jobs.clearQueue();
     components.dispatcher.endTerm();
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -19,7 +19,7 @@
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  private static final long INITIAL_BACKOFF_S = 5;
+  private static final long BASE_BACKOFF_S = 5;
   private static final long MAX_BACKOFF_S = 60;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
@@ -60,7 +60,7 @@
 
   /** Returns the backoff for a machine with this many failures; each failure doubles it. */
   private static Duration backoffAfter(int failures) {
-    long seconds = INITIAL_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, failures);
+    long seconds = BASE_BACKOFF_S << Math.min(MAX_BACKOFF_DOUBLINGS, failures);
     return Duration.ofSeconds(Math.min(MAX_BACKOFF_S, seconds));
   }
 
--- a/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
+++ b/src/main/java/io/pearscale/scheduler/agents/GracefulTermination.java
@@ -89,7 +89,7 @@
   /** Stops the tasks that should end before the announced preemption of their machine. */
   void prepareForPreemption(Machine machine) {
     Instant now = clock.instant();
-    Duration untilPreemption = Duration.between(now, machine.preemptionNoticeAt().orElse(now));
+    Duration untilPreemption = Duration.between(now, machine.preemptionAt().orElse(now));
     for (TaskAttempt attempt : List.copyOf(machine.attempts().values())) {
       if (!attempt.stopping() && shouldStopBeforePreemption(untilPreemption, attempt, now)) {
         stop(attempt);
@@ -132,7 +132,7 @@
       Duration untilPreemption =
           attempt
               .machine()
-              .preemptionNoticeAt()
+              .preemptionAt()
               .map(preemption -> Duration.between(now, preemption))
               .orElse(NO_PREEMPTION);
       untilFirstPreemption =
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -97,7 +97,7 @@
   private Machine findOrAddMachine(Heartbeat heartbeat) {
     Machine machine = inventory.get(heartbeat.machine());
     if (machine == null) {
-      if (inventory.isRemoved(heartbeat.machine())) {
+      if (inventory.isDeleted(heartbeat.machine())) {
         return null;
       }
       MachineType type = inventory.catalogue().typeOf(heartbeat.machineType());
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatProcessor.java
@@ -73,7 +73,7 @@
     updateLiveness(machine, heartbeat, reachable);
     Set<TaskAttempt> present = applyStatuses(machine, heartbeat);
     absenceProver.removeAbsent(machine, heartbeat, present);
-    if (machine.preemptionNoticeAt().isPresent()) {
+    if (machine.preemptionAt().isPresent()) {
       termination.prepareForPreemption(machine);
     }
     if (!machine.reportedAttempts().unknown().isEmpty()) {
@@ -83,7 +83,7 @@
 
   /** Applies all task statuses and returns the attempts that are present on the machine. */
   private Set<TaskAttempt> applyStatuses(Machine machine, Heartbeat heartbeat) {
-    ReportedAttempts.PreviousReport previous = machine.reportedAttempts().beginMessage();
+    ReportedAttempts.PreviousReport previous = machine.reportedAttempts().takePreviousReport();
     Set<TaskAttempt> present = new HashSet<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.stage() == Heartbeat.Stage.ENDED) {
@@ -130,7 +130,7 @@
     if (reachable) {
       machine.reachability().recordReachable(now);
     }
-    if (heartbeat.preemptionNotice().isPresent() && machine.preemptionNoticeAt().isEmpty()) {
+    if (heartbeat.preemptionNotice().isPresent() && machine.preemptionAt().isEmpty()) {
       LOG.info(
           "event=preemption_notice_received term={} machine={} remaining={}",
           leadership.term(),
--- a/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineChecks.java
@@ -46,7 +46,7 @@
         && machine.reconciled()
         && !machine.leaseExpired()
         && !machine.failures().isQuarantined()
-        && machine.preemptionNoticeAt().isEmpty()
+        && machine.preemptionAt().isEmpty()
         && machine.maintenance().isSchedulable()
         && machine.reachability().heartbeatEverReceived()
         && machine.fencing().unacknowledgedResponses() == 0
@@ -67,7 +67,7 @@
         && machine.reconciled()
         && !machine.leaseExpired()
         && !machine.failures().isQuarantined()
-        && machine.preemptionNoticeAt().isEmpty()
+        && machine.preemptionAt().isEmpty()
         && machine.reachability().answersWithoutHeartbeatSince().isEmpty()
         && now.isBefore(
             machine.reachability().lastReachableAt().plus(timings.heartbeatOverdueAfter()))
@@ -123,7 +123,7 @@
   /** Returns whether attempts on the machine for which no start was sent may stay planned. */
   boolean mayKeepPlanned(Machine machine, Instant now) {
     return !machine.failures().isQuarantined()
-        && machine.preemptionNoticeAt().isEmpty()
+        && machine.preemptionAt().isEmpty()
         && machine.lifecycle() == Lifecycle.UP
         && !now.isAfter(
             machine.reachability().lastReachableAt().plus(timings.withdrawPlannedAfter()));
@@ -139,8 +139,8 @@
 
   /** Returns whether the provider has preempted the machine, as its notice announced. */
   static boolean wasPreempted(Machine machine, Instant now) {
-    return machine.preemptionNoticeAt().isPresent()
-        && now.isAfter(machine.preemptionNoticeAt().get().plus(PREEMPTION_MARGIN))
+    return machine.preemptionAt().isPresent()
+        && now.isAfter(machine.preemptionAt().get().plus(PREEMPTION_MARGIN))
         && now.isAfter(machine.reachability().lastReachableAt().plus(PREEMPTED_UNREACHABLE_TIME));
   }
 
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -93,7 +93,7 @@
     for (Machine machine : view.machines) {
       if (machine.lifecycle() == Lifecycle.BOOTING
           && now.isBefore(
-              machine.provisionedAt().plus(ScaleOutPlanner.bootTimeout(machine.type())))) {
+              machine.provisionedAt().plus(ScaleOutPlanner.bootAllowance(machine.type())))) {
         booting.add(machine);
       } else if (view.schedulable.test(machine)) {
         schedulable.add(machine);
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -95,15 +95,15 @@
 
   /** A machine list that is being read one page at a time. */
   private static final class MachineListing {
-    final Instant started;
+    final Instant startedAt;
     final List<ListedMachine> machines = new ArrayList<>();
     String lastName = "";
 
     /** Whether queued requests take precedence over the next page. */
     boolean yieldsToRequests;
 
-    MachineListing(Instant started) {
-      this.started = started;
+    MachineListing(Instant startedAt) {
+      this.startedAt = startedAt;
     }
   }
 
@@ -280,8 +280,8 @@
     listing = Optional.empty();
     Instant now = loop.clock().instant();
     Instant earliestByLag =
-        finished.started.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
-    Instant earliestByDuration = now.plus(Duration.between(finished.started, now));
+        finished.startedAt.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
+    Instant earliestByDuration = now.plus(Duration.between(finished.startedAt, now));
     nextListAt = earliestByLag.isAfter(earliestByDuration) ? earliestByLag : earliestByDuration;
   }
 
--- a/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/DemandEstimator.java
@@ -93,7 +93,7 @@
     Map<String, Integer> slotsByZone = new TreeMap<>();
     for (Machine machine : schedulable) {
       if (spec.allows(machine.type(), machine.zone(), machine.spot())
-          && job.isOnlyInZone(machine.zone())) {
+          && job.hasNoAttemptsOutside(machine.zone())) {
         int slots = machine.availableWithPreemption(Priority.IDLE).countFitting(spec);
         slotsByZone.merge(machine.zone(), slots, Integer::sum);
       }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -195,7 +195,7 @@
     autoscaler.scaleOutPlanner().recordGranted(offering);
     Optional<MachineType> type = inventory.catalogue().find(offering.type());
     for (String name : event.names()) {
-      boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
+      boolean isNew = inventory.get(name) == null && !inventory.isDeleted(name);
       if (isNew && type.isPresent()) {
         Machine machine =
             new Machine(name, offering.zone(), offering.spot(), type.get(), Lifecycle.BOOTING, now);
@@ -226,7 +226,7 @@
     Set<String> names = new HashSet<>();
     for (ListedMachine listed : listing) {
       names.add(listed.name());
-      if (!inventory.isRemoved(listed.name())) {
+      if (!inventory.isDeleted(listed.name())) {
         handleListed(listed, now);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -60,7 +60,7 @@
 
   private static boolean isStable(TaskAttempt attempt, Instant now) {
     return attempt.stage() == TaskAttempt.Stage.RUNNING
-        && !attempt.stageSince().isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
+        && !attempt.stageSince().isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_RELOCATION));
   }
 
   private boolean reserve(TaskAttempt attempt) {
@@ -69,7 +69,7 @@
         return false;
       }
       checksLeft--;
-      if (ReplicaRelocation.mayMoveTo(attempt, other)
+      if (ReplicaRelocation.mayRelocateTo(attempt, other)
           && available.computeIfAbsent(other, Machine::available).fits(attempt.job().spec())) {
         available.get(other).subtract(attempt.job().spec());
         return true;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -271,7 +271,7 @@
   }
 
   /** Returns how long a machine of the type counts as booting. */
-  static Duration bootTimeout(MachineType type) {
+  static Duration bootAllowance(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -58,12 +58,12 @@
   }
 
   /** Discards all stored values before a new snapshot is delivered. */
-  void forgetStored() {
+  void clearStoredValues() {
     stored.clear();
   }
 
   /** Applies a change to a stored value. */
-  void storedChanged(KeyChange change) {
+  void applyChange(KeyChange change) {
     change
         .entry()
         .ifPresentOrElse(
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -31,7 +31,7 @@
           && machine.reconciled()
           && !machine.failures().isQuarantined()
           && responsiveness.isResponsive(machine, now)
-          && machine.preemptionNoticeAt().isEmpty()) {
+          && machine.preemptionAt().isEmpty()) {
         usable.add(machine);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -99,17 +99,17 @@
   // ---- Stored values ----
 
   /** Discards all stored values before a new snapshot is delivered. */
-  public void forgetStored() {
-    requests.forgetStored();
-    disruptions.records().forgetStored();
+  public void clearStoredValues() {
+    requests.clearStoredValues();
+    disruptions.records().clearStoredValues();
   }
 
   /** Applies a change to a stored value. */
-  public void storedChanged(KeyChange change) {
+  public void applyChange(KeyChange change) {
     if (Keys.isDisruptions(change.key())) {
-      disruptions.records().storedChanged(change);
+      disruptions.records().applyChange(change);
     } else {
-      requests.storedChanged(change);
+      requests.applyChange(change);
     }
   }
 
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
@@ -24,13 +24,13 @@
   private final Map<String, JsonNode> machineNames = new TreeMap<>();
 
   /** Discards all stored values before a new snapshot is delivered. */
-  void forgetStored() {
+  void clearStoredValues() {
     requests.clear();
     machineNames.clear();
   }
 
   /** Applies a change to a stored value. */
-  void storedChanged(KeyChange change) {
+  void applyChange(KeyChange change) {
     Map<String, JsonNode> values = Keys.isDrain(change.key()) ? requests : machineNames;
     change
         .entry()
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -28,7 +28,7 @@
 
   private final Leadership leadership;
   private final InstantSource clock;
-  private final Duration formingTimeout;
+  private final Duration formationTimeout;
   private final Map<Job, GangAttempt> attempts = new HashMap<>();
   private final Map<Job, Instant> phaseSince = new HashMap<>();
   private Duration lostWork = Duration.ZERO;
@@ -36,12 +36,12 @@
   /**
    * Creates a tracker without any gangs.
    *
-   * @param formingTimeout how long a task of a gang waits for the others
+   * @param formationTimeout how long a task of a gang waits for the others
    */
-  public GangTracker(Leadership leadership, InstantSource clock, Duration formingTimeout) {
+  public GangTracker(Leadership leadership, InstantSource clock, Duration formationTimeout) {
     this.leadership = leadership;
     this.clock = clock;
-    this.formingTimeout = formingTimeout;
+    this.formationTimeout = formationTimeout;
   }
 
   /** Removes all gangs when the term ends. */
@@ -59,7 +59,7 @@
 
   private GangAttempt attemptOf(Job job) {
     phaseSince.putIfAbsent(job, clock.instant());
-    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formingTimeout));
+    return attempts.computeIfAbsent(job, j -> new GangAttempt(j.spec().tasks(), formationTimeout));
   }
 
   /** Returns the phase that the last evaluation of the job's current attempt found. */
--- a/src/main/java/io/pearscale/scheduler/model/Job.java
+++ b/src/main/java/io/pearscale/scheduler/model/Job.java
@@ -203,7 +203,7 @@
   }
 
   /** Returns whether no attempt may be outside the zone. */
-  public boolean isOnlyInZone(String zone) {
+  public boolean hasNoAttemptsOutside(String zone) {
     return attemptsInZone(zone) == attempts.size();
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/Leadership.java
+++ b/src/main/java/io/pearscale/scheduler/model/Leadership.java
@@ -44,7 +44,7 @@
   private Instant leadershipProvenAt = Instant.MIN;
 
   /** The replica of the keys contains all changes made up to this time. */
-  private Instant replicaUpToDateAt = Instant.MIN;
+  private Instant replicaCaughtUpTo = Instant.MIN;
 
   /**
    * Creates an instance that does not lead.
@@ -65,7 +65,7 @@
    * @param newTermRevision the revision of the term's key that the election wrote
    * @param provenAt when the election request was sent
    */
-  public void begin(long newTerm, long newTermRevision, Instant provenAt) {
+  public void beginTerm(long newTerm, long newTermRevision, Instant provenAt) {
     leading = true;
     ready = false;
     term = newTerm;
@@ -76,7 +76,7 @@
   }
 
   /** Ends the term. */
-  public void end() {
+  public void endTerm() {
     leading = false;
     ready = false;
   }
@@ -163,8 +163,8 @@
    * Records that the replica of the keys contains all changes made up to the given time. Has no
    * effect if a later time is known.
    */
-  public void recordReplicaUpToDate(Instant time) {
-    replicaUpToDateAt = later(replicaUpToDateAt, time);
+  public void recordReplicaCaughtUpTo(Instant time) {
+    replicaCaughtUpTo = later(replicaCaughtUpTo, time);
   }
 
   /**
@@ -174,9 +174,9 @@
    * older replica needs the key-value store, so this method then has no effect.
    */
   public void recordPeerConfirmation(Instant time) {
-    if (time.isBefore(replicaUpToDateAt.plus(renewalAuthorityTimeout))) {
+    if (time.isBefore(replicaCaughtUpTo.plus(renewalAuthorityTimeout))) {
       recordProof(time);
-      recordReplicaUpToDate(time);
+      recordReplicaCaughtUpTo(time);
     }
   }
 
@@ -195,7 +195,7 @@
     Instant now = clock.instant();
     return leading
         && now.isBefore(leadershipProvenAt.plus(renewalAuthorityTimeout))
-        && now.isBefore(replicaUpToDateAt.plus(renewalAuthorityTimeout));
+        && now.isBefore(replicaCaughtUpTo.plus(renewalAuthorityTimeout));
   }
 
   /**
@@ -207,7 +207,7 @@
    */
   public boolean mayStartTasks() {
     return mayRenewLeases()
-        && clock.instant().isBefore(replicaUpToDateAt.plus(startAuthorityTimeout));
+        && clock.instant().isBefore(replicaCaughtUpTo.plus(startAuthorityTimeout));
   }
 
   /** Returns the first fencing token of a machine in this term. */
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -46,7 +46,7 @@
 
   private boolean reconciled;
   private boolean leaseExpired;
-  private Optional<Instant> preemptionNoticeAt = Optional.empty();
+  private Optional<Instant> preemptionAt = Optional.empty();
   private Maintenance maintenance = Maintenance.IN_SERVICE;
   private boolean drainPlanned;
 
@@ -211,8 +211,8 @@
   /**
    * Returns when the cloud provider will reclaim the machine, or empty without a preemption notice.
    */
-  public Optional<Instant> preemptionNoticeAt() {
-    return preemptionNoticeAt;
+  public Optional<Instant> preemptionAt() {
+    return preemptionAt;
   }
 
   // ---- Messages of the agent ----
@@ -261,11 +261,11 @@
   /**
    * Records a message of this term, which shows that the machine is alive.
    *
-   * @param newNotice when the cloud provider will reclaim the machine, if the message says so
+   * @param newPreemptionAt when the cloud provider will reclaim the machine, if the message says so
    */
-  public void recordAlive(Optional<Instant> newNotice) {
+  public void recordAlive(Optional<Instant> newPreemptionAt) {
     leaseExpired = false;
-    preemptionNoticeAt = newNotice;
+    preemptionAt = newPreemptionAt;
   }
 
   /** Records that a task with the image runs on the machine, so that the agent has the image. */
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -97,7 +97,7 @@
   }
 
   /** Returns whether the machine with this name is known to be deleted. */
-  public boolean isRemoved(String name) {
+  public boolean isDeleted(String name) {
     return tombstones.contains(name);
   }
 
--- a/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineTombstones.java
@@ -17,14 +17,14 @@
   static final Duration RETENTION = Duration.ofMinutes(15);
 
   /** Deletion times by machine name, oldest first. */
-  private final Map<String, Instant> removedAt = new LinkedHashMap<>();
+  private final Map<String, Instant> deletedAt = new LinkedHashMap<>();
 
   /** Adds a deleted machine and removes expired names. */
   void add(String name, Instant now) {
-    removedAt.remove(name);
-    removedAt.put(name, now);
+    deletedAt.remove(name);
+    deletedAt.put(name, now);
     Instant expiry = now.minus(RETENTION);
-    Iterator<Instant> oldest = removedAt.values().iterator();
+    Iterator<Instant> oldest = deletedAt.values().iterator();
     while (oldest.hasNext() && oldest.next().isBefore(expiry)) {
       oldest.remove();
     }
@@ -32,6 +32,6 @@
 
   /** Returns whether the machine with this name is known to be deleted. */
   boolean contains(String name) {
-    return removedAt.containsKey(name);
+    return deletedAt.containsKey(name);
   }
 }
--- a/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
+++ b/src/main/java/io/pearscale/scheduler/model/ReportedAttempts.java
@@ -43,7 +43,7 @@
    *
    * @return the attempts that the preceding message reported
    */
-  public PreviousReport beginMessage() {
+  public PreviousReport takePreviousReport() {
     PreviousReport previous = new PreviousReport(new HashMap<>(ended), new HashMap<>(unknown));
     clear();
     return previous;
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -92,7 +92,7 @@
     }
     List<Predicate<Machine>> subsets = new ArrayList<>();
     for (String zone : zones) {
-      if (job.isOnlyInZone(zone)) {
+      if (job.hasNoAttemptsOutside(zone)) {
         subsets.add(machine -> machine.zone().equals(zone));
       }
     }
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -28,6 +28,6 @@
     if (spec.spreadAcrossZones() && job.attemptsInZone(machine.zone()) >= spec.maxTasksPerZone()) {
       return false;
     }
-    return !spec.singleZone() || job.isOnlyInZone(machine.zone());
+    return !spec.singleZone() || job.hasNoAttemptsOutside(machine.zone());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ReplicaRelocation.java
@@ -18,7 +18,7 @@
  */
 public final class ReplicaRelocation {
   /** Minimum run time before relocation; moving a replica earlier would waste its start. */
-  public static final Duration MIN_RUN_BEFORE_MOVE = Duration.ofSeconds(40);
+  public static final Duration MIN_RUN_BEFORE_RELOCATION = Duration.ofSeconds(40);
 
   private final PassContext context;
   private final PassCapacity capacity;
@@ -46,7 +46,7 @@
         continue;
       }
       for (TaskAttempt replica : machine.attempts().values()) {
-        if (!mayBeMovedFor(job, replica)) {
+        if (!mayBeRelocatedFor(job, replica)) {
           continue;
         }
         candidates++;
@@ -60,23 +60,24 @@
     return Optional.empty();
   }
 
-  private boolean mayBeMovedFor(Job job, TaskAttempt replica) {
+  private boolean mayBeRelocatedFor(Job job, TaskAttempt replica) {
     JobSpec spec = replica.job().spec();
-    Resources availableAfterMove = capacity.availableOn(replica.machine()).copy();
-    availableAfterMove.add(replica.job().spec());
+    Resources availableAfterRelocation = capacity.availableOn(replica.machine()).copy();
+    availableAfterRelocation.add(replica.job().spec());
     return !replica.stopping()
         && replica.stage() == TaskAttempt.Stage.RUNNING
         && spec.isService()
         && !spec.singleZone()
         && spec.priority() == job.spec().priority()
         && spec.team().equals(job.spec().team())
-        && replica.stageSince().isBefore(context.now().minus(MIN_RUN_BEFORE_MOVE))
-        && availableAfterMove.fits(job.spec());
+        && replica.stageSince().isBefore(context.now().minus(MIN_RUN_BEFORE_RELOCATION))
+        && availableAfterRelocation.fits(job.spec());
   }
 
   private boolean reserveElsewhere(TaskAttempt replica) {
     for (Machine machine : context.machines()) {
-      if (mayMoveTo(replica, machine) && capacity.availableOn(machine).fits(replica.job().spec())) {
+      if (mayRelocateTo(replica, machine)
+          && capacity.availableOn(machine).fits(replica.job().spec())) {
         capacity.availableOn(machine).subtract(replica.job().spec());
         return true;
       }
@@ -88,7 +89,7 @@
    * Returns whether a replica may run on the other machine, which must already have its image.
    * Available capacity is not checked.
    */
-  public static boolean mayMoveTo(TaskAttempt replica, Machine machine) {
+  public static boolean mayRelocateTo(TaskAttempt replica, Machine machine) {
     JobSpec spec = replica.job().spec();
     boolean zoneAllowed =
         machine.zone().equals(replica.machine().zone())
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -48,16 +48,17 @@
   /**
    * Creates empty records.
    *
-   * @param gate supplies the schema level in whose form records are written
+   * @param levelGate supplies the schema level in whose form records are written
    * @param requestCommit requests a transaction
    */
   public LeaderRecords(
-      StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
+      StoreLimits limits, LevelGate levelGate, InstantSource clock, Runnable requestCommit) {
     this.maxValueBytes = limits.maxValueBytes();
     this.clock = clock;
     this.requestCommit = requestCommit;
-    this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), previousLayout);
-    this.packed = new PackedRecords(limits, gate);
+    this.migration =
+        new RecordMigration(levelGate, limits.maxTransactionOperations(), previousLayout);
+    this.packed = new PackedRecords(limits, levelGate);
     this.adopter = new StoredRecordAdopter(packed, previousLayout);
     this.layoutChange = new LayoutChange(packed, storedValues, previousLayout);
     this.planner = new TransactionPlanner(packed, obsoleteValues, rejectedValues, migration);
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -21,7 +21,7 @@
   /** Upper bound in bytes for a packed value, even if the store accepts longer values. */
   private static final int MAX_PACKED_VALUE_BYTES = 6000;
 
-  private final LevelGate gate;
+  private final LevelGate levelGate;
   private final int packedValueBytes;
   private final MachineRecordNumbers recordNumbers = new MachineRecordNumbers();
   private RecordLayout layout;
@@ -31,10 +31,10 @@
   /**
    * Creates empty records in the layout in force.
    *
-   * @param gate supplies the schema level in whose layout records are written
+   * @param levelGate supplies the schema level in whose layout records are written
    */
-  PackedRecords(StoreLimits limits, LevelGate gate) {
-    this.gate = gate;
+  PackedRecords(StoreLimits limits, LevelGate levelGate) {
+    this.levelGate = levelGate;
     this.packedValueBytes = Math.min(MAX_PACKED_VALUE_BYTES, limits.maxValueBytes() * 3 / 4);
     clear();
   }
@@ -54,7 +54,7 @@
 
   /** The layout of the schema level in whose form records are written now. */
   RecordLayout layoutInForce() {
-    return RecordLayout.ofLevel(gate.currentLevel().writtenLevel());
+    return RecordLayout.ofLevel(levelGate.currentLevel().writtenLevel());
   }
 
   /** Whether the records are packed for the layout in force; false after the level has changed. */
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -39,7 +39,7 @@
     }
   }
 
-  private final LevelGate gate;
+  private final LevelGate levelGate;
   private final int maxBatchSize;
   private final PreviousLayoutRecords previousLayout;
   private final Map<Integer, Integer> levelByValue = new TreeMap<>();
@@ -48,12 +48,12 @@
   /**
    * Creates a migration without known values.
    *
-   * @param gate supplies the schema level in force
+   * @param levelGate supplies the schema level in force
    * @param maxMutations maximum number of mutations in a transaction
    * @param previousLayout the records that are not yet copied into the layout in force
    */
-  RecordMigration(LevelGate gate, int maxMutations, PreviousLayoutRecords previousLayout) {
-    this.gate = gate;
+  RecordMigration(LevelGate levelGate, int maxMutations, PreviousLayoutRecords previousLayout) {
+    this.levelGate = levelGate;
     this.maxBatchSize = Math.max(MIN_BATCH_SIZE, maxMutations / BATCH_SHARE_DIVISOR);
     this.previousLayout = previousLayout;
   }
@@ -87,7 +87,7 @@
 
   /** Whether a batch or the end of the migration is due to be written now. */
   boolean isDue(Instant now) {
-    return !gate.currentLevel().migrated() && !now.isBefore(nextBatchAt);
+    return !levelGate.currentLevel().migrated() && !now.isBefore(nextBatchAt);
   }
 
   /**
@@ -100,9 +100,10 @@
     nextBatchAt = now.plus(BATCH_INTERVAL);
     Batch batch = new Batch(new LinkedHashSet<>(), new LinkedHashSet<>());
     previousLayout.offerUncopied(item -> addToBatch(batch, targetOfCopy.apply(item)));
-    if (RecordLayout.ofLevel(gate.currentLevel().writtenLevel()) == RecordLayout.POSITIONAL) {
+    if (RecordLayout.ofLevel(levelGate.currentLevel().writtenLevel()) == RecordLayout.POSITIONAL) {
       for (Map.Entry<Integer, Integer> value : levelByValue.entrySet()) {
-        if (value.getValue() != gate.currentLevel().writtenLevel() && batch.size() < maxBatchSize) {
+        if (value.getValue() != levelGate.currentLevel().writtenLevel()
+            && batch.size() < maxBatchSize) {
           batch.machineValues.add(value.getKey());
         }
       }
@@ -128,6 +129,6 @@
 
   /** The record of the schema level that marks the migration as complete. */
   JsonNode migrationCompletedRecord() {
-    return gate.migrationCompletedRecord();
+    return levelGate.migrationCompletedRecord();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
+++ b/src/main/java/io/pearscale/scheduler/records/SchemaLevelUpgrader.java
@@ -32,8 +32,8 @@
   /** The levels that a controller has announced, and the revision of the announcement. */
   private record MemberAnnouncement(MemberSupport support, long revision) {}
 
-  private final LevelGate gate;
-  private final Set<String> hosts;
+  private final LevelGate levelGate;
+  private final Set<String> controllers;
   private final InstantSource clock;
   private final Map<String, MemberAnnouncement> announcements = new TreeMap<>();
   private Instant nextAttemptAt = Instant.MIN;
@@ -41,11 +41,11 @@
   /**
    * Creates an upgrader.
    *
-   * @param hosts all configured controllers
+   * @param controllers all configured controllers
    */
-  public SchemaLevelUpgrader(LevelGate gate, Set<String> hosts, InstantSource clock) {
-    this.gate = gate;
-    this.hosts = Set.copyOf(hosts);
+  public SchemaLevelUpgrader(LevelGate levelGate, Set<String> controllers, InstantSource clock) {
+    this.levelGate = levelGate;
+    this.controllers = Set.copyOf(controllers);
     this.clock = clock;
   }
 
@@ -76,8 +76,8 @@
   private Optional<UpgradePlan.LevelChange> nextStep() {
     Map<String, MemberSupport> members = new TreeMap<>();
     announcements.forEach((host, announcement) -> members.put(host, announcement.support));
-    UpgradePlan plan = new UpgradePlan(gate.currentLevel(), hosts, members, Map.of());
-    return plan.automaticUpgrade(gate.supported()) instanceof UpgradePlan.LevelChange change
+    UpgradePlan plan = new UpgradePlan(levelGate.currentLevel(), controllers, members, Map.of());
+    return plan.automaticUpgrade(levelGate.supported()) instanceof UpgradePlan.LevelChange change
         ? Optional.of(change)
         : Optional.empty();
   }
@@ -92,9 +92,9 @@
     Optional<UpgradePlan.LevelChange> step = isDue() ? nextStep() : Optional.empty();
     if (step.isPresent() && transaction.hasCapacity()) {
       nextAttemptAt = clock.instant().plus(ATTEMPT_INTERVAL);
-      JsonNode record = step.get().next().toNode(gate.storedRecord());
+      JsonNode record = step.get().next().toNode(levelGate.storedRecord());
       LOG.info("event=schema_level_raised level={}", step.get().next().level());
-      hosts.forEach(
+      controllers.forEach(
           host -> transaction.addPrecondition(Keys.member(host), announcements.get(host).revision));
       transaction.addSchemaLevel(record);
     }
--- a/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
+++ b/src/test/java/io/pearscale/coordination/LeaderLeaseRenewerTest.java
@@ -111,7 +111,7 @@
     int renewals = renewalPaths.size();
     renewalLoop.advance(Duration.ofSeconds(20));
     assertEquals(renewals, renewalPaths.size());
-    renewer.noteProgress();
+    renewer.recordProgress();
     renewalLoop.advance(Duration.ofSeconds(1));
     assertTrue(renewalPaths.size() > renewals);
   }
--- a/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
+++ b/src/test/java/io/pearscale/scheduler/maintenance/DisruptionRecordsTest.java
@@ -81,11 +81,11 @@
     records.record(disruption(1));
     JsonNode value = valueIn(transaction());
     DisruptionRecords successor = new DisruptionRecords(8192, () -> {}, durable::add);
-    successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(value, 7))));
+    successor.applyChange(new KeyChange("c/disrupted/0", Optional.of(new Entry(value, 7))));
     assertEquals(List.of(disruption(1)), successor.beginTerm());
     assertEquals(Duration.ofSeconds(3), successor.beginTerm().get(0).lostWork());
     JsonNode malformed = MessagePack.map().put("d", "?");
-    successor.storedChanged(new KeyChange("c/disrupted/0", Optional.of(new Entry(malformed, 8))));
+    successor.applyChange(new KeyChange("c/disrupted/0", Optional.of(new Entry(malformed, 8))));
     assertThrows(MalformedMessageException.class, successor::beginTerm);
   }
 }
--- a/src/test/java/io/pearscale/sim/ElectionTest.java
+++ b/src/test/java/io/pearscale/sim/ElectionTest.java
@@ -60,7 +60,7 @@
   @Test
   void electionIsAcknowledgedOnceAllPeersKnowTheTerm() {
     ElectionActor election = createElection();
-    election.tell(new ElectionActor.Loaded(Map.of()));
+    election.tell(new ElectionActor.ReplicaLoaded(Map.of()));
     advance(500);
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 1, Optional.of("hive-0")));
@@ -76,7 +76,7 @@
   void lateElectionResultIsIgnoredOnceANewerTermIsKnown() {
     ElectionActor election = createElection();
     holdCommits = true;
-    election.tell(new ElectionActor.Loaded(Map.of()));
+    election.tell(new ElectionActor.ReplicaLoaded(Map.of()));
     advance(500);
     election.tell(new ElectionActor.LeaderAnnounced("hive-1", 2, Optional.of("hive-1")));
     advance(10);
@@ -91,7 +91,7 @@
    */
   private ElectionActor leaderWithoutStore() {
     ElectionActor election = createElection();
-    election.tell(new ElectionActor.Loaded(Map.of()));
+    election.tell(new ElectionActor.ReplicaLoaded(Map.of()));
     advance(500);
     storeUnavailable = true;
     advance(2500);
--- a/src/test/java/io/pearscale/sim/LeaderScript.java
+++ b/src/test/java/io/pearscale/sim/LeaderScript.java
@@ -382,7 +382,7 @@
     keys.put("c/catalogue", new Entry(types, 1));
     writeTerm();
     scheduler.tell(
-        new SchedulerActor.Loaded(new TreeMap<>(keys), staleReplica ? 1 : storeRevision));
+        new SchedulerActor.ReplicaLoaded(new TreeMap<>(keys), staleReplica ? 1 : storeRevision));
     scheduler.tell(new SchedulerActor.ReplicaCaughtUp(cluster.now));
     scheduler.tell(
         new SchedulerActor.Elected(electedTerm, cluster.store.revisionOf("c/term"), cluster.now));
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -161,7 +161,7 @@
           unread,
           () -> {
             lastReceived.put(peer, world.now);
-            controller.handlePeerRecord(peer, frame);
+            controller.handlePeerMessage(peer, frame);
           });
     }
   }
