--- a/src/main/java/io/pearscale/coordination/Candidacy.java
+++ b/src/main/java/io/pearscale/coordination/Candidacy.java
@@ -28,7 +28,7 @@
   /** Identifies this process in the stored records. */
   private final String processNonce;
 
-  /** The most recently granted lease. */
+  /** The id of the most recently granted lease, or {@link #NO_LEASE} once it is abandoned. */
   private long leaseId;
 
   /** Whether a campaign is scheduled or in progress. */
@@ -121,7 +121,7 @@
     schedule(conflict ? CampaignDelays.AFTER_CONFLICT : delays.afterFailure());
   }
 
-  /** Returns the lease id of the last campaign. */
+  /** Returns the id of the most recently granted lease. */
   long leaseId() {
     return leaseId;
   }
--- a/src/main/java/io/pearscale/coordination/ElectionListener.java
+++ b/src/main/java/io/pearscale/coordination/ElectionListener.java
@@ -30,8 +30,8 @@
    *
    * @param cancelledJobs the jobs whose cancellation the controllers recently acknowledged to users
    * @param liveJobs the live jobs of each peer that loaded the stored keys at a revision after the
-   *     one of our replica: the previous process of that peer may have acknowledged cancellations
-   *     that the peer does not know
+   *     one of this controller's replica: the previous process of that peer may have acknowledged
+   *     cancellations that the peer does not know
    */
   void confirmedByPeers(Instant provenAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs);
 
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -73,7 +73,7 @@
     this.peerTerms = new PeerTerms(peers);
   }
 
-  /** Handles a load of the replica of the stored keys, the first one or a reload. */
+  /** Handles the first load or a reload of the replica of the stored keys. */
   void snapshotLoaded(Map<String, Entry> entries) {
     eligibility.snapshotLoaded();
     storedLeadership.load(entries);
--- a/src/main/java/io/pearscale/coordination/Eligibility.java
+++ b/src/main/java/io/pearscale/coordination/Eligibility.java
@@ -20,7 +20,7 @@
   private Optional<String> loggedObjection = Optional.empty();
 
   /**
-   * Creates an eligibility without an unreadable record.
+   * Creates an eligibility that knows of no unreadable record.
    *
    * @param levelObjection the reason why this build must not take part under the stored schema
    *     level; empty if it may
--- a/src/main/java/io/pearscale/coordination/LeaderProbe.java
+++ b/src/main/java/io/pearscale/coordination/LeaderProbe.java
@@ -37,7 +37,7 @@
   record Probe(String peer, long term, OptionalLong firstRevision) {}
 
   /**
-   * Creates a probe that is idle until {@link #start}.
+   * Creates an instance that is idle until {@link #start}.
    *
    * @param leading whether this controller leads; a leader probes no peer
    */
@@ -75,6 +75,7 @@
     }
   }
 
+  /** Returns whether the peer leads in the term, and this controller does not lead. */
   private boolean isLeader(String peer, long term) {
     return !leading.getAsBoolean() && storedLeadership.isLeader(peer, term);
   }
--- a/src/main/java/io/pearscale/coordination/PeerConfirmations.java
+++ b/src/main/java/io/pearscale/coordination/PeerConfirmations.java
@@ -37,8 +37,8 @@
   private final List<LiveJobs> liveJobs = new ArrayList<>();
 
   /**
-   * The complete confirmation by all controllers: none of them led in a later term when the request
-   * was sent.
+   * The confirmation that is complete because all controllers gave it: none of them led in a later
+   * term when the request was sent.
    *
    * @param requestedAt the time at which the request was sent
    * @param cancelledJobs the jobs whose cancellation a controller recently acknowledged to users
--- a/src/main/java/io/pearscale/coordination/PeerTerms.java
+++ b/src/main/java/io/pearscale/coordination/PeerTerms.java
@@ -11,7 +11,7 @@
   /** Peers that know of the term in which this controller leads. */
   private final Set<String> acknowledgedPeers = new HashSet<>();
 
-  /** Creates a record without announcements. */
+  /** Creates an instance that knows of no announcements. */
   PeerTerms(Set<String> peers) {
     this.peers = peers;
   }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -35,7 +35,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A controller process. It creates the actors and forwards each actor's events to the other actors.
+ * The parts of a controller process. It creates the actors and forwards the events of each to the
+ * others that depend on them.
  */
 public final class Controller {
   /** HTTP path to which agents send heartbeats. */
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -44,7 +44,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Creates the components of a leader. Constructor arguments are the only links between them. */
+/**
+ * Creates the components of a leader. The components know each other only from constructor
+ * arguments and callbacks.
+ */
 final class LeaderComponents {
   final Leadership leadership;
   final JobTable jobs;
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Sends a confirmation to the leader. The cancellations that a previous process of this
+   * Sends a confirmation to the peer that leads. The cancellations that a previous process of this
    * controller acknowledged to users are not in this process's list, but they were durable before
    * this process loaded its replica. A leader whose replica is older than that therefore also
    * receives the list of all live jobs.
--- a/src/main/java/io/pearscale/scheduler/ReplicaStatus.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaStatus.java
@@ -6,7 +6,7 @@
   private long firstLoadRevision;
   private long revision;
 
-  /** Records a load of the replica, the first one or a reload. */
+  /** Records the first load or a reload of the replica. */
   void loaded(long loadRevision) {
     firstLoadRevision = loaded ? firstLoadRevision : loadRevision;
     loaded = true;
