--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -240,7 +240,8 @@
     try {
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
       if (!heartbeat.machine().equals(machine.name())) {
-        throw new MalformedMessageException("reply names another machine");
+        throw new MalformedMessageException(
+            "reply names machine " + heartbeat.machine() + " instead of " + machine.name());
       }
       if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
         onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
--- a/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FailureDetector.java
@@ -143,8 +143,8 @@
    * proves that its tasks are absent sooner than waiting for its lease to expire. This is justified
    * only while nearly all other machines are reachable; otherwise the leader itself is probably
    * partitioned. If a whole zone is unreachable but most machines are reachable, machines with
-   * replicas are still deleted: otherwise a new leader would wait for a full lease from its own
-   * election on while those replicas do not serve.
+   * replicas are still deleted: otherwise, if the leader then fails, its successor would wait for a
+   * full lease from its own election before it replaces replicas that serve no users.
    */
   private FleetReachability fleetReachability(Instant now) {
     if (fleetReachability.isEmpty()) {
--- a/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FaultAttribution.java
@@ -19,7 +19,9 @@
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
+  /** Base of the backoff, doubled for each failure: the first takes 10 s. */
   private static final long BASE_BACKOFF_S = 5;
+
   private static final long MAX_BACKOFF_S = 60;
   private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
--- a/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
+++ b/src/main/java/io/pearscale/scheduler/agents/FleetReachability.java
@@ -13,24 +13,26 @@
  * The share of the fleet that is unreachable. If many machines are unreachable, the cause is more
  * likely the leader's own network than the machines.
  *
- * @param fewUnreachable whether few machines are unreachable
+ * @param fewUnreachable whether the unreachable machines are at most a sixth of the fleet, or at
+ *     most 2 if that is more, and are less than half
  * @param minorityUnreachable whether less than half of the machines are unreachable
  * @param unreachableZones the zones in which most machines are unreachable
  */
 record FleetReachability(
     boolean fewUnreachable, boolean minorityUnreachable, Set<String> unreachableZones) {
-  /** The number of machines that counts as few in a small fleet. */
+  /** In a small fleet, up to this many unreachable machines are few. */
   private static final int MIN_FEW_MACHINES = 2;
 
-  /** In a larger fleet, one in this many machines counts as few. */
+  /** In a larger fleet, up to one unreachable machine in this many is few. */
   private static final int FEW_MACHINES_DIVISOR = 6;
 
   /**
-   * Counts the reachable and unreachable machines among those that are up.
+   * Counts the reachable and unreachable machines among those that are up and have ever sent a
+   * heartbeat. Machines whose lease has expired count only in their zones.
    *
-   * @param lastContact returns when a machine was last reached
-   * @param unreachableBefore a machine counts as unreachable if it was last reached before this
-   *     time
+   * @param lastContact returns the time of the last contact by which a machine counts in its zone;
+   *     in the whole fleet it counts by when it was last reachable
+   * @param unreachableBefore a machine counts as unreachable if that time is before this one
    */
   static FleetReachability count(
       Collection<Machine> machines,
--- a/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
+++ b/src/main/java/io/pearscale/scheduler/agents/HeartbeatHandler.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Responds to heartbeats. Each response renews the lease of its machine. A heartbeat is therefore
- * refused if this leader may not renew leases, if the machine was removed, or if the leader has
- * already processed a newer heartbeat.
+ * Responds to heartbeats. A response with status 200 renews the lease of the machine. A heartbeat
+ * is therefore refused if this leader may not renew leases, if the machine was removed, or if the
+ * leader has already processed a newer heartbeat.
  */
 public final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
@@ -54,7 +54,7 @@
   /**
    * Processes a heartbeat and returns the response.
    *
-   * @param relay the host of the controller that received the heartbeat
+   * @param relay the controller to which the agent sent the heartbeat
    */
   public HeartbeatResponse handle(Heartbeat heartbeat, String relay) {
     if (!leadership.isReady() || !leadership.mayRenewLeases()) {
--- a/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
+++ b/src/main/java/io/pearscale/scheduler/agents/MachineRetirement.java
@@ -81,7 +81,10 @@
     records.recordMachineNow(machine);
   }
 
-  /** Requests the deletion of machines that are durably recorded as retiring. */
+  /**
+   * Requests the deletion of machines that are durably recorded as retiring, at most as many as one
+   * request allows; the next call requests the others.
+   */
   public void deleteRetired() {
     List<String> names = new ArrayList<>();
     for (Machine machine : inventory.all()) {
--- a/src/main/java/io/pearscale/scheduler/model/AbsenceProof.java
+++ b/src/main/java/io/pearscale/scheduler/model/AbsenceProof.java
@@ -8,7 +8,7 @@
 public enum AbsenceProof {
   /** The attempt was planned, but no start command was sent. */
   NOT_SENT,
-  /** The agent refused the start command. */
+  /** The agent refused the start command, or the call that carried the command was not sent. */
   NOT_EXECUTED,
   /** A message from the machine reports that the attempt has ended. */
   ENDED,
--- a/src/main/java/io/pearscale/scheduler/model/GangTracker.java
+++ b/src/main/java/io/pearscale/scheduler/model/GangTracker.java
@@ -110,8 +110,8 @@
   /** Evaluates the gang's tasks and returns the next action for the gang. */
   public Action nextAction(Job job) {
     if (job.hasDoneTasks()) {
-      return Action
-          .NONE; // One completed task completes the gang: the remaining tasks exit by themselves.
+      // One completed task completes the gang: the remaining tasks exit by themselves.
+      return Action.NONE;
     }
     GangAttempt attempt = attemptOf(job);
     Phase previousPhase = attempt.phase();
--- a/src/main/java/io/pearscale/scheduler/model/Job.java
+++ b/src/main/java/io/pearscale/scheduler/model/Job.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A live job, as the leader sees it, with the attempts of its tasks. */
+/**
+ * A live job, as the leader sees it, with the attempts of its tasks; or an ended job whose attempts
+ * may still exist.
+ */
 public final class Job {
   /**
    * A batch job that has not started any task within this time gets one task started before tasks
@@ -125,7 +128,10 @@
     return unschedulable;
   }
 
-  /** Records whether a scheduling pass placed the job's task. */
+  /**
+   * Records whether a scheduling pass found a machine for the task of the job that it tried last,
+   * or machines for all tasks of a gang.
+   */
   public void recordSchedulingResult(boolean placed) {
     unschedulable = !placed;
   }
@@ -160,7 +166,7 @@
     }
   }
 
-  /** Clears the state that only a leader maintains. */
+  /** Clears the attempts and the done tasks, which only a leader tracks. */
   void clearLeaderState() {
     attempts.clear();
     attemptsByZone.clear();
@@ -202,7 +208,7 @@
     return attemptsByZone.getOrDefault(zone, 0);
   }
 
-  /** Returns whether no attempt may be outside the zone. */
+  /** Returns whether no attempt may be outside the zone; true for a job without attempts. */
   public boolean hasNoAttemptsOutside(String zone) {
     return attemptsInZone(zone) == attempts.size();
   }
--- a/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobFailureHistory.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Returns whether the job appears to have been submitted with a mistake: it failed on every
-   * machine where it was tried.
+   * Returns whether the job appears to have been submitted with a mistake: its tasks failed on
+   * several machines, and none has succeeded.
    */
   public boolean failsEverywhere() {
     return !hasSucceeded() && machinesFailedOn.size() >= MIN_FAILED_MACHINES_TO_BLAME_JOB;
--- a/src/main/java/io/pearscale/scheduler/model/JobTable.java
+++ b/src/main/java/io/pearscale/scheduler/model/JobTable.java
@@ -149,7 +149,7 @@
     return unreadableKeys.stream().findFirst();
   }
 
-  /** Removes the job that has ended. */
+  /** Removes a job that has ended; returns it, or empty if it was not in the table. */
   public Optional<Job> remove(String id) {
     Optional<Job> job = Optional.ofNullable(jobs.remove(id));
     job.ifPresent(queued::remove);
--- a/src/main/java/io/pearscale/scheduler/model/Machine.java
+++ b/src/main/java/io/pearscale/scheduler/model/Machine.java
@@ -209,7 +209,8 @@
   }
 
   /**
-   * Returns when the cloud provider will reclaim the machine, or empty without a preemption notice.
+   * Returns when the cloud provider will reclaim the machine; empty if its agent has reported no
+   * preemption notice.
    */
   public Optional<Instant> preemptionAt() {
     return preemptionAt;
@@ -231,8 +232,8 @@
   }
 
   /**
-   * Returns whether the lease has expired and no message has arrived since, so that every task on
-   * the machine has ended.
+   * Returns whether the lease has expired and no message with a fencing token of this term has
+   * arrived since, so that every task on the machine has ended.
    */
   public boolean leaseExpired() {
     return leaseExpired;
--- a/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineInventory.java
@@ -143,7 +143,10 @@
     }
   }
 
-  /** Sets the listener that receives each attempt proven to be absent from its machine. */
+  /**
+   * Sets the listener that receives each attempt proven to be absent, before it is removed from its
+   * machine and its job.
+   */
   public void onRemoved(Consumer<TaskAttempt> listener) {
     removedListener = listener;
   }
--- a/src/main/java/io/pearscale/scheduler/model/MachineRecordState.java
+++ b/src/main/java/io/pearscale/scheduler/model/MachineRecordState.java
@@ -80,7 +80,8 @@
   }
 
   /**
-   * Updates the recorded address if it differs from the machine's current address.
+   * Compares the address in the durable record with the machine's current one, which then counts as
+   * recorded: a change is reported only once.
    *
    * @return whether a durable record has another address and has to be rewritten
    */
--- a/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
+++ b/src/main/java/io/pearscale/scheduler/model/QuotaUsage.java
@@ -37,7 +37,8 @@
   }
 
   /**
-   * Returns how many more tasks of the job the team's limit allows. A limit of 0 means unlimited.
+   * Returns how many more tasks of the job the team's limit allows, at most as many as the job has;
+   * 0 if the team is not in the settings. A limit of 0 means unlimited.
    */
   public int tasksLeftWithinLimit(JobSpec spec) {
     Team team = teams.get(spec.team());
@@ -63,7 +64,10 @@
     return !exceedsGuarantee(spec.team(), spec.cpus(), spec.gpus());
   }
 
-  /** Returns whether the team is in the settings and uses more than its guaranteed quota. */
+  /**
+   * Returns whether the team is in the settings and uses more than its guaranteed quota. A team
+   * without a guaranteed quota always does.
+   */
   public boolean exceedsGuarantee(String team) {
     return teams.containsKey(team) && exceedsGuarantee(team, 0, 0);
   }
--- a/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
+++ b/src/main/java/io/pearscale/scheduler/model/TaskAttempt.java
@@ -140,7 +140,8 @@
 
   /**
    * Returns when the attempt was planned or, once a heartbeat has reported it running, the time of
-   * that heartbeat.
+   * that heartbeat. An attempt of a previous leader that is not known to run counts from its
+   * recovery or, if no placement record names it, from the submission of its job.
    */
   public Instant stageSince() {
     return stageSince;
@@ -253,12 +254,15 @@
     stopsSent = 0;
   }
 
-  /** Returns when a stop command was last sent, or {@link Instant#MIN} if none was. */
+  /**
+   * Returns when a stop command was last sent, even if the number was reset since, or {@link
+   * Instant#MIN} if none was.
+   */
   public Instant lastStopSentAt() {
     return lastStopSentAt;
   }
 
-  /** Returns the number of stop commands sent, excluding those that were not executed. */
+  /** Returns the number of stop commands sent since the number was last reset. */
   public int stopsSent() {
     return stopsSent;
   }
--- a/src/main/java/io/pearscale/scheduler/model/Tuning.java
+++ b/src/main/java/io/pearscale/scheduler/model/Tuning.java
@@ -6,12 +6,13 @@
  * Scheduling and autoscaling parameters that operators can set.
  *
  * @param sampleSize the number of feasible machines to find before the best one is chosen
- * @param strandedWeight cost of the capacity left on a machine, per resource
+ * @param strandedWeight cost of the share of each resource that would be left unused on a machine
  * @param sameMachineWeight cost per task of the same service on the machine
  * @param packingWeight bonus for a machine that would run many tasks of the same batch job
  * @param sameZoneWeight cost per task of the same job in the zone
  * @param zoneBalanceWeight cost of a zone with less available capacity than the zone with the most
- * @param cachedImageWeight bonus for a cached image
+ * @param cachedImageWeight bonus for a cached image; also the cost of each image fetch that would
+ *     share the bandwidth, and of a pause in direct commands to the machine
  * @param onDemandWeight cost of placing work that allows spot machines on an on-demand machine
  * @param scaleInAfterIdle how long a machine has to be a scale-in candidate before it is released
  * @param reserveShare capacity to reserve beyond what is used, as a fraction of what is used
