--- a/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Autoscaler.java
@@ -28,7 +28,8 @@
    *
    * @param schedulable tests whether tasks may be placed on a machine now
    * @param queuedJobs jobs with pending tasks, in the order in which they are scheduled
-   * @param quotaUsage resource usage of each team; the plan charges the demand it provisions for
+   * @param quotaUsage resource usage of each team, to which the plan adds the queued demand that it
+   *     covers
    * @param types the machine types of the cloud's catalogue
    * @param unreachableZones zones in which no machines are provisioned, because they could not be
    *     reached
@@ -57,7 +58,7 @@
    * The actions that the autoscaler decided on.
    *
    * @param scaleOut number of machines to provision of each offering, in this order
-   * @param scaleIn machines to release
+   * @param scaleIn idle machines to release
    * @param relocations replicas to relocate from machines that are to be emptied
    */
   public record ScalingPlan(
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -69,7 +69,7 @@
   record MachinesProvisioned(Offering offering, List<String> names) implements Event {}
 
   /**
-   * None or not all of the requested machines were provisioned.
+   * Fewer machines were provisioned than requested, possibly none.
    *
    * @param providerError whether the cloud failed to process the request, so that its capacity is
    *     unknown
@@ -275,7 +275,10 @@
     }
   }
 
-  /** Schedules the next list, after a pause of at least the time that the finished one took. */
+  /**
+   * Schedules the next list, after a pause of at least the time that the finished one took, and not
+   * before half of the usual lag and 1 s have passed since the finished one was started.
+   */
   private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
--- a/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/Headroom.java
@@ -12,8 +12,8 @@
 
 /**
  * Capacity that is kept available in each zone for classes whose tasks can't wait until a new
- * machine has booted. The slots of all machines are counted once; releasing a machine only
- * subtracts its slots.
+ * machine has booted. The slots, which are the tasks that fit, are counted once for all machines;
+ * releasing a machine only subtracts its slots.
  */
 final class Headroom {
   /**
--- a/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/LargeJobCapacity.java
@@ -8,7 +8,8 @@
 
 /**
  * Keeps capacity for one large job of each class of batch jobs with a service-level objective. The
- * slots of all machines are counted once; releasing a machine only subtracts its slots.
+ * slots, which are the tasks that fit, are counted once for all machines; releasing a machine only
+ * subtracts its slots.
  */
 final class LargeJobCapacity {
   private final JobClasses classes;
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -33,7 +33,7 @@
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Limits planning to one part in 20 of the time. */
+  /** Limits planning to about one part in 20 of the time. */
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
@@ -211,7 +211,10 @@
         event.names().size());
   }
 
-  /** Handles a refusal; after a provider error, the offering may be requested again at once. */
+  /**
+   * Handles a refusal. A provider error says nothing about capacity, so the offering may be
+   * requested again immediately.
+   */
   private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
     if (event.providerError()) {
       autoscaler.scaleOutPlanner().recordGranted(event.offering());
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -13,9 +13,9 @@
 
 /**
  * Reserves capacity to which the replicas of machines to be emptied can be relocated. Both the
- * number of machines to empty and the number of machines to check for each grow with the fleet, so
- * the number of checks in one plan is limited in proportion to the fleet size. Replicas without a
- * target at that point are left for the next plan.
+ * number of machines to empty and the number of machines to check for each grow with the fleet. The
+ * number of checks in one plan is therefore limited to a multiple of the fleet size; otherwise it
+ * would grow with its square. Replicas without a target at that point are left for the next plan.
  */
 final class ReplicaCapacity {
   /** Maximum number of checks in one plan for each machine of the fleet. */
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ScaleOutPlanner.java
@@ -94,7 +94,10 @@
     return backoff == null ? 0 : backoff.refusalCount;
   }
 
-  /** Records that the request was answered, so that the offering may be requested again. */
+  /**
+   * Records that a request was granted, or failed for a reason other than capacity, so that the
+   * offering may be requested again.
+   */
   void recordGranted(Offering offering) {
     requestedCounts.remove(offering);
     backoffs.remove(offering);
@@ -246,7 +249,9 @@
     }
   }
 
-  /** Returns the total size of the tasks that fit the bin; zero if none is of {@code demand}. */
+  /**
+   * Returns the total size of the tasks that fit the bin; zero if no task of {@code demand} fits.
+   */
   private static double packedSize(Bin bin, Demand demand, int tasks, List<Demand> laterDemands) {
     double packedSize = bin.pack(demand, tasks) * taskSize(demand.job());
     if (packedSize == 0) {
@@ -270,7 +275,10 @@
         job.spec().cpus() + job.spec().gpus() + job.spec().memoryGb() * MEMORY_WEIGHT);
   }
 
-  /** Returns how long a machine of the type counts as booting. */
+  /**
+   * Returns how long a booting machine of the type counts as capacity that will be available. It is
+   * released only after a longer timeout.
+   */
   static Duration bootAllowance(MachineType type) {
     return type.bootTime().multipliedBy(2).plusSeconds(5);
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -57,7 +57,7 @@
     this.packer = new RecordPacker<>(packedValueBytes);
   }
 
-  /** Discards all stored values before a new snapshot is delivered. */
+  /** Removes all stored values before a new snapshot is delivered. */
   void clearStoredValues() {
     stored.clear();
   }
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionTracker.java
@@ -86,7 +86,10 @@
     ledger.updateAvailability(availabilityByGroup(now));
   }
 
-  /** Records the granted disruptions of a task and its gang; they are stopped once durable. */
+  /**
+   * Records the granted disruptions of a task and its gang; the tasks are stopped once these are
+   * durable.
+   */
   void record(TaskView task) {
     ledger.find(task.task()).ifPresent(records::record);
     task.gangMembers().forEach(member -> ledger.find(member).ifPresent(records::record));
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCoordinator.java
@@ -98,7 +98,7 @@
 
   // ---- Stored values ----
 
-  /** Discards all stored values before a new snapshot is delivered. */
+  /** Removes all stored values before a new snapshot is delivered. */
   public void clearStoredValues() {
     requests.clearStoredValues();
     disruptions.records().clearStoredValues();
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainRequests.java
@@ -23,7 +23,7 @@
   private final Map<String, JsonNode> requests = new TreeMap<>();
   private final Map<String, JsonNode> machineNames = new TreeMap<>();
 
-  /** Discards all stored values before a new snapshot is delivered. */
+  /** Removes all stored values before a new snapshot is delivered. */
   void clearStoredValues() {
     requests.clear();
     machineNames.clear();
--- a/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/PublishedRecords.java
@@ -38,7 +38,7 @@
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** Publishes a value; drops a value that is too long, because the commit would be invalid. */
+  /** Publishes a value, unless it is too long: the store would reject the whole transaction. */
   void publish(String key, JsonNode value) {
     int length = value.toString().length();
     if (length <= maxValueBytes) {
--- a/src/main/java/io/pearscale/scheduler/placement/Assignment.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Assignment.java
@@ -24,7 +24,10 @@
     return lost;
   }
 
-  /** Returns whether more tasks end than the victims, since a running gang loses a task. */
+  /**
+   * Returns whether preempting the victims also ends other tasks, because a running gang loses one
+   * of its tasks.
+   */
   boolean endsGang() {
     return tasksLost() > victims.size();
   }
--- a/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
+++ b/src/main/java/io/pearscale/scheduler/placement/FeasibleMachines.java
@@ -14,8 +14,9 @@
 import java.util.function.Predicate;
 
 /**
- * Caches, for one pass, the feasible machines of each class of similar tasks, so that the fleet is
- * scanned only once per class. Each class starts its scan at its own random position.
+ * Caches, for one pass, the feasible machines of each class of tasks with the same requirements, so
+ * that the fleet is scanned only once per class. Each class starts its scan at its own random
+ * position.
  */
 final class FeasibleMachines {
   /** Identifies tasks with the same feasible machines and scores. */
--- a/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/GangPlacer.java
@@ -155,7 +155,10 @@
     }
   }
 
-  /** Returns the share of the largest subset's total capacity that the gang needs. */
+  /**
+   * Returns the share that the gang needs of the total capacity of the largest subset of machines,
+   * as if they were empty.
+   */
   private double fleetShare(Job job, int tasks) {
     long largestCapacity = 0;
     for (Predicate<Machine> subset : machineSubsets(job)) {
--- a/src/main/java/io/pearscale/scheduler/placement/PassContext.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PassContext.java
@@ -16,7 +16,8 @@
  * The inputs of a scheduling pass.
  *
  * @param machines the machines that are schedulable now
- * @param startObjective returns the time within which tasks of a job should start, if any is set
+ * @param startObjective returns the time within which tasks of a job should start; empty without
+ *     such an objective
  * @param queueOrder the order of jobs of the same priority; the last job is preempted first
  * @param reachableSince a machine that was reached after this time counts as reachable
  */
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -13,7 +13,10 @@
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** Returns whether the job may run on a machine of this type, in this zone, and spot or not. */
+  /**
+   * Returns whether the specification allows the machine's type and zone, and spot machines if it
+   * is one.
+   */
   static boolean allowsMachine(JobSpec spec, Machine machine) {
     return spec.allows(machine.type(), machine.zone(), machine.spot());
   }
--- a/src/main/java/io/pearscale/scheduler/placement/Placer.java
+++ b/src/main/java/io/pearscale/scheduler/placement/Placer.java
@@ -10,9 +10,9 @@
 import java.util.function.Predicate;
 
 /**
- * Places the tasks of one pass. It scans machines in random order, once per class of similar tasks,
- * and takes the machine with the best score among the first few feasible ones. If none is feasible,
- * it preempts as few tasks as possible, lowest priority first.
+ * Places the tasks of one pass. It scans machines in random order, once per class of tasks with the
+ * same requirements, and takes the machine with the best score among the first few feasible ones.
+ * If none is feasible, it preempts as few tasks as possible, lowest priority first.
  */
 final class Placer {
   private final PassContext context;
--- a/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
+++ b/src/main/java/io/pearscale/scheduler/placement/QueueOrder.java
@@ -104,8 +104,9 @@
           && !(job.failures().failsEverywhere() && !job.attempts().isEmpty())) {
         Rank rank = ranks.apply(job);
         boolean overdue = isFirstStartOverdue(job, now);
-        // Jobs of the highest priority always come first, in the designed order. Below them, a job
-        // that has waited for a long time without a running task gets its first task before others.
+        // Jobs of the highest priority always come first. Below them, a job that has waited for a
+        // long time without a running task gets its first task before others. Within its tier, such
+        // a job ranks as if it could still finish in time.
         int tier = job.spec().priority() == Priority.CRITICAL ? 0 : overdue ? 1 : 2;
         ranked.add(new Ranked(job, tier, overdue ? new Rank(0, rank.due) : rank));
       }
--- a/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
+++ b/src/main/java/io/pearscale/scheduler/placement/SchedulingPass.java
@@ -41,7 +41,7 @@
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(4, Duration.ofMillis(30), Duration.ofSeconds(2));
 
-  /** The settings and inputs that determine a pass's decisions. */
+  /** The settings, random numbers and job order by which a pass decides. */
   public record Policy(
       Tuning tuning, RandomGenerator random, JobClasses classes, QueueOrder queueOrder) {}
 
--- a/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
+++ b/src/main/java/io/pearscale/scheduler/placement/ScoringPolicy.java
@@ -100,7 +100,10 @@
     return fetchSeconds / Math.max(MIN_TOTAL_TIME_S, fetchSeconds + runSeconds);
   }
 
-  /** Returns how many fetches would share the bandwidth; -1 if the image is cached. */
+  /**
+   * Returns how many image fetches would share the bandwidth with this one; -1 if the image is
+   * cached, so that the score improves.
+   */
   private static int competingFetches(String image, Machine machine) {
     return machine.images().contains(image) ? -1 : machine.otherImageFetches(image);
   }
