--- a/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
+++ b/src/main/java/io/pearscale/scheduler/records/LayoutChange.java
@@ -10,8 +10,8 @@
 
 /**
  * Repacks all records when the schema level changes during a term and the new level has another
- * layout. Every stored value of the previous layout is registered for copying, and urgent records
- * stay urgent.
+ * layout. Every stored value of the previous layout is registered for copying. Urgent placement
+ * records stay urgent, and so do the records of machines that planned tasks or a deletion wait for.
  */
 final class LayoutChange {
   private final PackedRecords packed;
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -97,7 +97,7 @@
     return adopter;
   }
 
-  /** Adopts a job whose tasks are all done; a following transaction records the job's end. */
+  /** Adopts a job whose tasks are all done; a later transaction records the end of the job. */
   void adoptFinishedJob(Job job) {
     finishedJobs.add(job);
   }
@@ -234,7 +234,7 @@
 
   /**
    * Adds the due records as far as the transaction has capacity: first those that task starts wait
-   * for, then those that users wait for, then the deferred ones.
+   * for, then those that users wait for, then the deferred ones, then deletions and the migration.
    */
   void contribute(LeaderTransaction transaction, Collection<MachineType> types) {
     if (!packed.isInLayoutInForce()) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -100,7 +100,7 @@
     return mutations.size() == 1;
   }
 
-  /** Adds the catalogue, unless it exceeds the maximum length of a value. */
+  /** Adds the catalogue if it is shorter than the maximum length of a value. */
   void addCatalogue(Collection<MachineType> types, int maxValueBytes) {
     catalogueHandled = true;
     ObjectNode body = MessagePack.map();
@@ -241,9 +241,7 @@
     return mutations;
   }
 
-  /**
-   * Whether the catalogue was added, or omitted because it exceeds the maximum length of a value.
-   */
+  /** Whether the catalogue was added, or omitted because it is too long for a value. */
   boolean catalogueHandled() {
     return catalogueHandled;
   }
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Passes the items that are not yet copied to the sink, one value at a time, until it is full.
+   * Passes the items that are not yet copied to the sink, one value at a time, until the sink is
+   * full.
    */
   void offerUncopied(BatchSink sink) {
     for (Set<Object> items : uncopiedByKey.values()) {
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -91,7 +91,7 @@
   }
 
   /**
-   * The values of the next batch; empty if only copied values remain to be deleted.
+   * The values of the next batch; empty if nothing remains to be rewritten or copied.
    *
    * @param targetOfCopy returns the value into which a record is copied; empty if the record is not
    *     needed any more
--- a/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -41,7 +41,7 @@
 
   /**
    * Creates a packer for values of at most the given number of bytes, according to the declared
-   * sizes of the items.
+   * sizes of the items. A larger item is packed alone into a value.
    */
   public RecordPacker(int maxValueBytes) {
     this.maxValueBytes = maxValueBytes;
--- a/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordWriter.java
@@ -34,7 +34,7 @@
 public final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
-  /** Minimum delay before a retry; a random jitter is added. */
+  /** Minimum delay before a retry; a random delay below {@link #RETRY_JITTER_MILLIS} is added. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   private static final int RETRY_JITTER_MILLIS = 200;
--- a/src/main/java/io/pearscale/scheduler/records/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredValues.java
@@ -11,13 +11,19 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The stored values of machine and placement records that the watch has delivered so far. */
+/**
+ * The stored values of machine and placement records, and the names of the machine types in the
+ * stored catalogue, as far as the watch has delivered them.
+ */
 public final class StoredValues {
   private final Map<String, JsonNode> placementValues = new TreeMap<>();
   private final Map<String, JsonNode> machineValues = new TreeMap<>();
   private final Set<String> machineTypeNames = new HashSet<>();
 
-  /** Removes all values before a new snapshot is delivered. */
+  /**
+   * Removes all values of records before a new snapshot is delivered. The names of machine types
+   * stay.
+   */
   public void clear() {
     placementValues.clear();
     machineValues.clear();
