--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -35,7 +35,8 @@
         usable.add(machine);
       }
     }
-    // Prefer machines without a planned drain: a task on another one has to be moved again.
+    // Prefers machines without a planned drain: a task on a machine with one would have to be
+    // relocated again.
     usable.sort(Comparator.comparing(machine -> machine.isDrainPlanned()));
   }
 
--- a/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
+++ b/src/main/java/io/pearscale/scheduler/records/CommitPacer.java
@@ -38,7 +38,7 @@
     lastMutationCount = mutationCount;
   }
 
-  /** The time until the next commit may be sent; zero or negative if it may be sent now. */
+  /** Returns the time until the next commit may be sent; zero or negative if it may be sent now. */
   Duration untilNextCommit() {
     if (lastCommit.equals(Instant.MIN)) {
       return Duration.ZERO;
--- a/src/main/java/io/pearscale/scheduler/records/JobPartition.java
+++ b/src/main/java/io/pearscale/scheduler/records/JobPartition.java
@@ -16,19 +16,21 @@
  * @param taskCount number of tasks in the partition
  */
 record JobPartition(Job job, int firstTask, int taskCount) {
-  /** The partition that contains a task. */
+  /** Returns the partition that contains a task. */
   static JobPartition containing(Job job, int task, RecordLayout layout) {
     int firstTask = task - task % layout.tasksPerPartition();
     return new JobPartition(
         job, firstTask, Math.min(layout.tasksPerPartition(), job.spec().tasks() - firstTask));
   }
 
-  /** All partitions of a job. */
+  /** Returns all partitions of a job. */
   static List<JobPartition> allOf(Job job, RecordLayout layout) {
     return covering(job, 0, job.spec().tasks(), layout);
   }
 
-  /** The partitions that contain the tasks from the first index up to the second, exclusive. */
+  /**
+   * Returns the partitions that contain the tasks from the first index up to the second, exclusive.
+   */
   static List<JobPartition> covering(Job job, int fromTask, int toTask, RecordLayout layout) {
     List<JobPartition> partitions = new ArrayList<>();
     int end = Math.min(toTask, job.spec().tasks());
@@ -40,13 +42,13 @@
     return partitions;
   }
 
-  /** Upper bound in bytes for the placement record of this partition. */
+  /** Returns an upper bound in bytes for the placement record of this partition. */
   int maximumRecordSize(RecordLayout layout) {
     return PlacementRecordCodec.maximumSize(job.spec().id(), taskCount, layout)
         + job.quotaClaim().map(PlacementRecordCodec.QuotaClaim::maximumSize).orElse(0);
   }
 
-  /** The attempts of the partition's tasks that exist or may exist. */
+  /** Returns the attempts of the partition's tasks that exist or may exist. */
   List<TaskAttempt> attempts() {
     List<TaskAttempt> attempts = new ArrayList<>();
     for (TaskAttempt attempt : job.attempts().values()) {
@@ -58,7 +60,7 @@
     return attempts;
   }
 
-  /** The partition's tasks that are done, as offsets from its first task. */
+  /** Returns the partition's tasks that are done, as offsets from its first task. */
   BitSet doneTasks() {
     return job.doneTasks(firstTask, taskCount);
   }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -76,7 +76,7 @@
 
   // ---- Stored values ----
 
-  /** The stored values as the watch has delivered them. */
+  /** Returns the stored values as the watch has delivered them. */
   public StoredValues storedValues() {
     return storedValues;
   }
@@ -92,7 +92,7 @@
         storedValues.machineValues(), storedValues.placementValues(), packed.layoutInForce());
   }
 
-  /** The adopter of stored records. */
+  /** Returns the adopter of stored records. */
   StoredRecordAdopter adopter() {
     return adopter;
   }
@@ -213,7 +213,7 @@
     previousLayout.forEachDeletable(obsoleteValues::add);
   }
 
-  /** Whether a write is due now. */
+  /** Returns whether a write is due now. */
   boolean isDue() {
     Instant now = clock.instant();
     return catalogueDue
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecovery.java
@@ -53,7 +53,7 @@
     complete = false;
   }
 
-  /** Whether all machines that may hold tasks of a previous leader are reconciled. */
+  /** Returns whether all machines that may hold tasks of a previous leader are reconciled. */
   public boolean isComplete() {
     return complete;
   }
@@ -89,7 +89,7 @@
     return true;
   }
 
-  /** All stored records; empty if one of them can't be read. */
+  /** Returns all stored records; empty if one of them can't be read. */
   private Optional<StoredRecords> readStoredRecords() {
     try {
       if (jobs.unreadableKey().isPresent()) {
--- a/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderTransaction.java
@@ -80,22 +80,25 @@
         Mutation.put(Keys.TERM, MessagePack.map().put("term", term).put("commit", number)));
   }
 
-  /** Whether another value can be added. */
+  /** Returns whether another value can be added. */
   public boolean hasCapacity() {
     return mutations.size() < maxMutations && bodyBytes < MAX_BODY_BYTES;
   }
 
-  /** Whether the end of another job can be added. */
+  /** Returns whether the end of another job can be added. */
   boolean hasCapacityForJobEnd() {
     return mutations.size() + MUTATIONS_PER_JOB_END <= maxMutations && bodyBytes <= MAX_BODY_BYTES;
   }
 
-  /** Whether another deletion can be added. Deletions are small, so their bytes are not counted. */
+  /**
+   * Returns whether another deletion can be added. Deletions are small, so their bytes are not
+   * counted.
+   */
   boolean hasCapacityForDeletion() {
     return mutations.size() < maxMutations;
   }
 
-  /** Whether the transaction writes only the term. */
+  /** Returns whether the transaction writes only the term. */
   boolean isEmpty() {
     return mutations.size() == 1;
   }
@@ -216,7 +219,7 @@
     bodyBytes += MUTATION_OVERHEAD_BYTES;
   }
 
-  /** The schema level in whose form the transaction writes records. */
+  /** Returns the schema level in whose form the transaction writes records. */
   int level() {
     return level;
   }
@@ -241,47 +244,47 @@
     return mutations;
   }
 
-  /** Whether the catalogue was added, or omitted because it is too long for a value. */
+  /** Returns whether the catalogue was added, or omitted because it is too long for a value. */
   boolean catalogueHandled() {
     return catalogueHandled;
   }
 
-  /** The length in bytes of each value of machine or placement records, by key. */
+  /** Returns the length in bytes of each value of machine or placement records, by key. */
   Map<String, Integer> valueLengths() {
     return valueLengths;
   }
 
-  /** The numbers of the values of machine records that the transaction writes. */
+  /** Returns the numbers of the values of machine records that the transaction writes. */
   Set<Integer> machineValues() {
     return machineValues;
   }
 
-  /** The machine records in those values. */
+  /** Returns the machine records in those values. */
   List<WrittenMachineRecord> writtenMachineRecords() {
     return writtenMachineRecords;
   }
 
-  /** The numbers of the values of placement records that the transaction writes. */
+  /** Returns the numbers of the values of placement records that the transaction writes. */
   Set<Integer> placementValues() {
     return placementValues;
   }
 
-  /** The attempts whose placement the transaction records for the first time. */
+  /** Returns the attempts whose placement the transaction records for the first time. */
   List<TaskAttempt> newlyRecordedAttempts() {
     return newlyRecordedAttempts;
   }
 
-  /** The tasks that the transaction records as done, by partition. */
+  /** Returns the tasks that the transaction records as done, by partition. */
   Map<JobPartition, BitSet> doneTasksByPartition() {
     return doneTasksByPartition;
   }
 
-  /** The jobs whose end the transaction records. */
+  /** Returns the jobs whose end the transaction records. */
   List<Job> finishedJobs() {
     return finishedJobs;
   }
 
-  /** The keys that the transaction deletes. */
+  /** Returns the keys that the transaction deletes. */
   List<String> deletedKeys() {
     return deletedKeys;
   }
--- a/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/ObsoleteValues.java
@@ -23,7 +23,7 @@
     keys.remove(key);
   }
 
-  /** Whether there is nothing to delete. */
+  /** Returns whether there is nothing to delete. */
   boolean isEmpty() {
     return keys.isEmpty();
   }
--- a/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PackedRecords.java
@@ -52,32 +52,35 @@
     machines = new RecordPacker<>(packedValueBytes);
   }
 
-  /** The layout of the schema level in whose form records are written now. */
+  /** Returns the layout of the schema level in whose form records are written now. */
   RecordLayout layoutInForce() {
     return RecordLayout.ofLevel(levelGate.currentLevel().writtenLevel());
   }
 
-  /** Whether the records are packed for the layout in force; false after the level has changed. */
+  /**
+   * Returns whether the records are packed for the layout in force; false after the level has
+   * changed.
+   */
   boolean isInLayoutInForce() {
     return layout == layoutInForce();
   }
 
-  /** The layout that the records are packed for. */
+  /** Returns the layout that the records are packed for. */
   RecordLayout layout() {
     return layout;
   }
 
-  /** The values of placement records; a change of layout replaces this object. */
+  /** Returns the values of placement records; a change of layout replaces this object. */
   RecordPacker<JobPartition> placements() {
     return placements;
   }
 
-  /** The values of machine records; a change of layout replaces this object. */
+  /** Returns the values of machine records; a change of layout replaces this object. */
   RecordPacker<Machine> machines() {
     return machines;
   }
 
-  /** The numbers by which the numbered layout refers to machines. */
+  /** Returns the numbers by which the numbered layout refers to machines. */
   MachineRecordNumbers recordNumbers() {
     return recordNumbers;
   }
@@ -103,12 +106,12 @@
         machine, MachineRecordCodec.maximumSize(MachineRecordMapper.toRecord(machine, 0)));
   }
 
-  /** Whether a slot is assigned to the machine's record. */
+  /** Returns whether a slot is assigned to the machine's record. */
   boolean hasSlot(Machine machine) {
     return machines.slotOf(machine).isPresent();
   }
 
-  /** Whether the written record is in the slot that the machine has now. */
+  /** Returns whether the written record is in the slot that the machine has now. */
   boolean isInSlot(Machine machine, LeaderTransaction.WrittenMachineRecord written) {
     Optional<RecordPacker.Slot> slot = machines.slotOf(machine);
     int number = written.record().number();
@@ -120,7 +123,7 @@
                 : slot.get().position());
   }
 
-  /** The number by which placement records refer to the machine; 0 while it has no slot. */
+  /** Returns the number by which placement records refer to the machine; 0 while it has no slot. */
   int machineReference(Machine machine) {
     Optional<RecordPacker.Slot> slot = machines.slotOf(machine);
     if (slot.isEmpty()) {
@@ -132,14 +135,14 @@
             slot.get().value(), slot.get().position(), RecordPacker.SLOTS_PER_VALUE);
   }
 
-  /** Whether the key belongs to a value of this layout that contains no record. */
+  /** Returns whether the key belongs to a value of this layout that contains no record. */
   boolean isObsolete(String key) {
     int value = Keys.valueNumber(key);
     return layout.containsKey(key)
         && (Keys.isPlacementRecords(key) ? placements.isEmpty(value) : machines.isEmpty(value));
   }
 
-  /** Whether any value is due to be written now. */
+  /** Returns whether any value is due to be written now. */
   boolean isDue(Instant now) {
     return !machines.urgentValues().isEmpty()
         || !placements.urgentValues().isEmpty()
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -52,7 +52,7 @@
     uncopiedByKey.remove(key);
   }
 
-  /** Whether no value is left. */
+  /** Returns whether no value is left. */
   boolean isEmpty() {
     return uncopiedByKey.isEmpty();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordMigration.java
@@ -85,13 +85,13 @@
     }
   }
 
-  /** Whether a batch or the end of the migration is due to be written now. */
+  /** Returns whether a batch or the end of the migration is due to be written now. */
   boolean isDue(Instant now) {
     return !levelGate.currentLevel().migrated() && !now.isBefore(nextBatchAt);
   }
 
   /**
-   * The values of the next batch; empty if nothing remains to be rewritten or copied.
+   * Returns the values of the next batch; empty if nothing remains to be rewritten or copied.
    *
    * @param targetOfCopy returns the value into which a record is copied; empty if the record is not
    *     needed any more
@@ -120,14 +120,14 @@
   }
 
   /**
-   * Whether all records are migrated, where the given batch is the result of the latest {@link
-   * #nextBatch}.
+   * Returns whether all records are migrated, where the given batch is the result of the latest
+   * {@link #nextBatch}.
    */
   boolean isComplete(Batch batch) {
     return batch.size() == 0 && previousLayout.isEmpty();
   }
 
-  /** The record of the schema level that marks the migration as complete. */
+  /** Returns the record of the schema level that marks the migration as complete. */
   JsonNode migrationCompletedRecord() {
     return levelGate.migrationCompletedRecord();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
+++ b/src/main/java/io/pearscale/scheduler/records/RecordPacker.java
@@ -97,7 +97,7 @@
     adopt(item, bytes, value);
   }
 
-  /** The slot of an item; empty if none was assigned. */
+  /** Returns the slot of an item; empty if none was assigned. */
   Optional<Slot> slotOf(T item) {
     return Optional.ofNullable(slots.get(item));
   }
@@ -138,12 +138,15 @@
     }
   }
 
-  /** The values to be written with the next transaction, in the order in which they became due. */
+  /**
+   * Returns the values to be written with the next transaction, in the order in which they became
+   * due.
+   */
   public List<Integer> urgentValues() {
     return List.copyOf(urgentValues);
   }
 
-  /** The values whose deadline has passed. */
+  /** Returns the values whose deadline has passed. */
   List<Integer> overdueValues(Instant now) {
     List<Integer> overdue = new ArrayList<>();
     deadlines.forEach(
@@ -164,24 +167,24 @@
     deadlines.remove(value);
   }
 
-  /** The items of a value, by position. */
+  /** Returns the items of a value, by position. */
   public Map<Integer, T> itemsByPosition(int value) {
     return packedValue(value).items;
   }
 
-  /** The items of the given values. */
+  /** Returns the items of the given values. */
   List<T> itemsIn(Collection<Integer> valueNumbers) {
     List<T> all = new ArrayList<>();
     valueNumbers.forEach(value -> all.addAll(packedValue(value).items.values()));
     return all;
   }
 
-  /** All items, ordered by value. */
+  /** Returns all items, ordered by value. */
   List<T> allItems() {
     return itemsIn(List.copyOf(values.keySet()));
   }
 
-  /** Whether the value has no items. */
+  /** Returns whether the value has no items. */
   boolean isEmpty(int value) {
     return packedValue(value).items.isEmpty();
   }
--- a/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/RejectedValues.java
@@ -20,7 +20,7 @@
     keys.clear();
   }
 
-  /** Whether the key's value may be put into a transaction. */
+  /** Returns whether the key's value may be put into a transaction. */
   boolean mayWrite(String key) {
     return !keys.contains(key);
   }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecordAdopter.java
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Whether records are written in the given layout. */
+  /** Returns whether records are written in the given layout. */
   boolean isCurrentLayout(RecordLayout layout) {
     return layout == packed.layout();
   }
--- a/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredRecords.java
@@ -24,12 +24,12 @@
 record StoredRecords(List<StoredMachine> machines, List<StoredPartition> partitions) {
   /** A machine record and the value that holds it. */
   record StoredMachine(RecordLayout layout, int value, MachineRecordCodec.MachineRecord record) {
-    /** The key of the value. */
+    /** Returns the key of the value. */
     String key() {
       return layout.machineKey(value);
     }
 
-    /** The number by which placement records of the same layout refer to the machine. */
+    /** Returns the number by which placement records of the same layout refer to the machine. */
     int reference() {
       return layout == RecordLayout.NUMBERED
           ? record.number()
@@ -41,7 +41,7 @@
   /** A placement record and the value that holds it. */
   record StoredPartition(
       RecordLayout layout, int value, PlacementRecordCodec.PartitionRecord record) {
-    /** The key of the value. */
+    /** Returns the key of the value. */
     String key() {
       return layout.placementKey(value);
     }
--- a/src/main/java/io/pearscale/scheduler/records/StoredValues.java
+++ b/src/main/java/io/pearscale/scheduler/records/StoredValues.java
@@ -45,17 +45,17 @@
     stored.forEach(type -> machineTypeNames.add(type.name()));
   }
 
-  /** The values of placement records, by key. */
+  /** Returns the values of placement records, by key. */
   Map<String, JsonNode> placementValues() {
     return Collections.unmodifiableMap(placementValues);
   }
 
-  /** The values of machine records, by key. */
+  /** Returns the values of machine records, by key. */
   Map<String, JsonNode> machineValues() {
     return Collections.unmodifiableMap(machineValues);
   }
 
-  /** The names of the machine types in the stored catalogue. */
+  /** Returns the names of the machine types in the stored catalogue. */
   Set<String> machineTypeNames() {
     return Collections.unmodifiableSet(machineTypeNames);
   }
--- a/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionContributor.java
@@ -2,7 +2,7 @@
 
 /** A component that adds its records to the leader's transactions. */
 public interface TransactionContributor {
-  /** Whether a write is due now. */
+  /** Returns whether a write is due now. */
   boolean isDue();
 
   /** Adds the due records as far as the transaction has capacity. */
--- a/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
+++ b/src/main/java/io/pearscale/scheduler/records/TransactionPlanner.java
@@ -72,7 +72,7 @@
   }
 
   /**
-   * The value into which a record of the previous layout is copied; empty if the record was
+   * Returns the value into which a record of the previous layout is copied; empty if the record was
    * removed.
    */
   private Optional<RecordMigration.CopyTarget> targetOfCopy(Object item) {
