--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -138,7 +138,7 @@
 
   /**
    * Steps down and withdraws any campaign if this controller may not lead. The listener still
-   * learns which other controller leads, because heartbeats are relayed to it.
+   * learns which other controller leads, because heartbeats are relayed to that controller.
    *
    * @return whether this controller may not lead
    */
--- a/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
+++ b/src/main/java/io/pearscale/scheduler/agents/CommandDispatcher.java
@@ -241,7 +241,7 @@
       Heartbeat heartbeat = Heartbeat.parse(reply.body());
       if (!heartbeat.machine().equals(machine.name())) {
         throw new MalformedMessageException(
-            "reply names machine " + heartbeat.machine() + " instead of " + machine.name());
+            "the heartbeat in the reply names another machine than the one that was called");
       }
       if (leadership.isFromLaterTerm(heartbeat.fencingToken())) {
         onHigherTerm.accept(Leadership.termOf(heartbeat.fencingToken()));
