--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -73,7 +73,7 @@
     this.peerTerms = new PeerTerms(peers);
   }
 
-  /** Handles a load of the replica of the stored keys, the first one or a reload. */
+  /** Handles the first load or a reload of the replica of the stored keys. */
   void snapshotLoaded(Map<String, Entry> entries) {
     eligibility.snapshotLoaded();
     storedLeadership.load(entries);
@@ -138,7 +138,7 @@
 
   /**
    * Steps down and withdraws any campaign if this controller may not lead. The listener still
-   * learns which other controller leads, because heartbeats are relayed to it.
+   * learns which other controller leads, because heartbeats are relayed to that controller.
    *
    * @return whether this controller may not lead
    */
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -35,7 +35,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A controller process. It creates the actors and forwards each actor's events to the other actors.
+ * The parts of a controller process. It creates the actors and forwards the events of each to the
+ * others that depend on them.
  */
 public final class Controller {
   /** HTTP path to which agents send heartbeats. */
@@ -173,7 +174,7 @@
   private void sendPeerHeartbeat() {
     peers.broadcast(
         new PeerMessage.ControllerHeartbeat(
-            knownLeader.term(), knownLeader.host().orElse(""), health.isStoreHealthy()));
+            knownLeader.term(), knownLeader.leader().orElse(""), health.isStoreHealthy()));
     loop.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
   }
 
@@ -191,7 +192,7 @@
   }
 
   /** Handles a message of a peer; a malformed message is dropped without effect. */
-  public void handlePeerRecord(String peer, byte[] frame) {
+  public void handlePeerMessage(String peer, byte[] frame) {
     peerMessageHandler.handle(peer, frame);
   }
 
@@ -225,9 +226,9 @@
       // it.
       updateLevel(Optional.ofNullable(entries.get(Keys.LEVEL)));
       replicaStatus.loaded(storeRevision);
-      tellScheduler(new SchedulerActor.Loaded(entries, storeRevision));
+      tellScheduler(new SchedulerActor.ReplicaLoaded(entries, storeRevision));
       actors.api().tell(new ApiActor.ReplicaLoaded(entries));
-      actors.election().tell(new ElectionActor.Loaded(entries));
+      actors.election().tell(new ElectionActor.ReplicaLoaded(entries));
     }
 
     @Override
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Sends a confirmation to the leader. The cancellations that a previous process of this
+   * Sends a confirmation to the peer that leads. The cancellations that a previous process of this
    * controller acknowledged to users are not in this process's list, but they were durable before
    * this process loaded its replica. A leader whose replica is older than that therefore also
    * receives the list of all live jobs.
@@ -99,7 +99,7 @@
   private void confirm(String peer, ConfirmationRequest request) {
     long term = knownLeader.term();
     long revision = replicaStatus.revision();
-    boolean leaderCopyIsOlder = request.storeRevision() < replicaStatus.firstLoadRevision();
+    boolean leaderReplicaIsOlder = request.storeRevision() < replicaStatus.firstLoadRevision();
     actors
         .api()
         .tell(
@@ -111,7 +111,7 @@
                             request.nonce(),
                             term,
                             cancelledJobs,
-                            leaderCopyIsOlder
+                            leaderReplicaIsOlder
                                 ? Optional.of(new LiveJobs(revision, liveJobs))
                                 : Optional.empty()))));
   }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/CloudActor.java
@@ -69,7 +69,7 @@
   record MachinesProvisioned(Offering offering, List<String> names) implements Event {}
 
   /**
-   * None or not all of the requested machines were provisioned.
+   * Fewer machines were provisioned than requested, possibly none.
    *
    * @param providerError whether the cloud failed to process the request, so that its capacity is
    *     unknown
@@ -95,15 +95,15 @@
 
   /** A machine list that is being read one page at a time. */
   private static final class MachineListing {
-    final Instant started;
+    final Instant startedAt;
     final List<ListedMachine> machines = new ArrayList<>();
     String lastName = "";
 
     /** Whether queued requests take precedence over the next page. */
     boolean yieldsToRequests;
 
-    MachineListing(Instant started) {
-      this.started = started;
+    MachineListing(Instant startedAt) {
+      this.startedAt = startedAt;
     }
   }
 
@@ -275,13 +275,16 @@
     }
   }
 
-  /** Schedules the next list, after a pause of at least the time that the finished one took. */
+  /**
+   * Schedules the next list, after a pause of at least the time that the finished one took, and not
+   * before half of the usual lag and 1 s have passed since the finished one was started.
+   */
   private void endListing(MachineListing finished) {
     listing = Optional.empty();
     Instant now = loop.clock().instant();
     Instant earliestByLag =
-        finished.started.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
-    Instant earliestByDuration = now.plus(Duration.between(finished.started, now));
+        finished.startedAt.plus(settings.cloudLimits().listLag().dividedBy(2)).plusSeconds(1);
+    Instant earliestByDuration = now.plus(Duration.between(finished.startedAt, now));
     nextListAt = earliestByLag.isAfter(earliestByDuration) ? earliestByLag : earliestByDuration;
   }
 
--- a/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/MachineProvisioner.java
@@ -33,7 +33,7 @@
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Limits planning to one part in 20 of the time. */
+  /** Limits planning to about one part in 20 of the time. */
   private static final AdaptiveThrottle THROTTLE =
       new AdaptiveThrottle(20, Duration.ofSeconds(1), Duration.ofSeconds(10));
 
@@ -195,7 +195,7 @@
     autoscaler.scaleOutPlanner().recordGranted(offering);
     Optional<MachineType> type = inventory.catalogue().find(offering.type());
     for (String name : event.names()) {
-      boolean isNew = inventory.get(name) == null && !inventory.isRemoved(name);
+      boolean isNew = inventory.get(name) == null && !inventory.isDeleted(name);
       if (isNew && type.isPresent()) {
         Machine machine =
             new Machine(name, offering.zone(), offering.spot(), type.get(), Lifecycle.BOOTING, now);
@@ -211,7 +211,10 @@
         event.names().size());
   }
 
-  /** Handles a refusal; after a provider error, the offering may be requested again at once. */
+  /**
+   * Handles a refusal. A provider error says nothing about capacity, so the offering may be
+   * requested again immediately.
+   */
   private void handleRefused(CloudActor.ProvisioningRefused event, Instant now) {
     if (event.providerError()) {
       autoscaler.scaleOutPlanner().recordGranted(event.offering());
@@ -226,7 +229,7 @@
     Set<String> names = new HashSet<>();
     for (ListedMachine listed : listing) {
       names.add(listed.name());
-      if (!inventory.isRemoved(listed.name())) {
+      if (!inventory.isDeleted(listed.name())) {
         handleListed(listed, now);
       }
     }
--- a/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/autoscaling/ReplicaCapacity.java
@@ -13,9 +13,9 @@
 
 /**
  * Reserves capacity to which the replicas of machines to be emptied can be relocated. Both the
- * number of machines to empty and the number of machines to check for each grow with the fleet, so
- * the number of checks in one plan is limited in proportion to the fleet size. Replicas without a
- * target at that point are left for the next plan.
+ * number of machines to empty and the number of machines to check for each grow with the fleet. The
+ * number of checks in one plan is therefore limited to a multiple of the fleet size; otherwise it
+ * would grow with its square. Replicas without a target at that point are left for the next plan.
  */
 final class ReplicaCapacity {
   /** Maximum number of checks in one plan for each machine of the fleet. */
@@ -60,7 +60,7 @@
 
   private static boolean isStable(TaskAttempt attempt, Instant now) {
     return attempt.stage() == TaskAttempt.Stage.RUNNING
-        && !attempt.stageSince().isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_MOVE));
+        && !attempt.stageSince().isAfter(now.minus(ReplicaRelocation.MIN_RUN_BEFORE_RELOCATION));
   }
 
   private boolean reserve(TaskAttempt attempt) {
@@ -69,7 +69,7 @@
         return false;
       }
       checksLeft--;
-      if (ReplicaRelocation.mayMoveTo(attempt, other)
+      if (ReplicaRelocation.mayRelocateTo(attempt, other)
           && available.computeIfAbsent(other, Machine::available).fits(attempt.job().spec())) {
         available.get(other).subtract(attempt.job().spec());
         return true;
--- a/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DisruptionRecords.java
@@ -57,13 +57,13 @@
     this.packer = new RecordPacker<>(packedValueBytes);
   }
 
-  /** Discards all stored values before a new snapshot is delivered. */
-  void forgetStored() {
+  /** Removes all stored values before a new snapshot is delivered. */
+  void clearStoredValues() {
     stored.clear();
   }
 
   /** Applies a change to a stored value. */
-  void storedChanged(KeyChange change) {
+  void applyChange(KeyChange change) {
     change
         .entry()
         .ifPresentOrElse(
--- a/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
+++ b/src/main/java/io/pearscale/scheduler/maintenance/DrainCapacity.java
@@ -31,11 +31,12 @@
           && machine.reconciled()
           && !machine.failures().isQuarantined()
           && responsiveness.isResponsive(machine, now)
-          && machine.preemptionNoticeAt().isEmpty()) {
+          && machine.preemptionAt().isEmpty()) {
         usable.add(machine);
       }
     }
-    // Prefer machines without a planned drain: a task on another one has to be moved again.
+    // Prefers machines without a planned drain: a task on a machine with one would have to be
+    // relocated again.
     usable.sort(Comparator.comparing(machine -> machine.isDrainPlanned()));
   }
 
--- a/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
+++ b/src/main/java/io/pearscale/scheduler/placement/PlacementConstraints.java
@@ -13,7 +13,10 @@
 final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  /** Returns whether the job may run on a machine of this type, in this zone, and spot or not. */
+  /**
+   * Returns whether the specification allows the machine's type and zone, and spot machines if it
+   * is one.
+   */
   static boolean allowsMachine(JobSpec spec, Machine machine) {
     return spec.allows(machine.type(), machine.zone(), machine.spot());
   }
@@ -28,6 +31,6 @@
     if (spec.spreadAcrossZones() && job.attemptsInZone(machine.zone()) >= spec.maxTasksPerZone()) {
       return false;
     }
-    return !spec.singleZone() || job.isOnlyInZone(machine.zone());
+    return !spec.singleZone() || job.hasNoAttemptsOutside(machine.zone());
   }
 }
--- a/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/LeaderRecords.java
@@ -48,16 +48,17 @@
   /**
    * Creates empty records.
    *
-   * @param gate supplies the schema level in whose form records are written
+   * @param levelGate supplies the schema level in whose form records are written
    * @param requestCommit requests a transaction
    */
   public LeaderRecords(
-      StoreLimits limits, LevelGate gate, InstantSource clock, Runnable requestCommit) {
+      StoreLimits limits, LevelGate levelGate, InstantSource clock, Runnable requestCommit) {
     this.maxValueBytes = limits.maxValueBytes();
     this.clock = clock;
     this.requestCommit = requestCommit;
-    this.migration = new RecordMigration(gate, limits.maxTransactionOperations(), previousLayout);
-    this.packed = new PackedRecords(limits, gate);
+    this.migration =
+        new RecordMigration(levelGate, limits.maxTransactionOperations(), previousLayout);
+    this.packed = new PackedRecords(limits, levelGate);
     this.adopter = new StoredRecordAdopter(packed, previousLayout);
     this.layoutChange = new LayoutChange(packed, storedValues, previousLayout);
     this.planner = new TransactionPlanner(packed, obsoleteValues, rejectedValues, migration);
@@ -75,7 +76,7 @@
 
   // ---- Stored values ----
 
-  /** The stored values as the watch has delivered them. */
+  /** Returns the stored values as the watch has delivered them. */
   public StoredValues storedValues() {
     return storedValues;
   }
@@ -91,12 +92,12 @@
         storedValues.machineValues(), storedValues.placementValues(), packed.layoutInForce());
   }
 
-  /** The adopter of stored records. */
+  /** Returns the adopter of stored records. */
   StoredRecordAdopter adopter() {
     return adopter;
   }
 
-  /** Adopts a job whose tasks are all done; a following transaction records the job's end. */
+  /** Adopts a job whose tasks are all done; a later transaction records the end of the job. */
   void adoptFinishedJob(Job job) {
     finishedJobs.add(job);
   }
@@ -212,7 +213,7 @@
     previousLayout.forEachDeletable(obsoleteValues::add);
   }
 
-  /** Whether a write is due now. */
+  /** Returns whether a write is due now. */
   boolean isDue() {
     Instant now = clock.instant();
     return catalogueDue
@@ -233,7 +234,7 @@
 
   /**
    * Adds the due records as far as the transaction has capacity: first those that task starts wait
-   * for, then those that users wait for, then the deferred ones.
+   * for, then those that users wait for, then the deferred ones, then deletions and the migration.
    */
   void contribute(LeaderTransaction transaction, Collection<MachineType> types) {
     if (!packed.isInLayoutInForce()) {
--- a/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
+++ b/src/main/java/io/pearscale/scheduler/records/PreviousLayoutRecords.java
@@ -52,13 +52,14 @@
     uncopiedByKey.remove(key);
   }
 
-  /** Whether no value is left. */
+  /** Returns whether no value is left. */
   boolean isEmpty() {
     return uncopiedByKey.isEmpty();
   }
 
   /**
-   * Passes the items that are not yet copied to the sink, one value at a time, until it is full.
+   * Passes the items that are not yet copied to the sink, one value at a time, until the sink is
+   * full.
    */
   void offerUncopied(BatchSink sink) {
     for (Set<Object> items : uncopiedByKey.values()) {
--- a/src/test/java/io/pearscale/sim/SimController.java
+++ b/src/test/java/io/pearscale/sim/SimController.java
@@ -161,7 +161,7 @@
           deferredInput,
           () -> {
             lastReceivedAt.put(peer, cluster.now);
-            controller.handlePeerRecord(peer, frame);
+            controller.handlePeerMessage(peer, frame);
           });
     }
   }
