--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -34,15 +34,20 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** One controller: makes its actors, and tells each what the others find out. */
+/**
+ * A controller process. It creates the actors and forwards each actor's events to the other actors.
+ */
 public final class Controller {
-  /** Where agents send their heartbeats. */
+  /** HTTP path to which agents send heartbeats. */
   public static final String HEARTBEAT_PATH = RequestRouter.HEARTBEAT_PATH;
 
-  /** How often a controller announces to the others who leads, and how it is. */
+  /** Interval in which a controller announces the known leader and its own health to its peers. */
   private static final Duration PEER_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
-  /** A lease is renewed only if the main loop has made progress within so many times its TTL. */
+  /**
+   * Renewals of the leader's lease stop if the main loop makes no progress for this multiple of the
+   * TTL.
+   */
   private static final int STALL_LEASE_TTLS = 2;
 
   private final EventLoop loop;
@@ -59,18 +64,19 @@
   private final PeerMessageHandler peerMessageHandler;
   private final RequestRouter requestRouter;
 
-  /** What operators have set. */
+  /** The options that operators set. */
   public record Options(Tuning tuning, OperatorSettings operatorSettings) {}
 
-  /** An event loop, and the HTTP client whose calls are made and answered on it. */
+  /** An event loop and an HTTP client that sends requests and delivers replies on that loop. */
   public record RenewalLoop(EventLoop loop, HttpClient httpClient) {}
 
   /**
-   * Makes a controller; {@link #start} sets it going.
+   * Creates a controller that is idle until {@link #start}.
    *
-   * @param renewalLoop where the leader's lease is renewed, in production a thread of its own
-   * @param supported the levels of stored forms that this build reads and writes
-   * @param wallClock the time of day, with which submissions are stored
+   * @param renewalLoop the loop on which the leader's lease is renewed; in production it has its
+   *     own thread
+   * @param supported the schema levels that this build can read and write
+   * @param wallClock the wall clock that provides the stored submission times
    */
   public Controller(
       EventLoop loop,
@@ -148,7 +154,7 @@
     return new SupportAnnouncer(loop, store, settings.host(), support, leaseTtl);
   }
 
-  /** Begins to work. */
+  /** Starts the controller. */
   public void start() {
     health.started();
     replica.tell(new StoreReplicaActor.Start());
@@ -164,7 +170,7 @@
     loop.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
   }
 
-  /** While a peer can't be reached, the leader shows by writes that it lives. */
+  /** Requests a write that shows that the leader is alive, if a peer is unreachable. */
   private void requestStoreHeartbeat() {
     if (peers.hasUnreachablePeer()) {
       tellScheduler(new SchedulerActor.StoreHeartbeatDue());
@@ -172,23 +178,23 @@
     loop.schedule(ElectionActor.STORE_HEARTBEAT_INTERVAL, this::requestStoreHeartbeat);
   }
 
-  /** Whether it is time to listen for agents and users. */
+  /** Returns whether the controller should start to listen for agents and users. */
   public boolean isReady() {
     return health.isReadyToListen();
   }
 
-  /** Handles a record of a peer; one that can't be read is dropped and changes nothing. */
+  /** Handles a message of a peer; a malformed message is dropped without effect. */
   public void handlePeerRecord(String peer, byte[] frame) {
     peerMessageHandler.handle(peer, frame);
   }
 
-  /** A peer refuses connections: its process may have ended. */
+  /** Handles a refused connection to a peer, whose process may have ended. */
   public void peerConnectionRefused(String peer) {
     health.peerConnectionRefused(peer);
     actors.election().tell(new ElectionActor.PeerConnectionRefused(peer));
   }
 
-  /** Handles a request of a user, an agent or the load balancer. */
+  /** Handles an HTTP request of a user, an agent or the load balancer. */
   public void handleRequest(String method, String path, Body body, Consumer<Response> respond) {
     requestRouter.handle(method, path, body, respond);
   }
@@ -197,7 +203,9 @@
     actors.scheduler().tell(message);
   }
 
-  /** Users are about to be told that the job is cancelled. */
+  /**
+   * Informs the peers and the scheduler that a cancellation is about to be acknowledged to a user.
+   */
   private void cancellationAcknowledged(String jobId) {
     peers.broadcast(new PeerMessage.JobCancelled(jobId));
     tellScheduler(new SchedulerActor.JobCancelled(jobId));
@@ -206,7 +214,8 @@
   private final class ReplicaEvents implements StoreReplicaActor.Listener {
     @Override
     public void onSnapshotLoaded(Map<String, Entry> entries, long storeRevision) {
-      // First of all: what the others do with the keys depends on it.
+      // The level is updated first, because the other components interpret the keys according to
+      // it.
       updateLevel(Optional.ofNullable(entries.get(Keys.LEVEL)));
       replicaStatus.loaded(storeRevision);
       tellScheduler(new SchedulerActor.Loaded(entries, storeRevision));
@@ -260,7 +269,8 @@
     @Override
     public void requestConfirmations(long nonce) {
       peers.broadcast(new PeerMessage.ConfirmationRequest(nonce, replicaStatus.revision()));
-      // What this controller acknowledged itself counts too: the watch may not have shown it yet.
+      // Includes this controller's own acknowledged cancellations, which the watch may not have
+      // delivered yet.
       long term = knownLeader.term();
       ElectionActor election = actors.election();
       ApiActor.RecentCancellations request =
--- a/src/main/java/io/pearscale/scheduler/ControllerActors.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerActors.java
@@ -5,12 +5,12 @@
 import io.pearscale.coordination.HeartbeatRelayActor;
 
 /**
- * The actors of a controller that messages from outside go to.
+ * The actors of a controller that receive messages from outside the process.
  *
  * @param election takes part in elections
- * @param scheduler leads, while this controller does
- * @param relay takes heartbeats of agents to the leader
- * @param api answers users
+ * @param scheduler schedules tasks while this controller leads
+ * @param relay forwards agents' heartbeats to the leader
+ * @param api handles users' requests
  */
 record ControllerActors(
     ElectionActor election, SchedulerActor scheduler, HeartbeatRelayActor relay, ApiActor api) {}
--- a/src/main/java/io/pearscale/scheduler/ControllerHealth.java
+++ b/src/main/java/io/pearscale/scheduler/ControllerHealth.java
@@ -9,16 +9,19 @@
 import java.util.Map;
 
 /**
- * Whether this controller should listen yet, and whether the load balancer should send it users.
+ * Decides when this controller starts to listen, and whether the load balancer should route users
+ * to it.
  */
 final class ControllerHealth {
-  /** A controller that loads the keys counts as healthy for so long after its start. */
+  /**
+   * Time after the start for which a controller counts as healthy while it loads the stored keys.
+   */
   private static final Duration STARTUP_GRACE_PERIOD = Duration.ofSeconds(5);
 
-  /** The key-value store counts as out when it has not answered for so long. */
+  /** Time without a reply after which the key-value store counts as unavailable. */
   private static final Duration STORE_TIMEOUT = Duration.ofMillis(4500);
 
-  /** What a peer has reported of its health counts for so long. */
+  /** Time for which a peer's health report is valid. */
   private static final Duration PEER_TIMEOUT = Duration.ofSeconds(3);
 
   private record PeerHealth(Instant reportedAt, boolean storeHealthy) {}
@@ -32,9 +35,10 @@
   private Instant startedAt = Instant.EPOCH;
 
   /**
-   * Health of a controller that has not started.
+   * Creates the health of a controller that has not started.
    *
-   * @param loadTimeout after this time it listens though the keys are not loaded
+   * @param loadTimeout the time after the start at which the controller listens even if the stored
+   *     keys are not loaded
    */
   ControllerHealth(
       InstantSource clock,
@@ -49,17 +53,17 @@
     this.loadTimeout = loadTimeout;
   }
 
-  /** The controller begins to work. */
+  /** Records the start of the controller. */
   void started() {
     startedAt = clock.instant();
   }
 
-  /** A peer has reported whether the key-value store answers it. */
+  /** Records whether the key-value store answers a peer. */
   void peerReported(String peer, boolean storeHealthy) {
     peers.put(peer, new PeerHealth(clock.instant(), storeHealthy));
   }
 
-  /** A peer refuses connections: what it reported is void. */
+  /** Discards the health report of a peer that refuses connections. */
   void peerConnectionRefused(String peer) {
     peers.remove(peer);
   }
@@ -69,16 +73,20 @@
   }
 
   /**
-   * Whether it is time to listen. Before the keys are loaded nothing can be answered, and on a
-   * small part of a core the agents that come as soon as there is somebody to ask would take the
-   * time that loading needs: they are refused without a word and ask elsewhere. A key-value store
-   * that is out is not waited for, since users are to be told when to come back.
+   * Returns whether the controller should listen. It can't respond to any request before the stored
+   * keys are loaded. On a small share of a CPU core, the agents that connect as soon as it listens
+   * would use the CPU time that loading needs; while it does not listen, their connections are
+   * refused and they try another controller. It does not wait any longer for an unavailable
+   * key-value store, so that it can tell users when to retry.
    */
   boolean isReadyToListen() {
     return replicaStatus.isLoaded() || uptime().compareTo(loadTimeout) > 0;
   }
 
-  /** Whether this controller may use the key-value store, and has had an answer of it lately. */
+  /**
+   * Returns whether this controller may use the key-value store and has recently received a reply
+   * from it.
+   */
   boolean isStoreHealthy() {
     return replicaStatus.isLoaded()
         && levelGate.objection().isEmpty()
@@ -89,14 +97,15 @@
   }
 
   /**
-   * Whether this controller should get users. One that can't reach the key-value store is of no use
-   * to them while another can; if none can, all stay, since leaving would only add the balancer's
-   * pause to the outage.
+   * Returns whether the load balancer should route users to this controller. A controller that
+   * can't reach the key-value store can't serve users while another controller can. If no
+   * controller can reach it, all of them stay in rotation, since removing them would only add the
+   * load balancer's delay to the outage.
    */
   boolean shouldServeUsers() {
     if (!replicaStatus.isLoaded()) {
-      // Loading takes a moment, the balancer's return to a node takes seconds: let both run at
-      // once.
+      // Loading is short and the load balancer takes seconds to return a node to rotation, so the
+      // grace period lets both run concurrently.
       return uptime().compareTo(STARTUP_GRACE_PERIOD) < 0;
     }
     return isStoreHealthy() || !peerHasHealthyStore();
--- a/src/main/java/io/pearscale/scheduler/JobTermination.java
+++ b/src/main/java/io/pearscale/scheduler/JobTermination.java
@@ -8,7 +8,8 @@
 import java.util.Set;
 
 /**
- * Ends jobs that were cancelled, or are over as the key-value store shows, and stops their tasks.
+ * Ends jobs that were cancelled, or that have ended according to the key-value store, and stops
+ * their tasks.
  */
 final class JobTermination {
   private final LeaderComponents components;
@@ -17,15 +18,18 @@
     this.components = components;
   }
 
-  /** The job is cancelled and stays so, although the copy of the keys may not show it yet. */
+  /**
+   * Marks the job as cancelled and ends it, even if the replica of the stored keys does not show
+   * the cancellation yet.
+   */
   void jobCancelled(String jobId) {
     components.jobs.markCancelled(jobId);
     endJob(jobId);
   }
 
   /**
-   * Ends the jobs that a peer does not name as live, of those that were submitted by the revision
-   * of its list: its previous process may have acknowledged that they are cancelled.
+   * Ends the jobs that were submitted up to the revision of a peer's list of live jobs but are
+   * missing from it. The peer's previous process may have acknowledged their cancellation.
    */
   void endJobsMissingFrom(LiveJobs liveJobs) {
     Set<String> liveJobIds = Set.copyOf(liveJobs.jobs());
@@ -36,7 +40,7 @@
         .forEach(job -> jobCancelled(job.spec().id()));
   }
 
-  /** The job is over; does nothing if it is not known. */
+  /** Ends the job and stops its tasks; does nothing if the job is unknown. */
   void endJob(String jobId) {
     Optional<Job> job = components.jobs.remove(jobId);
     if (job.isEmpty() || !components.leadership.isLeading()) {
@@ -45,9 +49,8 @@
     components.records.closeJob(job.get());
     components.gangs.forget(job.get());
     for (TaskAttempt attempt : List.copyOf(job.get().attempts().values())) {
-      // What a cancelled task has done is of no use to anybody: it saves no checkpoint, and one
-      // that
-      // saves already, for whatever reason it was stopped, ends.
+      // The results of a cancelled task are not needed. It saves no checkpoint, and a task that is
+      // already saving one, for whatever reason it was stopped, ends.
       attempt.forbidCheckpoint();
       attempt.forgetStopsSent();
       components.inventory.stop(attempt);
--- a/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
+++ b/src/main/java/io/pearscale/scheduler/KeyChangeRouter.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Hands each change of the stored keys to the component that keeps what the key holds. */
+/** Dispatches each change of a stored key to the component that maintains the state of that key. */
 final class KeyChangeRouter {
   private final LeaderComponents components;
   private final JobTermination jobTermination;
@@ -19,7 +19,7 @@
     this.jobTermination = jobTermination;
   }
 
-  /** Takes over all keys, in place of what was known before. */
+  /** Replaces the known state with the loaded keys. */
   void load(Map<String, Entry> entries) {
     components.jobs.absentFrom(entries.keySet()).forEach(jobTermination::endJob);
     components.jobs.forgetUnreadable();
@@ -29,7 +29,7 @@
     entries.forEach((key, entry) -> apply(new KeyChange(key, Optional.of(entry))));
   }
 
-  /** Takes over a change of one key. */
+  /** Applies a change of one key. */
   void apply(KeyChange change) {
     String key = change.key();
     if (Keys.isLiveJob(key)) {
@@ -55,7 +55,10 @@
     }
   }
 
-  /** A leader has its catalogue from the cloud, and the stored one only until it has asked. */
+  /**
+   * Updates the machine catalogue. A leader uses the catalogue of the cloud, and the stored one
+   * only until it has received the former.
+   */
   private void applyCatalogue(Entry entry) {
     List<MachineType> types = MachineType.parseAll(entry.value());
     components.records.storedValues().updateCatalogue(types);
--- a/src/main/java/io/pearscale/scheduler/KnownLeader.java
+++ b/src/main/java/io/pearscale/scheduler/KnownLeader.java
@@ -2,23 +2,23 @@
 
 import java.util.Optional;
 
-/** The highest term that this controller knows, and who leads in it as far as known. */
+/** The highest term that this controller knows and, if known, the leader of that term. */
 final class KnownLeader {
   private long term;
   private Optional<String> host = Optional.empty();
 
-  /** The election has found another term or leader. */
+  /** Records the term and the leader that the election reported. */
   void update(long newTerm, Optional<String> newHost) {
     term = newTerm;
     host = newHost;
   }
 
-  /** The highest known term; 0 before any is known. */
+  /** Returns the highest known term; 0 if none is known. */
   long term() {
     return term;
   }
 
-  /** The leader; empty while none is known. */
+  /** Returns the leader; empty if none is known. */
   Optional<String> host() {
     return host;
   }
--- a/src/main/java/io/pearscale/scheduler/LeaderCommitListener.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderCommitListener.java
@@ -6,7 +6,7 @@
 import io.pearscale.scheduler.model.Job;
 import io.pearscale.scheduler.records.CommitListener;
 
-/** Passes the outcome of a leader's commits on to the parts that wait for it. */
+/** Forwards the outcome of a leader's commits to the components that depend on it. */
 record LeaderCommitListener(
     GangTracker gangs,
     CommandDispatcher dispatcher,
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -44,7 +44,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Makes the components of a leader; they know each other by their constructors alone. */
+/** Creates the components of a leader. Constructor arguments are the only links between them. */
 final class LeaderComponents {
   final Leadership leadership;
   final JobTable jobs;
@@ -65,10 +65,10 @@
   final TaskCountPublisher taskCountPublisher;
 
   /**
-   * Makes all components, of a controller that does not lead.
+   * Creates all components for a controller that does not lead.
    *
-   * @param executor runs what they defer
-   * @param cloudEvents takes what the cloud answers
+   * @param executor runs deferred actions of the components
+   * @param cloudEvents receives events of the cloud
    */
   LeaderComponents(
       Environment environment, TermExecutor executor, Consumer<CloudActor.Event> cloudEvents) {
@@ -203,7 +203,7 @@
         this::requestCommit);
   }
 
-  /** What all components share. */
+  /** Creates the state that all components share. */
   private LeaderState createLeaderState(
       Environment environment,
       Map<String, Team> teams,
@@ -262,7 +262,7 @@
                     retirement));
   }
 
-  /** The components that have more to write than the records of jobs and machines. */
+  /** Returns the components that write other records than those of jobs and machines. */
   private List<TransactionContributor> transactionContributors(Environment environment) {
     List<TransactionContributor> contributors = new ArrayList<>();
     if (environment.operatorSettings().automaticLevel()) {
--- a/src/main/java/io/pearscale/scheduler/OperatorSettings.java
+++ b/src/main/java/io/pearscale/scheduler/OperatorSettings.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * What operators have enabled beside scheduling, with the file that {@code --operations} names.
+ * Operator settings other than scheduling, read from the file given with {@code --operations}.
  *
- * @param supportRecordTtl for how long the record of what this build supports outlives the process;
- *     empty if no such record is kept
- * @param highestLevel the highest schema level that this controller is to support
- * @param automaticLevel whether this controller, while it leads, raises the schema level by itself
- *     once all controllers support a higher one
- * @param drains budgets and windows; empty when drains are off
+ * @param supportRecordTtl the time for which the record of the supported schema levels remains
+ *     after the process has ended; empty if no such record is written
+ * @param highestLevel the highest schema level that this controller may support
+ * @param automaticLevel whether this controller, while it leads, raises the schema level
+ *     automatically once all controllers support a higher one
+ * @param drains disruption budgets and maintenance windows; empty if drains are disabled
  */
 public record OperatorSettings(
     Optional<Duration> supportRecordTtl,
@@ -21,7 +21,10 @@
     Optional<DrainSettings> drains) {
   private static final Duration DEFAULT_SUPPORT_RECORD_TTL = Duration.ofSeconds(60);
 
-  /** Without a file: a new release raises the schema level by itself, and there are no drains. */
+  /**
+   * Returns the settings used without a file: a new release raises the schema level automatically,
+   * and drains are disabled.
+   */
   public static OperatorSettings defaults() {
     return new OperatorSettings(
         Optional.of(DEFAULT_SUPPORT_RECORD_TTL),
@@ -30,7 +33,7 @@
         Optional.empty());
   }
 
-  /** Nothing is enabled. */
+  /** Returns settings with all features disabled. */
   public static OperatorSettings disabled() {
     return new OperatorSettings(
         Optional.empty(), Integer.MAX_VALUE, /* automaticLevel= */ false, Optional.empty());
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes records of the other controllers, and hands each to the part that it concerns. */
+/** Decodes messages of peers and dispatches each one to the component that handles it. */
 final class PeerMessageHandler {
   private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
 
@@ -44,7 +44,7 @@
     this.knownLeader = knownLeader;
   }
 
-  /** Handles a record of a peer. One that can't be read is dropped and changes nothing. */
+  /** Handles a message of a peer; a malformed message is dropped without effect. */
   void handle(String peer, byte[] frame) {
     try {
       handle(peer, PeerMessage.decode(frame));
@@ -90,9 +90,10 @@
   }
 
   /**
-   * Gives the leader our confirmation. What a previous process of this controller told users is in
-   * no list of ours, but it was durable before our copy was loaded. So a leader whose copy is older
-   * than that also gets all that is live.
+   * Sends a confirmation to the leader. The cancellations that a previous process of this
+   * controller acknowledged to users are not in this process's list, but they were durable before
+   * this process loaded its replica. A leader whose replica is older than that therefore also
+   * receives the list of all live jobs.
    */
   private void confirm(String peer, ConfirmationRequest request) {
     long term = knownLeader.term();
--- a/src/main/java/io/pearscale/scheduler/PeriodicWork.java
+++ b/src/main/java/io/pearscale/scheduler/PeriodicWork.java
@@ -7,15 +7,19 @@
 import java.util.List;
 
 /**
- * What a leader does at fixed intervals: looks after machines, drains, the fleet's size, counts.
+ * The work that a leader does at fixed intervals, such as machine checks, drains, autoscaling and
+ * publishing task counts.
  */
 final class PeriodicWork {
-  /** Between two runs. */
+  /** Interval between two runs. */
   static final Duration INTERVAL = Duration.ofMillis(250);
 
   private static final Duration TASK_COUNTS_INTERVAL = Duration.ofSeconds(1);
 
-  /** A large fleet is checked in slices of so many machines, in {@link #MAX_SLICES} at most. */
+  /**
+   * Number of machines per slice of a large fleet, which has at most {@link #MAX_SLICES} slices.
+   * Each run checks one slice.
+   */
   private static final int MACHINES_PER_SLICE = 100;
 
   private static final int MAX_SLICES = 4;
@@ -30,7 +34,10 @@
     this.clock = clock;
   }
 
-  /** Does what is due. Only while this controller leads and has taken over. */
+  /**
+   * Runs the work that is due; must only be called while this controller leads and has completed
+   * its recovery.
+   */
   void run() {
     Instant now = clock.instant();
     checkMachines(now);
@@ -54,7 +61,10 @@
     }
   }
 
-  /** Checks each machine once a second at the latest, and those not yet reconciled each time. */
+  /**
+   * Checks each machine at least once a second, and each machine that is not reconciled in every
+   * run.
+   */
   private void checkMachines(Instant now) {
     components.failureDetector.beginRound();
     int slices = Math.min(MAX_SLICES, 1 + components.inventory.size() / MACHINES_PER_SLICE);
--- a/src/main/java/io/pearscale/scheduler/ReplicaStatus.java
+++ b/src/main/java/io/pearscale/scheduler/ReplicaStatus.java
@@ -1,37 +1,37 @@
 package io.pearscale.scheduler;
 
-/** How new this controller's copy of the keys is, in revisions of the key-value store. */
+/** The revision of this controller's replica of the key-value store. */
 final class ReplicaStatus {
   private boolean loaded;
   private long firstLoadRevision;
   private long revision;
 
-  /** The copy was loaded, for the first time or anew. */
+  /** Records a load of the replica, the first one or a reload. */
   void loaded(long loadRevision) {
     firstLoadRevision = loaded ? firstLoadRevision : loadRevision;
     loaded = true;
     revision = loadRevision;
   }
 
-  /** Changes up to that revision were applied. */
+  /** Records that changes up to the given revision were applied. */
   void advancedTo(long newRevision) {
     revision = newRevision;
   }
 
-  /** Whether the copy was loaded since this process started. */
+  /** Returns whether this process has loaded the replica. */
   boolean isLoaded() {
     return loaded;
   }
 
   /**
-   * The revision of the first copy that this process loaded; 0 before. What a previous process of
-   * this controller told users was durable by then.
+   * Returns the revision at which this process first loaded the replica; 0 before. Everything that
+   * a previous process of this controller acknowledged to users was durable at that revision.
    */
   long firstLoadRevision() {
     return firstLoadRevision;
   }
 
-  /** The revision of the copy; 0 before it is loaded. */
+  /** Returns the revision of the replica; 0 before it is loaded. */
   long revision() {
     return revision;
   }
--- a/src/main/java/io/pearscale/scheduler/RequestRouter.java
+++ b/src/main/java/io/pearscale/scheduler/RequestRouter.java
@@ -16,9 +16,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes HTTP requests of users, agents and the load balancer, and hands them to the actors. */
+/** Routes HTTP requests of users, agents and the load balancer to the actors. */
 final class RequestRouter {
-  /** Where agents send their heartbeats. */
+  /** HTTP path to which agents send heartbeats. */
   static final String HEARTBEAT_PATH = "/checkin";
 
   private static final String HEALTH_PATH = "/up";
@@ -26,13 +26,16 @@
   private static final String JOB_PREFIX = "/work/";
   private static final String CANCEL_SUFFIX = "/cancel";
 
-  /** When the load balancer is to look again at a controller that should get no users. */
+  /** Retry delay for the load balancer if this controller should not serve users. */
   private static final Duration UNHEALTHY_RETRY_AFTER = Duration.ofSeconds(1);
 
-  /** When users are to ask again whom an actor with too many waiting messages has refused. */
+  /** Retry delay for users whose request was refused because the actor's queue is full. */
   private static final Duration BUSY_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** When users are to ask again whom a build that must stay out has refused. */
+  /**
+   * Retry delay for users whose request was refused because this build does not support the stored
+   * schema level.
+   */
   private static final Duration INCOMPATIBLE_RETRY_AFTER = Duration.ofSeconds(5);
 
   private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
@@ -47,7 +50,7 @@
     this.levelGate = levelGate;
   }
 
-  /** Handles a request; it is responded to exactly once, perhaps later. */
+  /** Handles a request and responds exactly once, possibly asynchronously. */
   void handle(String method, String path, Body body, Consumer<Response> respond) {
     if (path.equals(HEALTH_PATH) && method.equals("GET")) {
       respond.accept(healthCheck());
@@ -104,9 +107,9 @@
   }
 
   /**
-   * The response to an agent.
+   * Returns the HTTP response to an agent.
    *
-   * @param leader the controller that the agent is to turn to instead, if there is one
+   * @param leader the controller that the agent should contact instead, if there is one
    */
   private static Response agentResponse(HeartbeatResponse response, Optional<String> leader) {
     if (response.status() == 200) {
--- a/src/main/java/io/pearscale/scheduler/SchedulerActor.java
+++ b/src/main/java/io/pearscale/scheduler/SchedulerActor.java
@@ -26,88 +26,91 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Receives what concerns jobs and machines, one message after the other, and hands it to the
- * components of a leader, each of which owns its own state ({@link LeaderComponents}). On a
- * controller that does not lead it only keeps the jobs and the stored records at hand.
+ * Receives all messages about jobs and machines, one at a time, and dispatches them to the
+ * components of a leader, each of which owns its state ({@link LeaderComponents}). On a controller
+ * that does not lead, it only maintains the jobs and the stored records.
  */
 public final class SchedulerActor extends Actor<SchedulerActor.Message> {
-  /** What the actor understands. */
+  /** The messages that this actor accepts. */
   public sealed interface Message {}
 
-  /** The copy of the keys was loaded, and has that revision. */
+  /** The replica of the stored keys was loaded at the given revision. */
   public record Loaded(Map<String, Entry> entries, long storeRevision) implements Message {}
 
-  /** Keys changed; the copy has that revision now. */
+  /** Stored keys changed, and the replica is now at the given revision. */
   public record KeysChanged(List<KeyChange> changes, long storeRevision) implements Message {}
 
-  /** All changes of the keys that were made by that time are known. */
+  /** The replica contains all changes that were made up to the given time. */
   public record ReplicaCaughtUp(Instant caughtUpTo) implements Message {}
 
   /**
-   * This controller leads in that term.
+   * This controller was elected leader in the given term.
    *
    * @param termRevision the revision of the term's key that the election wrote
-   * @param provenAt no other controller led at that time
+   * @param provenAt a time at which no other controller led
    */
   public record Elected(long term, long termRevision, Instant provenAt) implements Message {}
 
-  /** No other controller led at that time, as the key-value store has confirmed. */
+  /** The key-value store confirmed that no other controller led at the given time. */
   public record LeadershipProven(Instant provenAt) implements Message {}
 
   /**
-   * No other controller led at that time, as all controllers have confirmed.
+   * All controllers confirmed that no other controller led at the given time.
    *
-   * @param cancelledJobs the jobs whose cancellation they acknowledged to users lately
-   * @param liveJobs the jobs that were live, from those that loaded the keys later than this one
+   * @param cancelledJobs the jobs whose cancellation the controllers recently acknowledged to users
+   * @param liveJobs the live jobs of each controller that loaded the stored keys later than this
+   *     one
    */
   public record ConfirmedByPeers(
       Instant provenAt, Set<String> cancelledJobs, List<LiveJobs> liveJobs) implements Message {}
 
-  /** Some controller is about to acknowledge to users that the job is cancelled. */
+  /** A controller is about to acknowledge the cancellation of the job to a user. */
   public record JobCancelled(String job) implements Message {}
 
-  /** This controller does not lead any more. */
+  /** This controller lost its leadership of the given term. */
   public record LeadershipLost(long term) implements Message {}
 
-  /** All peers know of the election of that term, so none of them leads in an earlier one. */
+  /** All peers know of the election of the given term, so none of them leads in an earlier one. */
   public record ElectionAcknowledged(long term) implements Message {}
 
   /**
-   * An agent's heartbeat, to be responded to.
+   * An agent's heartbeat, which requires a response.
    *
-   * @param relay the controller that the agent sent it to
+   * @param relay the controller to which the agent sent it
    */
   public record HeartbeatReceived(
       Heartbeat heartbeat, String relay, Consumer<HeartbeatResponse> respond) implements Message {}
 
-  /** A leader is to show that it lives, by a write if there is none to be made anyway. */
+  /** The leader should show that it is alive, with an extra write if no other write is due. */
   public record StoreHeartbeatDue() implements Message {}
 
-  /** What a component has put off, void when the term is over. */
+  /** An action that a component deferred; it is dropped if the term has ended. */
   private record DeferredAction(long term, Runnable action) implements Message {}
 
   private record CloudEventReceived(CloudActor.Event event) implements Message {}
 
-  /** Receives what the scheduler finds out. */
+  /** Receives events of the scheduler. */
   public interface Listener {
-    /** Somebody leads, or led, in that term, which is higher than ours. */
+    /**
+     * A controller leads, or led, in the given term, which is higher than this controller's term.
+     */
     void higherTermSeen(long term);
 
-    /** This controller can't lead, because of a record that it can't read. */
+    /** This controller can't lead because it can't read a record. */
     void recordUnreadable(String reason);
 
-    /** These counts of tasks have changed. */
+    /** The given task counts changed. */
     void taskCountsChanged(List<JobTaskCount> counts);
   }
 
   /**
-   * What the scheduler uses, and works by.
+   * The dependencies and settings of the scheduler.
    *
    * @param store the key-value store
-   * @param httpClient calls machines and the cloud
-   * @param random all random choices are drawn from it
-   * @param wallClock the time of day, with which submissions are stored
-   * @param levelGate says in the forms of which schema level records are written
+   * @param httpClient sends requests to machines and the cloud
+   * @param random the source of all random choices
+   * @param wallClock the wall clock that provides the stored submission times
+   * @param levelGate determines the schema level in which records are written
    */
   public record Environment(
       EventLoop loop,
@@ -128,7 +131,7 @@
   private final TermLifecycle lifecycle;
   private final PeriodicWork periodicWork;
 
-  /** Makes a scheduler that does not lead. */
+  /** Creates a scheduler that does not lead. */
   public SchedulerActor(Environment environment) {
     super(environment.loop);
     components =
@@ -142,10 +145,10 @@
   }
 
   /**
-   * Leaves a heartbeat to be responded to; refuses it at once if too many messages wait.
+   * Enqueues a heartbeat, or refuses it immediately if the queue is full.
    *
-   * @param relay the controller that the agent sent it to
-   * @param respond takes the response, exactly once
+   * @param relay the controller to which the agent sent the heartbeat
+   * @param respond receives the response; called exactly once
    */
   void offerHeartbeat(Heartbeat heartbeat, String relay, Consumer<HeartbeatResponse> respond) {
     if (!offer(new HeartbeatReceived(heartbeat, relay, respond))) {
@@ -197,7 +200,8 @@
   }
 
   private void confirmedByPeers(ConfirmedByPeers message) {
-    // First what was cancelled, then the proof: it extends leases, of cancelled tasks too.
+    // Cancellations are applied before the proof, because the proof extends leases, including those
+    // of cancelled tasks.
     message.cancelledJobs.forEach(jobTermination::jobCancelled);
     message.liveJobs.forEach(jobTermination::endJobsMissingFrom);
     leadership.recordPeerConfirmation(message.provenAt);
--- a/src/main/java/io/pearscale/scheduler/TermLifecycle.java
+++ b/src/main/java/io/pearscale/scheduler/TermLifecycle.java
@@ -4,13 +4,16 @@
 import io.pearscale.scheduler.model.Leadership;
 import java.time.Instant;
 
-/** Begins and ends the terms of this controller, and takes over what its predecessors recorded. */
+/**
+ * Begins and ends the terms of this controller, and starts the recovery from the records of
+ * previous leaders.
+ */
 final class TermLifecycle {
   private final LeaderComponents components;
   private final Leadership leadership;
   private boolean replicaLoaded;
 
-  /** The revision of the copy of the keys; without a meaning before it is loaded. */
+  /** The revision of the replica of the stored keys; meaningless until the replica is loaded. */
   private long storeRevision;
 
   TermLifecycle(LeaderComponents components) {
@@ -18,7 +21,10 @@
     this.leadership = components.leadership;
   }
 
-  /** This controller was elected; nothing is decided before it has taken over. */
+  /**
+   * Begins a term after this controller was elected. No scheduling decision is made before the
+   * recovery has completed.
+   */
   void beginTerm(long term, long termRevision, Instant provenAt) {
     leadership.begin(term, termRevision, provenAt);
     components.schedulingPass.beginTerm();
@@ -28,7 +34,7 @@
     components.machineProvisioner.begin();
   }
 
-  /** This controller does not lead any more: forgets all that only a leader knows. */
+  /** Ends the term and discards all state that exists only on a leader. */
   void endTerm() {
     leadership.end();
     components.inventory.clear();
@@ -42,22 +48,22 @@
     components.jobs.forgetLeaderState();
   }
 
-  /** The copy of the keys was loaded, and has that revision. */
+  /** Handles a load of the replica of the stored keys at the given revision. */
   void replicaLoaded(long revision) {
     replicaLoaded = true;
     replicaAdvanced(revision);
   }
 
-  /** The copy of the keys has changed, and has that revision now. */
+  /** Handles changes of the replica, which is now at the given revision. */
   void replicaAdvanced(long revision) {
     storeRevision = revision;
     takeOverWhenPossible();
   }
 
   /**
-   * Takes over once the copy of the keys is new enough. A new leader may not decide on a copy from
-   * before its term: the last writes of its predecessor are older than the term, so a copy as new
-   * as the term has them all.
+   * Starts the recovery once the replica is recent enough. A new leader must not make decisions
+   * based on a replica that is older than its term. The last writes of the previous leader precede
+   * the write of the new term, so a replica at or after that revision contains all of them.
    */
   void takeOverWhenPossible() {
     boolean replicaCoversTerm =
