--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -45,30 +45,30 @@
         required = true,
         paramLabel = "FILE",
         description = "the platform's settings (TOML)")
-    Path config;
+    Path configFile;
 
     @Option(
         names = "--tuning",
         paramLabel = "FILE",
         description = "operators' own settings (S-expressions)")
-    Path tuning;
+    Path tuningFile;
 
     @Option(
         names = "--operations",
         paramLabel = "FILE",
         description = "what is switched on beside scheduling (S-expressions)")
-    Path operations;
+    Path operationsFile;
 
-    Settings settings() throws SettingsException {
-      return SettingsReader.read(config);
+    Settings readSettings() throws SettingsException {
+      return SettingsReader.read(configFile);
     }
 
-    Tuning tuning() throws SettingsException {
-      return TuningReader.read(Optional.ofNullable(tuning));
+    Tuning readTuning() throws SettingsException {
+      return TuningReader.read(Optional.ofNullable(tuningFile));
     }
 
-    OperatorSettings operations() throws SettingsException {
-      return OperationsReader.read(Optional.ofNullable(operations));
+    OperatorSettings readOperations() throws SettingsException {
+      return OperationsReader.read(Optional.ofNullable(operationsFile));
     }
   }
 
@@ -82,7 +82,9 @@
     @Override
     public Integer call() {
       return Main.serve(
-          files.config, Optional.ofNullable(files.tuning), Optional.ofNullable(files.operations));
+          files.configFile,
+          Optional.ofNullable(files.tuningFile),
+          Optional.ofNullable(files.operationsFile));
     }
   }
 
@@ -96,23 +98,24 @@
     @Override
     public Integer call() {
       try {
-        Settings settings = files.settings();
-        files.tuning();
-        files.operations();
+        Settings settings = files.readSettings();
+        files.readTuning();
+        files.readOperations();
         System.out.println("settings of " + settings.host() + " are good");
-        System.out.println(describeSockets(settings.maxConnections(), settings.connectionLimits()));
+        System.out.println(
+            describeConnectionLimits(settings.maxConnections(), settings.connectionLimits()));
         return 0;
       } catch (SettingsException e) {
         System.err.println("pearscale: " + e.getMessage());
-        return Main.EXIT_SETTINGS;
+        return Main.EXIT_INVALID_INPUT;
       }
     }
   }
 
   /** What the sockets of the settings suffice for. */
-  static String describeSockets(int fdLimit, ConnectionLimits shares) {
+  static String describeConnectionLimits(int fdLimit, ConnectionLimits limits) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
-        .formatted(fdLimit, shares.keptAlive(), shares.outbound(), shares.parkedHeartbeats());
+        .formatted(fdLimit, limits.keptAlive(), limits.outbound(), limits.parkedHeartbeats());
   }
 
   static final class Version implements IVersionProvider {
--- a/src/main/java/io/pearscale/cli/DrainCommand.java
+++ b/src/main/java/io/pearscale/cli/DrainCommand.java
@@ -56,7 +56,7 @@
   @Override
   public Integer call() {
     spec.commandLine().usage(spec.commandLine().getErr());
-    return Main.EXIT_SETTINGS;
+    return Main.EXIT_INVALID_INPUT;
   }
 
   /** Which machines are meant; one of these. */
@@ -96,8 +96,9 @@
       description = "Asks for a drain of machines that are known now.",
       mixinStandardHelpOptions = true)
   static final class Start extends OperatorCommand {
-    private static final Pattern AT_ONCE = Pattern.compile("[1-9][0-9]{0,5}|([1-9][0-9]?|100)%");
-    private static final int MOST_HOURS = 24 * 365;
+    private static final Pattern CONCURRENCY_PATTERN =
+        Pattern.compile("[1-9][0-9]{0,5}|([1-9][0-9]?|100)%");
+    private static final int MAX_HOURS = 24 * 365;
 
     @Parameters(paramLabel = "ID", description = "a short name of the drain")
     String id;
@@ -110,7 +111,7 @@
         defaultValue = "1",
         paramLabel = "N|P%",
         description = "so many machines are emptied at a time (default: ${DEFAULT-VALUE})")
-    String atOnce;
+    String concurrency;
 
     @Option(
         names = "--hold",
@@ -130,45 +131,47 @@
     boolean dryRun;
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException, SettingsException {
-      Optional<String> bad = badArgument();
-      if (bad.isPresent()) {
-        return printError(bad.get(), Main.EXIT_SETTINGS);
+    int run(KeyValueStoreSession session) throws IOException, SettingsException {
+      Optional<String> invalidArgument = findInvalidArgument();
+      if (invalidArgument.isPresent()) {
+        return printError(invalidArgument.get(), Main.EXIT_INVALID_INPUT);
       }
       try {
         MachineSelector selector = selection.selector();
         List<String> machines = new ArrayList<>();
-        Set<String> drained = new TreeSet<>();
-        for (MachineRecordCodec.MachineRecord entry : StoredMachineRecords.read(state)) {
-          if (!entry.retiring() && selector.matches(facts(entry))) {
-            machines.add(entry.machine());
-            if (!entry.maintenance().isInService()) {
-              drained.add(entry.machine() + " (" + entry.maintenance().drain() + ")");
+        Set<String> inOtherDrains = new TreeSet<>();
+        for (MachineRecordCodec.MachineRecord machineRecord : StoredMachineRecords.read(session)) {
+          if (!machineRecord.retiring() && selector.matches(attributesOf(machineRecord))) {
+            machines.add(machineRecord.machine());
+            if (!machineRecord.maintenance().isInService()) {
+              inOtherDrains.add(
+                  machineRecord.machine() + " (" + machineRecord.maintenance().drain() + ")");
             }
           }
         }
-        return start(state, selector, machines, drained);
+        return requestDrain(session, selector, machines, inOtherDrains);
       } catch (MalformedMessageException e) {
-        return printError(e.getMessage(), Main.EXIT_SETTINGS);
+        return printError(e.getMessage(), Main.EXIT_INVALID_INPUT);
       }
     }
 
-    private Optional<String> badArgument() throws SettingsException {
+    private Optional<String> findInvalidArgument() throws SettingsException {
       if (!DrainRequest.isId(id)) {
         return Optional.of("ID " + id + ": expected up to 12 of a-z, 0-9 and -");
       }
-      if (!AT_ONCE.matcher(atOnce).matches()) {
-        return Optional.of("--at-once " + atOnce + ": expected a number from 1, or 1% to 100%");
+      if (!CONCURRENCY_PATTERN.matcher(concurrency).matches()) {
+        return Optional.of(
+            "--at-once " + concurrency + ": expected a number from 1, or 1% to 100%");
       }
-      if (!(hours > 0 && hours <= MOST_HOURS)) {
+      if (!(hours > 0 && hours <= MAX_HOURS)) {
         return Optional.of(
-            "--hours " + hours + ": expected more than 0, " + MOST_HOURS + " at most");
+            "--hours " + hours + ": expected more than 0, " + MAX_HOURS + " at most");
       }
       if (window.isPresent()
           && files
-              .operations()
+              .readOperations()
               .drains()
-              .map(set -> !set.windows().containsKey(window.get()))
+              .map(drainSettings -> !drainSettings.windows().containsKey(window.get()))
               .orElse(true)) {
         return Optional.of("--window " + window.get() + ": no such window in --operations");
       }
@@ -176,27 +179,31 @@
     }
 
     /** A share of the machines is rounded up, so that it is never none. */
-    private int machinesAtOnce(int machines) {
-      if (!atOnce.endsWith("%")) {
-        return Integer.parseInt(atOnce);
+    private int maxConcurrentMachines(int machineCount) {
+      if (!concurrency.endsWith("%")) {
+        return Integer.parseInt(concurrency);
       }
-      int percent = Integer.parseInt(atOnce.substring(0, atOnce.length() - 1));
-      return (machines * percent + 99) / 100;
+      int percent = Integer.parseInt(concurrency.substring(0, concurrency.length() - 1));
+      return (machineCount * percent + 99) / 100;
     }
 
-    private static MachineAttributes facts(MachineRecordCodec.MachineRecord entry) {
-      return new MachineAttributes(entry.machine(), entry.zone(), entry.type(), entry.address());
+    private static MachineAttributes attributesOf(MachineRecordCodec.MachineRecord machineRecord) {
+      return new MachineAttributes(
+          machineRecord.machine(),
+          machineRecord.zone(),
+          machineRecord.type(),
+          machineRecord.address());
     }
 
-    private int start(
-        KeyValueStoreSession state,
+    private int requestDrain(
+        KeyValueStoreSession session,
         MachineSelector selector,
         List<String> machines,
-        Set<String> drained)
+        Set<String> inOtherDrains)
         throws IOException, SettingsException, MalformedMessageException {
-      Optional<StoredValue> level = state.read(Keys.LEVEL);
-      SchemaLevel inForce = SchemaLevel.fromStored(level.map(StoredValue::value));
-      if (!Feature.MACHINE_MAINTENANCE.isEnabledAt(inForce)) {
+      Optional<StoredValue> storedLevel = session.read(Keys.LEVEL);
+      SchemaLevel schemaLevel = SchemaLevel.fromStored(storedLevel.map(StoredValue::value));
+      if (!Feature.MACHINE_MAINTENANCE.isEnabledAt(schemaLevel)) {
         return refuse("level 1 of the stored state is needed: pearscale upgrade finalise");
       }
       if (machines.isEmpty()) {
@@ -207,20 +214,20 @@
         machines.forEach(unknown::remove);
         return refuse("no such machine: " + String.join(", ", unknown));
       }
-      if (!drained.isEmpty()) {
-        return refuse("in another drain's hands: " + String.join(", ", drained));
+      if (!inOtherDrains.isEmpty()) {
+        return refuse("in another drain's hands: " + String.join(", ", inOtherDrains));
       }
       Instant now = Instant.now();
-      Duration time = Duration.ofMillis((long) (hours * Duration.ofHours(1).toMillis()));
+      Duration timeLimit = Duration.ofMillis((long) (hours * Duration.ofHours(1).toMillis()));
       DrainRequest request =
           new DrainRequest(
               id,
               selector.toString(),
-              machinesAtOnce(machines.size()),
+              maxConcurrentMachines(machines.size()),
               hold ? CompletionAction.HOLD : CompletionAction.TERMINATE,
               DesiredState.RUN,
               now,
-              now.plus(time),
+              now.plus(timeLimit),
               window);
       if (dryRun) {
         print(
@@ -229,10 +236,10 @@
                 + String.join(" ", machines));
         return 0;
       }
-      List<Precondition> absent = List.of(new Precondition(Keys.drain(id), 0));
-      int largest = files.settings().storeLimits().maxValueBytes();
+      List<Precondition> preconditions = List.of(new Precondition(Keys.drain(id), 0));
+      int maxValueBytes = files.readSettings().storeLimits().maxValueBytes();
       return reportOutcome(
-          state.write(absent, request.toMutations(machines, largest)),
+          session.write(preconditions, request.toMutations(machines, maxValueBytes)),
           "asked for drain %s of %d machines".formatted(id, machines.size()));
     }
   }
@@ -251,39 +258,39 @@
     boolean json;
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException {
-      ArrayNode all = new ObjectMapper().createArrayNode();
-      for (Map.Entry<String, StoredValue> request : state.list(Keys.DRAINS).entrySet()) {
-        String name = Keys.lastSegment(request.getKey());
-        if (id.isEmpty() || id.get().equals(name)) {
-          all.add(describe(state, name, request.getValue().value()));
+    int run(KeyValueStoreSession session) throws IOException {
+      ArrayNode drains = new ObjectMapper().createArrayNode();
+      for (Map.Entry<String, StoredValue> request : session.list(Keys.DRAINS).entrySet()) {
+        String drainId = Keys.lastSegment(request.getKey());
+        if (id.isEmpty() || id.get().equals(drainId)) {
+          drains.add(describe(session, drainId, request.getValue().value()));
         }
       }
-      if (id.isPresent() && all.isEmpty()) {
-        return printError("no drain is called " + id.get(), Main.EXIT_SETTINGS);
+      if (id.isPresent() && drains.isEmpty()) {
+        return printError("no drain is called " + id.get(), Main.EXIT_INVALID_INPUT);
       }
       if (json) {
-        print(all.toString());
+        print(drains.toString());
       } else {
-        all.forEach(this::sayTable);
+        drains.forEach(this::printTable);
       }
       return 0;
     }
 
-    private static ObjectNode describe(KeyValueStoreSession state, String name, JsonNode request)
-        throws IOException {
+    private static ObjectNode describe(
+        KeyValueStoreSession session, String drainId, JsonNode request) throws IOException {
       ObjectNode node = new ObjectMapper().createObjectNode();
-      node.put("drain", name);
+      node.put("drain", drainId);
       node.put("selector", request.path("selector").asText());
       node.put("wish", request.path("wish").asText());
-      Optional<StoredValue> status = state.read(Keys.drainStatus(name));
+      Optional<StoredValue> status = session.read(Keys.drainStatus(drainId));
       node.set(
           "status",
           status.map(StoredValue::value).orElseGet(() -> new ObjectMapper().createObjectNode()));
       return node;
     }
 
-    private void sayTable(JsonNode drain) {
+    private void printTable(JsonNode drain) {
       JsonNode status = drain.path("status");
       print(
           "%-12s %-10s %s (wish: %s)"
@@ -305,24 +312,26 @@
   }
 
   /** Changes what is wished of a drain. */
-  private abstract static class ChangeWish extends OperatorCommand {
+  private abstract static class DesiredStateCommand extends OperatorCommand {
     @Parameters(paramLabel = "ID", description = "the drain")
     String id;
 
-    abstract DesiredState wish();
+    abstract DesiredState desiredState();
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException {
-      state.read(Keys.LEVEL);
-      Optional<StoredValue> stored = state.read(Keys.drain(id));
+    int run(KeyValueStoreSession session) throws IOException {
+      session.read(Keys.LEVEL);
+      Optional<StoredValue> stored = session.read(Keys.drain(id));
       if (stored.isEmpty()) {
-        return printError("no drain is called " + id, Main.EXIT_SETTINGS);
+        return printError("no drain is called " + id, Main.EXIT_INVALID_INPUT);
       }
-      Mutation change =
-          Mutation.put(Keys.drain(id), DrainRequest.withDesiredState(stored.get().value(), wish()));
-      List<Precondition> guards =
+      Mutation mutation =
+          Mutation.put(
+              Keys.drain(id), DrainRequest.withDesiredState(stored.get().value(), desiredState()));
+      List<Precondition> preconditions =
           List.of(new Precondition(Keys.drain(id), stored.get().revision()));
-      return reportOutcome(state.write(guards, List.of(change)), id + ": " + wish());
+      return reportOutcome(
+          session.write(preconditions, List.of(mutation)), id + ": " + desiredState());
     }
   }
 
@@ -331,18 +340,18 @@
       name = "pause",
       description = "Stops nothing more; what is cordoned stays so.",
       mixinStandardHelpOptions = true)
-  static final class Pause extends ChangeWish {
+  static final class Pause extends DesiredStateCommand {
     @Override
-    DesiredState wish() {
+    DesiredState desiredState() {
       return DesiredState.PAUSE;
     }
   }
 
   /** Lets a drain go on. */
   @Command(name = "resume", description = "Goes on with a drain.", mixinStandardHelpOptions = true)
-  static final class Resume extends ChangeWish {
+  static final class Resume extends DesiredStateCommand {
     @Override
-    DesiredState wish() {
+    DesiredState desiredState() {
       return DesiredState.RUN;
     }
   }
@@ -353,9 +362,9 @@
       aliases = "end",
       description = "Puts the machines back into service, those that were empty on probation.",
       mixinStandardHelpOptions = true)
-  static final class Cancel extends ChangeWish {
+  static final class Cancel extends DesiredStateCommand {
     @Override
-    DesiredState wish() {
+    DesiredState desiredState() {
       return DesiredState.CANCEL;
     }
   }
@@ -370,35 +379,38 @@
     String id;
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException {
-      state.read(Keys.LEVEL);
-      Optional<StoredValue> stored = state.read(Keys.drain(id));
+    int run(KeyValueStoreSession session) throws IOException {
+      session.read(Keys.LEVEL);
+      Optional<StoredValue> stored = session.read(Keys.drain(id));
       if (stored.isEmpty()) {
-        return printError("no drain is called " + id, Main.EXIT_SETTINGS);
+        return printError("no drain is called " + id, Main.EXIT_INVALID_INPUT);
       }
-      Optional<StoredValue> status = state.read(Keys.drainStatus(id));
+      Optional<StoredValue> status = session.read(Keys.drainStatus(id));
       if (!status.map(s -> DrainStatus.isOver(s.value())).orElse(false)) {
         return refuse("it is not over: cancel it, and wait until the leader has taken that up");
       }
-      List<String> held = new ArrayList<>();
+      List<String> heldMachines = new ArrayList<>();
       try {
-        StoredMachineRecords.read(state).stream()
-            .filter(entry -> !entry.maintenance().isSchedulable())
-            .filter(entry -> entry.maintenance().drain().equals(id))
-            .forEach(entry -> held.add(entry.machine()));
+        StoredMachineRecords.read(session).stream()
+            .filter(machineRecord -> !machineRecord.maintenance().isSchedulable())
+            .filter(machineRecord -> machineRecord.maintenance().drain().equals(id))
+            .forEach(machineRecord -> heldMachines.add(machineRecord.machine()));
       } catch (MalformedMessageException e) {
         return printError("a record can't be read: " + e.getMessage(), Main.EXIT_FAILURE);
       }
-      if (!held.isEmpty()) {
-        return refuse("it holds machines: " + String.join(", ", held));
+      if (!heldMachines.isEmpty()) {
+        return refuse("it holds machines: " + String.join(", ", heldMachines));
       }
-      List<Mutation> changes = new ArrayList<>();
-      changes.add(Mutation.delete(Keys.drain(id)));
-      changes.add(Mutation.delete(Keys.drainStatus(id)));
-      state.list(Keys.drainMachines(id)).keySet().forEach(key -> changes.add(Mutation.delete(key)));
-      List<Precondition> guards =
+      List<Mutation> mutations = new ArrayList<>();
+      mutations.add(Mutation.delete(Keys.drain(id)));
+      mutations.add(Mutation.delete(Keys.drainStatus(id)));
+      session
+          .list(Keys.drainMachines(id))
+          .keySet()
+          .forEach(key -> mutations.add(Mutation.delete(key)));
+      List<Precondition> preconditions =
           List.of(new Precondition(Keys.drain(id), stored.get().revision()));
-      return reportOutcome(state.write(guards, changes), "forgot drain " + id);
+      return reportOutcome(session.write(preconditions, mutations), "forgot drain " + id);
     }
   }
 }
--- a/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
+++ b/src/main/java/io/pearscale/cli/KeyValueStoreSession.java
@@ -29,8 +29,8 @@
  */
 final class KeyValueStoreSession implements AutoCloseable {
   private static final int CONNECTIONS = 2;
-  private static final int LONGEST_WAIT_SECONDS = 5;
-  private static final int PAGE = 500;
+  private static final int RESPONSE_TIMEOUT_SECONDS = 5;
+  private static final int PAGE_SIZE = 500;
 
   /** A stored value with the stamp of its latest change. */
   record StoredValue(JsonNode value, long revision) {}
@@ -54,19 +54,19 @@
   KeyValueStoreSession(Settings settings) throws IOException {
     worker = Server.newSingleThreadWorker();
     loop = new XnioEventLoop(worker.getIoThread());
-    UndertowHttpClient calls =
+    UndertowHttpClient httpClient =
         new UndertowHttpClient(
             loop,
             worker.getIoThread(),
             new DefaultByteBufferPool(false, 8192, CONNECTIONS, 0),
             CONNECTIONS);
-    client = new KeyValueStoreClient(loop, calls, settings, () -> levelRevision);
+    client = new KeyValueStoreClient(loop, httpClient, settings, () -> levelRevision);
     address = settings.storeAddress();
   }
 
   /** The key's value and stamp; empty if there is none. */
   Optional<StoredValue> read(String key) throws IOException {
-    Reply reply = ask(answer -> client.get(key, answer));
+    Reply reply = call(callback -> client.get(key, callback));
     if (reply.status() != 404 && !reply.ok()) {
       throw failure(reply);
     }
@@ -83,28 +83,29 @@
 
   /** All keys with the prefix, by key. */
   Map<String, StoredValue> list(String prefix) throws IOException {
-    Map<String, StoredValue> found = new TreeMap<>();
-    Optional<String> since = Optional.empty();
+    Map<String, StoredValue> values = new TreeMap<>();
+    Optional<String> lastKey = Optional.empty();
     boolean more = true;
     while (more) {
-      Optional<String> after = since;
-      Reply reply = ask(answer -> client.list(prefix, after, PAGE, answer));
+      Optional<String> startAfter = lastKey;
+      Reply reply = call(callback -> client.list(prefix, startAfter, PAGE_SIZE, callback));
       if (!reply.ok()) {
         throw failure(reply);
       }
       for (JsonNode pair : reply.body().path("pairs")) {
         String key = pair.path("key").asText();
-        found.put(key, new StoredValue(pair.path("value"), pair.path("stamp").asLong()));
-        since = Optional.of(key);
+        values.put(key, new StoredValue(pair.path("value"), pair.path("stamp").asLong()));
+        lastKey = Optional.of(key);
       }
-      more = reply.body().path("more").asBoolean() && since.isPresent();
+      more = reply.body().path("more").asBoolean() && lastKey.isPresent();
     }
-    return found;
+    return values;
   }
 
   /** Writes, if nothing has changed that the guards name, nor the level that was read. */
-  WriteOutcome write(List<Precondition> guards, List<Mutation> changes) throws IOException {
-    Reply reply = ask(answer -> client.compareAndSwap(guards, changes, answer));
+  WriteOutcome write(List<Precondition> preconditions, List<Mutation> mutations)
+      throws IOException {
+    Reply reply = call(callback -> client.compareAndSwap(preconditions, mutations, callback));
     if (reply.ok()) {
       return WriteOutcome.APPLIED;
     }
@@ -118,15 +119,15 @@
   }
 
   private IOException failure(Reply reply) {
-    String said = reply.status() == 0 ? "does not answer" : "answers " + reply.status();
-    return new IOException("the state service at " + address + " " + said);
+    String problem = reply.status() == 0 ? "does not answer" : "answers " + reply.status();
+    return new IOException("the state service at " + address + " " + problem);
   }
 
-  private Reply ask(Consumer<Consumer<Reply>> request) throws IOException {
-    CompletableFuture<Reply> answer = new CompletableFuture<>();
-    loop.execute(() -> request.accept(answer::complete));
+  private Reply call(Consumer<Consumer<Reply>> request) throws IOException {
+    CompletableFuture<Reply> response = new CompletableFuture<>();
+    loop.execute(() -> request.accept(response::complete));
     try {
-      return answer.get(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
+      return response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException | ExecutionException e) {
       return Reply.NO_RESPONSE;
     } catch (InterruptedException e) {
--- a/src/main/java/io/pearscale/cli/Main.java
+++ b/src/main/java/io/pearscale/cli/Main.java
@@ -14,7 +14,7 @@
  */
 public final class Main {
   /** Settings or arguments are wrong. */
-  static final int EXIT_SETTINGS = 2;
+  static final int EXIT_INVALID_INPUT = 2;
 
   /** Something failed while running. */
   static final int EXIT_FAILURE = 1;
@@ -51,7 +51,7 @@
       return 0;
     } catch (SettingsException e) {
       System.err.println("pearscale: " + e.getMessage());
-      return EXIT_SETTINGS;
+      return EXIT_INVALID_INPUT;
     } catch (IOException | RuntimeException e) {
       System.err.println("pearscale: " + e.getMessage());
       return EXIT_FAILURE;
@@ -61,15 +61,15 @@
   /** Logging goes to standard error; the level comes from the environment. */
   private static void configureLogging() {
     String level = Optional.ofNullable(System.getenv("LOG_LEVEL")).orElse("info");
-    boolean known = level.equals("error") || level.equals("info") || level.equals("debug");
+    boolean validLevel = level.equals("error") || level.equals("info") || level.equals("debug");
     System.setProperty("org.jboss.logging.provider", "slf4j");
     String prefix = "org.slf4j.simpleLogger.";
     System.setProperty(prefix + "defaultLogLevel", "warn");
-    System.setProperty(prefix + "log.io.pearscale", known ? level : "info");
+    System.setProperty(prefix + "log.io.pearscale", validLevel ? level : "info");
     System.setProperty(prefix + "showThreadName", "false");
     System.setProperty(prefix + "showShortLogName", "true");
     System.setProperty(prefix + "levelInBrackets", "false");
-    if (!known) {
+    if (!validLevel) {
       LoggerFactory.getLogger(Main.class)
           .warn("event=unknown_log_level value={} expected=error|info|debug", level);
     }
--- a/src/main/java/io/pearscale/cli/OperatorCommand.java
+++ b/src/main/java/io/pearscale/cli/OperatorCommand.java
@@ -20,19 +20,19 @@
 
   @Override
   public Integer call() {
-    try (KeyValueStoreSession state = new KeyValueStoreSession(files.settings())) {
-      return run(state);
+    try (KeyValueStoreSession session = new KeyValueStoreSession(files.readSettings())) {
+      return run(session);
     } catch (SettingsException e) {
-      return printError(e.getMessage(), Main.EXIT_SETTINGS);
+      return printError(e.getMessage(), Main.EXIT_INVALID_INPUT);
     } catch (IOException e) {
       return printError(e.getMessage() + "; nothing is known, ask again", Main.EXIT_FAILURE);
     }
   }
 
   /** Says why there is no result. */
-  int printError(String reason, int code) {
+  int printError(String reason, int exitCode) {
     spec.commandLine().getErr().println("pearscale: " + reason);
-    return code;
+    return exitCode;
   }
 
   /** Says that something must not be done. */
@@ -47,10 +47,10 @@
   }
 
   /** The exit code for what came of a write, said where it was not carried out. */
-  int reportOutcome(KeyValueStoreSession.WriteOutcome outcome, String done) {
+  int reportOutcome(KeyValueStoreSession.WriteOutcome outcome, String successMessage) {
     return switch (outcome) {
       case APPLIED -> {
-        print(done);
+        print(successMessage);
         yield 0;
       }
       case CONFLICT ->
--- a/src/main/java/io/pearscale/cli/SExpressionReader.java
+++ b/src/main/java/io/pearscale/cli/SExpressionReader.java
@@ -9,13 +9,13 @@
   static final class SExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    SExpressionException(int line, String what) {
-      super("line " + line + ": " + what, null, false, false);
+    SExpressionException(int line, String problem) {
+      super("line " + line + ": " + problem, null, false, false);
     }
   }
 
   private final String text;
-  private int at;
+  private int position;
   private int line = 1;
 
   private SExpressionReader(String text) {
@@ -26,24 +26,24 @@
   static List<List<String>> read(String text) throws SExpressionException {
     SExpressionReader reader = new SExpressionReader(text);
     List<List<String>> result = new ArrayList<>();
-    while (reader.skip()) {
-      result.add(reader.list());
+    while (reader.skipToToken()) {
+      result.add(reader.readList());
     }
     return result;
   }
 
-  private boolean skip() {
-    while (at < text.length()) {
-      char character = text.charAt(at);
+  private boolean skipToToken() {
+    while (position < text.length()) {
+      char character = text.charAt(position);
       if (character == ';') {
-        while (at < text.length() && text.charAt(at) != '\n') {
-          at++;
+        while (position < text.length() && text.charAt(position) != '\n') {
+          position++;
         }
       } else if (Character.isWhitespace(character)) {
         if (character == '\n') {
           line++;
         }
-        at++;
+        position++;
       } else {
         return true;
       }
@@ -51,28 +51,28 @@
     return false;
   }
 
-  private List<String> list() throws SExpressionException {
-    if (text.charAt(at) != '(') {
+  private List<String> readList() throws SExpressionException {
+    if (text.charAt(position) != '(') {
       throw new SExpressionException(line, "'(' expected");
     }
-    at++;
+    position++;
     List<String> atoms = new ArrayList<>();
-    while (skip()) {
-      char character = text.charAt(at);
+    while (skipToToken()) {
+      char character = text.charAt(position);
       if (character == ')') {
-        at++;
+        position++;
         return atoms;
       }
       if (character == '(') {
         throw new SExpressionException(line, "a name or number expected, not a list");
       }
-      int from = at;
-      while (at < text.length()
-          && !Character.isWhitespace(text.charAt(at))
-          && "();".indexOf(text.charAt(at)) < 0) {
-        at++;
+      int start = position;
+      while (position < text.length()
+          && !Character.isWhitespace(text.charAt(position))
+          && "();".indexOf(text.charAt(position)) < 0) {
+        position++;
       }
-      atoms.add(text.substring(from, at));
+      atoms.add(text.substring(start, position));
     }
     throw new SExpressionException(line, "')' missing");
   }
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -22,11 +22,11 @@
 /** Reads the platform's TOML. Keys that it doesn't know are passed over. */
 final class SettingsReader {
   /** With fewer there would be none for some of the uses that they are divided among. */
-  private static final int LEAST_SOCKETS = 32;
+  private static final int MIN_FD_LIMIT = 32;
 
-  private static final int USUAL_SOCKETS = 1000;
-  private static final double LEAST_CPU_SHARE = 0.001;
-  private static final double WHOLE_CORE = 1.0;
+  private static final int DEFAULT_FD_LIMIT = 1000;
+  private static final double MIN_CPU_SHARE = 0.001;
+  private static final double DEFAULT_CPU_SHARE = 1.0;
 
   private final Path file;
 
@@ -43,40 +43,41 @@
     } catch (IOException e) {
       throw new SettingsException(file, "file", "nothing readable", "a TOML file");
     }
-    return new SettingsReader(file).settings(root);
+    return new SettingsReader(file).parseSettings(root);
   }
 
-  private Settings settings(JsonNode root) throws SettingsException {
+  private Settings parseSettings(JsonNode root) throws SettingsException {
     JsonNode facts = table(root, "facts", "");
     JsonNode workers = table(facts, "workers", "facts.");
     JsonNode state = table(facts, "state", "facts.");
     JsonNode cloud = table(facts, "cloud", "facts.");
-    JsonNode services = table(root, "endpoints", "");
+    JsonNode endpoints = table(root, "endpoints", "");
     return new Settings(
         text(root, "host_name", ""),
         text(root, "domain", ""),
         address(root, "client_listen", ""),
         address(root, "back", ""),
-        peers(root),
-        checkedAddress(services, "cloud", "endpoints."),
-        checkedAddress(services, "state", "endpoints."),
-        teams(facts),
-        objectives(facts),
+        parsePeers(root),
+        addressText(endpoints, "cloud", "endpoints."),
+        addressText(endpoints, "state", "endpoints."),
+        parseTeams(facts),
+        parseObjectives(facts),
         new Settings.AgentSettings(
             seconds(workers, "report_s", "facts.workers."),
             seconds(workers, "lease_s", "facts.workers."),
             seconds(workers, "cancel_s", "facts.workers."),
-            gangTimes(workers)),
-        stateLimits(state),
+            parseGangTimeouts(workers)),
+        parseStoreLimits(state),
         new Settings.CloudLimits(
             number(cloud, "rps", "facts.cloud.", 0.01),
             seconds(cloud, "list_lag_s", "facts.cloud.")),
-        (int) limit(facts, "fd_limit", LEAST_SOCKETS, USUAL_SOCKETS),
-        limit(facts, "cpu_share", LEAST_CPU_SHARE, WHOLE_CORE));
+        (int) optionalLimit(facts, "fd_limit", MIN_FD_LIMIT, DEFAULT_FD_LIMIT),
+        optionalLimit(facts, "cpu_share", MIN_CPU_SHARE, DEFAULT_CPU_SHARE));
   }
 
   /** Both times, or none: a gang can't be served with one of them. */
-  private Optional<Settings.GangTimeouts> gangTimes(JsonNode workers) throws SettingsException {
+  private Optional<Settings.GangTimeouts> parseGangTimeouts(JsonNode workers)
+      throws SettingsException {
     if (!workers.hasNonNull("gang_wait_s") && !workers.hasNonNull("gang_peer_s")) {
       return Optional.empty();
     }
@@ -90,31 +91,31 @@
    * The limits that hold at any time: those that the state service has, and those that it may have
    * from some moment on, without notice. What is larger than either would be refused some day.
    */
-  private Settings.StoreLimits stateLimits(JsonNode state) throws SettingsException {
-    String now = "facts.state.";
-    Settings.StoreLimits limits = limits(state, state, now);
+  private Settings.StoreLimits parseStoreLimits(JsonNode state) throws SettingsException {
+    String prefix = "facts.state.";
+    Settings.StoreLimits limits = parseStoreLimitTable(state, state, prefix);
     if (!state.hasNonNull("next")) {
       return limits;
     }
-    JsonNode next = table(state, "next", now);
-    return limits.smallerOf(limits(next, state, now + "next."));
+    JsonNode next = table(state, "next", prefix);
+    return limits.smallerOf(parseStoreLimitTable(next, state, prefix + "next."));
   }
 
   /** Limits of a table; what it does not name is as in the other one. */
-  private Settings.StoreLimits limits(JsonNode table, JsonNode otherwise, String where)
-      throws SettingsException {
+  private Settings.StoreLimits parseStoreLimitTable(
+      JsonNode table, JsonNode fallback, String prefix) throws SettingsException {
     return new Settings.StoreLimits(
-        number(having("rps", table, otherwise), "rps", where, 1),
-        number(having("write_rps", table, otherwise), "write_rps", where, 1),
-        (int) (number(having("value_kb", table, otherwise), "value_kb", where, 0.25) * 1024),
-        (int) number(having("txn_ops", table, otherwise), "txn_ops", where, 4));
+        number(tableWithKey("rps", table, fallback), "rps", prefix, 1),
+        number(tableWithKey("write_rps", table, fallback), "write_rps", prefix, 1),
+        (int) (number(tableWithKey("value_kb", table, fallback), "value_kb", prefix, 0.25) * 1024),
+        (int) number(tableWithKey("txn_ops", table, fallback), "txn_ops", prefix, 4));
   }
 
-  private static JsonNode having(String key, JsonNode table, JsonNode otherwise) {
-    return table.hasNonNull(key) ? table : otherwise;
+  private static JsonNode tableWithKey(String key, JsonNode table, JsonNode fallback) {
+    return table.hasNonNull(key) ? table : fallback;
   }
 
-  private Map<String, InetSocketAddress> peers(JsonNode root) throws SettingsException {
+  private Map<String, InetSocketAddress> parsePeers(JsonNode root) throws SettingsException {
     Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
     for (JsonNode peer : root.path("peers")) {
       peers.put(text(peer, "host_name", "peers."), address(peer, "address", "peers."));
@@ -122,7 +123,7 @@
     return peers;
   }
 
-  private List<Settings.Team> teams(JsonNode facts) throws SettingsException {
+  private List<Settings.Team> parseTeams(JsonNode facts) throws SettingsException {
     List<Settings.Team> teams = new ArrayList<>();
     for (JsonNode team : facts.path("teams")) {
       teams.add(
@@ -136,7 +137,8 @@
     return teams;
   }
 
-  private List<Settings.ServiceLevelObjective> objectives(JsonNode facts) throws SettingsException {
+  private List<Settings.ServiceLevelObjective> parseObjectives(JsonNode facts)
+      throws SettingsException {
     List<Settings.ServiceLevelObjective> objectives = new ArrayList<>();
     for (JsonNode objective : facts.path("objectives")) {
       objectives.add(
@@ -148,53 +150,51 @@
     return objectives;
   }
 
-  private JsonNode table(JsonNode from, String key, String where) throws SettingsException {
-    JsonNode node = from.path(key);
+  private JsonNode table(JsonNode parent, String key, String prefix) throws SettingsException {
+    JsonNode node = parent.path(key);
     if (!node.isObject()) {
-      throw new SettingsException(file, where + key, describe(node), "a table");
+      throw new SettingsException(file, prefix + key, describe(node), "a table");
     }
     return node;
   }
 
-  private String text(JsonNode from, String key, String where) throws SettingsException {
-    JsonNode node = from.path(key);
+  private String text(JsonNode table, String key, String prefix) throws SettingsException {
+    JsonNode node = table.path(key);
     if (!node.isTextual() || node.textValue().isBlank()) {
-      throw new SettingsException(file, where + key, describe(node), "a text");
+      throw new SettingsException(file, prefix + key, describe(node), "a text");
     }
     return node.textValue();
   }
 
-  private double number(JsonNode from, String key, String where, double least)
+  private double number(JsonNode table, String key, String prefix, double min)
       throws SettingsException {
-    JsonNode node = from.path(key);
-    if (!node.isNumber()
-        || !(node.doubleValue() >= least)
-        || Double.isInfinite(node.doubleValue())) {
+    JsonNode node = table.path(key);
+    if (!node.isNumber() || !(node.doubleValue() >= min) || Double.isInfinite(node.doubleValue())) {
       throw new SettingsException(
-          file, where + key, describe(node), "a number of at least " + least);
+          file, prefix + key, describe(node), "a number of at least " + min);
     }
     return node.doubleValue();
   }
 
   /** A limit of the machine that may be left out. */
-  private double limit(JsonNode facts, String key, double least, double otherwise)
+  private double optionalLimit(JsonNode facts, String key, double min, double defaultValue)
       throws SettingsException {
     JsonNode limits = facts.path("limits");
-    return limits.hasNonNull(key) ? number(limits, key, "facts.limits.", least) : otherwise;
+    return limits.hasNonNull(key) ? number(limits, key, "facts.limits.", min) : defaultValue;
   }
 
-  private Duration seconds(JsonNode from, String key, String where) throws SettingsException {
-    return MessageFields.duration(number(from, key, where, 0));
+  private Duration seconds(JsonNode table, String key, String prefix) throws SettingsException {
+    return MessageFields.duration(number(table, key, prefix, 0));
   }
 
-  private String checkedAddress(JsonNode from, String key, String where) throws SettingsException {
-    address(from, key, where);
-    return text(from, key, where);
+  private String addressText(JsonNode table, String key, String prefix) throws SettingsException {
+    address(table, key, prefix);
+    return text(table, key, prefix);
   }
 
-  private InetSocketAddress address(JsonNode from, String key, String where)
+  private InetSocketAddress address(JsonNode table, String key, String prefix)
       throws SettingsException {
-    String text = text(from, key, where);
+    String text = text(table, key, prefix);
     int colon = text.lastIndexOf(':');
     try {
       String host = text.substring(0, Math.max(0, colon));
@@ -204,9 +204,9 @@
         return new InetSocketAddress(InetAddress.getByName(host), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      throw new SettingsException(file, where + key, text, "an address like 10.0.0.1:8080");
+      throw new SettingsException(file, prefix + key, text, "an address like 10.0.0.1:8080");
     }
-    throw new SettingsException(file, where + key, text, "an address like 10.0.0.1:8080");
+    throw new SettingsException(file, prefix + key, text, "an address like 10.0.0.1:8080");
   }
 
   private static String describe(JsonNode node) {
--- a/src/main/java/io/pearscale/cli/ShowCommands.java
+++ b/src/main/java/io/pearscale/cli/ShowCommands.java
@@ -21,35 +21,36 @@
 /** Commands that show what the state service holds, each of which answers one question. */
 final class ShowCommands {
   /** A record of the leader that is older is called stale. */
-  private static final Duration FRESH = Duration.ofSeconds(30);
+  private static final Duration STALE_AFTER = Duration.ofSeconds(30);
 
   private ShowCommands() {}
 
   /** What the leader has published, with its age. */
-  private abstract static class OfStatus extends OperatorCommand {
+  private abstract static class StatusCommand extends OperatorCommand {
     @Option(names = "--json", description = "print JSON")
     boolean json;
 
-    abstract int show(KeyValueStoreSession state, JsonNode status) throws IOException;
+    abstract int show(KeyValueStoreSession session, JsonNode status) throws IOException;
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException {
-      Optional<StoredValue> status = state.read(Keys.STATUS);
+    int run(KeyValueStoreSession session) throws IOException {
+      Optional<StoredValue> status = session.read(Keys.STATUS);
       if (status.isEmpty()) {
         return printError(
             "the leader publishes nothing: start the controllers with (drains on)",
             Main.EXIT_FAILURE);
       }
       if (!json) {
-        print(age(status.get().value()));
+        print(describeAge(status.get().value()));
       }
-      return show(state, status.get().value());
+      return show(session, status.get().value());
     }
 
-    private static String age(JsonNode status) {
+    private static String describeAge(JsonNode status) {
       Duration age =
           Duration.between(Instant.ofEpochMilli(status.path("atMs").asLong()), Instant.now());
-      String stale = age.compareTo(FRESH) > 0 ? ", stale: nobody leads, or it can't write" : "";
+      String stale =
+          age.compareTo(STALE_AFTER) > 0 ? ", stale: nobody leads, or it can't write" : "";
       return "as of %d s ago, term %d%s"
           .formatted(Math.max(0, age.toSeconds()), status.path("term").asLong(), stale);
     }
@@ -60,12 +61,12 @@
       name = "budget",
       description = "Shows what each budget of disruptions has left.",
       mixinStandardHelpOptions = true)
-  static final class Budget extends OfStatus {
+  static final class Budget extends StatusCommand {
     @Parameters(arity = "0..1", paramLabel = "TEAM", description = "budgets of one team")
     Optional<String> team = Optional.empty();
 
     @Override
-    int show(KeyValueStoreSession state, JsonNode status) {
+    int show(KeyValueStoreSession session, JsonNode status) {
       if (json) {
         print(status.path("budgets").toString());
         return 0;
@@ -93,10 +94,10 @@
     boolean json;
 
     @Override
-    int run(KeyValueStoreSession state) throws IOException {
+    int run(KeyValueStoreSession session) throws IOException {
       String leader =
-          state.read(Keys.LEADER).map(s -> s.value().path("node").asText()).orElse("nobody");
-      long term = state.read(Keys.TERM).map(s -> s.value().path("term").asLong()).orElse(0L);
+          session.read(Keys.LEADER).map(s -> s.value().path("node").asText()).orElse("nobody");
+      long term = session.read(Keys.TERM).map(s -> s.value().path("term").asLong()).orElse(0L);
       if (json) {
         ObjectNode node = new ObjectMapper().createObjectNode();
         print(node.put("leader", leader).put("term", term).toString());
@@ -112,32 +113,34 @@
       name = "why",
       description = "Says why a job waits, or whether a machine is in service.",
       mixinStandardHelpOptions = true)
-  static final class Why extends OfStatus {
+  static final class Why extends StatusCommand {
     @Parameters(paramLabel = "JOB|MACHINE", description = "such as wk-000412 or m-000231")
     String name;
 
     @Override
-    int show(KeyValueStoreSession state, JsonNode status) throws IOException {
+    int show(KeyValueStoreSession session, JsonNode status) throws IOException {
       try {
-        return name.startsWith("wk-") ? ofJob(state, status) : ofMachine(state);
+        return name.startsWith("wk-") ? showJob(session, status) : showMachine(session);
       } catch (MalformedMessageException e) {
         return printError("a record can't be read: " + e.getMessage(), Main.EXIT_FAILURE);
       }
     }
 
-    private int ofJob(KeyValueStoreSession state, JsonNode status)
+    private int showJob(KeyValueStoreSession session, JsonNode status)
         throws IOException, MalformedMessageException {
-      Optional<StoredValue> past = state.read(Keys.finishedJob(name));
-      if (past.isPresent()) {
-        print(name + " is over: " + past.get().value().path("stage").asText());
+      Optional<StoredValue> finishedJob = session.read(Keys.finishedJob(name));
+      if (finishedJob.isPresent()) {
+        print(name + " is over: " + finishedJob.get().value().path("stage").asText());
         return 0;
       }
-      Optional<StoredValue> live = state.read(Keys.liveJob(name));
-      if (live.isEmpty()) {
-        return printError("no job is called " + name, Main.EXIT_SETTINGS);
+      Optional<StoredValue> liveJob = session.read(Keys.liveJob(name));
+      if (liveJob.isEmpty()) {
+        return printError("no job is called " + name, Main.EXIT_INVALID_INPUT);
       }
-      int tasks = live.get().value().path("spec").path("pieces").asInt();
-      print("%s: %d tasks, %d of them have a machine".formatted(name, tasks, placedTasks(state)));
+      int tasks = liveJob.get().value().path("spec").path("pieces").asInt();
+      print(
+          "%s: %d tasks, %d of them have a machine"
+              .formatted(name, tasks, countPlacedTasks(session)));
       JsonNode reason = status.path("waiting").path(name);
       print(
           reason.isTextual()
@@ -147,58 +150,63 @@
     }
 
     /** How many tasks have a machine, by the newer of two records where both layouts have one. */
-    private int placedTasks(KeyValueStoreSession state)
+    private int countPlacedTasks(KeyValueStoreSession session)
         throws IOException, MalformedMessageException {
-      BitSet told = new BitSet();
+      BitSet recorded = new BitSet();
       BitSet placed = new BitSet();
-      for (RecordLayout layout : StoredMachineRecords.layouts(state)) {
-        BitSet toldHere = new BitSet();
-        for (StoredValue marks : state.list(layout.placementPrefix()).values()) {
-          for (PlacementRecordCodec.PartitionRecord part :
-              PlacementRecordCodec.decode(marks.value())) {
-            if (part.job().equals(name)) {
-              notePlaced(part, told, placed);
-              toldHere.set(part.firstTask(), part.firstTask() + layout.tasksPerPartition());
+      for (RecordLayout layout : StoredMachineRecords.layouts(session)) {
+        BitSet recordedInLayout = new BitSet();
+        for (StoredValue placementRecord : session.list(layout.placementPrefix()).values()) {
+          for (PlacementRecordCodec.PartitionRecord partition :
+              PlacementRecordCodec.decode(placementRecord.value())) {
+            if (partition.job().equals(name)) {
+              addPlacedTasks(partition, recorded, placed);
+              recordedInLayout.set(
+                  partition.firstTask(), partition.firstTask() + layout.tasksPerPartition());
             }
           }
         }
-        told.or(toldHere);
+        recorded.or(recordedInLayout);
       }
       return placed.cardinality();
     }
 
-    private static void notePlaced(
-        PlacementRecordCodec.PartitionRecord part, BitSet told, BitSet placed) {
-      for (int i = 0; i < part.machineReferences().length; i++) {
-        int task = part.firstTask() + i;
-        if (part.machineReferences()[i] > 0 && !told.get(task)) {
+    private static void addPlacedTasks(
+        PlacementRecordCodec.PartitionRecord partition, BitSet recorded, BitSet placed) {
+      for (int i = 0; i < partition.machineReferences().length; i++) {
+        int task = partition.firstTask() + i;
+        if (partition.machineReferences()[i] > 0 && !recorded.get(task)) {
           placed.set(task);
         }
       }
     }
 
-    private int ofMachine(KeyValueStoreSession state)
+    private int showMachine(KeyValueStoreSession session)
         throws IOException, MalformedMessageException {
-      for (MachineRecordCodec.MachineRecord entry : StoredMachineRecords.read(state)) {
-        if (entry.machine().equals(name)) {
-          print(describe(entry));
+      for (MachineRecordCodec.MachineRecord machineRecord : StoredMachineRecords.read(session)) {
+        if (machineRecord.machine().equals(name)) {
+          print(describe(machineRecord));
           return 0;
         }
       }
       return printError(
-          "no record names " + name + ": it is not used, or gone", Main.EXIT_SETTINGS);
+          "no record names " + name + ": it is not used, or gone", Main.EXIT_INVALID_INPUT);
     }
 
-    private String describe(MachineRecordCodec.MachineRecord entry) {
-      String use =
-          switch (entry.maintenance().stage()) {
+    private String describe(MachineRecordCodec.MachineRecord machineRecord) {
+      String serviceState =
+          switch (machineRecord.maintenance().stage()) {
             case IN_SERVICE -> "in service";
-            case CORDONED -> "cordoned for drain " + entry.maintenance().drain();
-            case DRAINED -> "out of service for drain " + entry.maintenance().drain();
+            case CORDONED -> "cordoned for drain " + machineRecord.maintenance().drain();
+            case DRAINED -> "out of service for drain " + machineRecord.maintenance().drain();
             case PROBATION -> "back in service on probation";
           };
       return "%s (%s, zone %s): %s"
-          .formatted(name, entry.type(), entry.zone(), entry.retiring() ? "is given back" : use);
+          .formatted(
+              name,
+              machineRecord.type(),
+              machineRecord.zone(),
+              machineRecord.retiring() ? "is given back" : serviceState);
     }
   }
 }
--- a/src/main/java/io/pearscale/cli/StoredMachineRecords.java
+++ b/src/main/java/io/pearscale/cli/StoredMachineRecords.java
@@ -19,14 +19,15 @@
   private StoredMachineRecords() {}
 
   /** All entries of the roster, one a machine. */
-  static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession state)
+  static Collection<MachineRecordCodec.MachineRecord> read(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
     Map<String, MachineRecordCodec.MachineRecord> byMachine = new LinkedHashMap<>();
     // What is written now is newer than what the other layout says of the same machine.
-    for (RecordLayout layout : layouts(state)) {
-      for (StoredValue value : state.list(layout.machinePrefix()).values()) {
-        for (MachineRecordCodec.MachineRecord entry : MachineRecordCodec.decode(value.value())) {
-          byMachine.putIfAbsent(entry.machine(), entry);
+    for (RecordLayout layout : layouts(session)) {
+      for (StoredValue value : session.list(layout.machinePrefix()).values()) {
+        for (MachineRecordCodec.MachineRecord machineRecord :
+            MachineRecordCodec.decode(value.value())) {
+          byMachine.putIfAbsent(machineRecord.machine(), machineRecord);
         }
       }
     }
@@ -34,11 +35,11 @@
   }
 
   /** Both layouts, first the one that is written. */
-  static List<RecordLayout> layouts(KeyValueStoreSession state)
+  static List<RecordLayout> layouts(KeyValueStoreSession session)
       throws IOException, MalformedMessageException {
-    Optional<StoredValue> level = state.read(Keys.LEVEL);
-    SchemaLevel inForce = SchemaLevel.fromStored(level.map(StoredValue::value));
-    RecordLayout written = RecordLayout.ofLevel(inForce.writtenLevel());
+    Optional<StoredValue> storedLevel = session.read(Keys.LEVEL);
+    SchemaLevel schemaLevel = SchemaLevel.fromStored(storedLevel.map(StoredValue::value));
+    RecordLayout written = RecordLayout.ofLevel(schemaLevel.writtenLevel());
     List<RecordLayout> layouts = new ArrayList<>();
     layouts.add(written);
     layouts.add(written.other());
--- a/src/main/java/io/pearscale/cli/TuningReader.java
+++ b/src/main/java/io/pearscale/cli/TuningReader.java
@@ -13,23 +13,23 @@
 /** Reads operators' own settings: an optional file of S-expressions such as {@code (sample 8)}. */
 final class TuningReader {
   /** A setting: what it may be. Its default is in {@link Tuning#defaults}. */
-  private record Range(double least, double most) {}
+  private record Range(double min, double max) {}
 
-  private static final Map<String, Range> KNOWN = new LinkedHashMap<>();
+  private static final Map<String, Range> RANGES = new LinkedHashMap<>();
 
   static {
-    KNOWN.put("sample", new Range(1, 1000));
-    KNOWN.put("stranded-weight", new Range(0, 100));
-    KNOWN.put("same-machine-weight", new Range(0, 100));
-    KNOWN.put("together-weight", new Range(0, 100));
-    KNOWN.put("same-zone-weight", new Range(0, 100));
-    KNOWN.put("zone-balance-weight", new Range(0, 100));
-    KNOWN.put("image-weight", new Range(0, 100));
-    KNOWN.put("ordinary-weight", new Range(0, 100));
-    KNOWN.put("idle-release-s", new Range(1, 86_400));
-    KNOWN.put("spare-share", new Range(0, 10));
-    KNOWN.put("headroom-share", new Range(0, 10));
-    KNOWN.put("spot-risk", new Range(1, 100));
+    RANGES.put("sample", new Range(1, 1000));
+    RANGES.put("stranded-weight", new Range(0, 100));
+    RANGES.put("same-machine-weight", new Range(0, 100));
+    RANGES.put("together-weight", new Range(0, 100));
+    RANGES.put("same-zone-weight", new Range(0, 100));
+    RANGES.put("zone-balance-weight", new Range(0, 100));
+    RANGES.put("image-weight", new Range(0, 100));
+    RANGES.put("ordinary-weight", new Range(0, 100));
+    RANGES.put("idle-release-s", new Range(1, 86_400));
+    RANGES.put("spare-share", new Range(0, 10));
+    RANGES.put("headroom-share", new Range(0, 10));
+    RANGES.put("spot-risk", new Range(1, 100));
   }
 
   private TuningReader() {}
@@ -39,7 +39,7 @@
     if (file.isEmpty()) {
       return defaults;
     }
-    Map<String, Double> values = values(file.get());
+    Map<String, Double> values = readValues(file.get());
     return new Tuning(
         (int) (double) values.getOrDefault("sample", (double) defaults.sampleSize()),
         values.getOrDefault("stranded-weight", defaults.strandedWeight()),
@@ -57,21 +57,21 @@
         values.getOrDefault("spot-risk", defaults.spotRiskFactor()));
   }
 
-  private static Map<String, Double> values(Path file) throws SettingsException {
+  private static Map<String, Double> readValues(Path file) throws SettingsException {
     Map<String, Double> values = new LinkedHashMap<>();
     try {
       for (List<String> entry : SExpressionReader.read(Files.readString(file))) {
         if (entry.size() != 2) {
           throw new SettingsException(file, "entry", entry.toString(), "a name and a value");
         }
-        Range range = KNOWN.get(entry.get(0));
+        Range range = RANGES.get(entry.get(0));
         if (range == null) {
           continue;
         }
-        String expected = "a number from " + range.least + " to " + range.most;
+        String expected = "a number from " + range.min + " to " + range.max;
         try {
           double value = Double.parseDouble(entry.get(1));
-          if (!(value >= range.least && value <= range.most)) {
+          if (!(value >= range.min && value <= range.max)) {
             throw new SettingsException(file, entry.get(0), entry.get(1), expected);
           }
           values.put(entry.get(0), value);
--- a/src/main/java/io/pearscale/cli/UpgradeCommand.java
+++ b/src/main/java/io/pearscale/cli/UpgradeCommand.java
@@ -31,41 +31,42 @@
     })
 final class UpgradeCommand implements Callable<Integer> {
   /** This build must stay out of what is stored. */
-  static final int EXIT_MUST_STAY_OUT = 3;
+  static final int EXIT_INCOMPATIBLE_BUILD = 3;
 
   @Spec CommandSpec spec;
 
   @Override
   public Integer call() {
     spec.commandLine().usage(spec.commandLine().getErr());
-    return Main.EXIT_SETTINGS;
+    return Main.EXIT_INVALID_INPUT;
   }
 
   /** A command on a cluster that is read first. */
-  private abstract static class OnCluster extends OperatorCommand {
+  private abstract static class ClusterCommand extends OperatorCommand {
     abstract int run(KeyValueStoreSession session, UpgradeView view) throws IOException;
 
     @Override
     int run(KeyValueStoreSession session) throws IOException, SettingsException {
-      SupportedLevels build = SupportedLevels.OF_THIS_BUILD.upTo(files.operations().highestLevel());
-      return run(session, UpgradeView.read(session, files.settings(), build));
+      SupportedLevels build =
+          SupportedLevels.OF_THIS_BUILD.upTo(files.readOperations().highestLevel());
+      return run(session, UpgradeView.read(session, files.readSettings(), build));
     }
 
     /** Says what would come of a step, or takes it. */
-    int carryOut(
-        KeyValueStoreSession session, UpgradeView view, Outcome outcome, Set<String> absent)
+    int applyOutcome(
+        KeyValueStoreSession session, UpgradeView view, Outcome outcome, Set<String> absentHosts)
         throws IOException {
-      if (outcome instanceof UpgradePlan.NoChange nothing) {
-        print("nothing to do: " + nothing.reason());
+      if (outcome instanceof UpgradePlan.NoChange noChange) {
+        print("nothing to do: " + noChange.reason());
         return 0;
       }
       if (outcome instanceof UpgradePlan.Refusal refusal) {
         return refuse(String.join("; ", refusal.reasons()));
       }
       ObjectNode record = ((UpgradePlan.LevelChange) outcome).next().toNode(view.storedLevel());
-      if (!absent.isEmpty()) {
-        ArrayNode vouched = record.putArray("absent");
-        absent.forEach(vouched::add);
+      if (!absentHosts.isEmpty()) {
+        ArrayNode absentNode = record.putArray("absent");
+        absentHosts.forEach(absentNode::add);
       }
       return reportOutcome(
           session.write(view.preconditions(), List.of(Mutation.put(Keys.LEVEL, record))),
@@ -83,14 +84,14 @@
       description =
           "Says which level of stored state is in force, who supports what, what is next.",
       mixinStandardHelpOptions = true)
-  static final class Status extends OnCluster {
+  static final class Status extends ClusterCommand {
     @Option(names = "--json", description = "print JSON")
     boolean json;
 
     @Override
-    int run(KeyValueStoreSession state, UpgradeView view) {
+    int run(KeyValueStoreSession session, UpgradeView view) {
       print(json ? view.asJson() : view.asTable());
-      return view.objection().isEmpty() ? 0 : EXIT_MUST_STAY_OUT;
+      return view.incompatibility().isEmpty() ? 0 : EXIT_INCOMPATIBLE_BUILD;
     }
   }
 
@@ -99,11 +100,12 @@
       name = "plan",
       description = "Says what finalise would do now, and changes nothing.",
       mixinStandardHelpOptions = true)
-  static final class Plan extends OnCluster {
+  static final class Plan extends ClusterCommand {
     @Override
-    int run(KeyValueStoreSession state, UpgradeView view) {
+    int run(KeyValueStoreSession session, UpgradeView view) {
       if (view.plan().isEmpty()) {
-        return printError(view.objection().orElse("the level can't be read"), EXIT_MUST_STAY_OUT);
+        return printError(
+            view.incompatibility().orElse("the level can't be read"), EXIT_INCOMPATIBLE_BUILD);
       }
       Outcome outcome = view.plan().get().finalise(view.build(), Set.of());
       if (outcome instanceof UpgradePlan.Refusal refusal) {
@@ -124,20 +126,20 @@
       name = "finalise",
       description = "Raises the level of stored state by one, once all controllers support it.",
       mixinStandardHelpOptions = true)
-  static final class Finalise extends OnCluster {
+  static final class Finalise extends ClusterCommand {
     @Option(
         names = "--absent",
         paramLabel = "HOST",
         description = "a controller that is away; you vouch that it comes back with a new build")
-    Set<String> absent = new LinkedHashSet<>();
+    Set<String> absentHosts = new LinkedHashSet<>();
 
     @Override
-    int run(KeyValueStoreSession state, UpgradeView view) throws IOException {
-      if (view.objection().isPresent()) {
-        return printError(view.objection().get(), EXIT_MUST_STAY_OUT);
+    int run(KeyValueStoreSession session, UpgradeView view) throws IOException {
+      if (view.incompatibility().isPresent()) {
+        return printError(view.incompatibility().get(), EXIT_INCOMPATIBLE_BUILD);
       }
       UpgradePlan plan = view.plan().orElseThrow();
-      return carryOut(state, view, plan.finalise(view.build(), absent), absent);
+      return applyOutcome(session, view, plan.finalise(view.build(), absentHosts), absentHosts);
     }
   }
 
@@ -146,14 +148,14 @@
       name = "rollback",
       description = "Takes the last raise of the level back.",
       mixinStandardHelpOptions = true)
-  static final class Rollback extends OnCluster {
+  static final class Rollback extends ClusterCommand {
     @Override
-    int run(KeyValueStoreSession state, UpgradeView view) throws IOException {
-      if (view.objection().isPresent()) {
-        return printError(view.objection().get(), EXIT_MUST_STAY_OUT);
+    int run(KeyValueStoreSession session, UpgradeView view) throws IOException {
+      if (view.incompatibility().isPresent()) {
+        return printError(view.incompatibility().get(), EXIT_INCOMPATIBLE_BUILD);
       }
       UpgradePlan plan = view.plan().orElseThrow();
-      return carryOut(state, view, plan.rollback(view.build()), Set.of());
+      return applyOutcome(session, view, plan.rollback(view.build()), Set.of());
     }
   }
 }
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -33,56 +33,56 @@
  * What the state service says of an upgrade, read at one moment, and the guards that hold a step to
  * it.
  *
- * @param level the stored level as it is, empty if none was ever stored
- * @param objection why this build must stay out, if it must
+ * @param storedLevelRecord the stored level as it is, empty if none was ever stored
+ * @param incompatibility why this build must stay out, if it must
  * @param members the records of the controllers that run, by host
- * @param pendingValues values that have another form, or stand in another layout, than is written
+ * @param valuesToMigrate values that have another form, or stand in another layout, than is written
  * @param plan decides on steps; empty if the level can't be read
  */
 record UpgradeView(
-    Optional<StoredValue> level,
+    Optional<StoredValue> storedLevelRecord,
     SupportedLevels build,
-    Optional<String> objection,
+    Optional<String> incompatibility,
     Set<String> hosts,
     Map<String, StoredValue> members,
-    int pendingValues,
+    int valuesToMigrate,
     Optional<UpgradePlan> plan,
     Optional<String> leader,
     long term) {
 
   /** Reads all of it. */
-  static UpgradeView read(KeyValueStoreSession state, Settings settings, SupportedLevels build)
+  static UpgradeView read(KeyValueStoreSession session, Settings settings, SupportedLevels build)
       throws IOException {
-    Optional<StoredValue> level = state.read(Keys.LEVEL);
+    Optional<StoredValue> level = session.read(Keys.LEVEL);
     LevelGate gate = new LevelGate(build);
     gate.update(level.map(StoredValue::value), level.map(StoredValue::revision).orElse(0L));
     Set<String> hosts = settings.hosts();
     Map<String, StoredValue> members = new TreeMap<>();
-    state
+    session
         .list(Keys.MEMBERS)
         .forEach((key, stored) -> members.put(key.substring(Keys.MEMBERS.length()), stored));
     Map<String, StoredValue> records = new TreeMap<>();
     for (RecordLayout layout : RecordLayout.values()) {
-      records.putAll(state.list(layout.machinePrefix()));
-      records.putAll(state.list(layout.placementPrefix()));
+      records.putAll(session.list(layout.machinePrefix()));
+      records.putAll(session.list(layout.placementPrefix()));
     }
-    Map<Feature, List<String>> unsayable = new EnumMap<>(Feature.class);
-    unsayable.put(Feature.MACHINE_MAINTENANCE, inMaintenance(records));
-    unsayable.putAll(jobsOfLaterLevels(state.list(Keys.LIVE_JOBS), settings));
-    Optional<SchemaLevel> inForce = parse(level);
+    Map<Feature, List<String>> usesByFeature = new EnumMap<>(Feature.class);
+    usesByFeature.put(Feature.MACHINE_MAINTENANCE, machinesInMaintenance(records));
+    usesByFeature.putAll(jobsRequiringLaterLevels(session.list(Keys.LIVE_JOBS), settings));
+    Optional<SchemaLevel> schemaLevel = parseLevel(level);
     return new UpgradeView(
         level,
         build,
         gate.objection(),
         hosts,
         members,
-        inForce.map(l -> pendingValues(records, l.writtenLevel())).orElse(0),
-        inForce.map(l -> new UpgradePlan(l, hosts, supportByHost(members), unsayable)),
-        state.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
-        state.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
+        schemaLevel.map(l -> countValuesToMigrate(records, l.writtenLevel())).orElse(0),
+        schemaLevel.map(l -> new UpgradePlan(l, hosts, supportByHost(members), usesByFeature)),
+        session.read(Keys.LEADER).map(stored -> stored.value().path("node").asText()),
+        session.read(Keys.TERM).map(stored -> stored.value().path("term").asLong()).orElse(0L));
   }
 
-  private static Optional<SchemaLevel> parse(Optional<StoredValue> level) {
+  private static Optional<SchemaLevel> parseLevel(Optional<StoredValue> level) {
     try {
       return Optional.of(SchemaLevel.fromStored(level.map(StoredValue::value)));
     } catch (MalformedMessageException e) {
@@ -104,47 +104,48 @@
     return supports;
   }
 
-  private static int pendingValues(Map<String, StoredValue> records, int written) {
-    RecordLayout layout = RecordLayout.ofLevel(written);
+  private static int countValuesToMigrate(Map<String, StoredValue> records, int writtenLevel) {
+    RecordLayout layout = RecordLayout.ofLevel(writtenLevel);
     int pending = 0;
     for (Map.Entry<String, StoredValue> record : records.entrySet()) {
       String key = record.getKey();
-      boolean inPlace =
+      boolean migrated =
           layout.containsKey(key)
-              && (Keys.isPlacementRecords(key) || hasFormOf(record.getValue().value(), written));
-      pending += inPlace ? 0 : 1;
+              && (Keys.isPlacementRecords(key)
+                  || hasEncodingOf(record.getValue().value(), writtenLevel));
+      pending += migrated ? 0 : 1;
     }
     return pending;
   }
 
-  private static boolean hasFormOf(JsonNode roster, int written) {
-    return RecordLayout.ofLevel(written) == RecordLayout.NUMBERED
-        || MachineRecordCodec.levelOf(roster).orElse(written) == written;
+  private static boolean hasEncodingOf(JsonNode machineRecords, int writtenLevel) {
+    return RecordLayout.ofLevel(writtenLevel) == RecordLayout.NUMBERED
+        || MachineRecordCodec.levelOf(machineRecords).orElse(writtenLevel) == writtenLevel;
   }
 
   /** Jobs that an earlier level can't hold: gangs, and such as need larger values. */
-  private static Map<Feature, List<String>> jobsOfLaterLevels(
+  private static Map<Feature, List<String>> jobsRequiringLaterLevels(
       Map<String, StoredValue> jobs, Settings settings) {
-    RecordLayout earlier = RecordLayout.POSITIONAL;
-    List<String> gangs = new ArrayList<>();
-    List<String> large = new ArrayList<>();
+    RecordLayout earlierLayout = RecordLayout.POSITIONAL;
+    List<String> gangJobs = new ArrayList<>();
+    List<String> largeJobs = new ArrayList<>();
     jobs.forEach(
         (key, stored) -> {
           String id = Keys.lastSegment(key);
           JsonNode spec = stored.value().path("spec");
-          int tasks = Math.min(earlier.tasksPerPartition(), spec.path("pieces").asInt());
+          int tasks = Math.min(earlierLayout.tasksPerPartition(), spec.path("pieces").asInt());
           if (JobSpec.isStoredGang(spec)) {
-            gangs.add(id);
+            gangJobs.add(id);
           }
-          if (PlacementRecordCodec.maximumSize(id, tasks, earlier)
+          if (PlacementRecordCodec.maximumSize(id, tasks, earlierLayout)
               > settings.storeLimits().maxValueBytes()) {
-            large.add(id);
+            largeJobs.add(id);
           }
         });
-    return Map.of(Feature.GANG_JOBS, gangs, Feature.SMALL_VALUES, large);
+    return Map.of(Feature.GANG_JOBS, gangJobs, Feature.SMALL_VALUES, largeJobs);
   }
 
-  private static List<String> inMaintenance(Map<String, StoredValue> records) {
+  private static List<String> machinesInMaintenance(Map<String, StoredValue> records) {
     Set<String> names = new TreeSet<>();
     for (Map.Entry<String, StoredValue> record : records.entrySet()) {
       if (!Keys.isMachineRecords(record.getKey())) {
@@ -152,8 +153,8 @@
       }
       try {
         MachineRecordCodec.decode(record.getValue().value()).stream()
-            .filter(entry -> !entry.maintenance().isInService())
-            .forEach(entry -> names.add(entry.machine()));
+            .filter(machineRecord -> !machineRecord.maintenance().isInService())
+            .forEach(machineRecord -> names.add(machineRecord.machine()));
       } catch (MalformedMessageException e) {
         names.add("(unreadable: " + e.getMessage() + ")");
       }
@@ -163,33 +164,35 @@
 
   /** What a step is held to: none of the records of controllers that it rests on has changed. */
   List<Precondition> preconditions() {
-    List<Precondition> guards = new ArrayList<>();
+    List<Precondition> preconditions = new ArrayList<>();
     for (String host : hosts) {
-      long stamp = members.containsKey(host) ? members.get(host).revision() : 0;
-      guards.add(new Precondition(Keys.member(host), stamp));
+      long revision = members.containsKey(host) ? members.get(host).revision() : 0;
+      preconditions.add(new Precondition(Keys.member(host), revision));
     }
-    return guards;
+    return preconditions;
   }
 
   /** The stored record of the level, with fields that a later release may have added. */
   JsonNode storedLevel() {
-    return level.map(StoredValue::value).orElse(MessagePack.MISSING);
+    return storedLevelRecord.map(StoredValue::value).orElse(MessagePack.MISSING);
   }
 
   private String levelInForce() {
-    return level.map(stored -> stored.value().path("level").asText("unreadable")).orElse("0");
+    return storedLevelRecord
+        .map(stored -> stored.value().path("level").asText("unreadable"))
+        .orElse("0");
   }
 
-  private String written() {
+  private String writtenLevel() {
     return plan.map(p -> Integer.toString(p.inForce().writtenLevel())).orElse("unknown");
   }
 
-  private String migration() {
+  private String migrationProgress() {
     return plan.map(
             p ->
                 p.inForce().migrated()
                     ? "complete"
-                    : pendingValues + " values are to be rewritten or copied")
+                    : valuesToMigrate + " values are to be rewritten or copied")
         .orElse("unknown");
   }
 
@@ -197,7 +200,7 @@
     return plan.map(p -> p.nextStep(build)).orElse("repair " + Keys.LEVEL);
   }
 
-  private Map<String, String> controllers() {
+  private Map<String, String> supportTextByHost() {
     Map<String, MemberSupport> supports = supportByHost(members);
     Map<String, String> controllers = new TreeMap<>();
     for (String host : hosts) {
@@ -211,14 +214,17 @@
 
   String asTable() {
     List<String> lines = new ArrayList<>();
-    lines.add("level in force   " + levelInForce() + (level.isEmpty() ? " (none stored)" : ""));
-    lines.add("level written    " + written());
-    lines.add("migration        " + migration());
+    lines.add(
+        "level in force   "
+            + levelInForce()
+            + (storedLevelRecord.isEmpty() ? " (none stored)" : ""));
+    lines.add("level written    " + writtenLevel());
+    lines.add("migration        " + migrationProgress());
     lines.add("this build       " + build);
-    lines.add("takes part       " + objection.map(reason -> "no: " + reason).orElse("yes"));
+    lines.add("takes part       " + incompatibility.map(reason -> "no: " + reason).orElse("yes"));
     lines.add("leader           " + leader.orElse("nobody"));
     lines.add("term             " + term);
-    controllers().forEach((host, says) -> lines.add("%-16s %s".formatted(host, says)));
+    supportTextByHost().forEach((host, support) -> lines.add("%-16s %s".formatted(host, support)));
     lines.add("next step        " + nextStep());
     return String.join(System.lineSeparator(), lines);
   }
@@ -226,17 +232,17 @@
   String asJson() {
     ObjectNode node = new ObjectMapper().createObjectNode();
     node.put("levelInForce", levelInForce());
-    node.put("levelWritten", written());
-    node.put("migration", migration());
-    node.put("valuesToMigrate", pendingValues);
+    node.put("levelWritten", writtenLevel());
+    node.put("migration", migrationProgress());
+    node.put("valuesToMigrate", valuesToMigrate);
     node.put("lowestSupported", build.lowest());
     node.put("highestSupported", build.highest());
-    node.put("takesPart", objection.isEmpty());
-    objection.ifPresent(reason -> node.put("reason", reason));
+    node.put("takesPart", incompatibility.isEmpty());
+    incompatibility.ifPresent(reason -> node.put("reason", reason));
     leader.ifPresent(name -> node.put("leader", name));
     node.put("term", term);
     ObjectNode controllers = node.putObject("controllers");
-    controllers().forEach(controllers::put);
+    supportTextByHost().forEach(controllers::put);
     return node.put("nextStep", nextStep()).toString();
   }
 }
--- a/src/main/java/io/pearscale/cli/WarmUp.java
+++ b/src/main/java/io/pearscale/cli/WarmUp.java
@@ -71,10 +71,10 @@
       """;
 
   /** Long enough for an election, a pass, its writes and the commands that follow. */
-  private static final Duration ROUND = Duration.ofMillis(700);
+  private static final Duration ROUND_DURATION = Duration.ofMillis(700);
 
   private static final int ROUNDS = 4;
-  private static final Duration START = Duration.ofSeconds(10);
+  private static final Duration START_TIMEOUT = Duration.ofSeconds(10);
 
   private final WarmUpServices services = new WarmUpServices();
 
@@ -83,7 +83,7 @@
     int[] ports = freePorts();
     XnioWorker worker = Server.newSingleThreadWorker();
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, 8192, 50, 4);
-    HttpServer stub =
+    HttpServer stubServer =
         new HttpServer(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[4]),
             worker,
@@ -92,68 +92,78 @@
             100,
             path -> false,
             services::handle);
-    stub.start();
-    Server first = serve("warm-0", ports[0], ports[2], "warm-1", ports[3], ports[4]);
-    Server second = serve("warm-1", ports[1], ports[3], "warm-0", ports[2], ports[4]);
+    stubServer.start();
+    Server first = startServer("warm-0", ports[0], ports[2], "warm-1", ports[3], ports[4]);
+    Server second = startServer("warm-1", ports[1], ports[3], "warm-0", ports[2], ports[4]);
     XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-    UndertowHttpClient calls = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 20);
+    UndertowHttpClient httpClient = new UndertowHttpClient(loop, worker.getIoThread(), buffers, 20);
     String stubAddress = "127.0.0.1:" + ports[4];
     for (int round = 0; round < ROUNDS; round++) {
       // One of the two leads, the other relays.
       for (int port : new int[] {ports[0], ports[1]}) {
         String self = "127.0.0.1:" + port;
-        ask(loop, calls, self, "GET", "/up", MessagePack.MISSING);
-        ask(loop, calls, self, "POST", "/work", job());
-        ask(loop, calls, self, "POST", "/work", gang());
-        ask(loop, calls, self, "GET", "/work/wk-000001", MessagePack.MISSING);
-        ask(loop, calls, self, "POST", "/checkin", services.heartbeat(stubAddress));
-        ask(loop, calls, self, "POST", "/checkin", MessagePack.map());
+        call(loop, httpClient, self, "GET", "/up", MessagePack.MISSING);
+        call(loop, httpClient, self, "POST", "/work", sampleJob());
+        call(loop, httpClient, self, "POST", "/work", sampleGang());
+        call(loop, httpClient, self, "GET", "/work/wk-000001", MessagePack.MISSING);
+        call(loop, httpClient, self, "POST", "/checkin", services.heartbeat(stubAddress));
+        call(loop, httpClient, self, "POST", "/checkin", MessagePack.map());
       }
-      Thread.sleep(ROUND.toMillis());
+      Thread.sleep(ROUND_DURATION.toMillis());
     }
-    ask(loop, calls, "127.0.0.1:" + ports[0], "POST", "/work/wk-000001/cancel", MessagePack.map());
-    Thread.sleep(ROUND.toMillis());
+    call(
+        loop,
+        httpClient,
+        "127.0.0.1:" + ports[0],
+        "POST",
+        "/work/wk-000001/cancel",
+        MessagePack.map());
+    Thread.sleep(ROUND_DURATION.toMillis());
     first.stop();
     second.stop();
-    stub.stop();
+    stubServer.stop();
     worker.shutdownNow();
     return 0;
   }
 
   private static int[] freePorts() throws IOException {
     int[] ports = new int[5];
-    ServerSocket[] held = new ServerSocket[ports.length];
+    ServerSocket[] sockets = new ServerSocket[ports.length];
     for (int i = 0; i < ports.length; i++) {
-      held[i] = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-      ports[i] = held[i].getLocalPort();
+      sockets[i] = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+      ports[i] = sockets[i].getLocalPort();
     }
-    for (ServerSocket socket : held) {
+    for (ServerSocket socket : sockets) {
       socket.close();
     }
     return ports;
   }
 
-  private static Server serve(
-      String host, int client, int back, String peer, int peerBack, int stub) throws Exception {
+  private static Server startServer(
+      String host, int clientPort, int peerPort, String otherHost, int otherPeerPort, int stubPort)
+      throws Exception {
     Path file = Files.createTempFile("pearscale", ".toml");
     try {
-      Files.writeString(file, SETTINGS.formatted(host, client, back, peer, peerBack, stub, stub));
+      Files.writeString(
+          file,
+          SETTINGS.formatted(
+              host, clientPort, peerPort, otherHost, otherPeerPort, stubPort, stubPort));
       Server server =
           new Server(
               SettingsReader.read(file),
               TuningReader.read(Optional.empty()),
               OperatorSettings.defaults());
-      server.awaitListening(START);
+      server.awaitListening(START_TIMEOUT);
       return server;
     } finally {
       Files.deleteIfExists(file);
     }
   }
 
-  private static void ask(
+  private static void call(
       XnioEventLoop loop,
-      UndertowHttpClient calls,
-      String to,
+      UndertowHttpClient httpClient,
+      String address,
       String method,
       String path,
       JsonNode body)
@@ -161,12 +171,13 @@
     CountDownLatch latch = new CountDownLatch(1);
     loop.execute(
         () ->
-            calls.call(to, method, path, body, Duration.ofSeconds(2), reply -> latch.countDown()));
+            httpClient.call(
+                address, method, path, body, Duration.ofSeconds(2), reply -> latch.countDown()));
     latch.await(3, TimeUnit.SECONDS);
   }
 
   /** A well-formed submission. */
-  static ObjectNode job() {
+  static ObjectNode sampleJob() {
     return MessagePack.map()
         .put("uid", "wk-000001")
         .put("lineup", "c")
@@ -189,12 +200,12 @@
   }
 
   /** A well-formed submission of a gang. */
-  private static ObjectNode gang() {
-    return job().put("uid", "wk-000002").put("shape", "group").put("pieces", 2);
+  private static ObjectNode sampleGang() {
+    return sampleJob().put("uid", "wk-000002").put("shape", "group").put("pieces", 2);
   }
 
   /** A well-formed report. */
-  static ObjectNode heartbeat(String address) {
+  static ObjectNode sampleHeartbeat(String address) {
     ObjectNode heartbeat =
         MessagePack.map()
             .put("hive", "m-000001")
--- a/src/main/java/io/pearscale/cli/WarmUpServices.java
+++ b/src/main/java/io/pearscale/cli/WarmUpServices.java
@@ -16,95 +16,97 @@
  * election, a job and its tasks. Nothing is limited, lost or kept.
  */
 final class WarmUpServices {
-  private static final String KEYS = "/keys/";
+  private static final String KEYS_PATH = "/keys/";
 
-  private final TreeMap<String, ObjectNode> pairs = new TreeMap<>();
+  private final TreeMap<String, ObjectNode> storedPairs = new TreeMap<>();
   private final ArrayNode events = MessagePack.map().putArray("events");
-  private final Map<String, Long> tasks = new HashMap<>();
-  private long epoch = 1;
-  private long token;
+  private final Map<String, Long> attemptByTask = new HashMap<>();
+  private long revision = 1;
+  private long fencingToken;
   private long sequence;
   private String address = "127.0.0.1:1";
 
   /** Answers a request to any of them. */
   synchronized void handle(String method, String path, Body body, Consumer<Response> respond) {
     JsonNode request = body.tree().orElse(MessagePack.map());
-    if (path.startsWith(KEYS) && !pairs.containsKey(path.substring(KEYS.length()))) {
-      respond.accept(Response.of(404, MessagePack.map().put("epoch", epoch)));
-    } else if (path.startsWith(KEYS)) {
-      respond.accept(Response.of(200, pairs.get(path.substring(KEYS.length()))));
+    if (path.startsWith(KEYS_PATH)
+        && !storedPairs.containsKey(path.substring(KEYS_PATH.length()))) {
+      respond.accept(Response.of(404, MessagePack.map().put("epoch", revision)));
+    } else if (path.startsWith(KEYS_PATH)) {
+      respond.accept(Response.of(200, storedPairs.get(path.substring(KEYS_PATH.length()))));
     } else if (path.equals("/commit")) {
       respond.accept(commit(request));
     } else if (path.equals("/do")) {
-      token = Math.max(token, request.path("baton").asLong());
+      fencingToken = Math.max(fencingToken, request.path("baton").asLong());
       request.path("orders").forEach(this::execute);
       respond.accept(Response.of(200, heartbeat(address)));
     } else if (path.equals("/keys")) {
       // An old list: what has changed since comes with the watch.
-      respond.accept(Response.of(200, anything().put("epoch", 1)));
+      respond.accept(Response.of(200, combinedResponse().put("epoch", 1)));
     } else {
-      respond.accept(Response.of(200, anything()));
+      respond.accept(Response.of(200, combinedResponse()));
     }
   }
 
   private Response commit(JsonNode request) {
-    for (JsonNode guard : request.path("guards")) {
-      ObjectNode pair = pairs.get(guard.path("key").asText());
-      if (guard.path("stamp").asLong() != (pair == null ? 0 : pair.path("stamp").asLong())) {
-        ObjectNode failure = MessagePack.map().put("epoch", epoch);
-        failure.putArray("failed").add(guard.path("key").asText());
+    for (JsonNode precondition : request.path("guards")) {
+      ObjectNode pair = storedPairs.get(precondition.path("key").asText());
+      if (precondition.path("stamp").asLong() != (pair == null ? 0 : pair.path("stamp").asLong())) {
+        ObjectNode failure = MessagePack.map().put("epoch", revision);
+        failure.putArray("failed").add(precondition.path("key").asText());
         return Response.of(409, failure);
       }
     }
-    epoch++;
-    for (JsonNode change : request.path("then")) {
-      ObjectNode event = change.deepCopy();
-      events.add(event.put("stamp", epoch));
-      if (change.has("write")) {
-        String key = change.path("write").asText();
-        ObjectNode pair = MessagePack.map().put("key", key).put("stamp", epoch);
-        pair.set("value", change.path("value"));
-        pairs.put(key, pair);
+    revision++;
+    for (JsonNode mutation : request.path("then")) {
+      ObjectNode event = mutation.deepCopy();
+      events.add(event.put("stamp", revision));
+      if (mutation.has("write")) {
+        String key = mutation.path("write").asText();
+        ObjectNode pair = MessagePack.map().put("key", key).put("stamp", revision);
+        pair.set("value", mutation.path("value"));
+        storedPairs.put(key, pair);
       } else {
-        pairs.remove(change.path("drop").asText());
+        storedPairs.remove(mutation.path("drop").asText());
       }
     }
-    return Response.of(200, MessagePack.map().put("epoch", epoch));
+    return Response.of(200, MessagePack.map().put("epoch", revision));
   }
 
-  private void execute(JsonNode order) {
-    String task = order.path("piece").asText();
-    if (order.path("verb").asText().equals("run")) {
-      tasks.put(task, order.path("try").asLong());
+  private void execute(JsonNode command) {
+    String task = command.path("piece").asText();
+    if (command.path("verb").asText().equals("run")) {
+      attemptByTask.put(task, command.path("try").asLong());
     } else {
-      tasks.remove(task);
+      attemptByTask.remove(task);
     }
   }
 
   /** The worker's next report; every second one says that its tasks are done. */
   synchronized ObjectNode heartbeat(String workerAddress) {
     address = workerAddress;
-    ObjectNode report = WarmUp.heartbeat(address).put("tally", ++sequence).put("baton", token);
-    ArrayNode list = report.putArray("pieces");
-    tasks.forEach(
+    ObjectNode heartbeat =
+        WarmUp.sampleHeartbeat(address).put("tally", ++sequence).put("baton", fencingToken);
+    ArrayNode tasks = heartbeat.putArray("pieces");
+    attemptByTask.forEach(
         (task, attempt) -> {
-          ObjectNode entry = list.addObject().put("piece", task).put("try", attempt);
+          ObjectNode entry = tasks.addObject().put("piece", task).put("try", attempt);
           if (sequence % 2 == 0) {
             entry.put("stage", "ended").put("cause", "done");
           } else {
             entry.put("stage", "running");
           }
         });
-    return report;
+    return heartbeat;
   }
 
   /** What the other pages answer, in one: a reader takes what it knows. */
-  private ObjectNode anything() {
-    ObjectNode answer = MessagePack.map();
-    answer.put("epoch", epoch).put("claim", epoch).put("more", false);
-    answer.set("events", events.deepCopy());
-    answer.putArray("pairs");
-    answer
+  private ObjectNode combinedResponse() {
+    ObjectNode response = MessagePack.map();
+    response.put("epoch", revision).put("claim", revision).put("more", false);
+    response.set("events", events.deepCopy());
+    response.putArray("pairs");
+    response
         .putArray("hives")
         .addObject()
         .put("uid", "m-000001")
@@ -114,7 +116,7 @@
         .put("windfall", false)
         .put("stage", "running")
         .put("ageS", 60.0);
-    answer
+    response
         .putArray("breeds")
         .addObject()
         .put("sku", "g")
@@ -128,6 +130,6 @@
         .put("readyS", 20.0)
         .putArray("yards")
         .add("a");
-    return answer;
+    return response;
   }
 }
