--- a/src/main/java/io/pearscale/api/ApiActor.java
+++ b/src/main/java/io/pearscale/api/ApiActor.java
@@ -42,13 +42,13 @@
  */
 public final class ApiActor extends Actor<ApiActor.Message> {
   /** Of how many jobs that are over the outcome is kept in memory, the last used ones. */
-  private static final int MAX_REMEMBERED_OUTCOMES = 20_000;
+  private static final int MAX_CACHED_OUTCOMES = 20_000;
 
   /** Beyond so many counts of tasks those of jobs that are over are dropped. */
   private static final int MAX_TASK_COUNTS = 2 * SubmissionValidator.MAX_LIVE_JOBS;
 
   /** The most that the value of a job holds beside its specification, in bytes. */
-  private static final int VALUE_OVERHEAD = 100;
+  private static final int VALUE_OVERHEAD_BYTES = 100;
 
   /** How often a cancellation that meets a change of the job is tried again. */
   private static final int MAX_CANCELLATION_RETRIES = 3;
@@ -66,7 +66,7 @@
   public record Cancel(String jobId, Consumer<Response> respond) implements Message {}
 
   /** The copy of the keys was loaded. */
-  public record Loaded(Map<String, Entry> entries) implements Message {}
+  public record ReplicaLoaded(Map<String, Entry> entries) implements Message {}
 
   /** Keys changed. */
   public record KeysChanged(List<KeyChange> changes) implements Message {}
@@ -93,9 +93,10 @@
       implements Message {}
 
   private record LiveRecordRead(
-      String jobId, Optional<Optional<Entry>> entry, Consumer<Lookup> then) implements Message {}
+      String jobId, Optional<Optional<Entry>> entry, Consumer<Lookup> callback)
+      implements Message {}
 
-  private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> then)
+  private record FinishedRecordRead(String jobId, Reply reply, Consumer<Lookup> callback)
       implements Message {}
 
   /** What is known of a job, as fresh as the request. */
@@ -107,7 +108,7 @@
 
   private record NoSuchJob() implements Lookup {}
 
-  private record Undetermined() implements Lookup {}
+  private record UnknownStatus() implements Lookup {}
 
   private final KeyValueStoreClient store;
   private final StoreReplicaActor replica;
@@ -121,7 +122,7 @@
   private final Set<String> liveJobs = new HashSet<>();
 
   private List<MachineType> machineTypes = List.of();
-  private boolean loaded;
+  private boolean replicaLoaded;
 
   /** Requests of users that are not responded to yet. */
   private int openRequests;
@@ -130,13 +131,13 @@
   private final Map<String, Instant> acknowledgedCancellations = new LinkedHashMap<>();
 
   /** How jobs ended, by id. */
-  private final Map<String, JobOutcome> outcomes =
+  private final Map<String, JobOutcome> cachedOutcomes =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, JobOutcome> eldest) {
-          return size() > MAX_REMEMBERED_OUTCOMES;
+          return size() > MAX_CACHED_OUTCOMES;
         }
       };
 
@@ -167,14 +168,14 @@
   @Override
   protected void receive(Message message) {
     if (message instanceof Submit m) {
-      submit(m.body, countOpen(m.respond));
+      submit(m.body, trackOpenRequest(m.respond));
     } else if (message instanceof Query m) {
-      Consumer<Response> answer = countOpen(m.respond);
-      lookup(m.jobId, lookup -> answer.accept(statusResponse(m.jobId, lookup)));
+      Consumer<Response> respond = trackOpenRequest(m.respond);
+      lookup(m.jobId, lookup -> respond.accept(statusResponse(m.jobId, lookup)));
     } else if (message instanceof Cancel m) {
-      cancel(m.jobId, countOpen(m.respond), 0);
-    } else if (message instanceof Loaded m) {
-      loaded = true;
+      cancel(m.jobId, trackOpenRequest(m.respond), 0);
+    } else if (message instanceof ReplicaLoaded m) {
+      replicaLoaded = true;
       liveJobs.clear();
       m.entries.forEach((k, e) -> applyChange(new KeyChange(k, Optional.of(e))));
     } else if (message instanceof KeysChanged m) {
@@ -187,7 +188,7 @@
     } else if (message instanceof RecentCancellations m) {
       m.respond.accept(recentCancellations(), List.copyOf(liveJobs));
     } else if (message instanceof JobCancelled m) {
-      outcomes.put(m.job, JobOutcome.cancelled(0));
+      cachedOutcomes.put(m.job, JobOutcome.cancelled(0));
       liveJobs.remove(m.job);
       acknowledgedCancellations.put(m.job, loop.clock().instant());
     } else if (message instanceof SubmissionCommitted m) {
@@ -202,11 +203,11 @@
   }
 
   /** Counts open requests, so that a flood is refused while it can still be refused quickly. */
-  private Consumer<Response> countOpen(Consumer<Response> answer) {
+  private Consumer<Response> trackOpenRequest(Consumer<Response> respond) {
     openRequests++;
     return r -> {
       openRequests--;
-      answer.accept(r);
+      respond.accept(r);
     };
   }
 
@@ -226,50 +227,50 @@
 
   // ---- Submitting ----
 
-  private void submit(Optional<JsonNode> body, Consumer<Response> answer) {
+  private void submit(Optional<JsonNode> body, Consumer<Response> respond) {
     JobSpec spec;
     try {
       spec = parse(body);
     } catch (MalformedMessageException e) {
-      answer.accept(JobResponses.malformed(e.getMessage()));
+      respond.accept(JobResponses.malformed(e.getMessage()));
       return;
     }
-    JobOutcome outcome = outcomes.get(spec.id());
+    JobOutcome outcome = cachedOutcomes.get(spec.id());
     if (outcome != null) {
-      answer.accept(JobResponses.stage(spec.id(), outcome.stage()));
+      respond.accept(JobResponses.stage(spec.id(), outcome.stage()));
       return;
     }
-    if (!loaded || openRequests > settings.connectionLimits().openUserRequests()) {
-      answer.accept(JobResponses.unavailable(loaded ? "busy" : "starting"));
+    if (!replicaLoaded || openRequests > settings.connectionLimits().maxOpenUserRequests()) {
+      respond.accept(JobResponses.unavailable(replicaLoaded ? "busy" : "starting"));
       return;
     }
     if (liveJobs.contains(spec.id())) {
       lookup(
           spec.id(),
-          lookup -> answer.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
+          lookup -> respond.accept(knownJobResponse(spec.id(), lookup, Optional.empty())));
       return;
     }
     Optional<Response> refusal = validator.refusal(spec, machineTypes, liveJobs.size());
     if (refusal.isPresent()) {
       // An id that is known already is not validated again.
-      lookup(spec.id(), lookup -> answer.accept(knownJobResponse(spec.id(), lookup, refusal)));
+      lookup(spec.id(), lookup -> respond.accept(knownJobResponse(spec.id(), lookup, refusal)));
       return;
     }
-    commitSubmission(spec, answer);
+    commitSubmission(spec, respond);
   }
 
   private JobSpec parse(Optional<JsonNode> body) throws MalformedMessageException {
     JobSpec spec =
         JobSpec.parse(
             body.orElseThrow(() -> new MalformedMessageException("MessagePack expected")));
-    if (spec.toNode().toString().length() + VALUE_OVERHEAD
+    if (spec.toNode().toString().length() + VALUE_OVERHEAD_BYTES
         > settings.storeLimits().maxValueBytes()) {
       throw new MalformedMessageException("too long");
     }
     return spec;
   }
 
-  private void commitSubmission(JobSpec spec, Consumer<Response> answer) {
+  private void commitSubmission(JobSpec spec, Consumer<Response> respond) {
     ObjectNode value = MessagePack.map().put("at", wallClock.instant().toEpochMilli());
     value.set("spec", spec.toNode());
     store.compareAndSwap(
@@ -277,7 +278,7 @@
             new Precondition(Keys.liveJob(spec.id()), 0),
             new Precondition(Keys.finishedJob(spec.id()), 0)),
         List.of(Mutation.put(Keys.liveJob(spec.id()), value)),
-        reply -> tell(new SubmissionCommitted(spec, answer, reply)));
+        reply -> tell(new SubmissionCommitted(spec, respond, reply)));
   }
 
   private void submissionCommitted(SubmissionCommitted message) {
@@ -301,61 +302,63 @@
     }
   }
 
-  private Response knownJobResponse(String jobId, Lookup lookup, Optional<Response> otherwise) {
+  private Response knownJobResponse(
+      String jobId, Lookup lookup, Optional<Response> responseIfNotFound) {
     if (lookup instanceof LiveJob) {
       return JobResponses.stage(jobId, liveStage(jobId));
-    } else if (lookup instanceof FinishedJob o) {
-      return JobResponses.stage(jobId, o.outcome.stage());
-    } else if (lookup instanceof NoSuchJob && otherwise.isPresent()) {
-      return otherwise.get();
+    } else if (lookup instanceof FinishedJob finished) {
+      return JobResponses.stage(jobId, finished.outcome.stage());
+    } else if (lookup instanceof NoSuchJob && responseIfNotFound.isPresent()) {
+      return responseIfNotFound.get();
     }
     return JobResponses.storeUnavailable();
   }
 
   // ---- Asking ----
 
-  private void lookup(String jobId, Consumer<Lookup> then) {
-    JobOutcome outcome = outcomes.get(jobId);
+  private void lookup(String jobId, Consumer<Lookup> callback) {
+    JobOutcome outcome = cachedOutcomes.get(jobId);
     if (outcome != null) {
-      then.accept(new FinishedJob(outcome));
+      callback.accept(new FinishedJob(outcome));
       return;
     }
-    if (openRequests > settings.connectionLimits().openUserRequests() || !JobSpec.isId(jobId)) {
-      then.accept(JobSpec.isId(jobId) ? new Undetermined() : new NoSuchJob());
+    if (openRequests > settings.connectionLimits().maxOpenUserRequests()
+        || !JobSpec.isValidId(jobId)) {
+      callback.accept(JobSpec.isValidId(jobId) ? new UnknownStatus() : new NoSuchJob());
       return;
     }
     replica.tell(
         new StoreReplicaActor.LinearizableRead(
-            Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, then))));
+            Keys.liveJob(jobId), e -> tell(new LiveRecordRead(jobId, e, callback))));
   }
 
   private void liveRecordRead(LiveRecordRead message) {
-    JobOutcome outcome = outcomes.get(message.jobId);
+    JobOutcome outcome = cachedOutcomes.get(message.jobId);
     if (outcome != null) {
       // It ended while the read was under way, and this controller has acknowledged that.
-      message.then.accept(new FinishedJob(outcome));
+      message.callback.accept(new FinishedJob(outcome));
     } else if (message.entry.isEmpty()) {
-      message.then.accept(new Undetermined());
+      message.callback.accept(new UnknownStatus());
     } else if (message.entry.get().isPresent()) {
-      message.then.accept(new LiveJob(message.entry.get().get()));
+      message.callback.accept(new LiveJob(message.entry.get().get()));
     } else {
       // Not live at a time after the request: over by then, or never accepted by then.
       store.get(
           Keys.finishedJob(message.jobId),
-          r -> tell(new FinishedRecordRead(message.jobId, r, message.then)));
+          r -> tell(new FinishedRecordRead(message.jobId, r, message.callback)));
     }
   }
 
   private void finishedRecordRead(FinishedRecordRead message) {
     if (message.reply.ok()) {
       JobOutcome outcome = JobOutcome.decode(StoreReplies.valueOf(message.reply));
-      outcomes.put(message.jobId, outcome);
+      cachedOutcomes.put(message.jobId, outcome);
       acknowledgeCancellation(message.jobId, outcome);
-      message.then.accept(new FinishedJob(outcome));
+      message.callback.accept(new FinishedJob(outcome));
     } else if (StoreReplies.isNotFound(message.reply)) {
-      message.then.accept(new NoSuchJob());
+      message.callback.accept(new NoSuchJob());
     } else {
-      message.then.accept(new Undetermined());
+      message.callback.accept(new UnknownStatus());
     }
   }
 
@@ -390,8 +393,8 @@
     if (lookup instanceof LiveJob) {
       JobTaskCount count = taskCounts.getOrDefault(jobId, new JobTaskCount(jobId, 0, 0));
       return JobResponses.status(jobId, liveStage(jobId), count.done(), count.running());
-    } else if (lookup instanceof FinishedJob o) {
-      return JobResponses.status(jobId, o.outcome);
+    } else if (lookup instanceof FinishedJob finished) {
+      return JobResponses.status(jobId, finished.outcome);
     } else if (lookup instanceof NoSuchJob) {
       return JobResponses.notFound();
     }
@@ -400,22 +403,22 @@
 
   // ---- Cancelling ----
 
-  private void cancel(String jobId, Consumer<Response> answer, int retries) {
+  private void cancel(String jobId, Consumer<Response> respond, int retries) {
     lookup(
         jobId,
         lookup -> {
           if (lookup instanceof LiveJob live) {
-            commitCancellation(jobId, live.entry, answer, retries);
+            commitCancellation(jobId, live.entry, respond, retries);
           } else if (lookup instanceof FinishedJob finished) {
-            answer.accept(JobResponses.stage(jobId, finished.outcome.stage()));
+            respond.accept(JobResponses.stage(jobId, finished.outcome.stage()));
           } else {
-            answer.accept(statusResponse(jobId, lookup));
+            respond.accept(statusResponse(jobId, lookup));
           }
         });
   }
 
   private void commitCancellation(
-      String jobId, Entry live, Consumer<Response> answer, int retries) {
+      String jobId, Entry live, Consumer<Response> respond, int retries) {
     int tasks = live.value().path("spec").path("pieces").asInt();
     store.compareAndSwap(
         List.of(
@@ -424,13 +427,13 @@
         List.of(
             Mutation.delete(Keys.liveJob(jobId)),
             Mutation.put(Keys.finishedJob(jobId), JobOutcome.cancelled(tasks).encode())),
-        reply -> tell(new CancellationCommitted(jobId, tasks, retries, answer, reply)));
+        reply -> tell(new CancellationCommitted(jobId, tasks, retries, respond, reply)));
   }
 
   private void cancellationCommitted(CancellationCommitted message) {
     if (message.reply.ok()) {
       JobOutcome outcome = JobOutcome.cancelled(message.tasks);
-      outcomes.put(message.jobId, outcome);
+      cachedOutcomes.put(message.jobId, outcome);
       acknowledgeCancellation(message.jobId, outcome);
       liveJobs.remove(message.jobId);
       log.info("event=job_cancelled job={}", message.jobId);
--- a/src/main/java/io/pearscale/api/SubmissionValidator.java
+++ b/src/main/java/io/pearscale/api/SubmissionValidator.java
@@ -25,7 +25,7 @@
   private static final Duration CATALOGUE_RETRY_AFTER = Duration.ofSeconds(2);
 
   /** When users are to ask again while too many jobs are live. */
-  private static final Duration FULL_RETRY_AFTER = Duration.ofSeconds(30);
+  private static final Duration TOO_MANY_JOBS_RETRY_AFTER = Duration.ofSeconds(30);
 
   /** The level rises within about a second of when the last controller says what it supports. */
   private static final Duration UPGRADE_RETRY_AFTER = Duration.ofSeconds(2);
@@ -60,7 +60,7 @@
           Response.unavailable(CATALOGUE_RETRY_AFTER, "machine types unknown as yet"));
     }
     if (liveJobs >= MAX_LIVE_JOBS) {
-      return Optional.of(Response.unavailable(FULL_RETRY_AFTER, "too many jobs"));
+      return Optional.of(Response.unavailable(TOO_MANY_JOBS_RETRY_AFTER, "too many jobs"));
     }
     Team team = teams.get(spec.team());
     if (team == null) {
@@ -106,20 +106,20 @@
    * Where a later schema level takes smaller partitions of jobs, it is only a matter of time.
    */
   private Optional<Response> recordSizeRefusal(JobSpec spec, Team team) {
-    int longest = settings.storeLimits().maxValueBytes();
+    int maxValueBytes = settings.storeLimits().maxValueBytes();
     if (maxRecordSize(spec, team, RecordLayout.ofLevel(levelGate.inForce().writtenLevel()))
-        <= longest) {
+        <= maxValueBytes) {
       return Optional.empty();
     }
-    return maxRecordSize(spec, team, RecordLayout.NUMBERED) <= longest
+    return maxRecordSize(spec, team, RecordLayout.NUMBERED) <= maxValueBytes
             && levelGate.supports(Feature.SMALL_VALUES)
         ? Optional.of(
             Response.unavailable(UPGRADE_RETRY_AFTER, "not all controllers take so many tasks yet"))
-        : reject("its tasks can't be recorded in values of " + longest + " bytes");
+        : reject("its tasks can't be recorded in values of " + maxValueBytes + " bytes");
   }
 
   private static int maxRecordSize(JobSpec spec, Team team, RecordLayout layout) {
-    int claim =
+    int quotaClaimBytes =
         team.hasQuotaLimit()
             ? new PlacementRecordCodec.QuotaClaim(
                     spec.team(), spec.cpus(), spec.gpus(), spec.memoryGb())
@@ -127,7 +127,7 @@
             : 0;
     return PlacementRecordCodec.maximumSize(
             spec.id(), Math.min(spec.tasks(), layout.tasksPerPartition()), layout)
-        + claim;
+        + quotaClaimBytes;
   }
 
   private Optional<Response> gangRefusal(JobSpec spec) {
--- a/src/main/java/io/pearscale/api/TaskCountPublisher.java
+++ b/src/main/java/io/pearscale/api/TaskCountPublisher.java
@@ -12,7 +12,7 @@
 /** Publishes how many tasks of each job are done and run, for users of all controllers. */
 public final class TaskCountPublisher {
   /** Of how many jobs that are over counts may be kept beside those of live ones. */
-  private static final int MAX_FINISHED_JOBS = 1000;
+  private static final int MAX_FINISHED_JOB_COUNTS = 1000;
 
   private final JobTable jobs;
   private final Consumer<List<JobTaskCount>> listener;
@@ -35,14 +35,14 @@
     for (Job job : jobs.all()) {
       int done = job.doneCount();
       int running = job.runningTasks();
-      JobTaskCount before = lastPublished.get(job.spec().id());
-      if (before == null || before.done() != done || before.running() != running) {
+      JobTaskCount previous = lastPublished.get(job.spec().id());
+      if (previous == null || previous.done() != done || previous.running() != running) {
         JobTaskCount count = new JobTaskCount(job.spec().id(), done, running);
         lastPublished.put(job.spec().id(), count);
         changed.add(count);
       }
     }
-    if (lastPublished.size() > jobs.size() + MAX_FINISHED_JOBS) {
+    if (lastPublished.size() > jobs.size() + MAX_FINISHED_JOB_COUNTS) {
       lastPublished.keySet().removeIf(id -> !jobs.isLive(id));
     }
     if (!changed.isEmpty()) {
--- a/src/main/java/io/pearscale/cli/Commands.java
+++ b/src/main/java/io/pearscale/cli/Commands.java
@@ -99,7 +99,7 @@
         Settings settings = files.settings();
         files.tuning();
         files.operations();
-        System.out.println("settings of " + settings.host() + " are good");
+        System.out.println("settings of " + settings.controllerName() + " are good");
         System.out.println(describeSockets(settings.maxConnections(), settings.connectionLimits()));
         return 0;
       } catch (SettingsException e) {
@@ -112,7 +112,8 @@
   /** What the sockets of the settings suffice for. */
   static String describeSockets(int fdLimit, ConnectionLimits shares) {
     return "fd_limit %d: up to %d workers keep their connections, more share them by turns; %d calls at a time; %d reports wait for an election"
-        .formatted(fdLimit, shares.keptAlive(), shares.outbound(), shares.parkedHeartbeats());
+        .formatted(
+            fdLimit, shares.maxKeptAlive(), shares.outbound(), shares.maxWaitingHeartbeats());
   }
 
   static final class Version implements IVersionProvider {
--- a/src/main/java/io/pearscale/cli/Server.java
+++ b/src/main/java/io/pearscale/cli/Server.java
@@ -73,7 +73,7 @@
             worker,
             buffers,
             settings.connectionLimits().inbound(),
-            settings.connectionLimits().keptAlive(),
+            settings.connectionLimits().maxKeptAlive(),
             Controller.HEARTBEAT_PATH::equals,
             controller::handleRequest);
     loop.schedule(SOCKETS_LOGGED, () -> logSockets(loop, calls));
@@ -119,9 +119,9 @@
     return new TcpPeerTransport(
         loop,
         worker,
-        settings.host(),
-        PeerVersions.OF_THIS_BUILD.greeting(),
-        PeerVersions.OF_THIS_BUILD::accepts,
+        settings.controllerName(),
+        PeerVersions.SUPPORTED.greeting(),
+        PeerVersions.SUPPORTED::accepts,
         settings.peers(),
         receiver);
   }
--- a/src/main/java/io/pearscale/cli/SettingsReader.java
+++ b/src/main/java/io/pearscale/cli/SettingsReader.java
@@ -97,7 +97,7 @@
       return limits;
     }
     JsonNode next = table(state, "next", now);
-    return limits.smallerOf(limits(next, state, now + "next."));
+    return limits.min(limits(next, state, now + "next."));
   }
 
   /** Limits of a table; what it does not name is as in the other one. */
--- a/src/main/java/io/pearscale/cli/UpgradeView.java
+++ b/src/main/java/io/pearscale/cli/UpgradeView.java
@@ -56,7 +56,7 @@
     Optional<StoredValue> level = state.read(Keys.LEVEL);
     LevelGate gate = new LevelGate(build);
     gate.update(level.map(StoredValue::value), level.map(StoredValue::revision).orElse(0L));
-    Set<String> hosts = settings.hosts();
+    Set<String> hosts = settings.controllerNames();
     Map<String, StoredValue> members = new TreeMap<>();
     state
         .list(Keys.MEMBERS)
--- a/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
+++ b/src/main/java/io/pearscale/coordination/ElectionStateMachine.java
@@ -59,7 +59,7 @@
       ElectionEffects effects,
       ElectionListener listener) {
     Set<String> peers = settings.peers().keySet();
-    this.host = settings.host();
+    this.host = settings.controllerName();
     this.clock = clock;
     this.eligibility = eligibility;
     this.effects = effects;
--- a/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
+++ b/src/main/java/io/pearscale/coordination/HeartbeatRelayActor.java
@@ -112,7 +112,7 @@
     if (message instanceof HeartbeatReceived m) {
       relay(m);
     } else if (message instanceof LeaderResponded m) {
-      complete(m.response.exchange(), m.response.response());
+      complete(m.response.exchangeId(), m.response.response());
     } else if (message instanceof LeaderChanged m) {
       if (m.term >= leaderTerm) {
         leaderTerm = m.term;
--- a/src/main/java/io/pearscale/protocol/AgentCommand.java
+++ b/src/main/java/io/pearscale/protocol/AgentCommand.java
@@ -21,10 +21,10 @@
     STOP("kill"),
     FORGET("clear");
 
-    private final String wire;
+    private final String wireName;
 
-    Verb(String wire) {
-      this.wire = wire;
+    Verb(String wireName) {
+      this.wireName = wireName;
     }
   }
 
@@ -47,7 +47,7 @@
   void pack(MessagePacker out) throws IOException {
     out.packMapHeader(verb == Verb.STOP ? 4 : 3);
     out.packString("verb");
-    out.packString(verb.wire);
+    out.packString(verb.wireName);
     out.packString("piece");
     out.packString(task.toString());
     out.packString("try");
@@ -61,7 +61,10 @@
   /** The command as an agent reads it. */
   public ObjectNode toNode() {
     ObjectNode node =
-        MessagePack.map().put("verb", verb.wire).put("piece", task.toString()).put("try", attempt);
+        MessagePack.map()
+            .put("verb", verb.wireName)
+            .put("piece", task.toString())
+            .put("try", attempt);
     if (verb == Verb.STOP) {
       node.put("leewayS", MessageFields.seconds(gracePeriod));
     }
--- a/src/main/java/io/pearscale/protocol/CloudApi.java
+++ b/src/main/java/io/pearscale/protocol/CloudApi.java
@@ -41,31 +41,31 @@
   /**
    * Where a page of the machine list is read.
    *
-   * @param after the last name of the page before; empty for the first page
+   * @param lastName the last name of the page before; empty for the first page
    */
-  public static String listPath(String after) {
-    return "/hosts?" + (after.isEmpty() ? "" : "since=" + after + "&") + "limit=" + PAGE_SIZE;
+  public static String listPath(String lastName) {
+    return "/hosts?" + (lastName.isEmpty() ? "" : "since=" + lastName + "&") + "limit=" + PAGE_SIZE;
   }
 
   /** A page of the machine list; empty if the body is none. */
   public static Optional<MachinePage> parsePage(JsonNode body) {
-    JsonNode list = body.path("hives");
-    if (!list.isArray()) {
+    JsonNode entries = body.path("hives");
+    if (!entries.isArray()) {
       return Optional.empty();
     }
-    List<ListedMachine> machines = new ArrayList<>(list.size());
-    list.forEach(line -> machines.add(parseMachine(line)));
+    List<ListedMachine> machines = new ArrayList<>(entries.size());
+    entries.forEach(entry -> machines.add(parseMachine(entry)));
     return Optional.of(new MachinePage(machines, body.path("more").asBoolean()));
   }
 
-  private static ListedMachine parseMachine(JsonNode line) {
+  private static ListedMachine parseMachine(JsonNode entry) {
     return new ListedMachine(
-        line.path("uid").asText(),
-        line.path("address").asText(),
-        line.path("breed").asText(),
-        line.path("yard").asText(),
-        line.path("windfall").asBoolean(),
-        line.path("stage").asText().equals("failed"));
+        entry.path("uid").asText(),
+        entry.path("address").asText(),
+        entry.path("breed").asText(),
+        entry.path("yard").asText(),
+        entry.path("windfall").asBoolean(),
+        entry.path("stage").asText().equals("failed"));
   }
 
   /**
@@ -108,8 +108,8 @@
    */
   public static JsonNode deleteRequest(List<String> names) {
     ObjectNode body = MessagePack.map();
-    ArrayNode list = body.putArray("hives");
-    names.forEach(list::add);
+    ArrayNode nameList = body.putArray("hives");
+    names.forEach(nameList::add);
     return body;
   }
 }
--- a/src/main/java/io/pearscale/protocol/ConnectionLimits.java
+++ b/src/main/java/io/pearscale/protocol/ConnectionLimits.java
@@ -6,20 +6,21 @@
  * another build.
  *
  * @param inbound connections accepted from agents and users
- * @param keptAlive those of the inbound ones that may stay open between two heartbeats; beyond them
- *     each response to a heartbeat closes its connection
+ * @param maxKeptAlive those of the inbound ones that may stay open between two heartbeats; beyond
+ *     them each response to a heartbeat closes its connection
  * @param outbound connections opened to machines, the key-value store and the cloud
  * @param reservedOutbound those of the outbound ones that machines can't take
- * @param parkedHeartbeats heartbeats that may wait for an election at the same time
- * @param openUserRequests requests of users that may wait for the key-value store at the same time
+ * @param maxWaitingHeartbeats heartbeats that may wait for an election at the same time
+ * @param maxOpenUserRequests requests of users that may wait for the key-value store at the same
+ *     time
  */
 public record ConnectionLimits(
     int inbound,
-    int keptAlive,
+    int maxKeptAlive,
     int outbound,
     int reservedOutbound,
-    int parkedHeartbeats,
-    int openUserRequests) {
+    int maxWaitingHeartbeats,
+    int maxOpenUserRequests) {
   private static final int MIN_RESERVED_OUTBOUND = 2;
 
   /** Divides the sockets; what is left over is for peers, the renewals and the process itself. */
@@ -27,10 +28,15 @@
     int inbound = maxConnections * 7 / 10;
     int outbound = maxConnections / 5;
     int reservedOutbound = Math.max(MIN_RESERVED_OUTBOUND, outbound / 10);
-    int keptAlive = inbound * 17 / 20;
+    int maxKeptAlive = inbound * 17 / 20;
     // A parked heartbeat keeps its connection: some are left to agents that ask meanwhile.
-    int parkedHeartbeats = keptAlive;
+    int maxWaitingHeartbeats = maxKeptAlive;
     return new ConnectionLimits(
-        inbound, keptAlive, outbound, reservedOutbound, parkedHeartbeats, maxConnections / 2);
+        inbound,
+        maxKeptAlive,
+        outbound,
+        reservedOutbound,
+        maxWaitingHeartbeats,
+        maxConnections / 2);
   }
 }
--- a/src/main/java/io/pearscale/protocol/EndCause.java
+++ b/src/main/java/io/pearscale/protocol/EndCause.java
@@ -16,7 +16,7 @@
   START_REFUSED;
 
   /** The cause with that name on the wire. Names that are not known count as a refused start. */
-  public static EndCause of(String wireName) {
+  public static EndCause fromWireName(String wireName) {
     return switch (wireName) {
       case "done" -> COMPLETED;
       case "error" -> FAILED;
--- a/src/main/java/io/pearscale/protocol/Heartbeat.java
+++ b/src/main/java/io/pearscale/protocol/Heartbeat.java
@@ -41,8 +41,8 @@
     /** The task has its image, and waits for the others of its gang. */
     WAITING;
 
-    static Stage parse(String text) throws MalformedMessageException {
-      return switch (text) {
+    static Stage parse(String wireName) throws MalformedMessageException {
+      return switch (wireName) {
         case "fetching" -> FETCHING;
         case "waiting" -> WAITING;
         case "running" -> RUNNING;
@@ -69,22 +69,22 @@
   public static Heartbeat parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
     List<TaskStatus> tasks = new ArrayList<>();
-    for (JsonNode t : MessageFields.list(map, "pieces")) {
-      MessageFields.requireMap(t);
-      Stage stage = Stage.parse(MessageFields.text(t, "stage"));
+    for (JsonNode taskNode : MessageFields.list(map, "pieces")) {
+      MessageFields.requireMap(taskNode);
+      Stage stage = Stage.parse(MessageFields.text(taskNode, "stage"));
       tasks.add(
           new TaskStatus(
-              TaskId.parse(MessageFields.text(t, "piece")),
-              MessageFields.integer(t, "try", 0, Long.MAX_VALUE),
+              TaskId.parse(MessageFields.text(taskNode, "piece")),
+              MessageFields.integer(taskNode, "try", 0, Long.MAX_VALUE),
               stage,
-              MessageFields.optionalText(t, "cause").orElse("")));
+              MessageFields.optionalText(taskNode, "cause").orElse("")));
     }
     return new Heartbeat(
         MessageFields.text(map, "hive"),
         MessageFields.text(map, "address"),
         MessageFields.text(map, "breed"),
         MessageFields.text(map, "yard"),
-        MessageFields.truthValue(map, "windfall"),
+        MessageFields.bool(map, "windfall"),
         MessageFields.integer(map, "stint", 0, Long.MAX_VALUE),
         MessageFields.integer(map, "tally", 0, Long.MAX_VALUE),
         MessageFields.integer(map, "baton", 0, Long.MAX_VALUE),
--- a/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatDecoder.java
@@ -85,9 +85,9 @@
       case "breed" -> machineType = text(name);
       case "yard" -> zone = text(name);
       case "windfall" -> spot = Optional.of(in.unpackBoolean());
-      case "stint" -> incarnation = wholeNumber(name);
-      case "tally" -> sequence = wholeNumber(name);
-      case "baton" -> fencingToken = wholeNumber(name);
+      case "stint" -> incarnation = nonNegativeInteger(name);
+      case "tally" -> sequence = nonNegativeInteger(name);
+      case "baton" -> fencingToken = nonNegativeInteger(name);
       case "warningS" -> preemptionNotice = Optional.of(MessageFields.duration(amount(name)));
       case "pieces" -> tasks = decodeTasks();
       default -> in.skipValue();
@@ -117,15 +117,15 @@
       }
       switch (name) {
         case "piece" -> task = text(name);
-        case "try" -> attempt = wholeNumber(name);
+        case "try" -> attempt = nonNegativeInteger(name);
         case "stage" -> stage = text(name);
         case "cause" -> cause = in.unpackString();
         default -> in.skipValue();
       }
     }
-    Stage parsed = Stage.parse(required("stage", stage));
+    Stage parsedStage = Stage.parse(required("stage", stage));
     return new TaskStatus(
-        TaskId.parse(required("piece", task)), required("try", attempt), parsed, cause);
+        TaskId.parse(required("piece", task)), required("try", attempt), parsedStage, cause);
   }
 
   private int mapHeader() throws IOException, MalformedMessageException {
@@ -152,7 +152,7 @@
     return text;
   }
 
-  private long wholeNumber(String name) throws IOException, MalformedMessageException {
+  private long nonNegativeInteger(String name) throws IOException, MalformedMessageException {
     long value = in.unpackLong();
     if (value < 0) {
       throw new MalformedMessageException(name + ": a whole number of at least 0 expected");
--- a/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
+++ b/src/main/java/io/pearscale/protocol/HeartbeatRecordCodec.java
@@ -19,7 +19,7 @@
   private static final String WAITING_CAUSE = "waiting";
 
   /** Stands for a machine that has no notice of its preemption. */
-  private static final long NO_NOTICE = -1;
+  private static final long NO_PREEMPTION_NOTICE = -1;
 
   private HeartbeatRecordCodec() {}
 
@@ -32,7 +32,7 @@
     out.writeLong(heartbeat.incarnation());
     out.writeLong(heartbeat.sequence());
     out.writeLong(heartbeat.fencingToken());
-    out.writeLong(heartbeat.preemptionNotice().map(Duration::toNanos).orElse(NO_NOTICE));
+    out.writeLong(heartbeat.preemptionNotice().map(Duration::toNanos).orElse(NO_PREEMPTION_NOTICE));
     out.writeInt(heartbeat.tasks().size());
     for (TaskStatus status : heartbeat.tasks()) {
       write(out, status);
@@ -73,7 +73,7 @@
     long incarnation = in.readLong();
     long sequence = in.readLong();
     long fencingToken = in.readLong();
-    long notice = in.readLong();
+    long preemptionNoticeNanos = in.readLong();
     return new Heartbeat(
         machine,
         address,
@@ -83,14 +83,16 @@
         incarnation,
         sequence,
         fencingToken,
-        notice < 0 ? Optional.empty() : Optional.of(Duration.ofNanos(notice)),
+        preemptionNoticeNanos < 0
+            ? Optional.empty()
+            : Optional.of(Duration.ofNanos(preemptionNoticeNanos)),
         readTasks(in));
   }
 
   private static List<TaskStatus> readTasks(DataInputStream in)
       throws IOException, MalformedMessageException {
     List<TaskStatus> tasks = new ArrayList<>();
-    for (int left = PeerMessageCodec.readCount(in); left > 0; left--) {
+    for (int remaining = PeerMessageCodec.readCount(in); remaining > 0; remaining--) {
       tasks.add(readTaskStatus(in));
     }
     return tasks;
@@ -100,7 +102,7 @@
       throws IOException, MalformedMessageException {
     TaskId task = readTask(in);
     long attempt = in.readLong();
-    Stage stage = readConstant(in, Stage.values());
+    Stage stage = readEnum(in, Stage.values());
     String cause = in.readUTF();
     return stage == Stage.FETCHING && cause.equals(WAITING_CAUSE)
         ? new TaskStatus(task, attempt, Stage.WAITING, "")
@@ -112,7 +114,7 @@
     int status = in.readShort();
     long fencingToken = in.readLong();
     List<AgentCommand> commands = new ArrayList<>();
-    for (int left = PeerMessageCodec.readCount(in); left > 0; left--) {
+    for (int remaining = PeerMessageCodec.readCount(in); remaining > 0; remaining--) {
       commands.add(readCommand(in));
     }
     return new HeartbeatResponse(status, fencingToken, commands);
@@ -120,7 +122,7 @@
 
   private static AgentCommand readCommand(DataInputStream in)
       throws IOException, MalformedMessageException {
-    AgentCommand.Verb verb = readConstant(in, AgentCommand.Verb.values());
+    AgentCommand.Verb verb = readEnum(in, AgentCommand.Verb.values());
     return new AgentCommand(verb, readTask(in), in.readLong(), Duration.ofNanos(in.readLong()));
   }
 
@@ -128,7 +130,7 @@
     return new TaskId(in.readUTF(), in.readInt());
   }
 
-  private static <T> T readConstant(DataInputStream in, T[] values)
+  private static <T> T readEnum(DataInputStream in, T[] values)
       throws IOException, MalformedMessageException {
     int ordinal = in.readByte();
     if (ordinal < 0 || ordinal >= values.length) {
--- a/src/main/java/io/pearscale/protocol/JobSpec.java
+++ b/src/main/java/io/pearscale/protocol/JobSpec.java
@@ -10,7 +10,7 @@
 /**
  * A job as its user described it. Names of the wire's fields end here.
  *
- * @param id the id that the user chose, see {@link #isId}
+ * @param id the id that the user chose, see {@link #isValidId}
  * @param jobClass the class that service-level objectives name
  * @param team the team that submitted it
  * @param workloadType how its tasks belong together
@@ -60,7 +60,7 @@
    * Whether the text has the form of a job id: the prefix, then 1 to 64 letters and digits. Asked
    * for each task of each heartbeat, so without a regular expression.
    */
-  public static boolean isId(String id) {
+  public static boolean isValidId(String id) {
     if (!id.startsWith(ID_PREFIX)
         || id.length() == ID_PREFIX.length()
         || id.length() > MAX_ID_LENGTH) {
@@ -83,7 +83,7 @@
   public static JobSpec parse(JsonNode body) throws MalformedMessageException {
     JsonNode map = MessageFields.requireMap(body);
     String id = MessageFields.text(map, "uid");
-    if (!isId(id)) {
+    if (!isValidId(id)) {
       throw new MalformedMessageException("uid: an id like wk-000412 expected");
     }
     WorkloadType workloadType =
@@ -95,8 +95,8 @@
             .orElseThrow(
                 () ->
                     new MalformedMessageException("rank: critical, high, normal or idle expected"));
-    Optional<Double> due = MessageFields.optionalAmount(map, "dueS");
-    Optional<List<String>> machineTypes = MessageFields.texts(map, "breeds");
+    Optional<Double> deadlineSeconds = MessageFields.optionalAmount(map, "dueS");
+    Optional<List<String>> machineTypes = MessageFields.strings(map, "breeds");
     return new JobSpec(
         id,
         MessageFields.text(map, "lineup"),
@@ -111,13 +111,13 @@
         MessageFields.amount(map, "imageGb"),
         machineTypes,
         MessageFields.optionalText(map, "yard"),
-        MessageFields.truthValue(map, "oneZone"),
-        MessageFields.truthValue(map, "spread"),
-        MessageFields.truthValue(map, "windfall"),
+        MessageFields.bool(map, "oneZone"),
+        MessageFields.bool(map, "spread"),
+        MessageFields.bool(map, "windfall"),
         MessageFields.seconds(map, "guessS"),
         MessageFields.seconds(map, "bookmarkS"),
         MessageFields.seconds(map, "stashS"),
-        due.map(MessageFields::duration));
+        deadlineSeconds.map(MessageFields::duration));
   }
 
   /** The job as it is stored. */
--- a/src/main/java/io/pearscale/protocol/MachineType.java
+++ b/src/main/java/io/pearscale/protocol/MachineType.java
@@ -40,9 +40,9 @@
   public static List<MachineType> parseAll(JsonNode body) {
     List<MachineType> result = new ArrayList<>();
     try {
-      for (JsonNode n : MessageFields.list(MessageFields.requireMap(body), "breeds")) {
+      for (JsonNode entry : MessageFields.list(MessageFields.requireMap(body), "breeds")) {
         try {
-          result.add(parse(n));
+          result.add(parse(entry));
         } catch (MalformedMessageException e) {
           // One bad line must not hide the others.
         }
@@ -66,7 +66,7 @@
         MessageFields.optionalAmount(node, "marketPrice")
             .orElse(MessageFields.amount(node, "rate")),
         MessageFields.seconds(node, "readyS"),
-        MessageFields.texts(node, "yards").orElse(List.of()));
+        MessageFields.strings(node, "yards").orElse(List.of()));
   }
 
   /** The type as the cloud writes it. */
--- a/src/main/java/io/pearscale/protocol/MessageFields.java
+++ b/src/main/java/io/pearscale/protocol/MessageFields.java
@@ -103,7 +103,7 @@
   }
 
   /** A truth value. */
-  public static boolean truthValue(JsonNode map, String name) throws MalformedMessageException {
+  public static boolean bool(JsonNode map, String name) throws MalformedMessageException {
     JsonNode node =
         get(map, name).orElseThrow(() -> new MalformedMessageException(name + ": missing"));
     if (!node.isBoolean()) {
@@ -127,17 +127,19 @@
   }
 
   /** A list of texts; empty when the list itself is missing. */
-  public static Optional<List<String>> texts(JsonNode map, String name)
+  public static Optional<List<String>> strings(JsonNode map, String name)
       throws MalformedMessageException {
     if (get(map, name).isEmpty()) {
       return Optional.empty();
     }
     List<String> result = new ArrayList<>();
-    for (JsonNode n : list(map, name)) {
-      if (!n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > MAX_TEXT_LENGTH) {
+    for (JsonNode element : list(map, name)) {
+      if (!element.isTextual()
+          || element.textValue().isEmpty()
+          || element.textValue().length() > MAX_TEXT_LENGTH) {
         throw new MalformedMessageException(name + ": texts expected");
       }
-      result.add(n.textValue());
+      result.add(element.textValue());
     }
     return Optional.of(result);
   }
--- a/src/main/java/io/pearscale/protocol/PeerMessage.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessage.java
@@ -23,12 +23,12 @@
   /**
    * An agent's heartbeat, on its way to the leader.
    *
-   * @param exchange names the exchange; chosen by the sender, and never used twice by it
+   * @param exchangeId names the exchange; chosen by the sender, and never used twice by it
    */
-  record ForwardedHeartbeat(long exchange, Heartbeat heartbeat) implements PeerMessage {}
+  record ForwardedHeartbeat(long exchangeId, Heartbeat heartbeat) implements PeerMessage {}
 
   /** The leader's response to a forwarded heartbeat, under the same exchange. */
-  record ForwardedHeartbeatResponse(long exchange, HeartbeatResponse response)
+  record ForwardedHeartbeatResponse(long exchangeId, HeartbeatResponse response)
       implements PeerMessage {}
 
   /**
--- a/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
+++ b/src/main/java/io/pearscale/protocol/PeerMessageCodec.java
@@ -32,13 +32,13 @@
   private static final int JOB_CANCELLED = 7;
 
   /** Enough for most records, in bytes. */
-  private static final int INITIAL_SIZE = 256;
+  private static final int INITIAL_BUFFER_BYTES = 256;
 
   private PeerMessageCodec() {}
 
   /** Encodes a record. */
   static byte[] encode(PeerMessage message) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_SIZE);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       write(out, message);
     } catch (IOException e) {
@@ -52,11 +52,11 @@
       writeControllerHeartbeat(out, m);
     } else if (message instanceof ForwardedHeartbeat m) {
       out.writeByte(FORWARDED_HEARTBEAT);
-      out.writeLong(m.exchange());
+      out.writeLong(m.exchangeId());
       HeartbeatRecordCodec.write(out, m.heartbeat());
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       out.writeByte(FORWARDED_HEARTBEAT_RESPONSE);
-      out.writeLong(m.exchange());
+      out.writeLong(m.exchangeId());
       HeartbeatRecordCodec.write(out, m.response());
     } else if (message instanceof TaskCounts m) {
       writeTaskCounts(out, m);
@@ -95,18 +95,18 @@
     out.writeByte(CONFIRMATION);
     out.writeLong(message.nonce());
     out.writeLong(message.term());
-    writeTexts(out, message.cancelledJobs());
+    writeStrings(out, message.cancelledJobs());
     out.writeBoolean(message.liveJobs().isPresent());
     if (message.liveJobs().isPresent()) {
       out.writeLong(message.liveJobs().get().storeRevision());
-      writeTexts(out, message.liveJobs().get().jobs());
+      writeStrings(out, message.liveJobs().get().jobs());
     }
   }
 
-  private static void writeTexts(DataOutputStream out, List<String> texts) throws IOException {
-    out.writeInt(texts.size());
-    for (String text : texts) {
-      out.writeUTF(text);
+  private static void writeStrings(DataOutputStream out, List<String> strings) throws IOException {
+    out.writeInt(strings.size());
+    for (String string : strings) {
+      out.writeUTF(string);
     }
   }
 
@@ -148,7 +148,7 @@
   private static TaskCounts readTaskCounts(DataInputStream in)
       throws IOException, MalformedMessageException {
     List<JobTaskCount> jobs = new ArrayList<>();
-    for (int left = readCount(in); left > 0; left--) {
+    for (int remaining = readCount(in); remaining > 0; remaining--) {
       jobs.add(new JobTaskCount(in.readUTF(), in.readInt(), in.readInt()));
     }
     return new TaskCounts(jobs);
@@ -159,19 +159,19 @@
     return new Confirmation(
         in.readLong(),
         in.readLong(),
-        readTexts(in),
+        readStrings(in),
         in.readBoolean()
-            ? Optional.of(new LiveJobs(in.readLong(), readTexts(in)))
+            ? Optional.of(new LiveJobs(in.readLong(), readStrings(in)))
             : Optional.empty());
   }
 
-  private static List<String> readTexts(DataInputStream in)
+  private static List<String> readStrings(DataInputStream in)
       throws IOException, MalformedMessageException {
-    List<String> texts = new ArrayList<>();
-    for (int left = readCount(in); left > 0; left--) {
-      texts.add(in.readUTF());
+    List<String> strings = new ArrayList<>();
+    for (int remaining = readCount(in); remaining > 0; remaining--) {
+      strings.add(in.readUTF());
     }
-    return texts;
+    return strings;
   }
 
   /** The number of entries that follow. */
--- a/src/main/java/io/pearscale/protocol/PeerVersions.java
+++ b/src/main/java/io/pearscale/protocol/PeerVersions.java
@@ -12,7 +12,7 @@
  */
 public record PeerVersions(int lowest, int highest) {
   /** What this build understands. */
-  public static final PeerVersions OF_THIS_BUILD =
+  public static final PeerVersions SUPPORTED =
       new PeerVersions(PeerMessage.VERSION, PeerMessage.VERSION);
 
   private static final Pattern GREETING = Pattern.compile("pearscale/(\\d{1,9})(?:-(\\d{1,9}))?");
@@ -39,7 +39,7 @@
   }
 
   /** Whether a controller that greets so can be talked to. */
-  public boolean accepts(String otherGreeting) {
-    return parse(otherGreeting).map(this::overlaps).orElse(false);
+  public boolean accepts(String peerGreeting) {
+    return parse(peerGreeting).map(this::overlaps).orElse(false);
   }
 }
--- a/src/main/java/io/pearscale/protocol/Settings.java
+++ b/src/main/java/io/pearscale/protocol/Settings.java
@@ -11,7 +11,7 @@
 /**
  * The platform's settings of one controller.
  *
- * @param host the name of this controller, unique among the controllers
+ * @param controllerName the name of this controller, unique among the controllers
  * @param zone the zone that it runs in
  * @param clientListen where users, agents and the load balancer connect
  * @param peerListen where the other controllers connect
@@ -27,7 +27,7 @@
  * @param cpuShare the part of a processor's core that this controller has; 1 is a whole core
  */
 public record Settings(
-    String host,
+    String controllerName,
     String zone,
     InetSocketAddress clientListen,
     InetSocketAddress peerListen,
@@ -125,7 +125,7 @@
       int maxValueBytes,
       int maxTransactionOperations) {
     /** The smaller of both in each respect. */
-    public StoreLimits smallerOf(StoreLimits other) {
+    public StoreLimits min(StoreLimits other) {
       return new StoreLimits(
           Math.min(requestsPerSecond, other.requestsPerSecond),
           Math.min(writesPerSecond, other.writesPerSecond),
@@ -164,8 +164,8 @@
    * seconds.
    */
   public Duration leaderLeaseTtl() {
-    double slowness = Math.sqrt(HALF_CORE / Math.max(MIN_CPU_SHARE, cpuShare));
-    Duration ttl = Duration.ofMillis((long) (MIN_LEADER_LEASE_TTL.toMillis() * slowness));
+    double slowdown = Math.sqrt(HALF_CORE / Math.max(MIN_CPU_SHARE, cpuShare));
+    Duration ttl = Duration.ofMillis((long) (MIN_LEADER_LEASE_TTL.toMillis() * slowdown));
     if (ttl.compareTo(MIN_LEADER_LEASE_TTL) < 0) {
       return MIN_LEADER_LEASE_TTL;
     }
@@ -173,10 +173,10 @@
   }
 
   /** The names of all controllers, this one included, in alphabetical order. */
-  public Set<String> hosts() {
-    Set<String> hosts = new TreeSet<>(peers.keySet());
-    hosts.add(host);
-    return hosts;
+  public Set<String> controllerNames() {
+    Set<String> names = new TreeSet<>(peers.keySet());
+    names.add(controllerName);
+    return names;
   }
 
   /** How this controller divides its sockets. */
--- a/src/main/java/io/pearscale/protocol/TaskId.java
+++ b/src/main/java/io/pearscale/protocol/TaskId.java
@@ -6,7 +6,7 @@
   public static TaskId parse(String text) throws MalformedMessageException {
     int slash = text.lastIndexOf('/');
     try {
-      if (slash > 0 && JobSpec.isId(text.substring(0, slash))) {
+      if (slash > 0 && JobSpec.isValidId(text.substring(0, slash))) {
         int index = Integer.parseInt(text.substring(slash + 1));
         if (index >= 0) {
           return new TaskId(text.substring(0, slash), index);
--- a/src/main/java/io/pearscale/protocol/WorkloadType.java
+++ b/src/main/java/io/pearscale/protocol/WorkloadType.java
@@ -16,8 +16,8 @@
 
   private final String wireName;
 
-  WorkloadType(String wire) {
-    this.wireName = wire;
+  WorkloadType(String wireName) {
+    this.wireName = wireName;
   }
 
   /** Its name in messages and in stored jobs. */
@@ -26,7 +26,7 @@
   }
 
   /** The shape of that name; empty if there is none. */
-  public static Optional<WorkloadType> parse(String text) {
-    return Arrays.stream(values()).filter(shape -> shape.wireName.equals(text)).findFirst();
+  public static Optional<WorkloadType> parse(String wireName) {
+    return Arrays.stream(values()).filter(type -> type.wireName.equals(wireName)).findFirst();
   }
 }
--- a/src/main/java/io/pearscale/scheduler/Controller.java
+++ b/src/main/java/io/pearscale/scheduler/Controller.java
@@ -132,17 +132,18 @@
   private HeartbeatRelayActor relay(SchedulerActor scheduler, PeerTransport peerTransport) {
     return new HeartbeatRelayActor(
         loop,
-        settings.host(),
+        settings.controllerName(),
         peerTransport,
         settings.relayTimeout(),
-        settings.connectionLimits().parkedHeartbeats(),
-        (heartbeat, respond) -> scheduler.offerHeartbeat(heartbeat, settings.host(), respond));
+        settings.connectionLimits().maxWaitingHeartbeats(),
+        (heartbeat, respond) ->
+            scheduler.offerHeartbeat(heartbeat, settings.controllerName(), respond));
   }
 
   private SupportAnnouncer announcer(
       SupportedLevels supported, Duration leaseTtl, RandomGenerator random) {
     MemberSupport support = new MemberSupport(supported, random.nextLong(), Release.name());
-    return new SupportAnnouncer(loop, store, settings.host(), support, leaseTtl);
+    return new SupportAnnouncer(loop, store, settings.controllerName(), support, leaseTtl);
   }
 
   /** Begins to work. */
@@ -207,7 +208,7 @@
       updateLevel(Optional.ofNullable(entries.get(Keys.LEVEL)));
       replicaStatus.loaded(storeRevision);
       tellScheduler(new SchedulerActor.Loaded(entries, storeRevision));
-      actors.api().tell(new ApiActor.Loaded(entries));
+      actors.api().tell(new ApiActor.ReplicaLoaded(entries));
       actors.election().tell(new ElectionActor.Loaded(entries));
     }
 
@@ -265,7 +266,11 @@
               (cancelledJobs, liveJobs) ->
                   election.tell(
                       new ElectionActor.PeerConfirmed(
-                          settings.host(), nonce, term, cancelledJobs, Optional.empty())));
+                          settings.controllerName(),
+                          nonce,
+                          term,
+                          cancelledJobs,
+                          Optional.empty())));
       actors.api().tell(request);
     }
 
--- a/src/main/java/io/pearscale/scheduler/LeaderComponents.java
+++ b/src/main/java/io/pearscale/scheduler/LeaderComponents.java
@@ -101,7 +101,8 @@
     machineProvisioner =
         machineProvisioner(environment, leaderState, cloud, retirement, classes, order);
     levelRaiser =
-        new SchemaLevelUpgrader(environment.levelGate(), settings.hosts(), leaderState.clock());
+        new SchemaLevelUpgrader(
+            environment.levelGate(), settings.controllerNames(), leaderState.clock());
     recordWriter = recordWriter(environment, leaderState, executor, retirement);
     taskCountPublisher = new TaskCountPublisher(jobs, listener::taskCountsChanged);
   }
--- a/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
+++ b/src/main/java/io/pearscale/scheduler/PeerMessageHandler.java
@@ -75,7 +75,8 @@
           .offerHeartbeat(
               m.heartbeat(),
               peer,
-              response -> peers.send(peer, new ForwardedHeartbeatResponse(m.exchange(), response)));
+              response ->
+                  peers.send(peer, new ForwardedHeartbeatResponse(m.exchangeId(), response)));
     } else if (message instanceof ForwardedHeartbeatResponse m) {
       actors.relay().tell(new HeartbeatRelayActor.LeaderResponded(m));
     } else if (message instanceof TaskCounts m) {
--- a/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
+++ b/src/main/java/io/pearscale/scheduler/agents/TaskStatusApplier.java
@@ -62,7 +62,7 @@
   void applyEnded(
       Machine machine, Heartbeat heartbeat, TaskStatus status, ReportedAttempts.Previous previous) {
     Optional<TaskAttempt> known = knownAttempt(machine, heartbeat, status);
-    EndCause cause = EndCause.of(status.cause());
+    EndCause cause = EndCause.fromWireName(status.cause());
     long startToken =
         cause == EndCause.COMPLETED
             ? COMPLETED_NEEDS_NO_TOKEN
--- a/src/main/java/io/pearscale/transport/DisabledMBeanServerBuilder.java
+++ b/src/main/java/io/pearscale/transport/DisabledMBeanServerBuilder.java
@@ -12,11 +12,11 @@
  */
 public final class DisabledMBeanServerBuilder extends MBeanServerBuilder {
   /** Names the builder of management servers to the JVM. */
-  private static final String BUILDER = "javax.management.builder.initial";
+  private static final String BUILDER_PROPERTY = "javax.management.builder.initial";
 
   /** Is to be called before XNIO is touched. */
   public static void install() {
-    System.setProperty(BUILDER, DisabledMBeanServerBuilder.class.getName());
+    System.setProperty(BUILDER_PROPERTY, DisabledMBeanServerBuilder.class.getName());
   }
 
   @Override
--- a/src/main/java/io/pearscale/transport/HttpClient.java
+++ b/src/main/java/io/pearscale/transport/HttpClient.java
@@ -10,7 +10,7 @@
    * Sends one request.
    *
    * @param body what to send, or a missing node for no body
-   * @param answer gets exactly one reply, at the latest when the timeout has passed
+   * @param onReply gets exactly one reply, at the latest when the timeout has passed
    */
   void call(
       String address,
@@ -18,7 +18,7 @@
       String path,
       JsonNode body,
       Duration timeout,
-      Consumer<Reply> answer);
+      Consumer<Reply> onReply);
 
   /**
    * An answer, or the lack of one.
--- a/src/main/java/io/pearscale/transport/HttpServer.java
+++ b/src/main/java/io/pearscale/transport/HttpServer.java
@@ -63,7 +63,7 @@
     void handle(String method, String path, Body body, Consumer<Response> respond);
   }
 
-  private static final Response UNREADABLE =
+  private static final Response UNREADABLE_BODY =
       new Response(
           400,
           Body.of(MessagePack.map().put("error", "body unreadable or over 64 KiB")),
@@ -74,14 +74,14 @@
 
   private final Undertow undertow;
   private final int keepAliveLimit;
-  private final Predicate<String> closedWhenCrowded;
+  private final Predicate<String> closedOverKeepAliveLimit;
   private int openConnections;
 
   /**
    * Prepares a server on the address, run by the worker.
    *
    * @param keepAliveLimit how many may be open before connections are closed with their answers
-   * @param closedWhenCrowded paths of those whose connections are closed then
+   * @param closedOverKeepAliveLimit paths of those whose connections are closed then
    */
   public HttpServer(
       InetSocketAddress address,
@@ -89,10 +89,10 @@
       ByteBufferPool buffers,
       int maxConnections,
       int keepAliveLimit,
-      Predicate<String> closedWhenCrowded,
+      Predicate<String> closedOverKeepAliveLimit,
       Handler handler) {
     this.keepAliveLimit = keepAliveLimit;
-    this.closedWhenCrowded = closedWhenCrowded;
+    this.closedOverKeepAliveLimit = closedOverKeepAliveLimit;
     undertow =
         Undertow.builder()
             .setWorker(worker)
@@ -140,7 +140,7 @@
         exchange,
         MAX_BODY_BYTES,
         bytes -> handle(exchange, bytes, handler),
-        failure -> respond(exchange, UNREADABLE));
+        failure -> respond(exchange, UNREADABLE_BODY));
   }
 
   private void handle(HttpServerExchange exchange, byte[] bytes, Handler handler) {
@@ -171,7 +171,7 @@
                     .put(Headers.RETRY_AFTER, Long.toString(Math.max(1, d.toSeconds()))));
     if (response.close()
         || (openConnections > keepAliveLimit
-            && closedWhenCrowded.test(exchange.getRequestPath()))) {
+            && closedOverKeepAliveLimit.test(exchange.getRequestPath()))) {
       exchange.setPersistent(false);
       // At once, not when the client closes its side, which one that is cut off never does.
       exchange.addExchangeCompleteListener(
--- a/src/main/java/io/pearscale/transport/TcpPeerTransport.java
+++ b/src/main/java/io/pearscale/transport/TcpPeerTransport.java
@@ -45,7 +45,7 @@
 
   private final EventLoop loop;
   private final XnioWorker worker;
-  private final String self;
+  private final String localName;
   private final String greeting;
   private final Predicate<String> acceptsGreeting;
   private final Receiver receiver;
@@ -77,14 +77,14 @@
   public TcpPeerTransport(
       EventLoop loop,
       XnioWorker worker,
-      String self,
+      String localName,
       String greeting,
       Predicate<String> acceptsGreeting,
       Map<String, InetSocketAddress> addresses,
       Receiver receiver) {
     this.loop = loop;
     this.worker = worker;
-    this.self = self;
+    this.localName = localName;
     this.greeting = greeting;
     this.acceptsGreeting = acceptsGreeting;
     this.receiver = receiver;
@@ -224,7 +224,7 @@
             });
     connection.getSourceChannel().resumeReads();
     LOG.info("event=peer_link_up peer={}", peer.name);
-    enqueue(peer, (greeting + " " + self).getBytes(StandardCharsets.UTF_8));
+    enqueue(peer, (greeting + " " + localName).getBytes(StandardCharsets.UTF_8));
     flush(peer);
   }
 
@@ -246,13 +246,13 @@
     ConduitStreamSinkChannel sink = connection.getSinkChannel();
     try {
       while (!peer.queue.isEmpty()) {
-        ByteBuffer[] heads =
+        ByteBuffer[] batch =
             peer.queue.stream().limit(MAX_FRAMES_PER_WRITE).toArray(ByteBuffer[]::new);
-        peer.queuedBytes -= (int) sink.write(heads, 0, heads.length);
+        peer.queuedBytes -= (int) sink.write(batch, 0, batch.length);
         while (!peer.queue.isEmpty() && !peer.queue.peek().hasRemaining()) {
           peer.queue.poll();
         }
-        if (heads[heads.length - 1].hasRemaining()) {
+        if (batch[batch.length - 1].hasRemaining()) {
           sink.setWriteListener(ch -> flush(peer));
           sink.resumeWrites();
           return;
@@ -298,7 +298,7 @@
           }
           chunk.flip();
           while (chunk.hasRemaining()) {
-            takeBytes();
+            consumeBytes();
           }
         }
       } catch (IOException e) {
@@ -306,7 +306,7 @@
       }
     }
 
-    private void takeBytes() throws IOException {
+    private void consumeBytes() throws IOException {
       // As a whole: byte by byte it took a tenth of the time of a leader whose code was not
       // compiled.
       int end = chunk.limit();
@@ -330,12 +330,14 @@
       frame = ByteBuffer.allocate(4);
       inBody = false;
       if (sender == null) {
-        String[] hello = new String(bytes, StandardCharsets.UTF_8).split(" ", 2);
-        if (hello.length != 2 || !acceptsGreeting.test(hello[0]) || !peers.containsKey(hello[1])) {
+        String[] greetingParts = new String(bytes, StandardCharsets.UTF_8).split(" ", 2);
+        if (greetingParts.length != 2
+            || !acceptsGreeting.test(greetingParts[0])
+            || !peers.containsKey(greetingParts[1])) {
           LOG.warn("event=foreign_peer action=closed");
           throw new IOException("foreign peer");
         }
-        sender = peers.get(hello[1]);
+        sender = peers.get(greetingParts[1]);
       } else {
         sender.lastReceived = loop.clock().instant();
         receiver.received(sender.name, bytes);
--- a/src/main/java/io/pearscale/transport/UndertowHttpClient.java
+++ b/src/main/java/io/pearscale/transport/UndertowHttpClient.java
@@ -95,7 +95,7 @@
     final String address;
 
     /** Empty for what is no address. */
-    final Optional<URI> target;
+    final Optional<URI> uri;
 
     final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
     int connecting;
@@ -103,7 +103,7 @@
 
     Host(String address) {
       this.address = address;
-      this.target = target(address);
+      this.uri = parseAddress(address);
     }
   }
 
@@ -112,30 +112,30 @@
     final Host host;
     final ClientRequest request;
     final byte[] body;
-    Consumer<Reply> answer;
+    Consumer<Reply> onReply;
     ClientConnection connection;
-    IoFuture<StreamConnection> attempt;
+    IoFuture<StreamConnection> connectAttempt;
     boolean connectInProgress;
     Timeouts.Timeout timeout;
 
-    PendingRequest(Host host, ClientRequest request, byte[] body, Consumer<Reply> answer) {
+    PendingRequest(Host host, ClientRequest request, byte[] body, Consumer<Reply> onReply) {
       this.host = host;
       this.request = request;
       this.body = body;
-      this.answer = answer;
+      this.onReply = onReply;
     }
 
     void finish(Reply reply, boolean reusable) {
-      if (answer == null) {
+      if (onReply == null) {
         return;
       }
-      Consumer<Reply> to = answer;
-      answer = null;
+      Consumer<Reply> callback = onReply;
+      onReply = null;
       host.pending--;
       timeouts.cancel(timeout);
       if (connectInProgress) {
         connectAttemptEnded();
-        attempt.cancel();
+        connectAttempt.cancel();
       }
       if (connection != null) {
         if (reusable && connection.isOpen() && host.idle.size() < MAX_IDLE_PER_HOST) {
@@ -146,7 +146,7 @@
         }
       }
       removeIfUnused(host);
-      to.accept(reply);
+      callback.accept(reply);
     }
 
     /** The attempt to connect is over, or given up. */
@@ -156,9 +156,9 @@
       connecting--;
     }
 
-    void send(ClientConnection on) {
-      connection = on;
-      on.sendRequest(request, this);
+    void send(ClientConnection openConnection) {
+      connection = openConnection;
+      openConnection.sendRequest(request, this);
     }
 
     @Override
@@ -256,11 +256,11 @@
       String path,
       JsonNode body,
       Duration timeout,
-      Consumer<Reply> answer) {
+      Consumer<Reply> onReply) {
     Host host = hosts.computeIfAbsent(address, Host::new);
-    if (host.target.isEmpty()) {
+    if (host.uri.isEmpty()) {
       removeIfUnused(host);
-      loop.execute(() -> answer.accept(Reply.NO_RESPONSE));
+      loop.execute(() -> onReply.accept(Reply.NO_RESPONSE));
       return;
     }
     byte[] bytes = body.isMissingNode() ? new byte[0] : MessagePack.encode(body);
@@ -273,23 +273,23 @@
     } else if (!"GET".equals(method)) {
       request.getRequestHeaders().put(Headers.CONTENT_LENGTH, "0");
     }
-    PendingRequest pending = new PendingRequest(host, request, bytes, answer);
+    PendingRequest pending = new PendingRequest(host, request, bytes, onReply);
     host.pending++;
     pending.timeout = timeouts.start(timeout, () -> pending.finish(Reply.NO_RESPONSE, false));
-    ClientConnection kept;
-    while ((kept = host.idle.poll()) != null) {
-      idle.remove(kept);
-      if (kept.isOpen()) {
-        pending.send(kept);
+    ClientConnection idleConnection;
+    while ((idleConnection = host.idle.poll()) != null) {
+      idle.remove(idleConnection);
+      if (idleConnection.isOpen()) {
+        pending.send(idleConnection);
         return;
       }
     }
-    int most =
+    int connectionLimit =
         priorityAddresses.contains(address) ? maxConnections : maxConnections - reservedConnections;
-    if (openConnections() >= most) {
+    if (openConnections() >= connectionLimit) {
       evictLongestIdle();
     }
-    if (host.connecting >= MAX_CONNECTING_PER_HOST || openConnections() >= most) {
+    if (host.connecting >= MAX_CONNECTING_PER_HOST || openConnections() >= connectionLimit) {
       refusedRequests++;
       loop.execute(() -> pending.finish(Reply.NOT_SENT, false));
       return;
@@ -310,7 +310,7 @@
   }
 
   /** How many hosts are known. */
-  int knownHosts() {
+  int hostCount() {
     return hosts.size();
   }
 
@@ -318,7 +318,7 @@
    * Where an address leads. Machines name their own: one that is no address counts as one that does
    * not answer, since an exception would end whatever the caller was about to do for others.
    */
-  private static Optional<URI> target(String address) {
+  private static Optional<URI> parseAddress(String address) {
     try {
       URI uri = new URI("http://" + address);
       return uri.getHost() != null && uri.getPort() > 0 ? Optional.of(uri) : Optional.empty();
@@ -329,12 +329,12 @@
 
   /** With more hosts than sockets, the connection that was not needed for longest makes room. */
   private void evictLongestIdle() {
-    Optional<ClientConnection> oldest =
+    Optional<ClientConnection> longestIdle =
         idle.entrySet().stream()
             .filter(entry -> !priorityAddresses.contains(entry.getValue().address))
             .map(Map.Entry::getKey)
             .findFirst();
-    oldest.ifPresent(
+    longestIdle.ifPresent(
         c -> {
           removeIdle(c);
           connected.remove(c);
@@ -389,11 +389,11 @@
                 }
               }
             },
-            host.target.orElseThrow(),
+            host.uri.orElseThrow(),
             connector,
             buffers,
             OptionMap.EMPTY);
-    pending.attempt = connector.lastAttempt;
+    pending.connectAttempt = connector.lastAttempt;
   }
 
   /**
